--- a/adapter/src/main/java/frostrelay/adapter/Adapter.java
+++ b/adapter/src/main/java/frostrelay/adapter/Adapter.java
@@ -4,6 +4,7 @@
 import frostrelay.policy.Router;
 import frostrelay.settings.SettingsException;
 import frostrelay.settings.SettingsParser;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -16,22 +17,28 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads event batches, hands them to one {@link Router} per instance, and replies. Decides nothing. */
+/**
+ * Reads event batches, hands them to one {@link Router} per instance, and replies. Decides nothing.
+ */
 final class Adapter {
     static final int EVENT = 56;
     private static final int ENTRY = 24;
     private static final int LISTS = 16;
     private static final int BODY_HEADER = 12;
+
     /** A frame longer than this is taken for a damaged length. */
     static final int MOST_BYTES = 1 << 28;
+
     private static final int ATTR_HINT = 1;
     private static final int ATTR_REPEAT = 2;
     private static final int ATTR_WRITE = 4;
     private static final float[] NO_REPORT = new float[0];
 
-    /** One balancer hosted here, how many request classes its settings name, and its talk with peers or null. */
-    private record Instance(Router router, int classes, PeerTalk talk) {
-    }
+    /**
+     * One balancer hosted here, how many request classes its settings name, and its talk with peers
+     * or null.
+     */
+    private record Instance(Router router, int classes, PeerTalk talk) {}
 
     private final InputStream in;
     private final OutputStream out;
@@ -42,7 +49,9 @@
     private ByteBuffer frame;
     private int tail;
 
-    /** {@code talk}: whether hosted balancers talk with their peers where their settings allow it. */
+    /**
+     * {@code talk}: whether hosted balancers talk with their peers where their settings allow it.
+     */
     Adapter(InputStream in, OutputStream out, boolean talk) {
         this.in = in;
         this.talk = talk;
@@ -79,14 +88,19 @@
         }
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new WireException("end of input inside a frame: " + body.length + " of " + length + " bytes");
+            throw new WireException(
+                    "end of input inside a frame: " + body.length + " of " + length + " bytes");
         }
         frame = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
         int records = frame.getInt(0);
         long end = BODY_HEADER + (records & 0xffffffffL) * EVENT;
         if (end > length) {
-            throw new WireException("a frame of " + length + " bytes cannot hold "
-                    + Integer.toUnsignedString(records) + " records");
+            throw new WireException(
+                    "a frame of "
+                            + length
+                            + " bytes cannot hold "
+                            + Integer.toUnsignedString(records)
+                            + " records");
         }
         tail = (int) end;
         return true;
@@ -108,7 +122,8 @@
         }
         Instance instance = instances.get(balancer);
         if (instance == null) {
-            throw new WireException("event " + code + " for balancer " + balancer + ", which has not started");
+            throw new WireException(
+                    "event " + code + " for balancer " + balancer + ", which has not started");
         }
         Router router = instance.router();
         switch (code) {
@@ -126,7 +141,12 @@
                 List<Api.Server> servers = entries(at);
                 router.onList(now, mode(at), servers);
                 if (instance.talk() != null && mode(at) != Api.ListMode.FAILED) {
-                    instance.talk().acts(now, frame.getLong(at + 6), mode(at) == Api.ListMode.DELTA, servers);
+                    instance.talk()
+                            .acts(
+                                    now,
+                                    frame.getLong(at + 6),
+                                    mode(at) == Api.ListMode.DELTA,
+                                    servers);
                 }
             }
             case 8 -> router.onFirstByte(now, frame.getLong(at + 5), unsignedShort(at + 13));
@@ -149,8 +169,11 @@
     private void message(long now, int at, Instance instance) {
         int[] range = tailRange(at + 7, 1);
         if (instance.talk() != null) {
-            instance.talk().heard(now, unsignedShort(at + 5), Arrays.copyOfRange(frame.array(), range[0],
-                    range[0] + range[1]));
+            instance.talk()
+                    .heard(
+                            now,
+                            unsignedShort(at + 5),
+                            Arrays.copyOfRange(frame.array(), range[0], range[0] + range[1]));
         }
     }
 
@@ -162,8 +185,21 @@
             throw new WireException("settings of balancer " + balancer + " name no request class");
         }
         Router router = new Router(settings, frame.getLong(at + 5), reply.of(balancer));
-        instances.put(balancer, new Instance(router, settings.classes().size(), PeerTalk.of(talk, reply, balancer, now,
-                frame.getLong(at + 5), settings.rank(), settings.instances(), text, router)));
+        instances.put(
+                balancer,
+                new Instance(
+                        router,
+                        settings.classes().size(),
+                        PeerTalk.of(
+                                talk,
+                                reply,
+                                balancer,
+                                now,
+                                frame.getLong(at + 5),
+                                settings.rank(),
+                                settings.instances(),
+                                text,
+                                router)));
     }
 
     private void list(int at) {
@@ -175,9 +211,15 @@
             if (state < 0 || state > 2) {
                 throw new WireException("unknown server condition " + state);
             }
-            servers.add(new Api.Server(address(entry), unsignedShort(entry + 6), frame.get(entry + 8) & 0xff,
-                    unsignedShort(entry + 9), Api.State.values()[state], frame.getFloat(entry + 12),
-                    frame.getLong(entry + 16)));
+            servers.add(
+                    new Api.Server(
+                            address(entry),
+                            unsignedShort(entry + 6),
+                            frame.get(entry + 8) & 0xff,
+                            unsignedShort(entry + 9),
+                            Api.State.values()[state],
+                            frame.getFloat(entry + 12),
+                            frame.getLong(entry + 16)));
         }
         lists.set(listNumber(at + 1), List.copyOf(servers));
     }
@@ -215,38 +257,51 @@
         if (requestClass >= classCount) {
             throw new WireException("unknown request class " + requestClass);
         }
-        return new Api.Request(frame.getLong(at + 5), requestClass, frame.getInt(at + 15) & Integer.MAX_VALUE,
-                frame.getLong(at + 19), frame.getLong(at + 27),
-                (attrs & ATTR_HINT) != 0 ? frame.getLong(at + 35) : 0, (attrs & ATTR_REPEAT) != 0,
+        return new Api.Request(
+                frame.getLong(at + 5),
+                requestClass,
+                frame.getInt(at + 15) & Integer.MAX_VALUE,
+                frame.getLong(at + 19),
+                frame.getLong(at + 27),
+                (attrs & ATTR_HINT) != 0 ? frame.getLong(at + 35) : 0,
+                (attrs & ATTR_REPEAT) != 0,
                 (attrs & ATTR_WRITE) != 0);
     }
 
     private Api.Outcome outcome(int at) {
         int code = unsignedShort(at + 21);
-        Api.Reason reason = switch (code) {
-            case 200 -> Api.Reason.OK;
-            case 204 -> Api.Reason.MISS;
-            case 408 -> Api.Reason.TIMEOUT;
-            case 409 -> Api.Reason.MOOT;
-            case 429 -> Api.Reason.REJECTED;
-            case 444 -> Api.Reason.CANCELLED;
-            case 502 -> Api.Reason.ERROR;
-            case 520 -> Api.Reason.RESET;
-            case 521 -> Api.Reason.CONNECT_FAILED;
-            default -> throw new WireException("unknown outcome " + code);
-        };
+        Api.Reason reason =
+                switch (code) {
+                    case 200 -> Api.Reason.OK;
+                    case 204 -> Api.Reason.MISS;
+                    case 408 -> Api.Reason.TIMEOUT;
+                    case 409 -> Api.Reason.MOOT;
+                    case 429 -> Api.Reason.REJECTED;
+                    case 444 -> Api.Reason.CANCELLED;
+                    case 502 -> Api.Reason.ERROR;
+                    case 520 -> Api.Reason.RESET;
+                    case 521 -> Api.Reason.CONNECT_FAILED;
+                    default -> throw new WireException("unknown outcome " + code);
+                };
         int n = Math.min(4, frame.get(at + 36) & 0xff);
         float[] report = n == 0 ? NO_REPORT : new float[n];
         for (int i = 0; i < n; i++) {
             report[i] = frame.getFloat(at + 37 + 4 * i);
         }
-        Api.Source source = switch (frame.getInt(at + 32)) {
-            case 1 -> Api.Source.CACHE;
-            case 2, 3 -> Api.Source.FETCH;
-            default -> Api.Source.UNKNOWN;
-        };
-        return new Api.Outcome(frame.getLong(at + 5), unsignedShort(at + 13), reason, frame.getLong(at + 23),
-                frame.get(at + 31) != 0, source, report);
+        Api.Source source =
+                switch (frame.getInt(at + 32)) {
+                    case 1 -> Api.Source.CACHE;
+                    case 2, 3 -> Api.Source.FETCH;
+                    default -> Api.Source.UNKNOWN;
+                };
+        return new Api.Outcome(
+                frame.getLong(at + 5),
+                unsignedShort(at + 13),
+                reason,
+                frame.getLong(at + 23),
+                frame.get(at + 31) != 0,
+                source,
+                report);
     }
 
     /** Start and count of a piece of the tail, checked against the frame's end. */
@@ -254,8 +309,11 @@
         long offset = frame.getInt(at) & 0xffffffffL;
         long count = frame.getInt(at + 4) & 0xffffffffL;
         if (tail + offset + count * size > frame.capacity()) {
-            throw new WireException("a record points past the end of its frame: offset " + offset + ", length "
-                    + count);
+            throw new WireException(
+                    "a record points past the end of its frame: offset "
+                            + offset
+                            + ", length "
+                            + count);
         }
         return new int[] {(int) (tail + offset), (int) count};
     }
--- a/adapter/src/main/java/frostrelay/adapter/Main.java
+++ b/adapter/src/main/java/frostrelay/adapter/Main.java
@@ -1,8 +1,8 @@
 package frostrelay.adapter;
 
 import java.io.BufferedInputStream;
-import java.io.FileInputStream;
 import java.io.FileDescriptor;
+import java.io.FileInputStream;
 import java.io.FileOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -13,10 +13,11 @@
 public final class Main {
     private static final int BUFFER = 1 << 16;
 
-    private Main() {
-    }
+    private Main() {}
 
-    /** Exits 0 at a clean end of input, 1 on input that breaks the wire's rules or a wrong argument. */
+    /**
+     * Exits 0 at a clean end of input, 1 on input that breaks the wire's rules or a wrong argument.
+     */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("adapter")) {
             System.err.println("frostrelay: usage: java -jar frostrelay-adapter.jar adapter");
--- a/adapter/src/main/java/frostrelay/adapter/PeerTalk.java
+++ b/adapter/src/main/java/frostrelay/adapter/PeerTalk.java
@@ -10,6 +10,7 @@
 import frostrelay.stragglers.Kind;
 import frostrelay.stragglers.StragglerSettings;
 import frostrelay.stragglers.Stragglers;
+
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -20,16 +21,23 @@
 import java.util.zip.CRC32C;
 
 /**
- * One hosted balancer's talk with its peers on the simulator's wire, and what it makes of that: the same {@link Peers} and
- * {@link Stragglers} as on sockets. The wire has no call of discovery out of turn, no file to read again and no readiness: here a
- * straggler leaves alone what others know as draining, and no more.
+ * One hosted balancer's talk with its peers on the simulator's wire, and what it makes of that: the
+ * same {@link Peers} and {@link Stragglers} as on sockets. The wire has no call of discovery out of
+ * turn, no file to read again and no readiness: here a straggler leaves alone what others know as
+ * draining, and no more.
  */
 final class PeerTalk implements Peers.Actions, Peers.Listener, Stragglers.Actions {
     /** No timer of the decision module has it. */
     static final int TOKEN = Integer.MIN_VALUE;
+
     private static final String ALLOWED = "ceilings.peer-messages=true";
-    /** The simulator's clock begins at 0; lives are numbered as though that were a day in this century. */
+
+    /**
+     * The simulator's clock begins at 0; lives are numbered as though that were a day in this
+     * century.
+     */
     private static final long WALL_MS = 1_790_000_000_000L;
+
     private static final long MILLISECOND = 1_000_000L;
 
     private final ReplyWriter reply;
@@ -45,8 +53,15 @@
     private long now;
     private long wakeAt = Long.MAX_VALUE;
 
-    private PeerTalk(ReplyWriter reply, int balancer, long now, long seed, int rank, int count, String settings,
-                     Api.Events module) {
+    private PeerTalk(
+            ReplyWriter reply,
+            int balancer,
+            long now,
+            long seed,
+            int rank,
+            int count,
+            String settings,
+            Api.Events module) {
         this.module = module;
         this.reply = reply;
         this.balancer = balancer;
@@ -55,17 +70,36 @@
         digest.update(settings.getBytes(StandardCharsets.UTF_8));
         stamp = new Stamp(1, Stamp.NO_NUMBER, digest.getValue(), 0, 0, 0, 0);
         stragglers = new Stragglers(StragglerSettings.STANDARD, rank, count, seed, stamp, this);
-        peers = new Peers(PeerSettings.STANDARD, rank, count, now, Incarnation.of(WALL_MS + now / MILLISECOND), seed, stamp,
-                0, this, this);
+        peers =
+                new Peers(
+                        PeerSettings.STANDARD,
+                        rank,
+                        count,
+                        now,
+                        Incarnation.of(WALL_MS + now / MILLISECOND),
+                        seed,
+                        stamp,
+                        0,
+                        this,
+                        this);
         schedule();
     }
 
     /** Begins to talk where it is wanted and the settings allow it; null elsewhere. */
-    static PeerTalk of(boolean wanted, ReplyWriter reply, int balancer, long now, long seed, int rank, int count,
-                       String settings, Api.Events module) {
+    static PeerTalk of(
+            boolean wanted,
+            ReplyWriter reply,
+            int balancer,
+            long now,
+            long seed,
+            int rank,
+            int count,
+            String settings,
+            Api.Events module) {
         boolean allowed = settings.lines().anyMatch(ALLOWED::equals);
         return wanted && allowed && count > 1 && rank < count
-                ? new PeerTalk(reply, balancer, now, seed, rank, count, settings, module) : null;
+                ? new PeerTalk(reply, balancer, now, seed, rank, count, settings, module)
+                : null;
     }
 
     /** It has taken this version of the list; {@code delta}: these are changes to it. */
@@ -131,7 +165,13 @@
         // Within the talk's own first words there is nothing to ask yet.
         if (peers != null && rank != peers.rank()) {
             Known known = peers.known(now, rank);
-            stragglers.onPeer(now, rank, known.state(), known.stamp(), Incarnation.unixMs(known.incarnation()), known.age());
+            stragglers.onPeer(
+                    now,
+                    rank,
+                    known.state(),
+                    known.stamp(),
+                    Incarnation.unixMs(known.incarnation()),
+                    known.age());
         }
     }
 
@@ -159,11 +199,27 @@
     public void avoid(Set<Long> caches) {
         Set<Long> changed = new TreeSet<>(avoided);
         changed.addAll(caches);
-        changed.removeIf(id -> avoided.contains(id) == caches.contains(id) || !listed.containsKey(id));
+        changed.removeIf(
+                id -> avoided.contains(id) == caches.contains(id) || !listed.containsKey(id));
         avoided = caches;
-        module.onList(now, Api.ListMode.DELTA, changed.stream().map(listed::get).map(one -> !caches.contains(one.id()) ? one
-                : new Api.Server(one.id(), one.zone(), one.kind(), one.cell(), Api.State.DRAINING, one.weight(), one.startedAt()))
-                .toList());
+        module.onList(
+                now,
+                Api.ListMode.DELTA,
+                changed.stream()
+                        .map(listed::get)
+                        .map(
+                                one ->
+                                        !caches.contains(one.id())
+                                                ? one
+                                                : new Api.Server(
+                                                        one.id(),
+                                                        one.zone(),
+                                                        one.kind(),
+                                                        one.cell(),
+                                                        Api.State.DRAINING,
+                                                        one.weight(),
+                                                        one.startedAt()))
+                        .toList());
     }
 
     @Override
--- a/adapter/src/main/java/frostrelay/adapter/ReplyWriter.java
+++ b/adapter/src/main/java/frostrelay/adapter/ReplyWriter.java
@@ -1,6 +1,7 @@
 package frostrelay.adapter;
 
 import frostrelay.policy.Api;
+
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.ByteBuffer;
--- a/adapter/src/test/java/frostrelay/adapter/AdapterTest.java
+++ b/adapter/src/test/java/frostrelay/adapter/AdapterTest.java
@@ -5,6 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import org.junit.jupiter.api.Test;
+
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
@@ -16,10 +18,10 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
-import org.junit.jupiter.api.Test;
 
 class AdapterTest {
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             categories.count=1
             categories.0.deadline-ns=2500000000
             categories.0.effect=retryable
@@ -35,8 +37,10 @@
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
     private int serve(byte[] input) {
-        return Main.serve(new ByteArrayInputStream(input), out, new PrintStream(err, true,
-                StandardCharsets.UTF_8));
+        return Main.serve(
+                new ByteArrayInputStream(input),
+                out,
+                new PrintStream(err, true, StandardCharsets.UTF_8));
     }
 
     private static ByteBuffer frame(int records, int tail) {
@@ -54,14 +58,23 @@
         frame.put(settings);
         frame.put(new byte[] {10, 11, 12, 13}).putShort((short) 5003).putShort((short) 0);
         int at = 16;
-        frame.put(at, (byte) 7).putInt(at + 1, 3).putLong(at + 5, 99).putInt(at + 13, 0)
+        frame.put(at, (byte) 7)
+                .putInt(at + 1, 3)
+                .putLong(at + 5, 99)
+                .putInt(at + 13, 0)
                 .putInt(at + 17, settings.length);
         at += Adapter.EVENT;
-        frame.put(at, (byte) 0).put(at + 1, (byte) 4).putInt(at + 2, settings.length).putInt(at + 6, 1);
+        frame.put(at, (byte) 0)
+                .put(at + 1, (byte) 4)
+                .putInt(at + 2, settings.length)
+                .putInt(at + 6, 1);
         at += Adapter.EVENT;
         frame.put(at, (byte) 6).putInt(at + 1, 3).put(at + 5, (byte) 2).put(at + 14, (byte) 4);
         at += Adapter.EVENT;
-        frame.put(at, (byte) 10).putInt(at + 1, 3).putLong(at + 5, 4242).putLong(at + 19, 77)
+        frame.put(at, (byte) 10)
+                .putInt(at + 1, 3)
+                .putLong(at + 5, 4242)
+                .putLong(at + 19, 77)
                 .putLong(at + 27, NOW + 2_000_000_000L);
         return frame.array();
     }
@@ -82,7 +95,8 @@
         assertEquals(3, reply.getInt(9));
         assertEquals(4242, reply.getLong(13));
         assertEquals(NOW + 1_200_000_000L, reply.getLong(21));
-        assertArrayEquals(new byte[] {10, 11, 12, 13}, Arrays.copyOfRange(out.toByteArray(), 29, 33));
+        assertArrayEquals(
+                new byte[] {10, 11, 12, 13}, Arrays.copyOfRange(out.toByteArray(), 29, 33));
         assertEquals(5003, reply.getShort(33));
     }
 
@@ -118,12 +132,22 @@
         assertMalformed(frame(1, 0).putInt(4, 1_000_000).array(), "cannot hold");
         assertMalformed(frame(1, 0).put(16, (byte) 99).array(), "event code 99");
         assertMalformed(frame(1, 0).put(16, (byte) 1).putInt(17, 8).array(), "has not started");
-        assertMalformed(frame(1, 0).put(16, (byte) 0).putInt(18, 8).putInt(22, 50_000_000).array(), "past the end");
+        assertMalformed(
+                frame(1, 0).put(16, (byte) 0).putInt(18, 8).putInt(22, 50_000_000).array(),
+                "past the end");
         assertMalformed(frame(1, 0).put(16, (byte) 0).put(17, (byte) 200).array(), "list number");
-        assertMalformed(ByteBuffer.wrap(session()).order(ByteOrder.LITTLE_ENDIAN)
-                .put(16 + 2 * Adapter.EVENT + 5, (byte) 9).array(), "list mode");
-        assertMalformed(ByteBuffer.wrap(session()).order(ByteOrder.LITTLE_ENDIAN)
-                .putShort(16 + 3 * Adapter.EVENT + 13, (short) 40).array(), "request class");
+        assertMalformed(
+                ByteBuffer.wrap(session())
+                        .order(ByteOrder.LITTLE_ENDIAN)
+                        .put(16 + 2 * Adapter.EVENT + 5, (byte) 9)
+                        .array(),
+                "list mode");
+        assertMalformed(
+                ByteBuffer.wrap(session())
+                        .order(ByteOrder.LITTLE_ENDIAN)
+                        .putShort(16 + 3 * Adapter.EVENT + 13, (short) 40)
+                        .array(),
+                "request class");
     }
 
     private void assertMalformed(byte[] input, String word) {
@@ -136,19 +160,21 @@
     /** Damaged bytes end in a clean exit or a clear error, never in a hang or another exception. */
     @Test
     void randomDamageNeverEscapes() {
-        assertTimeoutPreemptively(Duration.ofSeconds(30), () -> {
-            Random random = new Random(5);
-            for (int i = 0; i < 5000; i++) {
-                byte[] bytes = session();
-                for (int n = 1 + random.nextInt(6); n > 0; n--) {
-                    bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
-                }
-                err.reset();
-                int status = serve(bytes);
-                assertEquals(status != 0, err.size() > 0);
-                out.reset();
-            }
-        });
+        assertTimeoutPreemptively(
+                Duration.ofSeconds(30),
+                () -> {
+                    Random random = new Random(5);
+                    for (int i = 0; i < 5000; i++) {
+                        byte[] bytes = session();
+                        for (int n = 1 + random.nextInt(6); n > 0; n--) {
+                            bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
+                        }
+                        err.reset();
+                        int status = serve(bytes);
+                        assertEquals(status != 0, err.size() > 0);
+                        out.reset();
+                    }
+                });
     }
 
     @Test
@@ -164,7 +190,10 @@
         assertMalformed(both, "outcome 299");
     }
 
-    /** Two hosted balancers that are allowed to talk know what the other acts on; nothing goes out unless it is wanted. */
+    /**
+     * Two hosted balancers that are allowed to talk know what the other acts on; nothing goes out
+     * unless it is wanted.
+     */
     @Test
     void hostedBalancersTalkOnTheWire() throws Exception {
         for (boolean wanted : new boolean[] {false, true}) {
@@ -187,13 +216,15 @@
         PipedRounds(boolean wanted) throws Exception {
             java.io.PipedInputStream in = new java.io.PipedInputStream(to, 1 << 16);
             java.io.PipedOutputStream out = new java.io.PipedOutputStream(from);
-            Thread thread = new Thread(() -> {
-                try {
-                    new Adapter(in, out, wanted).run();
-                } catch (java.io.IOException e) {
-                    // The test has ended.
-                }
-            });
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                try {
+                                    new Adapter(in, out, wanted).run();
+                                } catch (java.io.IOException e) {
+                                    // The test has ended.
+                                }
+                            });
             thread.setDaemon(true);
             thread.start();
         }
@@ -205,9 +236,18 @@
                 List<byte[]> records = new ArrayList<>();
                 java.io.ByteArrayOutputStream tail = new java.io.ByteArrayOutputStream();
                 for (int i = 0; batch == 0 && i < 2; i++) {
-                    byte[] settings = (SETTINGS.replace("n-instances=1", "n-instances=2") + "rank=" + i
-                            + "\nceilings.peer-messages=true\n").getBytes(StandardCharsets.UTF_8);
-                    records.add(record(7, i).putLong(5, 99).putInt(13, tail.size()).putInt(17, settings.length).array());
+                    byte[] settings =
+                            (SETTINGS.replace("n-instances=1", "n-instances=2")
+                                            + "rank="
+                                            + i
+                                            + "\nceilings.peer-messages=true\n")
+                                    .getBytes(StandardCharsets.UTF_8);
+                    records.add(
+                            record(7, i)
+                                    .putLong(5, 99)
+                                    .putInt(13, tail.size())
+                                    .putInt(17, settings.length)
+                                    .array());
                     tail.writeBytes(settings);
                 }
                 for (long[] timer : List.copyOf(timers)) {
@@ -218,14 +258,22 @@
                 }
                 for (Object[] message : messages) {
                     byte[] data = (byte[]) message[2];
-                    records.add(record(4, (Integer) message[1]).putShort(5, (short) (int) (Integer) message[0])
-                            .putInt(7, tail.size()).putInt(11, data.length).array());
+                    records.add(
+                            record(4, (Integer) message[1])
+                                    .putShort(5, (short) (int) (Integer) message[0])
+                                    .putInt(7, tail.size())
+                                    .putInt(11, data.length)
+                                    .array());
                     tail.writeBytes(data);
                 }
                 heardLate += batch > batches / 2 ? messages.size() : 0;
                 messages.clear();
-                ByteBuffer head = ByteBuffer.allocate(16).order(ByteOrder.LITTLE_ENDIAN)
-                        .putInt(12 + records.size() * Adapter.EVENT + tail.size()).putInt(records.size()).putLong(now);
+                ByteBuffer head =
+                        ByteBuffer.allocate(16)
+                                .order(ByteOrder.LITTLE_ENDIAN)
+                                .putInt(12 + records.size() * Adapter.EVENT + tail.size())
+                                .putInt(records.size())
+                                .putLong(now);
                 to.write(head.array());
                 for (byte[] one : records) {
                     to.write(one);
@@ -238,18 +286,23 @@
         }
 
         private static ByteBuffer record(int code, int balancer) {
-            return ByteBuffer.allocate(Adapter.EVENT).order(ByteOrder.LITTLE_ENDIAN).put(0, (byte) code).putInt(1, balancer);
+            return ByteBuffer.allocate(Adapter.EVENT)
+                    .order(ByteOrder.LITTLE_ENDIAN)
+                    .put(0, (byte) code)
+                    .putInt(1, balancer);
         }
 
         private int reply() throws Exception {
-            int length = ByteBuffer.wrap(from.readNBytes(4)).order(ByteOrder.LITTLE_ENDIAN).getInt();
+            int length =
+                    ByteBuffer.wrap(from.readNBytes(4)).order(ByteOrder.LITTLE_ENDIAN).getInt();
             ByteBuffer in = ByteBuffer.wrap(from.readNBytes(length)).order(ByteOrder.LITTLE_ENDIAN);
             int count = in.getInt(0);
             int told = 0;
             for (int i = 0; i < count; i++) {
                 int at = 4 + i * ReplyWriter.ACTION;
                 if (in.get(at) == 68) {
-                    timers.add(new long[] {in.getInt(at + 1), in.getLong(at + 5), in.getInt(at + 13)});
+                    timers.add(
+                            new long[] {in.getInt(at + 1), in.getLong(at + 5), in.getInt(at + 13)});
                 } else if (in.get(at) == 69) {
                     byte[] data = new byte[in.getInt(at + 13)];
                     in.get(4 + count * ReplyWriter.ACTION + in.getInt(at + 9), data);
--- a/audit/src/main/java/frostrelay/audit/AuditLog.java
+++ b/audit/src/main/java/frostrelay/audit/AuditLog.java
@@ -3,17 +3,20 @@
 import frostrelay.peers.Peers;
 import frostrelay.peers.Stamp;
 import frostrelay.peers.State;
+
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
 
 /**
- * Keeps account of what one life of a balancer acts on, and writes it down. A send costs two additions and no allocation
- * unless sends are wanted one by one. For one thread; moments are nanoseconds of the balancer's monotonic clock.
+ * Keeps account of what one life of a balancer acts on, and writes it down. A send costs two
+ * additions and no allocation unless sends are wanted one by one. For one thread; moments are
+ * nanoseconds of the balancer's monotonic clock.
  */
 public final class AuditLog implements Peers.Listener {
     /** A wall clock that moved by less against the monotonic one is being slewed, not set. */
     private static final long JUMP_MS = 250;
+
     private static final long MILLISECOND = 1_000_000L;
 
     private final Recorder recorder;
@@ -30,9 +33,19 @@
     private long since;
     private Cause cause = Cause.START;
 
-    /** {@code each}: whether every send is entered by itself; {@code incarnation}: of this life among its peers. */
-    public AuditLog(Recorder recorder, boolean each, long now, long wallMs, String name, int rank, long incarnation,
-                    Stamp stamp) {
+    /**
+     * {@code each}: whether every send is entered by itself; {@code incarnation}: of this life
+     * among its peers.
+     */
+    public AuditLog(
+            Recorder recorder,
+            boolean each,
+            long now,
+            long wallMs,
+            String name,
+            int rank,
+            long incarnation,
+            Stamp stamp) {
         this.recorder = recorder;
         this.each = each;
         this.born = now;
@@ -97,8 +110,9 @@
     }
 
     /**
-     * An attempt that was decided on under the stamp {@code under} was written to a cache. {@code attempt}: its place
-     * among the request's; {@code copy}: another is still out; {@code id}: the request's.
+     * An attempt that was decided on under the stamp {@code under} was written to a cache. {@code
+     * attempt}: its place among the request's; {@code copy}: another is still out; {@code id}: the
+     * request's.
      */
     public void sent(long now, int under, int cache, int attempt, boolean copy, String id) {
         if (each) {
@@ -106,7 +120,15 @@
         }
         if (under != sequence) {
             // Decided on before the change, on its way while it came: under the old stamp.
-            recorder.append(new Entry.Counts(now - born, under, copy ? 1 : 0, 0, 0, new int[] {cache}, new int[] {1}));
+            recorder.append(
+                    new Entry.Counts(
+                            now - born,
+                            under,
+                            copy ? 1 : 0,
+                            0,
+                            0,
+                            new int[] {cache},
+                            new int[] {1}));
             return;
         }
         sends[cache]++;
@@ -129,8 +151,8 @@
     }
 
     /**
-     * To be called about once a second: counts so far go into the record, also where there are none, as a sign that it
-     * lives; a wall clock that was set is noticed.
+     * To be called about once a second: counts so far go into the record, also where there are
+     * none, as a sign that it lives; a wall clock that was set is noticed.
      */
     public void tick(long now, long wallMs) {
         flush(now);
@@ -155,7 +177,8 @@
                 sends[i] = 0;
             }
         }
-        recorder.append(new Entry.Counts(now - born, sequence, copies, refused, failed, caches, counts));
+        recorder.append(
+                new Entry.Counts(now - born, sequence, copies, refused, failed, caches, counts));
         copies = 0;
         refused = 0;
         failed = 0;
--- a/audit/src/main/java/frostrelay/audit/Framed.java
+++ b/audit/src/main/java/frostrelay/audit/Framed.java
@@ -6,8 +6,7 @@
 
 /** Entries as the bytes that a record holds. */
 public final class Framed {
-    private Framed() {
-    }
+    private Framed() {}
 
     /** One entry with its frame. */
     public static byte[] of(Entry entry) {
@@ -23,7 +22,9 @@
         return bytes;
     }
 
-    /** Where the entries from a place on that fit into {@code room} end: behind one entry at least. */
+    /**
+     * Where the entries from a place on that fit into {@code room} end: behind one entry at least.
+     */
     public static int fitting(byte[] bytes, int from, long room) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         int end = from;
--- a/audit/src/main/java/frostrelay/audit/Record.java
+++ b/audit/src/main/java/frostrelay/audit/Record.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * What could be read of one life's record. {@code unread}: bytes behind the last whole entry, torn or damaged;
- * {@code unknown}: whole entries of types that this build does not know.
+ * What could be read of one life's record. {@code unread}: bytes behind the last whole entry, torn
+ * or damaged; {@code unknown}: whole entries of types that this build does not know.
  */
 public record Record(List<Entry> entries, int unread, int unknown) {
     /** Reads as much as is whole. Throws IllegalArgumentException for what is no record at all. */
--- a/audit/src/main/java/frostrelay/audit/Ring.java
+++ b/audit/src/main/java/frostrelay/audit/Ring.java
@@ -6,9 +6,9 @@
 import java.util.Deque;
 
 /**
- * The last entries of a life, in bounded memory: where no disk lasts this is the record. What a reader needs for what is
- * left outlasts the rest: the start, the caches' names, what the list last said of each and the last stamp; what went is
- * named as a gap. For one thread.
+ * The last entries of a life, in bounded memory: where no disk lasts this is the record. What a
+ * reader needs for what is left outlasts the rest: the start, the caches' names, what the list last
+ * said of each and the last stamp; what went is named as a gap. For one thread.
  */
 public final class Ring implements Recorder {
     private final int most;
--- a/audit/src/main/java/frostrelay/audit/fleet/Kind.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/Kind.java
@@ -1,11 +1,15 @@
 package frostrelay.audit.fleet;
 
 import frostrelay.peers.Stamp;
+
 import java.util.Locale;
 
 /** The kinds of versions that a stamp holds. */
 public enum Kind {
-    CONFIG, LIST, HOLDS, BUILD;
+    CONFIG,
+    LIST,
+    HOLDS,
+    BUILD;
 
     /** Of which version a stamp is: a number where there is one, and the digest of the content. */
     public Version of(Stamp stamp) {
@@ -30,10 +34,14 @@
             return number == Stamp.NO_NUMBER ? content : number + ":" + content;
         }
 
-        /** Whether a person's word means this one: its number, its digest or the beginning of that, or both with ':'. */
+        /**
+         * Whether a person's word means this one: its number, its digest or the beginning of that,
+         * or both with ':'.
+         */
         public boolean matches(String word) {
             String content = String.format(Locale.ROOT, "%016x", digest);
-            return word.equals(Long.toString(number)) && number != Stamp.NO_NUMBER || text().equals(word)
+            return word.equals(Long.toString(number)) && number != Stamp.NO_NUMBER
+                    || text().equals(word)
                     || word.length() >= 4 && content.startsWith(word.toLowerCase(Locale.ROOT));
         }
     }
--- a/audit/src/main/java/frostrelay/audit/fleet/Life.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/Life.java
@@ -3,6 +3,7 @@
 import frostrelay.audit.Entry;
 import frostrelay.audit.Record;
 import frostrelay.peers.Incarnation;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -11,8 +12,8 @@
 import java.util.Set;
 
 /**
- * One life of a balancer, put together from the parts of its record. Entries are in their order; what a part repeats for
- * its reader is left out where the part before it is there.
+ * One life of a balancer, put together from the parts of its record. Entries are in their order;
+ * what a part repeats for its reader is left out where the part before it is there.
  */
 public final class Life {
     private final String source;
@@ -57,22 +58,26 @@
         beginningLost = !firstThere || entries.stream().anyMatch(Entry.Resumes.class::isInstance);
     }
 
-    /** Of what a part repeats, that counts which the parts before it do not have: it was lost on its way to them. */
+    /**
+     * Of what a part repeats, that counts which the parts before it do not have: it was lost on its
+     * way to them.
+     */
     private void repeated(List<Entry> head) {
         int last = -1;
         for (Entry entry : entries) {
             last = entry instanceof Entry.Acts one ? one.sequence() : last;
         }
         for (Entry entry : head) {
-            if (entry instanceof Entry.Names || entry instanceof Entry.Acts one && one.sequence() > last) {
+            if (entry instanceof Entry.Names
+                    || entry instanceof Entry.Acts one && one.sequence() > last) {
                 entries.add(entry);
             }
         }
     }
 
     /**
-     * {@code source}: where the parts came from, for messages; {@code firstThere}: the first of them is the life's first.
-     * Null where not even the start could be read.
+     * {@code source}: where the parts came from, for messages; {@code firstThere}: the first of
+     * them is the life's first. Null where not even the start could be read.
      */
     public static Life of(String source, List<Record> parts, boolean firstThere) {
         Life life = new Life(source, parts, firstThere);
@@ -114,8 +119,10 @@
 
     /** Whether this is the life of a balancer that others knew by this number and incarnation. */
     public boolean is(int rank, long incarnation) {
-        return start.rank() == rank && (incarnations.contains(incarnation)
-                || Incarnation.unixMs(incarnation) == Incarnation.unixMs(start.incarnation()));
+        return start.rank() == rank
+                && (incarnations.contains(incarnation)
+                        || Incarnation.unixMs(incarnation)
+                                == Incarnation.unixMs(start.incarnation()));
     }
 
     /** Whether its last entry says that it ended in order. */
@@ -149,7 +156,10 @@
         return gaps;
     }
 
-    /** Until when it acted on the stamp at a place of {@link #acts}: the next one's beginning, or the last it said. */
+    /**
+     * Until when it acted on the stamp at a place of {@link #acts}: the next one's beginning, or
+     * the last it said.
+     */
     public long until(int place) {
         return place + 1 < acts.size() ? acts.get(place + 1).at() : last();
     }
--- a/audit/src/main/java/frostrelay/audit/fleet/Statement.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/Statement.java
@@ -4,6 +4,7 @@
 import frostrelay.audit.fleet.Clocks.Moment;
 import frostrelay.audit.fleet.Kind.Version;
 import frostrelay.peers.Stamp;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -14,8 +15,9 @@
 import java.util.TreeMap;
 
 /**
- * What the records of a fleet say together. Moments are milliseconds from the first life's start, as {@code [earliest,
- * latest]}: where the order can't be known they overlap. What is missing is named, never filled in.
+ * What the records of a fleet say together. Moments are milliseconds from the first life's start,
+ * as {@code [earliest, latest]}: where the order can't be known they overlap. What is missing is
+ * named, never filled in.
  */
 public final class Statement {
     private static final double MILLISECOND = 1e6;
@@ -23,7 +25,9 @@
     private final List<Life> lives;
     private final Clocks clocks;
 
-    /** {@code lives}: in any order; the one that is placed best by its peers becomes the reference. */
+    /**
+     * {@code lives}: in any order; the one that is placed best by its peers becomes the reference.
+     */
     public Statement(List<Life> lives) {
         this.lives = new ArrayList<>(lives);
         this.lives.sort((a, b) -> Long.compare(a.start().incarnation(), b.start().incarnation()));
@@ -31,7 +35,9 @@
     }
 
     private static List<Object> ms(Moment moment) {
-        return List.of(Math.round(moment.earliest() / MILLISECOND), Math.round(moment.latest() / MILLISECOND));
+        return List.of(
+                Math.round(moment.earliest() / MILLISECOND),
+                Math.round(moment.latest() / MILLISECOND));
     }
 
     private static Map<String, Object> object(Object... pairs) {
@@ -42,21 +48,53 @@
         return object;
     }
 
-    /** Every life: from when to when, how it ended, how it was placed, and what its record lacks. */
+    /**
+     * Every life: from when to when, how it ended, how it was placed, and what its record lacks.
+     */
     public List<Map<String, Object>> told() {
         List<Map<String, Object>> told = new ArrayList<>();
         for (Life life : lives) {
             List<Object> gaps = new ArrayList<>();
             for (Entry.Gap gap : life.gaps()) {
-                gaps.add(object("from", ms(clocks.moment(life, gap.from())), "to", ms(clocks.moment(life, gap.at())),
-                        "entries", gap.entries(), "why", gap.why()));
+                gaps.add(
+                        object(
+                                "from",
+                                ms(clocks.moment(life, gap.from())),
+                                "to",
+                                ms(clocks.moment(life, gap.at())),
+                                "entries",
+                                gap.entries(),
+                                "why",
+                                gap.why()));
             }
-            told.add(object("balancer", life.name(), "life", life.label(), "rank", life.start().rank(),
-                    "from", ms(clocks.moment(life, life.start().at())), "last", ms(clocks.moment(life, life.last())),
-                    "end", life.ended() ? "in order" : "unknown: its last entry is no end",
-                    "placed", clocks.offset(life).heard() ? "by what peers heard" : "by its wall clock alone",
-                    "stamps", life.acts().size(), "gaps", gaps, "unreadBytes", life.unread(),
-                    "beginningLost", life.beginningLost(), "source", life.source()));
+            told.add(
+                    object(
+                            "balancer",
+                            life.name(),
+                            "life",
+                            life.label(),
+                            "rank",
+                            life.start().rank(),
+                            "from",
+                            ms(clocks.moment(life, life.start().at())),
+                            "last",
+                            ms(clocks.moment(life, life.last())),
+                            "end",
+                            life.ended() ? "in order" : "unknown: its last entry is no end",
+                            "placed",
+                            clocks.offset(life).heard()
+                                    ? "by what peers heard"
+                                    : "by its wall clock alone",
+                            "stamps",
+                            life.acts().size(),
+                            "gaps",
+                            gaps,
+                            "unreadBytes",
+                            life.unread(),
+                            "beginningLost",
+                            life.beginningLost(),
+                            "source",
+                            life.source()));
         }
         return told;
     }
@@ -72,15 +110,32 @@
                     continue;
                 }
                 int first = i;
-                while (i + 1 < life.acts().size() && kind.of(life.acts().get(i + 1).stamp()).equals(version)) {
+                while (i + 1 < life.acts().size()
+                        && kind.of(life.acts().get(i + 1).stamp()).equals(version)) {
                     i++;
                 }
                 boolean last = i + 1 == life.acts().size();
-                found.add(object("balancer", life.name(), "life", life.label(), "version", version.text(),
-                        "from", ms(clocks.moment(life, acts.at())), "to", ms(clocks.moment(life, life.until(i))),
-                        "why", acts.cause().name().toLowerCase(java.util.Locale.ROOT),
-                        "after", last ? life.ended() ? "ended" : "unknown" : "something else",
-                        "sends", sends(life, life.acts().get(first).sequence(), life.acts().get(i).sequence())));
+                found.add(
+                        object(
+                                "balancer",
+                                life.name(),
+                                "life",
+                                life.label(),
+                                "version",
+                                version.text(),
+                                "from",
+                                ms(clocks.moment(life, acts.at())),
+                                "to",
+                                ms(clocks.moment(life, life.until(i))),
+                                "why",
+                                acts.cause().name().toLowerCase(java.util.Locale.ROOT),
+                                "after",
+                                last ? life.ended() ? "ended" : "unknown" : "something else",
+                                "sends",
+                                sends(
+                                        life,
+                                        life.acts().get(first).sequence(),
+                                        life.acts().get(i).sequence())));
             }
         }
         return found;
@@ -89,7 +144,9 @@
     private static long sends(Life life, int from, int to) {
         long sum = 0;
         for (Entry entry : life.entries()) {
-            if (entry instanceof Entry.Counts counts && counts.sequence() >= from && counts.sequence() <= to) {
+            if (entry instanceof Entry.Counts counts
+                    && counts.sequence() >= from
+                    && counts.sequence() <= to) {
                 for (int sends : counts.sends()) {
                     sum += sends;
                 }
@@ -99,8 +156,8 @@
     }
 
     /**
-     * For each version of a kind, from its first appearance on: when each balancer came to act on it, how far that was
-     * behind the first, or that it never did as far as its record goes.
+     * For each version of a kind, from its first appearance on: when each balancer came to act on
+     * it, how far that was behind the first, or that it never did as far as its record goes.
      */
     public List<Map<String, Object>> drift(Kind kind) {
         Map<Version, Map<Life, Entry.Acts>> begun = new LinkedHashMap<>();
@@ -129,15 +186,44 @@
             Entry.Acts acts = byLife.get(life);
             if (acts != null) {
                 Moment moment = clocks.moment(life, acts.at());
-                balancers.add(object("balancer", life.name(), "life", life.label(), "from", ms(moment),
-                        "behindMs", List.of(Math.max(0, Math.round((moment.earliest() - first.latest()) / MILLISECOND)),
-                                Math.max(0, Math.round((moment.latest() - first.earliest()) / MILLISECOND))),
-                        "why", acts.cause().name().toLowerCase(java.util.Locale.ROOT)));
+                balancers.add(
+                        object(
+                                "balancer",
+                                life.name(),
+                                "life",
+                                life.label(),
+                                "from",
+                                ms(moment),
+                                "behindMs",
+                                List.of(
+                                        Math.max(
+                                                0,
+                                                Math.round(
+                                                        (moment.earliest() - first.latest())
+                                                                / MILLISECOND)),
+                                        Math.max(
+                                                0,
+                                                Math.round(
+                                                        (moment.latest() - first.earliest())
+                                                                / MILLISECOND))),
+                                "why",
+                                acts.cause().name().toLowerCase(java.util.Locale.ROOT)));
             } else if (!clocks.moment(life, life.last()).before(first)) {
                 // It went on behind the first appearance and is not known to have taken it.
-                balancers.add(object("balancer", life.name(), "life", life.label(), "from", null,
-                        "until", ms(clocks.moment(life, life.last())),
-                        "state", life.gaps().isEmpty() && life.ended() ? "never" : "not as far as its record goes"));
+                balancers.add(
+                        object(
+                                "balancer",
+                                life.name(),
+                                "life",
+                                life.label(),
+                                "from",
+                                null,
+                                "until",
+                                ms(clocks.moment(life, life.last())),
+                                "state",
+                                life.gaps().isEmpty() && life.ended()
+                                        ? "never"
+                                        : "not as far as its record goes"));
             }
         }
         return object("version", version.text(), "first", ms(first), "balancers", balancers);
@@ -153,25 +239,41 @@
                     Version version = kind.of(acts.stamp());
                     if (version.number() != Stamp.NO_NUMBER) {
                         contents.computeIfAbsent(version.number(), n -> new TreeMap<>())
-                                .computeIfAbsent(version.digest(), d -> new LinkedHashSet<>()).add(life.name());
+                                .computeIfAbsent(version.digest(), d -> new LinkedHashSet<>())
+                                .add(life.name());
                     }
                 }
             }
-            contents.forEach((number, digests) -> {
-                if (digests.size() > 1) {
-                    List<Object> each = new ArrayList<>();
-                    digests.forEach((digest, names) -> each.add(object("version",
-                            new Version(number, digest).text(), "balancers", List.copyOf(names))));
-                    told.add(object("kind", kind.word(), "number", number, "contents", each));
-                }
-            });
+            contents.forEach(
+                    (number, digests) -> {
+                        if (digests.size() > 1) {
+                            List<Object> each = new ArrayList<>();
+                            digests.forEach(
+                                    (digest, names) ->
+                                            each.add(
+                                                    object(
+                                                            "version",
+                                                            new Version(number, digest).text(),
+                                                            "balancers",
+                                                            List.copyOf(names))));
+                            told.add(
+                                    object(
+                                            "kind",
+                                            kind.word(),
+                                            "number",
+                                            number,
+                                            "contents",
+                                            each));
+                        }
+                    });
         }
         return told;
     }
 
     /**
-     * What was sent to a cache after its drain was known anywhere in the fleet. {@code certain}: sends surely behind it;
-     * {@code possible}: those that may be, as counts cover a span and clocks are known to an interval.
+     * What was sent to a cache after its drain was known anywhere in the fleet. {@code certain}:
+     * sends surely behind it; {@code possible}: those that may be, as counts cover a span and
+     * clocks are known to an interval.
      */
     public List<Map<String, Object>> afterDrain() {
         Map<String, Told> known = new TreeMap<>();
@@ -183,12 +285,19 @@
                     waiting.add(lists);
                 } else if (entry instanceof Entry.Acts acts) {
                     for (Entry.Lists lists : waiting) {
-                        Told one = new Told(life, life.cache(lists.cache()), clocks.moment(life, lists.at()),
-                                acts.stamp().listRev());
+                        Told one =
+                                new Told(
+                                        life,
+                                        life.cache(lists.cache()),
+                                        clocks.moment(life, lists.at()),
+                                        acts.stamp().listRev());
                         if (lists.ready()) {
                             ready.add(one);
                         } else {
-                            known.merge(one.cache, one, (a, b) -> a.moment.latest() <= b.moment.latest() ? a : b);
+                            known.merge(
+                                    one.cache,
+                                    one,
+                                    (a, b) -> a.moment.latest() <= b.moment.latest() ? a : b);
                         }
                     }
                     waiting.clear();
@@ -196,24 +305,43 @@
             }
         }
         List<Map<String, Object>> told = new ArrayList<>();
-        known.forEach((cache, drain) -> {
-            // Back is what a later version of the list says; an old list that is taken late brings nothing back.
-            Moment end = ready.stream().filter(one -> one.cache.equals(cache) && one.rev > drain.rev)
-                    .map(Told::moment).min((a, b) -> Long.compare(a.earliest(), b.earliest())).orElse(null);
-            for (Life life : lives) {
-                long[] sums = sent(life, cache, drain.moment, end);
-                if (sums[1] > 0) {
-                    told.add(object("cache", cache, "drainKnown", ms(drain.moment), "firstKnownBy", drain.life.name(),
-                            "balancer", life.name(), "life", life.label(), "certain", sums[0], "possible", sums[1]));
-                }
-            }
-        });
+        known.forEach(
+                (cache, drain) -> {
+                    // Back is what a later version of the list says; an old list that is taken late
+                    // brings nothing back.
+                    Moment end =
+                            ready.stream()
+                                    .filter(one -> one.cache.equals(cache) && one.rev > drain.rev)
+                                    .map(Told::moment)
+                                    .min((a, b) -> Long.compare(a.earliest(), b.earliest()))
+                                    .orElse(null);
+                    for (Life life : lives) {
+                        long[] sums = sent(life, cache, drain.moment, end);
+                        if (sums[1] > 0) {
+                            told.add(
+                                    object(
+                                            "cache",
+                                            cache,
+                                            "drainKnown",
+                                            ms(drain.moment),
+                                            "firstKnownBy",
+                                            drain.life.name(),
+                                            "balancer",
+                                            life.name(),
+                                            "life",
+                                            life.label(),
+                                            "certain",
+                                            sums[0],
+                                            "possible",
+                                            sums[1]));
+                        }
+                    }
+                });
         return told;
     }
 
     /** What a list of some version said of a cache, and when it was taken. */
-    private record Told(Life life, String cache, Moment moment, long rev) {
-    }
+    private record Told(Life life, String cache, Moment moment, long rev) {}
 
     private long[] sent(Life life, String cache, Moment known, Moment back) {
         boolean each = life.entries().stream().anyMatch(Entry.Sent.class::isInstance);
@@ -223,7 +351,9 @@
         for (Entry entry : life.entries()) {
             long sends = 0;
             long from = entry.at();
-            if (each && entry instanceof Entry.Sent sent && life.cache(sent.cache()).equals(cache)) {
+            if (each
+                    && entry instanceof Entry.Sent sent
+                    && life.cache(sent.cache()).equals(cache)) {
                 sends = 1;
             } else if (entry instanceof Entry.Counts counts) {
                 from = previous;
@@ -236,7 +366,10 @@
                 Moment begin = clocks.moment(life, from);
                 Moment end = clocks.moment(life, entry.at());
                 if (back == null || begin.earliest() < back.latest()) {
-                    certain += known.latest() < begin.earliest() && (back == null || end.before(back)) ? sends : 0;
+                    certain +=
+                            known.latest() < begin.earliest() && (back == null || end.before(back))
+                                    ? sends
+                                    : 0;
                     possible += known.earliest() < end.latest() ? sends : 0;
                 }
             }
@@ -251,7 +384,12 @@
         for (Life life : lives) {
             String before = seen.put(life.label(), life.source());
             if (before != null) {
-                wrong.add(life.label() + ": two records of one life, " + before + " and " + life.source());
+                wrong.add(
+                        life.label()
+                                + ": two records of one life, "
+                                + before
+                                + " and "
+                                + life.source());
             }
             within(life, wrong);
             between(life, wrong);
@@ -268,26 +406,52 @@
                 at = Long.MIN_VALUE;
                 continue;
             }
-            if (entry.at() < at && !(entry instanceof Entry.Lists) && !(entry instanceof Entry.Names)) {
-                wrong.add(life.label() + ": an entry of " + entry.at() + " ns stands behind one of " + at + " ns");
+            if (entry.at() < at
+                    && !(entry instanceof Entry.Lists)
+                    && !(entry instanceof Entry.Names)) {
+                wrong.add(
+                        life.label()
+                                + ": an entry of "
+                                + entry.at()
+                                + " ns stands behind one of "
+                                + at
+                                + " ns");
             }
             at = Math.max(at, entry.at());
             gap |= entry instanceof Entry.Gap;
             if (entry instanceof Entry.Acts acts) {
                 if (acts.sequence() != sequence + 1 && !gap) {
-                    wrong.add(life.label() + ": stamp " + acts.sequence() + " stands behind stamp " + sequence
-                            + " and no gap is named");
+                    wrong.add(
+                            life.label()
+                                    + ": stamp "
+                                    + acts.sequence()
+                                    + " stands behind stamp "
+                                    + sequence
+                                    + " and no gap is named");
                 }
                 sequence = acts.sequence();
-            } else if (entry instanceof Entry.Counts counts && counts.sequence() > sequence && !gap) {
-                wrong.add(life.label() + ": sends under stamp " + counts.sequence() + ", which had not begun");
+            } else if (entry instanceof Entry.Counts counts
+                    && counts.sequence() > sequence
+                    && !gap) {
+                wrong.add(
+                        life.label()
+                                + ": sends under stamp "
+                                + counts.sequence()
+                                + ", which had not begun");
             } else if (entry instanceof Entry.Sent sent && sent.sequence() > sequence && !gap) {
-                wrong.add(life.label() + ": a send under stamp " + sent.sequence() + ", which had not begun");
+                wrong.add(
+                        life.label()
+                                + ": a send under stamp "
+                                + sent.sequence()
+                                + ", which had not begun");
             }
         }
     }
 
-    /** What it heard of others against what they entered themselves, where their records reach that far. */
+    /**
+     * What it heard of others against what they entered themselves, where their records reach that
+     * far.
+     */
     private void between(Life life, List<String> wrong) {
         for (Entry entry : life.entries()) {
             if (!(entry instanceof Entry.Heard heard)) {
@@ -302,13 +466,27 @@
                         continue;
                     }
                     if (acts.stamp().ref() != heard.ref()) {
-                        wrong.add(life.label() + " heard that " + other.label() + " acts on "
-                                + Integer.toHexString(heard.ref()) + " as its stamp " + heard.sequence()
-                                + "; its own record has " + Integer.toHexString(acts.stamp().ref()));
-                    } else if (clocks.offset(life).heard() && clocks.offset(other).heard()
-                            && clocks.moment(life, heard.at()).before(clocks.moment(other, acts.at()))) {
-                        wrong.add(life.label() + " heard of stamp " + heard.sequence() + " of " + other.label()
-                                + " before that began");
+                        wrong.add(
+                                life.label()
+                                        + " heard that "
+                                        + other.label()
+                                        + " acts on "
+                                        + Integer.toHexString(heard.ref())
+                                        + " as its stamp "
+                                        + heard.sequence()
+                                        + "; its own record has "
+                                        + Integer.toHexString(acts.stamp().ref()));
+                    } else if (clocks.offset(life).heard()
+                            && clocks.offset(other).heard()
+                            && clocks.moment(life, heard.at())
+                                    .before(clocks.moment(other, acts.at()))) {
+                        wrong.add(
+                                life.label()
+                                        + " heard of stamp "
+                                        + heard.sequence()
+                                        + " of "
+                                        + other.label()
+                                        + " before that began");
                     }
                 }
             }
@@ -326,13 +504,32 @@
                 Entry.Acts acts = life.acts().get(i);
                 Moment from = clocks.moment(life, acts.at());
                 Moment to = clocks.moment(life, life.until(i));
-                spans.add(object("version", kind.of(acts.stamp()).text(), "from", ms(from), "to", ms(to)));
+                spans.add(
+                        object(
+                                "version",
+                                kind.of(acts.stamp()).text(),
+                                "from",
+                                ms(from),
+                                "to",
+                                ms(to)));
             }
             List<Object> gaps = new ArrayList<>();
             for (Entry.Gap gap : life.gaps()) {
-                gaps.add(List.of(ms(clocks.moment(life, gap.from())).get(0), ms(clocks.moment(life, gap.at())).get(1)));
+                gaps.add(
+                        List.of(
+                                ms(clocks.moment(life, gap.from())).get(0),
+                                ms(clocks.moment(life, gap.at())).get(1)));
             }
-            rows.add(object("balancer", life.name(), "life", life.label(), "spans", spans, "gaps", gaps));
+            rows.add(
+                    object(
+                            "balancer",
+                            life.name(),
+                            "life",
+                            life.label(),
+                            "spans",
+                            spans,
+                            "gaps",
+                            gaps));
         }
         return rows;
     }
--- a/audit/src/main/java/frostrelay/audit/store/Collected.java
+++ b/audit/src/main/java/frostrelay/audit/store/Collected.java
@@ -2,6 +2,7 @@
 
 import frostrelay.audit.Record;
 import frostrelay.audit.fleet.Life;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -13,12 +14,11 @@
 
 /** Reads the records that lie in folders, of balancers that live or are dead. */
 public final class Collected {
-    private Collected() {
-    }
+    private Collected() {}
 
     /**
-     * All lives found in a folder and below it. {@code complaints}: hears of files that hold nothing readable, which are
-     * passed over.
+     * All lives found in a folder and below it. {@code complaints}: hears of files that hold
+     * nothing readable, which are passed over.
      */
     public static List<Life> lives(Path folder, List<String> complaints) throws IOException {
         List<Path> folders;
@@ -45,8 +45,13 @@
                 complaints.add(part + ": " + e.getMessage());
             }
         }
-        Life life = records.isEmpty() ? null : Life.of(parts.get(0).toString(), records,
-                parts.get(0).toString().endsWith("-000000.rec"));
+        Life life =
+                records.isEmpty()
+                        ? null
+                        : Life.of(
+                                parts.get(0).toString(),
+                                records,
+                                parts.get(0).toString().endsWith("-000000.rec"));
         if (life != null) {
             lives.add(life);
         } else if (!records.isEmpty()) {
--- a/audit/src/main/java/frostrelay/audit/store/RecordFolder.java
+++ b/audit/src/main/java/frostrelay/audit/store/RecordFolder.java
@@ -5,6 +5,7 @@
 import frostrelay.audit.Framed;
 import frostrelay.audit.Preamble;
 import frostrelay.audit.Recorder;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -23,31 +24,45 @@
 import java.util.function.Consumer;
 
 /**
- * A life's record in files that are only appended to, written by a thread of its own: an event loop must not wait for a
- * disk. What SIGKILL can take is what came within the last {@link #WRITE_MS}; what was written the system keeps, as no
- * machine dies. Names of the files: life, then part; parts of one life belong together, the oldest go first where the
- * folder's bound is met. {@link #append} may come from one thread; it only adds to a buffer.
+ * A life's record in files that are only appended to, written by a thread of its own: an event loop
+ * must not wait for a disk. What SIGKILL can take is what came within the last {@link #WRITE_MS};
+ * what was written the system keeps, as no machine dies. Names of the files: life, then part; parts
+ * of one life belong together, the oldest go first where the folder's bound is met. {@link #append}
+ * may come from one thread; it only adds to a buffer.
  */
 public final class RecordFolder implements Recorder, AutoCloseable {
     /** The stated tail: what is not on its way to the disk yet is not older than this. */
     public static final long WRITE_MS = 100;
+
     private static final String SUFFIX = ".rec";
-    /** Waiting entries beyond this are dropped and named as a gap: a disk that hangs must not eat the heap. */
+
+    /**
+     * Waiting entries beyond this are dropped and named as a gap: a disk that hangs must not eat
+     * the heap.
+     */
     private static final int MOST_WAITING = 512 * 1024;
+
     private static final int MOST_PARTS = 8;
 
     private final Path folder;
     private final String life;
     private final long partBytes;
     private final Consumer<String> failed;
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread fresh = new Thread(task, "audit");
-        fresh.setDaemon(true);
-        return fresh;
-    });
+    private final ScheduledExecutorService thread =
+            Executors.newSingleThreadScheduledExecutor(
+                    task -> {
+                        Thread fresh = new Thread(task, "audit");
+                        fresh.setDaemon(true);
+                        return fresh;
+                    });
     private final Object lock = new Object();
-    /** Of all entries that came before those that wait, also of those that were lost. Under the lock. */
+
+    /**
+     * Of all entries that came before those that wait, also of those that were lost. Under the
+     * lock.
+     */
     private final Preamble preamble = new Preamble();
+
     private ByteBuffer waiting = ByteBuffer.allocate(64 * 1024);
     private long lost;
     private long lostFrom;
@@ -61,8 +76,9 @@
     private boolean broken;
 
     /**
-     * {@code life}: names this life's files, later lives sort behind earlier ones; {@code most}: bytes that all files of the folder may take;
-     * {@code failed}: hears on the writer's thread, once a spell, why nothing can be written.
+     * {@code life}: names this life's files, later lives sort behind earlier ones; {@code most}:
+     * bytes that all files of the folder may take; {@code failed}: hears on the writer's thread,
+     * once a spell, why nothing can be written.
      */
     public RecordFolder(Path folder, String life, long most, Consumer<String> failed) {
         this.folder = folder;
@@ -76,7 +92,8 @@
     public void append(Entry entry) {
         synchronized (lock) {
             if (lost > 0 && waiting.position() == 0) {
-                // What waited has been written, or was refused: the disk is tried again, with the gap named first.
+                // What waited has been written, or was refused: the disk is tried again, with the
+                // gap named first.
                 long gone = lost;
                 lost = 0;
                 put(new Entry.Gap(entry.at(), lostFrom, gone, lostWhy));
@@ -149,7 +166,8 @@
     private void fail(byte[] bytes, Exception e) {
         try {
             if (part != null) {
-                // What the disk refused may stand there in part. Another file may be taken where this one is not.
+                // What the disk refused may stand there in part. Another file may be taken where
+                // this one is not.
                 part.truncate(written);
                 part.close();
                 if (written == headBytes) {
@@ -165,7 +183,9 @@
                 // A gap that could not be named is part of the next one.
                 boolean gap = entry instanceof Entry.Gap;
                 preamble.note(entry);
-                lose(gap ? ((Entry.Gap) entry).from() : entry.at(), gap ? ((Entry.Gap) entry).entries() : 1,
+                lose(
+                        gap ? ((Entry.Gap) entry).from() : entry.at(),
+                        gap ? ((Entry.Gap) entry).entries() : 1,
                         "the disk refused it");
             }
         }
@@ -175,7 +195,10 @@
         }
     }
 
-    /** Begins another part. One that cannot even take its head is taken away again, and no older one goes for it. */
+    /**
+     * Begins another part. One that cannot even take its head is taken away again, and no older one
+     * goes for it.
+     */
     private void open() throws IOException {
         if (part != null) {
             part.close();
@@ -185,13 +208,15 @@
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         head.writeBytes(ByteBuffer.allocate(Long.BYTES).putLong(Codec.MAGIC).array());
         synchronized (lock) {
-            // Where nothing came before, not even what a disk refused, the record begins with its own start.
+            // Where nothing came before, not even what a disk refused, the record begins with its
+            // own start.
             if (!preamble.isEmpty()) {
                 preamble.entries().forEach(entry -> head.writeBytes(Framed.of(entry)));
             }
         }
         file = folder.resolve(String.format(Locale.ROOT, "%s-%06d%s", life, parts, SUFFIX));
-        FileChannel fresh = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+        FileChannel fresh =
+                FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         try {
             ByteBuffer out = ByteBuffer.wrap(head.toByteArray());
             while (out.hasRemaining()) {
--- a/audit/src/test/java/frostrelay/audit/CostTest.java
+++ b/audit/src/test/java/frostrelay/audit/CostTest.java
@@ -3,18 +3,21 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.lang.management.ManagementFactory;
 import org.junit.jupiter.api.Test;
 
+import java.lang.management.ManagementFactory;
+
 /** Keeping account costs a request no memory. */
 class CostTest {
     @Test
     void aSendAllocatesNothing() {
         int[] entries = new int[1];
-        AuditLog log = new AuditLog(entry -> entries[0]++, false, 0, 0, "b", 0, 1, RecordTest.stamp(1));
+        AuditLog log =
+                new AuditLog(entry -> entries[0]++, false, 0, 0, "b", 0, 1, RecordTest.stamp(1));
         int cache = log.number(1, "cache-1");
         long[] bytes = new long[2];
-        com.sun.management.ThreadMXBean threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
+        com.sun.management.ThreadMXBean threads =
+                (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
         for (int run = 0; run < 2; run++) {
             long before = threads.getCurrentThreadAllocatedBytes();
             for (int i = 0; i < 1_000_000; i++) {
--- a/audit/src/test/java/frostrelay/audit/RecordTest.java
+++ b/audit/src/test/java/frostrelay/audit/RecordTest.java
@@ -10,36 +10,42 @@
 import frostrelay.peers.Incarnation;
 import frostrelay.peers.Stamp;
 import frostrelay.peers.State;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.List;
-import java.util.concurrent.CopyOnWriteArrayList;
+
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
+
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+
 /** A record keeps what it was given, through cuts, damage, rotation and a disk that refuses. */
 class RecordTest {
     private static final long INCARNATION = Incarnation.of(1_790_000_000_000L);
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     static Stamp stamp(long list) {
         return new Stamp(5, 1, 2, list, list * 7, 0, 0);
     }
 
     private static List<Entry> some() {
-        List<Entry> entries = new ArrayList<>(List.of(new Entry.Start(0, "b", 1, INCARNATION, 5, 99),
-                new Entry.Acts(1, 0, Cause.START, 99, stamp(1)), new Entry.Names(2, 0, "cache-1"),
-                new Entry.Lists(2, 0, true, 3)));
+        List<Entry> entries =
+                new ArrayList<>(
+                        List.of(
+                                new Entry.Start(0, "b", 1, INCARNATION, 5, 99),
+                                new Entry.Acts(1, 0, Cause.START, 99, stamp(1)),
+                                new Entry.Names(2, 0, "cache-1"),
+                                new Entry.Lists(2, 0, true, 3)));
         for (int i = 0; i < 20; i++) {
             entries.add(new Entry.Sent(10 + i, 0, 0, 0, "id-" + i));
             entries.add(new Entry.Counts(10 + i, 0, 0, 1, 2, new int[] {0}, new int[] {i}));
@@ -56,8 +62,16 @@
     }
 
     private static String text(Entry entry) {
-        return entry instanceof Entry.Counts one ? one.at() + " " + one.sequence() + Arrays.toString(one.caches())
-                + Arrays.toString(one.sends()) + one.copies() + one.refused() + one.failed() : entry.toString();
+        return entry instanceof Entry.Counts one
+                ? one.at()
+                        + " "
+                        + one.sequence()
+                        + Arrays.toString(one.caches())
+                        + Arrays.toString(one.sends())
+                        + one.copies()
+                        + one.refused()
+                        + one.failed()
+                : entry.toString();
     }
 
     private static List<String> texts(List<Entry> entries) {
@@ -74,7 +88,8 @@
             int count = read.entries().size();
             assertEquals(texts(entries.subList(0, count)), texts(read.entries()));
             assertEquals(length, bytes(entries.subList(0, count)).length + read.unread());
-            assertTrue(count == entries.size() || bytes(entries.subList(0, count + 1)).length > length,
+            assertTrue(
+                    count == entries.size() || bytes(entries.subList(0, count + 1)).length > length,
                     "nothing whole is left out");
         }
     }
@@ -99,28 +114,43 @@
         Arbitrary<Integer> small = Arbitraries.integers().between(0, 0xffff);
         Arbitrary<String> text = Arbitraries.strings().ascii().ofMaxLength(80);
         return Arbitraries.oneOf(
-                Combinators.combine(any, text, any, any).as((at, name, inc, wall) ->
-                        new Entry.Start(at, name, 3, inc, 4, wall)),
-                Combinators.combine(any, small, any, any).as((at, sequence, wall, list) ->
-                        new Entry.Acts(at, sequence, Cause.FILE, wall, stamp(list))),
+                Combinators.combine(any, text, any, any)
+                        .as((at, name, inc, wall) -> new Entry.Start(at, name, 3, inc, 4, wall)),
+                Combinators.combine(any, small, any, any)
+                        .as(
+                                (at, sequence, wall, list) ->
+                                        new Entry.Acts(
+                                                at, sequence, Cause.FILE, wall, stamp(list))),
                 Combinators.combine(any, small, text).as(Entry.Names::new),
-                Combinators.combine(any, small, any).as((at, cache, boot) -> new Entry.Lists(at, cache, true, boot)),
-                Combinators.combine(any, small, small, text).as((at, sequence, cache, id) ->
-                        new Entry.Sent(at, sequence, cache, 2, id)),
-                Combinators.combine(any, small, any, small, any).as((at, rank, inc, sequence, age) ->
-                        new Entry.Heard(at, rank, inc, sequence, 7, age)),
-                Combinators.combine(any, small, any).as((at, rank, inc) ->
-                        new Entry.Believes(at, rank, inc, State.SUSPECTED, 2)),
-                Combinators.combine(any, small, any, any).as((at, rank, inc, sent) ->
-                        new Entry.Clock(at, rank, inc, sent, 5)),
-                Combinators.combine(any, any, any, text).as(Entry.Gap::new), any.map(Entry.End::new),
-                any.map(Entry.Resumes::new), Combinators.combine(any, any).as(Entry.Jumped::new),
-                Combinators.combine(any, any).as(Entry.Renumbered::new), Combinators.combine(any, text).as(Entry.Refused::new));
+                Combinators.combine(any, small, any)
+                        .as((at, cache, boot) -> new Entry.Lists(at, cache, true, boot)),
+                Combinators.combine(any, small, small, text)
+                        .as(
+                                (at, sequence, cache, id) ->
+                                        new Entry.Sent(at, sequence, cache, 2, id)),
+                Combinators.combine(any, small, any, small, any)
+                        .as(
+                                (at, rank, inc, sequence, age) ->
+                                        new Entry.Heard(at, rank, inc, sequence, 7, age)),
+                Combinators.combine(any, small, any)
+                        .as(
+                                (at, rank, inc) ->
+                                        new Entry.Believes(at, rank, inc, State.SUSPECTED, 2)),
+                Combinators.combine(any, small, any, any)
+                        .as((at, rank, inc, sent) -> new Entry.Clock(at, rank, inc, sent, 5)),
+                Combinators.combine(any, any, any, text).as(Entry.Gap::new),
+                any.map(Entry.End::new),
+                any.map(Entry.Resumes::new),
+                Combinators.combine(any, any).as(Entry.Jumped::new),
+                Combinators.combine(any, any).as(Entry.Renumbered::new),
+                Combinators.combine(any, text).as(Entry.Refused::new));
     }
 
     @Property(tries = 500)
     void whatIsWrittenIsRead(@ForAll("entry") Entry one, @ForAll("entry") Entry other) {
-        assertEquals(texts(List.of(one, other)), texts(Record.read(bytes(List.of(one, other))).entries()));
+        assertEquals(
+                texts(List.of(one, other)),
+                texts(Record.read(bytes(List.of(one, other))).entries()));
     }
 
     /** A type of a later build does not hide what stands behind it. */
@@ -160,9 +190,14 @@
     /** Parts follow each other, the oldest go, and what is left can be understood. */
     @Test
     void theFolderIsBoundedAndItsPartsStandByThemselves() throws Exception {
-        try (RecordFolder files = new RecordFolder(folder, "0001", 64 * 1024, reason -> {
-            throw new AssertionError(reason);
-        })) {
+        try (RecordFolder files =
+                new RecordFolder(
+                        folder,
+                        "0001",
+                        64 * 1024,
+                        reason -> {
+                            throw new AssertionError(reason);
+                        })) {
             some().subList(0, 4).forEach(files::append);
             for (int i = 0; i < 4_000; i++) {
                 files.append(new Entry.Sent(100 + i, 0, 0, 0, "request-" + i));
@@ -179,17 +214,33 @@
         Life life = Collected.lives(folder, new ArrayList<>()).get(0);
         assertEquals("cache-1", life.cache(0));
         assertTrue(life.beginningLost());
-        assertTrue(life.entries().stream().anyMatch(entry -> entry instanceof Entry.Sent sent
-                && sent.id().equals("request-3999")));
+        assertTrue(
+                life.entries().stream()
+                        .anyMatch(
+                                entry ->
+                                        entry instanceof Entry.Sent sent
+                                                && sent.id().equals("request-3999")));
     }
 
-    /** A name and a stamp that no part has but the head of the next one: they were lost on their way. */
+    /**
+     * A name and a stamp that no part has but the head of the next one: they were lost on their
+     * way.
+     */
     @Test
     void whatOnlyTheNextPartsHeadHasIsNotLost() {
         List<Entry> first = some().subList(0, 4);
-        Record second = new Record(List.of(first.get(0), first.get(2), new Entry.Names(40, 1, "cache-2"),
-                new Entry.Acts(41, 1, Cause.DISCOVERY, 99, stamp(2)), new Entry.Resumes(45),
-                new Entry.Gap(60, 40, 2, "the disk refused it"), new Entry.Sent(61, 1, 1, 0, "x")), 0, 0);
+        Record second =
+                new Record(
+                        List.of(
+                                first.get(0),
+                                first.get(2),
+                                new Entry.Names(40, 1, "cache-2"),
+                                new Entry.Acts(41, 1, Cause.DISCOVERY, 99, stamp(2)),
+                                new Entry.Resumes(45),
+                                new Entry.Gap(60, 40, 2, "the disk refused it"),
+                                new Entry.Sent(61, 1, 1, 0, "x")),
+                        0,
+                        0);
         Life life = Life.of("parts", List.of(new Record(first, 0, 0), second), true);
         assertEquals("cache-2", life.cache(1));
         assertEquals(2, life.acts().size());
@@ -217,6 +268,8 @@
         assertEquals(10, gap.entries());
         assertEquals(0, gap.from());
         assertNotEquals("", gap.why());
-        assertEquals(new Entry.Sent(200, 0, 0, 0, "after"), life.entries().get(life.entries().size() - 1));
+        assertEquals(
+                new Entry.Sent(200, 0, 0, 0, "after"),
+                life.entries().get(life.entries().size() - 1));
     }
 }
--- a/cli/src/main/java/frostrelay/cli/AuditCommand.java
+++ b/cli/src/main/java/frostrelay/cli/AuditCommand.java
@@ -5,6 +5,15 @@
 import frostrelay.audit.fleet.Statement;
 import frostrelay.audit.store.Collected;
 import frostrelay.report.AuditPicture;
+
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
+
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -20,23 +29,24 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import picocli.CommandLine;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Model.CommandSpec;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 
 /** What balancers' records say together. */
-@Command(name = "audit", mixinStandardHelpOptions = true, description = {
-    "Who acted on which version: reads the records of balancers that live (their consoles) or are dead (their folders).",
-    "docs/audit.md says how to read what it says."},
-        subcommands = {AuditCommand.Collect.class, AuditCommand.Who.class, AuditCommand.Drift.class,
-            AuditCommand.Verify.class}, synopsisSubcommandLabel = "COMMAND")
+@Command(
+        name = "audit",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Who acted on which version: reads the records of balancers that live (their consoles) or are dead (their folders).",
+            "docs/audit.md says how to read what it says."
+        },
+        subcommands = {
+            AuditCommand.Collect.class,
+            AuditCommand.Who.class,
+            AuditCommand.Drift.class,
+            AuditCommand.Verify.class
+        },
+        synopsisSubcommandLabel = "COMMAND")
 final class AuditCommand implements Runnable {
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public void run() {
@@ -50,8 +60,13 @@
         @Spec(Spec.Target.MIXEE)
         private CommandSpec spec;
 
-        @Option(names = "--from", required = true, arity = "1..*", paramLabel = "SOURCE", description =
-                "A console (ADDRESS:PORT) or a folder with records, its subfolders included.")
+        @Option(
+                names = "--from",
+                required = true,
+                arity = "1..*",
+                paramLabel = "SOURCE",
+                description =
+                        "A console (ADDRESS:PORT) or a folder with records, its subfolders included.")
         private List<String> sources;
 
         /** What could not be read, in words. */
@@ -59,13 +74,24 @@
 
         private byte[] record(String address) {
             try {
-                HttpResponse<byte[]> answer = HttpClient.newBuilder().connectTimeout(CALL).build().send(
-                        HttpRequest.newBuilder(URI.create("http://" + address + "/ops/audit/record")).timeout(CALL).build(),
-                        HttpResponse.BodyHandlers.ofByteArray());
+                HttpResponse<byte[]> answer =
+                        HttpClient.newBuilder()
+                                .connectTimeout(CALL)
+                                .build()
+                                .send(
+                                        HttpRequest.newBuilder(
+                                                        URI.create(
+                                                                "http://"
+                                                                        + address
+                                                                        + "/ops/audit/record"))
+                                                .timeout(CALL)
+                                                .build(),
+                                        HttpResponse.BodyHandlers.ofByteArray());
                 if (answer.statusCode() == 200) {
                     return answer.body();
                 }
-                complaints.add(address + " answers " + answer.statusCode() + ": it keeps no account");
+                complaints.add(
+                        address + " answers " + answer.statusCode() + ": it keeps no account");
             } catch (IOException | IllegalArgumentException e) {
                 complaints.add(address + " cannot be asked: " + e);
             } catch (InterruptedException e) {
@@ -91,22 +117,33 @@
                 } else if (Files.isDirectory(Path.of(source))) {
                     found.addAll(Collected.lives(Path.of(source), complaints));
                 } else {
-                    throw new CommandLine.ParameterException(spec.commandLine(), "no console and no folder: " + source);
+                    throw new CommandLine.ParameterException(
+                            spec.commandLine(), "no console and no folder: " + source);
                 }
             }
             Map<String, Life> lives = new LinkedHashMap<>();
             for (Life life : found) {
-                lives.merge(life.label(), life, (a, b) -> a.beginningLost() != b.beginningLost()
-                        ? a.beginningLost() ? b : a : a.entries().size() >= b.entries().size() ? a : b);
+                lives.merge(
+                        life.label(),
+                        life,
+                        (a, b) ->
+                                a.beginningLost() != b.beginningLost()
+                                        ? a.beginningLost() ? b : a
+                                        : a.entries().size() >= b.entries().size() ? a : b);
             }
             return List.copyOf(lives.values());
         }
     }
 
     private static Kind kind(CommandSpec spec, String word) {
-        return Arrays.stream(Kind.values()).filter(kind -> kind.word().equals(word)).findFirst()
-                .orElseThrow(() -> new CommandLine.ParameterException(spec.commandLine(), "found " + word
-                        + ", allowed: config, list, holds, build"));
+        return Arrays.stream(Kind.values())
+                .filter(kind -> kind.word().equals(word))
+                .findFirst()
+                .orElseThrow(
+                        () ->
+                                new CommandLine.ParameterException(
+                                        spec.commandLine(),
+                                        "found " + word + ", allowed: config, list, holds, build"));
     }
 
     private static String lines(List<?> all) {
@@ -116,14 +153,16 @@
     }
 
     /** Copies records into a folder. */
-    @Command(name = "collect", mixinStandardHelpOptions = true, description = "Copies the records of consoles into a folder,"
-            + " so that they outlast their balancers.")
+    @Command(
+            name = "collect",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Copies the records of consoles into a folder,"
+                            + " so that they outlast their balancers.")
     static final class Collect implements Callable<Integer> {
-        @Mixin
-        private Output output;
+        @Mixin private Output output;
 
-        @Mixin
-        private Sources sources;
+        @Mixin private Sources sources;
 
         @Parameters(paramLabel = "DIR")
         private Path into;
@@ -137,65 +176,91 @@
                 if (life != null) {
                     Path folder = into.resolve(life.name());
                     Files.createDirectories(folder);
-                    Files.write(folder.resolve(String.format(Locale.ROOT, "%016x-000000.rec", life.start().incarnation())),
+                    Files.write(
+                            folder.resolve(
+                                    String.format(
+                                            Locale.ROOT,
+                                            "%016x-000000.rec",
+                                            life.start().incarnation())),
                             record);
                     copied++;
                 }
             }
-            output.result(Map.of("copied", copied, "complaints", sources.complaints), "copied " + copied + " records into "
-                    + into + System.lineSeparator() + lines(sources.complaints));
+            output.result(
+                    Map.of("copied", copied, "complaints", sources.complaints),
+                    "copied "
+                            + copied
+                            + " records into "
+                            + into
+                            + System.lineSeparator()
+                            + lines(sources.complaints));
             return sources.complaints.isEmpty() ? 0 : 1;
         }
     }
 
     /** Who acted on a version. */
-    @Command(name = "who", mixinStandardHelpOptions = true, description = "Who acted on a version, from when to when, and"
-            + " what was sent under it.")
+    @Command(
+            name = "who",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Who acted on a version, from when to when, and" + " what was sent under it.")
     static final class Who implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
+        @Spec private CommandSpec spec;
 
-        @Mixin
-        private Output output;
+        @Mixin private Output output;
 
-        @Mixin
-        private Sources sources;
+        @Mixin private Sources sources;
 
         @Parameters(index = "0", paramLabel = "KIND", description = "config, list, holds or build.")
         private String kind;
 
-        @Parameters(index = "1", paramLabel = "VERSION", description = "Its number, its digest or the beginning of that, or"
-                + " NUMBER:DIGEST.")
+        @Parameters(
+                index = "1",
+                paramLabel = "VERSION",
+                description =
+                        "Its number, its digest or the beginning of that, or" + " NUMBER:DIGEST.")
         private String version;
 
         @Override
         public Integer call() throws IOException {
             Statement statement = new Statement(sources.lives());
             List<Map<String, Object>> who = statement.who(kind(spec, kind), version);
-            output.result(Map.of("who", who, "complaints", sources.complaints), lines(who) + lines(sources.complaints)
-                    + who.size() + " spans; milliseconds from the first start, [earliest, latest]");
+            output.result(
+                    Map.of("who", who, "complaints", sources.complaints),
+                    lines(who)
+                            + lines(sources.complaints)
+                            + who.size()
+                            + " spans; milliseconds from the first start, [earliest, latest]");
             return who.isEmpty() ? 1 : 0;
         }
     }
 
     /** How far balancers were apart. */
-    @Command(name = "drift", mixinStandardHelpOptions = true, description = "For each version, when each balancer came to act"
-            + " on it and how far that was behind the first; conflicts; what was sent to caches behind a known drain.")
+    @Command(
+            name = "drift",
+            mixinStandardHelpOptions = true,
+            description =
+                    "For each version, when each balancer came to act"
+                            + " on it and how far that was behind the first; conflicts; what was sent to caches behind a known drain.")
     static final class Drift implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
+        @Spec private CommandSpec spec;
 
-        @Mixin
-        private Output output;
+        @Mixin private Output output;
 
-        @Mixin
-        private Sources sources;
+        @Mixin private Sources sources;
 
-        @Parameters(index = "0", arity = "0..1", paramLabel = "KIND", defaultValue = "config",
+        @Parameters(
+                index = "0",
+                arity = "0..1",
+                paramLabel = "KIND",
+                defaultValue = "config",
                 description = "config, list, holds or build (${DEFAULT-VALUE}).")
         private String kind;
 
-        @Option(names = "--picture", paramLabel = "FILE", description = "Writes an HTML page with a picture of it.")
+        @Option(
+                names = "--picture",
+                paramLabel = "FILE",
+                description = "Writes an HTML page with a picture of it.")
         private Path picture;
 
         @Override
@@ -209,14 +274,24 @@
             all.put("complaints", sources.complaints);
             StringBuilder text = new StringBuilder();
             for (Map<String, Object> version : statement.drift(what)) {
-                text.append(version.get("version")).append(" from ").append(version.get("first")).append(System.lineSeparator())
+                text.append(version.get("version"))
+                        .append(" from ")
+                        .append(version.get("first"))
+                        .append(System.lineSeparator())
                         .append(lines((List<?>) version.get("balancers")));
             }
-            text.append("conflicts").append(System.lineSeparator()).append(lines(statement.conflicts()))
-                    .append("sent behind a known drain").append(System.lineSeparator()).append(lines(statement.afterDrain()))
+            text.append("conflicts")
+                    .append(System.lineSeparator())
+                    .append(lines(statement.conflicts()))
+                    .append("sent behind a known drain")
+                    .append(System.lineSeparator())
+                    .append(lines(statement.afterDrain()))
                     .append(lines(sources.complaints));
             if (picture != null) {
-                Files.writeString(picture, new AuditPicture("Who acted on which " + kind, statement.spans(what)).html());
+                Files.writeString(
+                        picture,
+                        new AuditPicture("Who acted on which " + kind, statement.spans(what))
+                                .html());
             }
             output.result(all, text.toString().stripTrailing());
             return 0;
@@ -224,14 +299,16 @@
     }
 
     /** Whether records fit together. */
-    @Command(name = "verify", mixinStandardHelpOptions = true, description = "What each record lacks, and where records"
-            + " contradict themselves or each other. Exits with 1 on a contradiction.")
+    @Command(
+            name = "verify",
+            mixinStandardHelpOptions = true,
+            description =
+                    "What each record lacks, and where records"
+                            + " contradict themselves or each other. Exits with 1 on a contradiction.")
     static final class Verify implements Callable<Integer> {
-        @Mixin
-        private Output output;
+        @Mixin private Output output;
 
-        @Mixin
-        private Sources sources;
+        @Mixin private Sources sources;
 
         @Override
         public Integer call() throws IOException {
@@ -241,8 +318,14 @@
             all.put("lives", statement.told());
             all.put("contradictions", wrong);
             all.put("complaints", sources.complaints);
-            output.result(all, lines(statement.told()) + "contradictions" + System.lineSeparator() + lines(wrong)
-                    + lines(sources.complaints) + (wrong.isEmpty() ? "they fit together" : "they do not fit together"));
+            output.result(
+                    all,
+                    lines(statement.told())
+                            + "contradictions"
+                            + System.lineSeparator()
+                            + lines(wrong)
+                            + lines(sources.complaints)
+                            + (wrong.isEmpty() ? "they fit together" : "they do not fit together"));
             return wrong.isEmpty() ? 0 : 1;
         }
     }
--- a/cli/src/main/java/frostrelay/cli/CheckCommand.java
+++ b/cli/src/main/java/frostrelay/cli/CheckCommand.java
@@ -8,6 +8,12 @@
 import frostrelay.lab.PlantFile;
 import frostrelay.rig.campaign.ScheduleFile;
 import frostrelay.rig.day.DayFile;
+
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -15,25 +21,26 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
 
 /** Says what is wrong with configuration files, without starting anything. */
-@Command(name = "check", mixinStandardHelpOptions = true, description = {
-    "Checks files and says everything that is wrong with them: a balancer's own settings (frostrelay.toml), a day for"
-    + " the fleet (a file with [[class]] tables), an experiment (with an [experiment] table), a plant for the lab (with a [plant] table),"
-    + " a schedule of a campaign (with [[happening]] tables), or the platform's JSON.",
-    "Exits with 1 if any file is refused."})
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Checks files and says everything that is wrong with them: a balancer's own settings (frostrelay.toml), a day for"
+                    + " the fleet (a file with [[class]] tables), an experiment (with an [experiment] table), a plant for the lab (with a [plant] table),"
+                    + " a schedule of a campaign (with [[happening]] tables), or the platform's JSON.",
+            "Exits with 1 if any file is refused."
+        })
 final class CheckCommand implements Callable<Integer> {
-    @Mixin
-    private Output output;
+    @Mixin private Output output;
 
     @Parameters(arity = "1..*", paramLabel = "FILE")
     private List<Path> files;
 
-    @Option(names = "--effective", description = "Print the values in force, those that a file leaves out included.")
+    @Option(
+            names = "--effective",
+            description = "Print the values in force, those that a file leaves out included.")
     private boolean effective;
 
     @Override
@@ -60,7 +67,10 @@
             told.add(one);
             problems.forEach(problem -> text.append(problem).append(System.lineSeparator()));
             if (problems.isEmpty()) {
-                text.append(file).append(": good").append(System.lineSeparator()).append(effective ? values : "");
+                text.append(file)
+                        .append(": good")
+                        .append(System.lineSeparator())
+                        .append(effective ? values : "");
             }
         }
         Map<String, Object> all = new LinkedHashMap<>();
--- a/cli/src/main/java/frostrelay/cli/Checkout.java
+++ b/cli/src/main/java/frostrelay/cli/Checkout.java
@@ -1,6 +1,7 @@
 package frostrelay.cli;
 
 import frostrelay.rig.fleet.Program;
+
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
@@ -13,8 +14,7 @@
 final class Checkout {
     private static final String HOME = "frostrelay.home";
 
-    private Checkout() {
-    }
+    private Checkout() {}
 
     /** The root of the checkout: told by the starter, or found above the current folder. */
     static Path root() {
@@ -27,7 +27,8 @@
                 return at;
             }
         }
-        throw new IllegalStateException("no checkout of frostrelay here; start it with bin/frostrelay");
+        throw new IllegalStateException(
+                "no checkout of frostrelay here; start it with bin/frostrelay");
     }
 
     static Program balancer() {
--- a/cli/src/main/java/frostrelay/cli/Consoles.java
+++ b/cli/src/main/java/frostrelay/cli/Consoles.java
@@ -1,6 +1,7 @@
 package frostrelay.cli;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -14,14 +15,20 @@
     private static final Duration CALL = Duration.ofSeconds(3);
     private static final HttpClient HTTP = HttpClient.newBuilder().connectTimeout(CALL).build();
 
-    private Consoles() {
-    }
+    private Consoles() {}
 
-    /** What a console says of its balancer and the others; {@code error} alone where it cannot be asked. */
+    /**
+     * What a console says of its balancer and the others; {@code error} alone where it cannot be
+     * asked.
+     */
     static Map<String, Object> audit(String console) throws InterruptedException {
         try {
-            HttpResponse<String> answer = HTTP.send(HttpRequest.newBuilder(URI.create("http://" + console + "/ops/audit"))
-                    .timeout(CALL).build(), HttpResponse.BodyHandlers.ofString());
+            HttpResponse<String> answer =
+                    HTTP.send(
+                            HttpRequest.newBuilder(URI.create("http://" + console + "/ops/audit"))
+                                    .timeout(CALL)
+                                    .build(),
+                            HttpResponse.BodyHandlers.ofString());
             return answer.statusCode() == 200 ? JSON.std.mapFrom(answer.body()) : Map.of();
         } catch (IOException | IllegalArgumentException e) {
             return Map.of("error", "unknown, it cannot be asked: " + e);
--- a/cli/src/main/java/frostrelay/cli/ConsolesCommand.java
+++ b/cli/src/main/java/frostrelay/cli/ConsolesCommand.java
@@ -1,17 +1,20 @@
 package frostrelay.cli;
 
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Parameters;
+
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Parameters;
 
-/** Asks consoles one after the other and tells a row of each; exits with 1 where one is not as it should be or cannot be asked. */
+/**
+ * Asks consoles one after the other and tells a row of each; exits with 1 where one is not as it
+ * should be or cannot be asked.
+ */
 abstract class ConsolesCommand implements Callable<Integer> {
-    @Mixin
-    private Output output;
+    @Mixin private Output output;
 
     @Parameters(arity = "1..*", paramLabel = "CONSOLE", description = "ADDRESS:PORT of each.")
     private List<String> consoles;
@@ -19,7 +22,10 @@
     /** Stands above the rows; empty for nothing. */
     abstract String head();
 
-    /** Takes what is wanted of what a console said into its row; returns whether that is as it should be. */
+    /**
+     * Takes what is wanted of what a console said into its row; returns whether that is as it
+     * should be.
+     */
     abstract boolean read(Map<String, Object> said, Map<String, Object> row);
 
     /** A row, for people; each of its lines ends. */
@@ -36,7 +42,10 @@
             Map<String, Object> said = Consoles.audit(console);
             if (said.containsKey("error")) {
                 row.put("error", said.get("error"));
-                text.append(console).append(": ").append(said.get("error")).append(System.lineSeparator());
+                text.append(console)
+                        .append(": ")
+                        .append(said.get("error"))
+                        .append(System.lineSeparator());
                 good = false;
             } else {
                 row.put("balancer", said.getOrDefault("balancer", "unknown"));
--- a/cli/src/main/java/frostrelay/cli/DayOptions.java
+++ b/cli/src/main/java/frostrelay/cli/DayOptions.java
@@ -2,12 +2,14 @@
 
 import frostrelay.rig.day.Day;
 import frostrelay.rig.day.DayFile;
-import java.nio.file.Path;
+
 import picocli.CommandLine;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
+import java.nio.file.Path;
+
 /** Which day a command plays. */
 final class DayOptions {
     private static final long SECOND = 1_000_000_000L;
@@ -16,10 +18,16 @@
     @Spec(Spec.Target.MIXEE)
     private CommandSpec spec;
 
-    @Option(names = "--day", paramLabel = "FILE", description = "The day, in TOML; without it the demo's own.")
+    @Option(
+            names = "--day",
+            paramLabel = "FILE",
+            description = "The day, in TOML; without it the demo's own.")
     private Path file;
 
-    @Option(names = "--seconds", paramLabel = "N", description = "Its length; the faults move with it.")
+    @Option(
+            names = "--seconds",
+            paramLabel = "N",
+            description = "Its length; the faults move with it.")
     private Double seconds;
 
     @Option(names = "--seed", paramLabel = "N", description = "Other requests of the same kind.")
@@ -32,7 +40,8 @@
         Day day = file == null ? DayFile.demo() : DayFile.read(file);
         if (seconds != null) {
             if (!(seconds >= 1 && seconds <= MOST_SECONDS)) {
-                throw new CommandLine.ParameterException(spec.commandLine(),
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(),
                         "--seconds: found " + seconds + ", allowed: 1 to " + MOST_SECONDS);
             }
             day = day.lasting((long) (seconds * SECOND));
--- a/cli/src/main/java/frostrelay/cli/FaultCommand.java
+++ b/cli/src/main/java/frostrelay/cli/FaultCommand.java
@@ -1,10 +1,19 @@
 package frostrelay.cli;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+
 import frostrelay.rig.day.FaultKind;
 import frostrelay.rig.day.FaultSpec;
 import frostrelay.rig.fleet.Control;
 import frostrelay.rig.wire.Loopback;
+
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URI;
@@ -14,15 +23,11 @@
 import java.time.Duration;
 import java.util.Iterator;
 import java.util.concurrent.Callable;
-import picocli.CommandLine;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 
 /** Hurts a running fleet. */
-@Command(name = "fault", mixinStandardHelpOptions = true,
+@Command(
+        name = "fault",
+        mixinStandardHelpOptions = true,
         description = "Plays one fault or operators' call on a fleet that 'frostrelay fleet' runs.")
 final class FaultCommand implements Callable<Integer> {
     private static final double MILLISECOND = 1e6;
@@ -35,28 +40,49 @@
         }
     }
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Parameters(index = "0", paramLabel = "KIND", completionCandidates = Kinds.class,
+    @Parameters(
+            index = "0",
+            paramLabel = "KIND",
+            completionCandidates = Kinds.class,
             description = "One of ${COMPLETION-CANDIDATES}.")
     private String kind;
 
-    @Parameters(index = "1", paramLabel = "TARGET", defaultValue = "any",
-            description = "cache-3, balancer-1, any, or any-3 for three of them (${DEFAULT-VALUE}).")
+    @Parameters(
+            index = "1",
+            paramLabel = "TARGET",
+            defaultValue = "any",
+            description =
+                    "cache-3, balancer-1, any, or any-3 for three of them (${DEFAULT-VALUE}).")
     private String target;
 
-    @Option(names = "--at", paramLabel = "ADDRESS:PORT", defaultValue = "127.0.0.1:7801",
+    @Option(
+            names = "--at",
+            paramLabel = "ADDRESS:PORT",
+            defaultValue = "127.0.0.1:7801",
             description = "Where the fleet takes faults (${DEFAULT-VALUE}).")
     private String at;
 
-    @Option(names = "--factor", paramLabel = "X", defaultValue = "4", description = "How much (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--factor",
+            paramLabel = "X",
+            defaultValue = "4",
+            description = "How much (${DEFAULT-VALUE}).")
     private double factor;
 
-    @Option(names = "--amount", paramLabel = "MS", defaultValue = "0", description = "Milliseconds, for delays.")
+    @Option(
+            names = "--amount",
+            paramLabel = "MS",
+            defaultValue = "0",
+            description = "Milliseconds, for delays.")
     private double amount;
 
-    @Option(names = "--for", paramLabel = "MS", defaultValue = "0", description = "Undo it after so many milliseconds.")
+    @Option(
+            names = "--for",
+            paramLabel = "MS",
+            defaultValue = "0",
+            description = "Undo it after so many milliseconds.")
     private double length;
 
     @Override
@@ -64,18 +90,35 @@
         FaultSpec fault;
         InetSocketAddress address;
         try {
-            fault = new FaultSpec(0, FaultKind.of(kind), target, factor, (long) (amount * MILLISECOND),
-                    (long) (length * MILLISECOND));
+            fault =
+                    new FaultSpec(
+                            0,
+                            FaultKind.of(kind),
+                            target,
+                            factor,
+                            (long) (amount * MILLISECOND),
+                            (long) (length * MILLISECOND));
             address = Loopback.parse(at);
         } catch (IllegalArgumentException e) {
             throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage());
         }
         try {
-            HttpResponse<String> answer = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build()
-                    .send(HttpRequest.newBuilder(URI.create("http://" + Loopback.text(address) + "/fault"))
-                    .timeout(Duration.ofSeconds(5))
-                    .POST(HttpRequest.BodyPublishers.ofString(JSON.std.asString(Control.body(fault)))).build(),
-                    HttpResponse.BodyHandlers.ofString());
+            HttpResponse<String> answer =
+                    HttpClient.newBuilder()
+                            .connectTimeout(Duration.ofSeconds(2))
+                            .build()
+                            .send(
+                                    HttpRequest.newBuilder(
+                                                    URI.create(
+                                                            "http://"
+                                                                    + Loopback.text(address)
+                                                                    + "/fault"))
+                                            .timeout(Duration.ofSeconds(5))
+                                            .POST(
+                                                    HttpRequest.BodyPublishers.ofString(
+                                                            JSON.std.asString(Control.body(fault))))
+                                            .build(),
+                                    HttpResponse.BodyHandlers.ofString());
             System.out.println(answer.body());
             return answer.statusCode() == 202 ? 0 : 1;
         } catch (IOException e) {
--- a/cli/src/main/java/frostrelay/cli/LabCommand.java
+++ b/cli/src/main/java/frostrelay/cli/LabCommand.java
@@ -4,13 +4,25 @@
 import picocli.CommandLine.Command;
 
 /** Experiments in simulated time. */
-@Command(name = "lab", mixinStandardHelpOptions = true, description = "Experiments on an emulation of the whole system.",
-        subcommands = {LabRun.class, LabReport.class, LabCompare.class, LabHunt.class, LabReplay.class,
-            LabTruth.class, LabSpeed.class, LabFleet.class, LabPeers.class, LabJudgements.class},
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
+        description = "Experiments on an emulation of the whole system.",
+        subcommands = {
+            LabRun.class,
+            LabReport.class,
+            LabCompare.class,
+            LabHunt.class,
+            LabReplay.class,
+            LabTruth.class,
+            LabSpeed.class,
+            LabFleet.class,
+            LabPeers.class,
+            LabJudgements.class
+        },
         synopsisSubcommandLabel = "COMMAND")
 final class LabCommand implements Runnable {
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public void run() {
--- a/cli/src/main/java/frostrelay/cli/LabCompare.java
+++ b/cli/src/main/java/frostrelay/cli/LabCompare.java
@@ -3,6 +3,12 @@
 import frostrelay.lab.Comparison;
 import frostrelay.lab.Comparison.Difference;
 import frostrelay.lab.ResultsFile;
+
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -10,19 +16,18 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
 
 /** Says what differs between two files of results. */
-@Command(name = "compare", mixinStandardHelpOptions = true, description = {
-    "Says what differs between two files of results beyond chance: points of the same name, days of the same seed, by"
-    + " Student's t with Holm's correction over all that is compared.",
-    "Exits with 1 if the two have no days in common."})
+@Command(
+        name = "compare",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Says what differs between two files of results beyond chance: points of the same name, days of the same seed, by"
+                    + " Student's t with Holm's correction over all that is compared.",
+            "Exits with 1 if the two have no days in common."
+        })
 final class LabCompare implements Callable<Integer> {
-    @Mixin
-    private Output output;
+    @Mixin private Output output;
 
     @Parameters(index = "0", paramLabel = "FIRST")
     private Path first;
@@ -35,14 +40,24 @@
 
     @Override
     public Integer call() throws Exception {
-        List<Difference> differences = Comparison.of(ResultsFile.read(first), ResultsFile.read(second));
+        List<Difference> differences =
+                Comparison.of(ResultsFile.read(first), ResultsFile.read(second));
         StringBuilder text = new StringBuilder();
         List<Object> told = new ArrayList<>();
         for (Difference one : differences) {
             if (all || one.beyondChance()) {
-                text.append(String.format(Locale.ROOT, "%s: %s %.4f to %.4f, %+.4f +- %.4f over %d days%s%n", one.point(),
-                        one.metric(), one.first().mean(), one.second().mean(), one.apart().mean(), one.apart().half(),
-                        one.days(), one.beyondChance() ? "" : " (chance)"));
+                text.append(
+                        String.format(
+                                Locale.ROOT,
+                                "%s: %s %.4f to %.4f, %+.4f +- %.4f over %d days%s%n",
+                                one.point(),
+                                one.metric(),
+                                one.first().mean(),
+                                one.second().mean(),
+                                one.apart().mean(),
+                                one.apart().half(),
+                                one.days(),
+                                one.beyondChance() ? "" : " (chance)"));
                 Map<String, Object> each = new LinkedHashMap<>();
                 each.put("point", one.point());
                 each.put("metric", one.metric());
@@ -54,8 +69,13 @@
             }
         }
         long beyond = differences.stream().filter(Difference::beyondChance).count();
-        text.append(differences.isEmpty() ? "no days in common" : beyond + " of " + differences.size()
-                + " comparisons differ beyond chance");
+        text.append(
+                differences.isEmpty()
+                        ? "no days in common"
+                        : beyond
+                                + " of "
+                                + differences.size()
+                                + " comparisons differ beyond chance");
         output.result(Map.of("compared", differences.size(), "differences", told), text.toString());
         return differences.isEmpty() ? 1 : 0;
     }
--- a/cli/src/main/java/frostrelay/cli/LabFleet.java
+++ b/cli/src/main/java/frostrelay/cli/LabFleet.java
@@ -6,6 +6,12 @@
 import frostrelay.lab.Interval;
 import frostrelay.lab.Lab;
 import frostrelay.lab.ResultsFile;
+
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Option;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,33 +21,41 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import picocli.CommandLine;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Option;
 
 /** Plays the fleet days in simulated time. */
-@Command(name = "fleet", mixinStandardHelpOptions = true, description = {
-    "Plays every day of a folder, each seed drawn from the day's ranges, with a hundred balancers that all run the real decision"
-    + " module. Prints a line a day; ends in a report with heat maps of balancers and caches.",
-    "Exits with 1 if a rule was broken on any day."})
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Plays every day of a folder, each seed drawn from the day's ranges, with a hundred balancers that all run the real decision"
+                    + " module. Prints a line a day; ends in a report with heat maps of balancers and caches.",
+            "Exits with 1 if a rule was broken on any day."
+        })
 final class LabFleet implements Callable<Integer> {
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    @Mixin
-    private Output output;
+    @Mixin private Output output;
 
-    @Option(names = "--days", paramLabel = "FOLDER", description = "Where the days are (deploy/lab/fleet).")
+    @Option(
+            names = "--days",
+            paramLabel = "FOLDER",
+            description = "Where the days are (deploy/lab/fleet).")
     private Path days;
 
-    @Option(names = "--seeds", paramLabel = "N", defaultValue = "8", description = "Of each day (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seeds",
+            paramLabel = "N",
+            defaultValue = "8",
+            description = "Of each day (${DEFAULT-VALUE}).")
     private int seeds;
 
     @Option(names = "--threads", paramLabel = "N", description = "Without it one for each core.")
     private Integer threads;
 
-    @Option(names = "--out", paramLabel = "FILE", defaultValue = "lab-out/fleet.jsonl",
+    @Option(
+            names = "--out",
+            paramLabel = "FILE",
+            defaultValue = "lab-out/fleet.jsonl",
             description = "Results, by lines of JSON (${DEFAULT-VALUE}); they are written anew.")
     private Path out;
 
@@ -50,8 +64,11 @@
         Experiment experiment = ExperimentFile.ofPlants(files(), Math.max(1, seeds));
         Files.deleteIfExists(out);
         try (ResultsFile file = ResultsFile.open(out, experiment)) {
-            Lab.play(experiment, file, LabCommand.threads(threads), (done, most) ->
-                    output.progress(done + " of " + most + " days"));
+            Lab.play(
+                    experiment,
+                    file,
+                    LabCommand.threads(threads),
+                    (done, most) -> output.progress(done + " of " + most + " days"));
         }
         ResultsFile.Held held = ResultsFile.read(out);
         LabReport.Written report = LabReport.write(held, out);
@@ -62,9 +79,11 @@
     private List<Path> files() throws IOException {
         Path folder = days != null ? days : Checkout.root().resolve("deploy/lab/fleet");
         try (Stream<Path> all = Files.list(folder)) {
-            List<Path> found = all.filter(one -> one.toString().endsWith(".toml")).sorted().toList();
+            List<Path> found =
+                    all.filter(one -> one.toString().endsWith(".toml")).sorted().toList();
             if (found.isEmpty()) {
-                throw new CommandLine.ParameterException(spec.commandLine(), folder + " holds no days");
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(), folder + " holds no days");
             }
             return found;
         }
@@ -83,15 +102,34 @@
         columns.put("handshakes", "%7.3f");
         columns.put("listLines", "%7.3f");
         columns.put("waste", "%7.3f");
-        StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%-8s  served   goal prices refuse failed    p99 copies"
-                + " shakes  lists  waste  rules%n", "day"));
+        StringBuilder text =
+                new StringBuilder(
+                        String.format(
+                                Locale.ROOT,
+                                "%-8s  served   goal prices refuse failed    p99 copies"
+                                        + " shakes  lists  waste  rules%n",
+                                "day"));
         for (int point = 0; point < held.points().size(); point++) {
             List<Day> days = held.of(point);
             text.append(String.format(Locale.ROOT, "%-8s", held.points().get(point)));
-            columns.forEach((name, form) -> text.append(String.format(Locale.ROOT, form,
-                    Interval.of(days.stream().mapToDouble(day -> day.metrics().get(name)).toArray()).mean())));
+            columns.forEach(
+                    (name, form) ->
+                            text.append(
+                                    String.format(
+                                            Locale.ROOT,
+                                            form,
+                                            Interval.of(
+                                                            days.stream()
+                                                                    .mapToDouble(
+                                                                            day ->
+                                                                                    day.metrics()
+                                                                                            .get(
+                                                                                                    name))
+                                                                    .toArray())
+                                                    .mean())));
             long broken = days.stream().mapToLong(Day::breaks).sum();
-            text.append(broken == 0 ? "  kept" : "  BROKEN " + broken).append(System.lineSeparator());
+            text.append(broken == 0 ? "  kept" : "  BROKEN " + broken)
+                    .append(System.lineSeparator());
         }
         return text.toString();
     }
--- a/cli/src/main/java/frostrelay/cli/LabHunt.java
+++ b/cli/src/main/java/frostrelay/cli/LabHunt.java
@@ -6,6 +6,13 @@
 import frostrelay.lab.Hunt;
 import frostrelay.lab.Kept;
 import frostrelay.lab.PlantFile;
+
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -14,46 +21,65 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import picocli.CommandLine;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
 
 /** Searches for days on which a goal is missed. */
-@Command(name = "hunt", mixinStandardHelpOptions = true, description =
-    "Searches for faults after which a plant misses a goal: at random, then by small changes to the worst; each find is"
-    + " made as small as it can be and kept as a plant that 'lab replay' plays again.")
+@Command(
+        name = "hunt",
+        mixinStandardHelpOptions = true,
+        description =
+                "Searches for faults after which a plant misses a goal: at random, then by small changes to the worst; each find is"
+                        + " made as small as it can be and kept as a plant that 'lab replay' plays again.")
 final class LabHunt implements Callable<Integer> {
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    @Mixin
-    private Output output;
+    @Mixin private Output output;
 
     @Parameters(paramLabel = "PLANT")
     private Path plant;
 
-    @Option(names = "--goal", paramLabel = "GOAL", defaultValue = "afterwards >= 0.9",
+    @Option(
+            names = "--goal",
+            paramLabel = "GOAL",
+            defaultValue = "afterwards >= 0.9",
             description = "What must hold (${DEFAULT-VALUE}).")
     private String goal;
 
-    @Option(names = "--tries", paramLabel = "N", defaultValue = "200", description = "Random tries (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--tries",
+            paramLabel = "N",
+            defaultValue = "200",
+            description = "Random tries (${DEFAULT-VALUE}).")
     private int tries;
 
-    @Option(names = "--count", paramLabel = "N", defaultValue = "5", description = "Finds to keep (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--count",
+            paramLabel = "N",
+            defaultValue = "5",
+            description = "Finds to keep (${DEFAULT-VALUE}).")
     private int count;
 
-    @Option(names = "--seeds", paramLabel = "N", defaultValue = "2", description = "Days of each try (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seeds",
+            paramLabel = "N",
+            defaultValue = "2",
+            description = "Days of each try (${DEFAULT-VALUE}).")
     private int seeds;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Of the hunt (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "Of the hunt (${DEFAULT-VALUE}).")
     private long seed;
 
     @Option(names = "--threads", paramLabel = "N", description = "Without it one for each core.")
     private Integer threads;
 
-    @Option(names = "--keep", paramLabel = "DIR", defaultValue = "lab-out", description = "Where to (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--keep",
+            paramLabel = "DIR",
+            defaultValue = "lab-out",
+            description = "Where to (${DEFAULT-VALUE}).")
     private Path keep;
 
     @Override
@@ -62,8 +88,16 @@
         List<Hunt.Found> found;
         try {
             what = Goal.parse(goal);
-            found = Hunt.run(PlantFile.read(plant), what, Math.max(1, tries), Math.max(1, count), Math.max(1, seeds), seed,
-                    LabCommand.threads(threads), output::progress);
+            found =
+                    Hunt.run(
+                            PlantFile.read(plant),
+                            what,
+                            Math.max(1, tries),
+                            Math.max(1, count),
+                            Math.max(1, seeds),
+                            seed,
+                            LabCommand.threads(threads),
+                            output::progress);
         } catch (IllegalArgumentException e) {
             throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage(), e);
         }
@@ -80,9 +114,20 @@
             each.put("faults", FaultWords.of(one.faults()));
             each.put(what.metric(), one.value());
             told.add(each);
-            text.append(String.format(Locale.ROOT, "%s: %s %.3f after %d days played%n", file, what.metric(), one.value(),
-                    one.tried()));
-            FaultWords.of(one.faults()).forEach(fault -> text.append("    ").append(fault).append(System.lineSeparator()));
+            text.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%s: %s %.3f after %d days played%n",
+                            file,
+                            what.metric(),
+                            one.value(),
+                            one.tried()));
+            FaultWords.of(one.faults())
+                    .forEach(
+                            fault ->
+                                    text.append("    ")
+                                            .append(fault)
+                                            .append(System.lineSeparator()));
         }
         text.append(found.size()).append(" kept, goal ").append(what);
         output.result(Map.of("goal", what.toString(), "found", told), text.toString());
--- a/cli/src/main/java/frostrelay/cli/LabReplay.java
+++ b/cli/src/main/java/frostrelay/cli/LabReplay.java
@@ -1,23 +1,28 @@
 package frostrelay.cli;
 
 import frostrelay.lab.Kept;
+
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Parameters;
+
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Parameters;
 
 /** Plays kept days again. */
-@Command(name = "replay", mixinStandardHelpOptions = true, description = {
-    "Plays days that a hunt found and checks what must hold of each ([kept] must).",
-    "Exits with 1 if one does not hold, or a rule is broken."})
+@Command(
+        name = "replay",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Plays days that a hunt found and checks what must hold of each ([kept] must).",
+            "Exits with 1 if one does not hold, or a rule is broken."
+        })
 final class LabReplay implements Callable<Integer> {
-    @Mixin
-    private Output output;
+    @Mixin private Output output;
 
     @Parameters(arity = "1..*", paramLabel = "FILE")
     private List<Path> files;
@@ -30,10 +35,27 @@
         for (Path file : files) {
             Kept.Replayed one = Kept.replay(file);
             good &= one.good();
-            told.put(file.toString(), Map.of("value", one.value(), "must", one.must().toString(), "good", one.good(),
-                    "ruleBreaks", one.breaks()));
-            text.append(String.format(Locale.ROOT, "%s: %s %.3f, must be %s%s%s%n", file, one.must().metric(), one.value(),
-                    one.must(), one.missedBy() > 0 ? ": MISSED" : "", one.breaks() > 0 ? ": RULES BROKEN" : ""));
+            told.put(
+                    file.toString(),
+                    Map.of(
+                            "value",
+                            one.value(),
+                            "must",
+                            one.must().toString(),
+                            "good",
+                            one.good(),
+                            "ruleBreaks",
+                            one.breaks()));
+            text.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%s: %s %.3f, must be %s%s%s%n",
+                            file,
+                            one.must().metric(),
+                            one.value(),
+                            one.must(),
+                            one.missedBy() > 0 ? ": MISSED" : "",
+                            one.breaks() > 0 ? ": RULES BROKEN" : ""));
         }
         output.result(Map.of("good", good, "days", told), text.toString().stripTrailing());
         return good ? 0 : 1;
--- a/cli/src/main/java/frostrelay/cli/LabReport.java
+++ b/cli/src/main/java/frostrelay/cli/LabReport.java
@@ -2,22 +2,26 @@
 
 import frostrelay.lab.ResultsFile;
 import frostrelay.report.Page;
+
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Parameters;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Parameters;
 
 /** Makes pages of results. */
-@Command(name = "report", mixinStandardHelpOptions = true, description =
-    "Writes an HTML page with plots, that needs no other file, and a summary in Markdown beside the results; of a run that"
-    + " goes on as well.")
+@Command(
+        name = "report",
+        mixinStandardHelpOptions = true,
+        description =
+                "Writes an HTML page with plots, that needs no other file, and a summary in Markdown beside the results; of a run that"
+                        + " goes on as well.")
 final class LabReport implements Callable<Integer> {
-    @Mixin
-    private Output output;
+    @Mixin private Output output;
 
     @Parameters(paramLabel = "RESULTS")
     private Path results;
@@ -30,8 +34,7 @@
     }
 
     /** What was written: the summary, and the figures for a machine. */
-    record Written(String markdown, Map<String, Object> figures) {
-    }
+    record Written(String markdown, Map<String, Object> figures) {}
 
     /** Writes both pages beside a file of results. */
     static Written write(ResultsFile.Held held, Path results) throws IOException {
@@ -45,10 +48,16 @@
     }
 
     static String where(Path results) {
-        return "report: " + beside(results, ".html") + " and " + beside(results, ".md") + ", results: " + results;
+        return "report: "
+                + beside(results, ".html")
+                + " and "
+                + beside(results, ".md")
+                + ", results: "
+                + results;
     }
 
     private static Path beside(Path results, String ending) {
-        return results.resolveSibling(String.valueOf(results.getFileName()).replaceFirst("\\.jsonl$", "") + ending);
+        return results.resolveSibling(
+                String.valueOf(results.getFileName()).replaceFirst("\\.jsonl$", "") + ending);
     }
 }
--- a/cli/src/main/java/frostrelay/cli/LabSpeed.java
+++ b/cli/src/main/java/frostrelay/cli/LabSpeed.java
@@ -4,6 +4,12 @@
 import frostrelay.emulator.Plant;
 import frostrelay.lab.Interval;
 import frostrelay.lab.PlantFile;
+
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -11,25 +17,28 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.function.Function;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
 
 /** How fast days are emulated. */
-@Command(name = "speed", mixinStandardHelpOptions = true, description = {
-    "Measures how many requests a second one core emulates, with the decision module and with one that only passes on."})
+@Command(
+        name = "speed",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Measures how many requests a second one core emulates, with the decision module and with one that only passes on."
+        })
 final class LabSpeed implements Callable<Integer> {
     private static final double SECOND = 1e9;
 
-    @Mixin
-    private Output output;
+    @Mixin private Output output;
 
     @Parameters(arity = "1..*", paramLabel = "PLANT")
     private List<Path> files;
 
-    @Option(names = "--runs", paramLabel = "N", defaultValue = "5",
-            description = "Days of each that count, at least two (${DEFAULT-VALUE}); one more before them warms up.")
+    @Option(
+            names = "--runs",
+            paramLabel = "N",
+            defaultValue = "5",
+            description =
+                    "Days of each that count, at least two (${DEFAULT-VALUE}); one more before them warms up.")
     private int runs;
 
     @Override
@@ -38,15 +47,24 @@
         StringBuilder text = new StringBuilder();
         for (Path file : files) {
             Plant plant = PlantFile.read(file);
-            told.put(file.toString(), Map.of("module", speed(file, "with the module", plant, Emulation::play, text),
-                    "plain", speed(file, "without it", plant, Emulation::playPlain, text)));
+            told.put(
+                    file.toString(),
+                    Map.of(
+                            "module",
+                            speed(file, "with the module", plant, Emulation::play, text),
+                            "plain",
+                            speed(file, "without it", plant, Emulation::playPlain, text)));
         }
         output.result(told, text.toString().stripTrailing());
         return 0;
     }
 
-    private Map<String, Object> speed(Path file, String how, Plant plant, Function<Plant, Emulation.Result> play,
-                                      StringBuilder text) {
+    private Map<String, Object> speed(
+            Path file,
+            String how,
+            Plant plant,
+            Function<Plant, Emulation.Result> play,
+            StringBuilder text) {
         int days = Math.max(2, runs);
         double[] requests = new double[days];
         double[] events = new double[days];
@@ -60,8 +78,16 @@
         }
         Interval taken = Interval.of(requests);
         Interval happened = Interval.of(events);
-        text.append(String.format(Locale.ROOT, "%s %s: %.0f ± %.0f thousand requests a second, %.1f ± %.1f million events%n",
-                file, how, taken.mean() / 1e3, taken.half() / 1e3, happened.mean() / 1e6, happened.half() / 1e6));
+        text.append(
+                String.format(
+                        Locale.ROOT,
+                        "%s %s: %.0f ± %.0f thousand requests a second, %.1f ± %.1f million events%n",
+                        file,
+                        how,
+                        taken.mean() / 1e3,
+                        taken.half() / 1e3,
+                        happened.mean() / 1e6,
+                        happened.half() / 1e6));
         return Map.of("requestsPerSecond", taken.mean(), "eventsPerSecond", happened.mean());
     }
 }
--- a/cli/src/main/java/frostrelay/cli/Main.java
+++ b/cli/src/main/java/frostrelay/cli/Main.java
@@ -5,17 +5,35 @@
 import picocli.CommandLine.Command;
 
 /** The program for people: everything that can be done with frostrelay from a terminal. */
-@Command(name = "frostrelay", mixinStandardHelpOptions = true, version = "frostrelay 0.7.0",
+@Command(
+        name = "frostrelay",
+        mixinStandardHelpOptions = true,
+        version = "frostrelay 0.7.0",
         description = "A balancer for fleets of caches, with a fleet of stand-ins to try it on.",
-        synopsisSubcommandLabel = "COMMAND", footerHeading = "%nExit codes:%n",
+        synopsisSubcommandLabel = "COMMAND",
+        footerHeading = "%nExit codes:%n",
         footer = {"  0  done", "  1  failed", "  2  wrong usage"},
-        subcommands = {DemoCommand.class, ServeCommand.class, CheckCommand.class, FleetCommand.class,
-            LoadCommand.class, FaultCommand.class, BenchCommand.class, CampaignCommand.class, SoakCommand.class, AuditCommand.class, StragglersCommand.class,
-            JudgementsCommand.class, CountsCommand.class, LabCommand.class, RelayCommand.class,
-            AutoComplete.GenerateCompletion.class, CommandLine.HelpCommand.class})
+        subcommands = {
+            DemoCommand.class,
+            ServeCommand.class,
+            CheckCommand.class,
+            FleetCommand.class,
+            LoadCommand.class,
+            FaultCommand.class,
+            BenchCommand.class,
+            CampaignCommand.class,
+            SoakCommand.class,
+            AuditCommand.class,
+            StragglersCommand.class,
+            JudgementsCommand.class,
+            CountsCommand.class,
+            LabCommand.class,
+            RelayCommand.class,
+            AutoComplete.GenerateCompletion.class,
+            CommandLine.HelpCommand.class
+        })
 public final class Main implements Runnable {
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     /** Ends the process with 0, 1 or 2. */
     public static void main(String[] args) {
@@ -27,13 +45,24 @@
 
     static CommandLine commandLine() {
         CommandLine line = new CommandLine(new Main());
-        line.getSubcommands().get("generate-completion").getCommandSpec().usageMessage().hidden(true);
+        line.getSubcommands()
+                .get("generate-completion")
+                .getCommandSpec()
+                .usageMessage()
+                .hidden(true);
         // One plain line for what went wrong; a trace helps nobody who has only the program.
-        line.setExecutionExceptionHandler((e, command, parsed) -> {
-            command.getErr().println(command.getColorScheme().errorText("frostrelay: "
-                    + (e.getMessage() == null ? e.toString() : e.getMessage())));
-            return CommandLine.ExitCode.SOFTWARE;
-        });
+        line.setExecutionExceptionHandler(
+                (e, command, parsed) -> {
+                    command.getErr()
+                            .println(
+                                    command.getColorScheme()
+                                            .errorText(
+                                                    "frostrelay: "
+                                                            + (e.getMessage() == null
+                                                                    ? e.toString()
+                                                                    : e.getMessage())));
+                    return CommandLine.ExitCode.SOFTWARE;
+                });
         return line;
     }
 
--- a/cli/src/main/java/frostrelay/cli/Output.java
+++ b/cli/src/main/java/frostrelay/cli/Output.java
@@ -1,13 +1,17 @@
 package frostrelay.cli;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+
+import picocli.CommandLine.Option;
+
 import java.io.IOException;
 import java.util.Map;
-import picocli.CommandLine.Option;
 
 /** How a command prints its figures: for people, or as one JSON object on the last line. */
 final class Output {
-    @Option(names = "--json", description = "Print the figures as one JSON object, on the last line.")
+    @Option(
+            names = "--json",
+            description = "Print the figures as one JSON object, on the last line.")
     private boolean json;
 
     boolean json() {
--- a/cli/src/main/java/frostrelay/cli/Platform.java
+++ b/cli/src/main/java/frostrelay/cli/Platform.java
@@ -4,21 +4,28 @@
 import frostrelay.config.Problem;
 import frostrelay.node.ConfigException;
 import frostrelay.node.ConfigFile;
+
 import java.nio.file.Path;
 import java.util.List;
 
 /** Checks of the platform's own JSON, which the balancer reads by itself. */
 final class Platform {
-    private Platform() {
-    }
+    private Platform() {}
 
     /** What holds, a line each; throws what is wrong. */
     static String check(Path file) {
         try {
-            return String.join(System.lineSeparator(), ConfigFile.check(file)) + System.lineSeparator();
+            return String.join(System.lineSeparator(), ConfigFile.check(file))
+                    + System.lineSeparator();
         } catch (ConfigException e) {
-            throw new BadConfigException(List.of(new Problem(file.toString(), 0, "", e.getMessage(),
-                    "a configuration as docs/configuration.md describes it")));
+            throw new BadConfigException(
+                    List.of(
+                            new Problem(
+                                    file.toString(),
+                                    0,
+                                    "",
+                                    e.getMessage(),
+                                    "a configuration as docs/configuration.md describes it")));
         }
     }
 }
--- a/cli/src/main/java/frostrelay/cli/RelayCommand.java
+++ b/cli/src/main/java/frostrelay/cli/RelayCommand.java
@@ -2,14 +2,21 @@
 
 import frostrelay.rig.link.Link;
 import frostrelay.rig.wire.Loopback;
+
 import io.netty.channel.nio.NioEventLoopGroup;
-import java.util.concurrent.Callable;
+
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
+import java.util.concurrent.Callable;
+
 /** The relay that the bench measures the balancer against. */
-@Command(name = "relay", hidden = true, mixinStandardHelpOptions = true,
-        description = "Copies bytes between a loopback port and a loopback address, on one event loop.")
+@Command(
+        name = "relay",
+        hidden = true,
+        mixinStandardHelpOptions = true,
+        description =
+                "Copies bytes between a loopback port and a loopback address, on one event loop.")
 final class RelayCommand implements Callable<Integer> {
     @Parameters(paramLabel = "PORT")
     private int port;
--- a/cli/src/main/java/frostrelay/cli/SeedRange.java
+++ b/cli/src/main/java/frostrelay/cli/SeedRange.java
@@ -13,9 +13,11 @@
                 throw new TypeConversionException("found " + text + ", allowed: A..B");
             }
             String[] ends = text.split("\\.\\.");
-            SeedRange range = new SeedRange(Long.parseLong(ends[0]), Long.parseLong(ends[ends.length - 1]));
+            SeedRange range =
+                    new SeedRange(Long.parseLong(ends[0]), Long.parseLong(ends[ends.length - 1]));
             if (range.last < range.first) {
-                throw new TypeConversionException("found " + text + ", allowed: A..B with A at most B");
+                throw new TypeConversionException(
+                        "found " + text + ", allowed: A..B with A at most B");
             }
             return range;
         }
--- a/cli/src/main/java/frostrelay/cli/SoakCommand.java
+++ b/cli/src/main/java/frostrelay/cli/SoakCommand.java
@@ -5,6 +5,14 @@
 import frostrelay.rig.fleet.Result;
 import frostrelay.rig.soak.SoakPlan;
 import frostrelay.rig.soak.SoakPlay;
+
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Spec;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,38 +24,45 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import picocli.CommandLine;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Model.CommandSpec;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Spec;
 
 /** Many real processes, faults that overlap, and the invariants as the oracle. */
-@Command(name = "soak", mixinStandardHelpOptions = true, description = {
-    "Plays drawn days with 10 to 40 balancers as processes: restarts that are killed as early as may be, caches that hang, clients"
-    + " that leave or write slowly, and more, all overlapping. Exits with 1 if an invariant was broken, or no play of a seed could tell.",
-    "docs/soak.md says what is drawn and what is checked."})
+@Command(
+        name = "soak",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Plays drawn days with 10 to 40 balancers as processes: restarts that are killed as early as may be, caches that hang, clients"
+                    + " that leave or write slowly, and more, all overlapping. Exits with 1 if an invariant was broken, or no play of a seed could tell.",
+            "docs/soak.md says what is drawn and what is checked."
+        })
 final class SoakCommand implements Callable<Integer> {
     private static final int MOST_FINDINGS_SHOWN = 12;
+
     /** Of one seed, until a play is decided. */
     private static final int MOST_PLAYS = 3;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Mixin
-    private Output output;
+    @Mixin private Output output;
 
-    @Option(names = "--seeds", paramLabel = "A..B", defaultValue = "1..3", converter = SeedRange.Converter.class,
+    @Option(
+            names = "--seeds",
+            paramLabel = "A..B",
+            defaultValue = "1..3",
+            converter = SeedRange.Converter.class,
             description = "Days drawn (${DEFAULT-VALUE}).")
     private SeedRange seeds;
 
-    @Option(names = "--balancers", paramLabel = "N", defaultValue = "0",
+    @Option(
+            names = "--balancers",
+            paramLabel = "N",
+            defaultValue = "0",
             description = "Processes of each day, 1 to 40; drawn from 10 to 40 if not given.")
     private int balancers;
 
-    @Option(names = "--keep", paramLabel = "FOLDER", description = "Keep the balancers' configurations and logs here, a folder a play.")
+    @Option(
+            names = "--keep",
+            paramLabel = "FOLDER",
+            description = "Keep the balancers' configurations and logs here, a folder a play.")
     private Path keep;
 
     @Option(names = "--verbose", description = "Tell what happens in each second.")
@@ -56,8 +71,12 @@
     @Override
     public Integer call() throws Exception {
         if (balancers < 0 || balancers > SoakPlan.MOST_BALANCERS) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "--balancers: found " + balancers + ", allowed: 0 to "
-                    + SoakPlan.MOST_BALANCERS);
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(),
+                    "--balancers: found "
+                            + balancers
+                            + ", allowed: 0 to "
+                            + SoakPlan.MOST_BALANCERS);
         }
         Map<SoakPlay.Verdict, Integer> verdicts = new EnumMap<>(SoakPlay.Verdict.class);
         long requests = 0;
@@ -73,20 +92,35 @@
         }
         all.put("requests", requests);
         all.put("each", plays);
-        output.result(all, String.format(Locale.ROOT, "%,d requests; seeds by their last play: %d kept, %d undecided, %d broken", requests,
-                verdicts.getOrDefault(SoakPlay.Verdict.KEPT, 0), verdicts.getOrDefault(SoakPlay.Verdict.UNDECIDED, 0),
-                verdicts.getOrDefault(SoakPlay.Verdict.BROKEN, 0)));
+        output.result(
+                all,
+                String.format(
+                        Locale.ROOT,
+                        "%,d requests; seeds by their last play: %d kept, %d undecided, %d broken",
+                        requests,
+                        verdicts.getOrDefault(SoakPlay.Verdict.KEPT, 0),
+                        verdicts.getOrDefault(SoakPlay.Verdict.UNDECIDED, 0),
+                        verdicts.getOrDefault(SoakPlay.Verdict.BROKEN, 0)));
         return verdicts.keySet().equals(EnumSet.of(SoakPlay.Verdict.KEPT)) ? 0 : 1;
     }
 
-    /** Plays a day, and again where the machine was held up and that can be all that was found; every play is told. */
-    private SoakPlay.Outcome playUntilDecided(long seed, List<Map<String, Object>> plays) throws Exception {
+    /**
+     * Plays a day, and again where the machine was held up and that can be all that was found;
+     * every play is told.
+     */
+    private SoakPlay.Outcome playUntilDecided(long seed, List<Map<String, Object>> plays)
+            throws Exception {
         SoakPlay.Outcome outcome = null;
-        for (int i = 0; i < MOST_PLAYS && (outcome == null || outcome.verdict() == SoakPlay.Verdict.UNDECIDED); i++) {
+        for (int i = 0;
+                i < MOST_PLAYS
+                        && (outcome == null || outcome.verdict() == SoakPlay.Verdict.UNDECIDED);
+                i++) {
             outcome = play(seed);
             plays.add(figures(seed, outcome));
             output.progress(line(seed, outcome));
-            outcome.findings().stream().limit(MOST_FINDINGS_SHOWN).forEach(finding -> output.progress("    " + finding.what()));
+            outcome.findings().stream()
+                    .limit(MOST_FINDINGS_SHOWN)
+                    .forEach(finding -> output.progress("    " + finding.what()));
         }
         return outcome;
     }
@@ -95,11 +129,15 @@
         Day day = SoakPlan.draw(seed, balancers);
         Path folder = keep == null ? Checkout.folder() : freshFolder(seed);
         try {
-            return SoakPlay.play(day, folder, Checkout.balancer(), text -> {
-                if (verbose) {
-                    output.progress(text);
-                }
-            });
+            return SoakPlay.play(
+                    day,
+                    folder,
+                    Checkout.balancer(),
+                    text -> {
+                        if (verbose) {
+                            output.progress(text);
+                        }
+                    });
         } finally {
             if (keep == null) {
                 Checkout.remove(folder);
@@ -107,7 +145,10 @@
         }
     }
 
-    /** A folder of its own for each play: logs go behind what is there, and an earlier play's lines are none of this one's. */
+    /**
+     * A folder of its own for each play: logs go behind what is there, and an earlier play's lines
+     * are none of this one's.
+     */
     private Path freshFolder(long seed) throws IOException {
         int number = 1;
         while (Files.exists(keep.resolve("seed-" + seed + "-play-" + number))) {
@@ -118,10 +159,22 @@
 
     private static String line(long seed, SoakPlay.Outcome outcome) {
         Result result = outcome.result();
-        return String.format(Locale.ROOT, "seed %d: %d balancers, %d caches, %d faults; %,d requests, %.1f%% in time, %d excused, "
-                + "%d clients left; stand-ins stood still for %d ms, %.1f%% of the processor stolen; %s", seed, outcome.day().balancers(), outcome.day().caches(), outcome.day().faults().size(),
-                result.tally().asked(), 100.0 * result.tally().count(Tally.End.IN_TIME) / Math.max(1, result.tally().asked()),
-                result.tally().count(Tally.End.EXCUSED), result.tally().count(Tally.End.LEFT), outcome.stallMs(), 100 * outcome.stolenPart(),
+        return String.format(
+                Locale.ROOT,
+                "seed %d: %d balancers, %d caches, %d faults; %,d requests, %.1f%% in time, %d excused, "
+                        + "%d clients left; stand-ins stood still for %d ms, %.1f%% of the processor stolen; %s",
+                seed,
+                outcome.day().balancers(),
+                outcome.day().caches(),
+                outcome.day().faults().size(),
+                result.tally().asked(),
+                100.0
+                        * result.tally().count(Tally.End.IN_TIME)
+                        / Math.max(1, result.tally().asked()),
+                result.tally().count(Tally.End.EXCUSED),
+                result.tally().count(Tally.End.LEFT),
+                outcome.stallMs(),
+                100 * outcome.stolenPart(),
                 outcome.verdict().name().toLowerCase(Locale.ROOT));
     }
 
--- a/cli/src/main/java/frostrelay/start/Defect.java
+++ b/cli/src/main/java/frostrelay/start/Defect.java
@@ -9,8 +9,9 @@
 import frostrelay.rig.campaign.Matter;
 import frostrelay.stragglers.Kind;
 import frostrelay.stragglers.Stragglers;
-import java.nio.charset.StandardCharsets;
+
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.EnumMap;
@@ -20,7 +21,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Faults put into a balancer's account of itself, by which checkers are proved: each has to be found. */
+/**
+ * Faults put into a balancer's account of itself, by which checkers are proved: each has to be
+ * found.
+ */
 public enum Defect {
     LATE_STAMP("A change of list or configuration is entered 1.5 s after it was acted on.") {
         @Override
@@ -32,7 +36,8 @@
         @Override
         Recorder into(Recorder inner) {
             return entry -> {
-                if (entry.at() / 1_000_000_000L % 4 != 2 || !(entry instanceof Entry.Sent || entry instanceof Entry.Counts)) {
+                if (entry.at() / 1_000_000_000L % 4 != 2
+                        || !(entry instanceof Entry.Sent || entry instanceof Entry.Counts)) {
                     inner.append(entry);
                 }
             };
@@ -41,24 +46,54 @@
     WRONG_INCARNATION("The start is entered under the incarnation of another life.") {
         @Override
         Recorder into(Recorder inner) {
-            return entry -> inner.append(entry instanceof Entry.Start one ? new Entry.Start(one.at(), one.name(), one.rank(),
-                    one.incarnation() - (5_000L << 7), one.build(), one.wallMs()) : entry);
+            return entry ->
+                    inner.append(
+                            entry instanceof Entry.Start one
+                                    ? new Entry.Start(
+                                            one.at(),
+                                            one.name(),
+                                            one.rank(),
+                                            one.incarnation() - (5_000L << 7),
+                                            one.build(),
+                                            one.wallMs())
+                                    : entry);
         }
     },
     WRONG_CACHE("Sends are entered for the cache with the next number.") {
         @Override
         Recorder into(Recorder inner) {
-            return entry -> inner.append(entry instanceof Entry.Sent one ? new Entry.Sent(one.at(), one.sequence(),
-                    one.cache() % 5 + 1, one.attempt(), one.id()) : entry);
+            return entry ->
+                    inner.append(
+                            entry instanceof Entry.Sent one
+                                    ? new Entry.Sent(
+                                            one.at(),
+                                            one.sequence(),
+                                            one.cache() % 5 + 1,
+                                            one.attempt(),
+                                            one.id())
+                                    : entry);
         }
     },
     OLD_LIST("The version of the list is entered as the one before.") {
         @Override
         Recorder into(Recorder inner) {
-            return entry -> inner.append(entry instanceof Entry.Acts one && one.stamp().listRev() > 1
-                    ? new Entry.Acts(one.at(), one.sequence(), one.cause(), one.wallMs(), new frostrelay.peers.Stamp(
-                    one.stamp().build(), one.stamp().confNumber(), one.stamp().confDigest(), one.stamp().listRev() - 1,
-                    one.stamp().listDigest(), one.stamp().holds(), one.stamp().terms())) : entry);
+            return entry ->
+                    inner.append(
+                            entry instanceof Entry.Acts one && one.stamp().listRev() > 1
+                                    ? new Entry.Acts(
+                                            one.at(),
+                                            one.sequence(),
+                                            one.cause(),
+                                            one.wallMs(),
+                                            new frostrelay.peers.Stamp(
+                                                    one.stamp().build(),
+                                                    one.stamp().confNumber(),
+                                                    one.stamp().confDigest(),
+                                                    one.stamp().listRev() - 1,
+                                                    one.stamp().listDigest(),
+                                                    one.stamp().holds(),
+                                                    one.stamp().terms()))
+                                    : entry);
         }
     },
     DOUBLE_COUNT("Counts are entered twice.") {
@@ -83,7 +118,9 @@
             };
         }
     },
-    LATE_HEARSAY("What is avoided is what was to be avoided before the last change.", Matter.STRAGGLERS) {
+    LATE_HEARSAY(
+            "What is avoided is what was to be avoided before the last change.",
+            Matter.STRAGGLERS) {
         @Override
         Stragglers.Actions into(Stragglers.Actions inner) {
             return new Passing(inner) {
@@ -134,7 +171,8 @@
             };
         }
     },
-    NEVER_FETCHES("A configuration that only others have is never asked of them.", Matter.STRAGGLERS) {
+    NEVER_FETCHES(
+            "A configuration that only others have is never asked of them.", Matter.STRAGGLERS) {
         @Override
         Stragglers.Actions into(Stragglers.Actions inner) {
             return new Passing(inner) {
@@ -167,7 +205,9 @@
             };
         }
     },
-    LOWERS_LATE("What is lowered is what was to be lowered before the last change.", Matter.JUDGEMENTS) {
+    LOWERS_LATE(
+            "What is lowered is what was to be lowered before the last change.",
+            Matter.JUDGEMENTS) {
         @Override
         Judgements.Actions into(Judgements.Actions inner) {
             return new Judged(inner) {
@@ -224,11 +264,18 @@
         Seams.Sums into(Seams.Sums inner) {
             return (now, one) -> {
                 Sum sum = inner.sum(now, one);
-                return new Sum(2 * sum.known(), 2 * sum.most(), sum.rate(), sum.covered(), sum.of(), sum.oldest());
+                return new Sum(
+                        2 * sum.known(),
+                        2 * sum.most(),
+                        sum.rate(),
+                        sum.covered(),
+                        sum.of(),
+                        sum.oldest());
             };
         }
     },
-    COUNTS_SILENCE_AS_NOTHING("Sums are at most what is known: who was not heard did nothing.", Matter.JUDGEMENTS) {
+    COUNTS_SILENCE_AS_NOTHING(
+            "Sums are at most what is known: who was not heard did nothing.", Matter.JUDGEMENTS) {
         @Override
         Seams.Sums into(Seams.Sums inner) {
             return (now, one) -> {
@@ -246,13 +293,15 @@
             };
         }
     },
-    COUNTS_LATE("Sums are those of four seconds ago, and say that they are fresh.", Matter.JUDGEMENTS) {
+    COUNTS_LATE(
+            "Sums are those of four seconds ago, and say that they are fresh.", Matter.JUDGEMENTS) {
         @Override
         Seams.Sums into(Seams.Sums inner) {
             return new LateSums(inner);
         }
     },
-    SKIPPED_STAMP("Every other change is not entered, and what was done under it goes by the one before.") {
+    SKIPPED_STAMP(
+            "Every other change is not entered, and what was done under it goes by the one before.") {
         @Override
         Recorder into(Recorder inner) {
             return new SkippedStamp(inner);
@@ -302,7 +351,10 @@
 
     /** The words of those that campaigns of a matter have to find. */
     public static List<String> of(Matter matter) {
-        return Arrays.stream(values()).filter(one -> one.matter == matter).map(Defect::word).toList();
+        return Arrays.stream(values())
+                .filter(one -> one.matter == matter)
+                .map(Defect::word)
+                .toList();
     }
 
     static Defect of(String word) {
@@ -314,7 +366,14 @@
             return new Entry.Sent(one.at(), sequence, one.cache(), one.attempt(), one.id());
         }
         if (entry instanceof Entry.Counts one) {
-            return new Entry.Counts(one.at(), sequence, one.copies(), one.refused(), one.failed(), one.caches(), one.sends());
+            return new Entry.Counts(
+                    one.at(),
+                    sequence,
+                    one.copies(),
+                    one.refused(),
+                    one.failed(),
+                    one.caches(),
+                    one.sends());
         }
         return entry;
     }
@@ -391,7 +450,8 @@
     private static final class LateSums implements Seams.Sums {
         private static final long LATE = 4_000_000_000L;
         private final Seams.Sums inner;
-        private final Map<Count, ArrayDeque<Map.Entry<Long, Sum>>> kept = new EnumMap<>(Count.class);
+        private final Map<Count, ArrayDeque<Map.Entry<Long, Sum>>> kept =
+                new EnumMap<>(Count.class);
 
         LateSums(Seams.Sums inner) {
             this.inner = inner;
@@ -399,7 +459,8 @@
 
         @Override
         public Sum sum(long now, Count one) {
-            ArrayDeque<Map.Entry<Long, Sum>> all = kept.computeIfAbsent(one, none -> new ArrayDeque<>());
+            ArrayDeque<Map.Entry<Long, Sum>> all =
+                    kept.computeIfAbsent(one, none -> new ArrayDeque<>());
             Sum sum = inner.sum(now, one);
             all.addLast(Map.entry(now, sum));
             while (all.size() > 1 && now - all.peekFirst().getKey() > LATE) {
@@ -451,13 +512,25 @@
         @Override
         public void append(Entry entry) {
             if (held != null && entry.at() - held.at() >= LATE) {
-                inner.append(new Entry.Acts(entry.at(), held.sequence(), held.cause(), held.wallMs(), held.stamp()));
+                inner.append(
+                        new Entry.Acts(
+                                entry.at(),
+                                held.sequence(),
+                                held.cause(),
+                                held.wallMs(),
+                                held.stamp()));
                 entered = held.sequence();
                 held = null;
             }
             if (entry instanceof Entry.Acts one && one.sequence() > 1) {
                 if (held != null) {
-                    inner.append(new Entry.Acts(entry.at(), held.sequence(), held.cause(), held.wallMs(), held.stamp()));
+                    inner.append(
+                            new Entry.Acts(
+                                    entry.at(),
+                                    held.sequence(),
+                                    held.cause(),
+                                    held.wallMs(),
+                                    held.stamp()));
                     entered = held.sequence();
                 }
                 held = one;
@@ -485,7 +558,8 @@
                     return;
                 }
                 entered++;
-                inner.append(new Entry.Acts(one.at(), entered, one.cause(), one.wallMs(), one.stamp()));
+                inner.append(
+                        new Entry.Acts(one.at(), entered, one.cause(), one.wallMs(), one.stamp()));
             } else {
                 entered = entry instanceof Entry.Acts one ? one.sequence() : entered;
                 inner.append(under(entry, entered));
--- a/config/src/main/java/frostrelay/config/Key.java
+++ b/config/src/main/java/frostrelay/config/Key.java
@@ -3,11 +3,18 @@
 import java.util.List;
 
 /**
- * One key of a table: what it may hold and what it is for. {@code standard}: the value where the file has none, in the
- * kind's own unit, or null where the file must have one. {@code least} and {@code most}: bounds in the kind's own unit,
- * for kinds that have an order.
+ * One key of a table: what it may hold and what it is for. {@code standard}: the value where the
+ * file has none, in the kind's own unit, or null where the file must have one. {@code least} and
+ * {@code most}: bounds in the kind's own unit, for kinds that have an order.
  */
-record Key(String name, Kind kind, Object standard, double least, double most, List<String> choices, String purpose) {
+record Key(
+        String name,
+        Kind kind,
+        Object standard,
+        double least,
+        double most,
+        List<String> choices,
+        String purpose) {
     /** What is allowed, in words. */
     String allowed() {
         if (kind == Kind.CHOICE) {
@@ -18,12 +25,17 @@
         }
         boolean below = least > Double.NEGATIVE_INFINITY;
         boolean above = most < Double.POSITIVE_INFINITY;
-        return kind.form + (below && above ? " from " + bound(least) + " to " + bound(most)
-                : below ? " of at least " + bound(least) : above ? " of at most " + bound(most) : "");
+        return kind.form
+                + (below && above
+                        ? " from " + bound(least) + " to " + bound(most)
+                        : below
+                                ? " of at least " + bound(least)
+                                : above ? " of at most " + bound(most) : "");
     }
 
     private String bound(double value) {
-        Object own = kind == Kind.RATE || kind == Kind.NUMBER ? (Object) value : (Object) (long) value;
+        Object own =
+                kind == Kind.RATE || kind == Kind.NUMBER ? (Object) value : (Object) (long) value;
         return kind.write(own).replace("\"", "");
     }
 
--- a/config/src/main/java/frostrelay/config/Kind.java
+++ b/config/src/main/java/frostrelay/config/Kind.java
@@ -11,11 +11,37 @@
 /** The kinds of values a key can hold, each with its form in a file and the unit it is kept in. */
 enum Kind {
     /** Kept in nanoseconds; written with a unit. */
-    DURATION("a duration with a unit, as \"250ms\", \"2s\" or \"1m\"", units("us", 1_000L, "ms", 1_000_000L,
-            "s", 1_000_000_000L, "m", 60_000_000_000L, "h", 3_600_000_000_000L)),
+    DURATION(
+            "a duration with a unit, as \"250ms\", \"2s\" or \"1m\"",
+            units(
+                    "us",
+                    1_000L,
+                    "ms",
+                    1_000_000L,
+                    "s",
+                    1_000_000_000L,
+                    "m",
+                    60_000_000_000L,
+                    "h",
+                    3_600_000_000_000L)),
     /** Kept in bytes; written with a unit. */
-    BYTES("a size with a unit, as \"512B\", \"64KiB\" or \"10MB\"", units("B", 1L, "KB", 1_000L, "MB", 1_000_000L,
-            "GB", 1_000_000_000L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30)),
+    BYTES(
+            "a size with a unit, as \"512B\", \"64KiB\" or \"10MB\"",
+            units(
+                    "B",
+                    1L,
+                    "KB",
+                    1_000L,
+                    "MB",
+                    1_000_000L,
+                    "GB",
+                    1_000_000_000L,
+                    "KiB",
+                    1L << 10,
+                    "MiB",
+                    1L << 20,
+                    "GiB",
+                    1L << 30)),
     /** Kept as a number a second; written with its span. */
     RATE("a rate, as \"200/s\" or \"600/min\"", Map.of()),
     WHOLE("a whole number", Map.of()),
@@ -24,8 +50,10 @@
     CHOICE("a text in quotes", Map.of()),
     BOOL("true or false", Map.of());
 
-    private static final Pattern QUANTITY = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*([A-Za-z]+)");
-    private static final Pattern PER_SPAN = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*/\\s*(s|min|h)");
+    private static final Pattern QUANTITY =
+            Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*([A-Za-z]+)");
+    private static final Pattern PER_SPAN =
+            Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*/\\s*(s|min|h)");
     private static final Map<String, Integer> SPANS = Map.of("s", 1, "min", 60, "h", 3_600);
 
     final String form;
@@ -50,8 +78,12 @@
             case DURATION, BYTES -> raw instanceof String text ? quantity(text.trim()) : null;
             case RATE -> raw instanceof String text ? rate(text.trim()) : null;
             case WHOLE -> raw instanceof Long ? raw : null;
-            case NUMBER -> raw instanceof Long whole ? Double.valueOf(whole)
-                    : raw instanceof Double number && Double.isFinite(number) ? number : null;
+            case NUMBER ->
+                    raw instanceof Long whole
+                            ? Double.valueOf(whole)
+                            : raw instanceof Double number && Double.isFinite(number)
+                                    ? number
+                                    : null;
             case TEXT, CHOICE -> raw instanceof String ? raw : null;
             case BOOL -> raw instanceof Boolean ? raw : null;
         };
@@ -65,12 +97,16 @@
         }
         BigDecimal value = new BigDecimal(parts.group(1)).multiply(BigDecimal.valueOf(unit));
         // Past this nobody means it, and sums of such values would overflow.
-        return value.compareTo(BigDecimal.valueOf(Long.MAX_VALUE / 4)) > 0 ? null : Long.valueOf(value.longValue());
+        return value.compareTo(BigDecimal.valueOf(Long.MAX_VALUE / 4)) > 0
+                ? null
+                : Long.valueOf(value.longValue());
     }
 
     private static Double rate(String text) {
         Matcher parts = PER_SPAN.matcher(text);
-        return parts.matches() ? Double.parseDouble(parts.group(1)) / SPANS.get(parts.group(2)) : null;
+        return parts.matches()
+                ? Double.parseDouble(parts.group(1)) / SPANS.get(parts.group(2))
+                : null;
     }
 
     /** The value as a file would write it. */
@@ -79,7 +115,8 @@
             case DURATION, BYTES -> '"' + largest((Long) value) + '"';
             case RATE -> '"' + plain((Double) value) + "/s\"";
             case NUMBER -> plain((Double) value);
-            case TEXT, CHOICE -> '"' + value.toString().replace("\\", "\\\\").replace("\"", "\\\"") + '"';
+            case TEXT, CHOICE ->
+                    '"' + value.toString().replace("\\", "\\\\").replace("\"", "\\\"") + '"';
             default -> value.toString();
         };
     }
@@ -88,7 +125,9 @@
         String written = null;
         long best = 0;
         for (Map.Entry<String, Long> unit : units.entrySet()) {
-            if (value % unit.getValue() == 0 && unit.getValue() > best && (value > 0 || unit.getValue() == 1_000_000L)) {
+            if (value % unit.getValue() == 0
+                    && unit.getValue() > best
+                    && (value > 0 || unit.getValue() == 1_000_000L)) {
                 best = unit.getValue();
                 written = value / best + unit.getKey();
             }
@@ -97,7 +136,8 @@
     }
 
     private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? String.format(Locale.ROOT, "%.0f", value)
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? String.format(Locale.ROOT, "%.0f", value)
                 : Double.toString(value);
     }
 
--- a/config/src/main/java/frostrelay/config/Table.java
+++ b/config/src/main/java/frostrelay/config/Table.java
@@ -7,9 +7,11 @@
 
 /** The form of a table: its keys and the tables in it, single ones and lists of them. */
 public final class Table {
-    /** A table within a table. {@code list}: written as [[name]], any number of times up to {@code most}. */
-    record Inner(Table table, boolean list, int most) {
-    }
+    /**
+     * A table within a table. {@code list}: written as [[name]], any number of times up to {@code
+     * most}.
+     */
+    record Inner(Table table, boolean list, int most) {}
 
     final String purpose;
     final Map<String, Key> keys = new LinkedHashMap<>();
@@ -35,9 +37,17 @@
         return quantity(name, Kind.RATE, standard, least, most, purpose);
     }
 
-    private Table quantity(String name, Kind kind, String standard, String least, String most, String purpose) {
-        return add(new Key(name, kind, standard == null ? null : kind.read(standard),
-                ((Number) kind.read(least)).doubleValue(), ((Number) kind.read(most)).doubleValue(), List.of(), purpose));
+    private Table quantity(
+            String name, Kind kind, String standard, String least, String most, String purpose) {
+        return add(
+                new Key(
+                        name,
+                        kind,
+                        standard == null ? null : kind.read(standard),
+                        ((Number) kind.read(least)).doubleValue(),
+                        ((Number) kind.read(most)).doubleValue(),
+                        List.of(),
+                        purpose));
     }
 
     /** A whole number. */
@@ -97,19 +107,38 @@
 
     private void describe(String path, boolean list, StringBuilder text) {
         if (!path.isEmpty()) {
-            text.append("### ").append(list ? "`[[" : "`[").append(path).append(list ? "]]`" : "]`").append("\n\n")
-                    .append(purpose).append("\n\n");
+            text.append("### ")
+                    .append(list ? "`[[" : "`[")
+                    .append(path)
+                    .append(list ? "]]`" : "]`")
+                    .append("\n\n")
+                    .append(purpose)
+                    .append("\n\n");
         }
         if (!keys.isEmpty()) {
             text.append("| key | allowed | without it | meaning |\n| --- | --- | --- | --- |\n");
             for (Key key : keys.values()) {
-                text.append("| `").append(key.name()).append("` | ").append(key.allowed()).append(" | ")
-                        .append(key.standard() == null ? "refused" : "`" + key.kind().write(key.standard()) + "`")
-                        .append(" | ").append(key.purpose()).append(" |\n");
+                text.append("| `")
+                        .append(key.name())
+                        .append("` | ")
+                        .append(key.allowed())
+                        .append(" | ")
+                        .append(
+                                key.standard() == null
+                                        ? "refused"
+                                        : "`" + key.kind().write(key.standard()) + "`")
+                        .append(" | ")
+                        .append(key.purpose())
+                        .append(" |\n");
             }
             text.append('\n');
         }
-        tables.forEach((name, inner) -> inner.table()
-                .describe(path.isEmpty() ? name : path + "." + name, inner.list(), text));
+        tables.forEach(
+                (name, inner) ->
+                        inner.table()
+                                .describe(
+                                        path.isEmpty() ? name : path + "." + name,
+                                        inner.list(),
+                                        text));
     }
 }
--- a/config/src/main/java/frostrelay/config/TomlFile.java
+++ b/config/src/main/java/frostrelay/config/TomlFile.java
@@ -1,5 +1,13 @@
 package frostrelay.config;
 
+import org.apache.commons.text.similarity.LevenshteinDistance;
+import org.tomlj.Toml;
+import org.tomlj.TomlArray;
+import org.tomlj.TomlParseError;
+import org.tomlj.TomlParseResult;
+import org.tomlj.TomlPosition;
+import org.tomlj.TomlTable;
+
 import java.io.IOException;
 import java.nio.charset.CharacterCodingException;
 import java.nio.file.Files;
@@ -8,23 +16,18 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.apache.commons.text.similarity.LevenshteinDistance;
-import org.tomlj.Toml;
-import org.tomlj.TomlArray;
-import org.tomlj.TomlParseError;
-import org.tomlj.TomlParseResult;
-import org.tomlj.TomlPosition;
-import org.tomlj.TomlTable;
 
 /**
- * Reads a TOML file by a form: whole or not at all, and with every problem told. TOML by tomlj, which keeps where each
- * key stands.
+ * Reads a TOML file by a form: whole or not at all, and with every problem told. TOML by tomlj,
+ * which keeps where each key stands.
  */
 public final class TomlFile {
     /** A larger file is nobody's configuration. */
     private static final long MOST_BYTES = 4L << 20;
+
     /** Names that differ by more letters are not taken for a slip. */
     private static final int MOST_SLIPS = 3;
+
     private static final int MOST_SHOWN = 60;
 
     private final String file;
@@ -34,21 +37,38 @@
         this.file = file;
     }
 
-    /** The values in force; throws {@link BadConfigException} with all problems if there are any. */
+    /**
+     * The values in force; throws {@link BadConfigException} with all problems if there are any.
+     */
     public static Values read(Path path, Table form) {
         String name = path.toString();
         String text;
         try {
             if (Files.size(path) > MOST_BYTES) {
-                throw new BadConfigException(List.of(new Problem(name, 0, "", Files.size(path) + " bytes",
-                        "at most " + MOST_BYTES)));
+                throw new BadConfigException(
+                        List.of(
+                                new Problem(
+                                        name,
+                                        0,
+                                        "",
+                                        Files.size(path) + " bytes",
+                                        "at most " + MOST_BYTES)));
             }
             text = Files.readString(path);
         } catch (CharacterCodingException e) {
-            throw new BadConfigException(List.of(new Problem(name, 0, "", "bytes that are no UTF-8", "UTF-8 text")));
+            throw new BadConfigException(
+                    List.of(new Problem(name, 0, "", "bytes that are no UTF-8", "UTF-8 text")));
         } catch (IOException e) {
-            throw new BadConfigException(List.of(new Problem(name, 0, "", "nothing that can be read ("
-                    + e.getClass().getSimpleName() + ")", "a file")));
+            throw new BadConfigException(
+                    List.of(
+                            new Problem(
+                                    name,
+                                    0,
+                                    "",
+                                    "nothing that can be read ("
+                                            + e.getClass().getSimpleName()
+                                            + ")",
+                                    "a file")));
         }
         return parse(name, text, form);
     }
@@ -57,7 +77,8 @@
     public static Values parse(String file, String text, Table form) {
         TomlFile reader = new TomlFile(file);
         TomlParseResult toml = reader.parse(text);
-        // What stands behind a slip in the text may belong elsewhere: keys are looked at only in a sound text.
+        // What stands behind a slip in the text may belong elsewhere: keys are looked at only in a
+        // sound text.
         Values values = toml == null ? null : reader.table("", toml, form, 1);
         if (!reader.problems.isEmpty()) {
             throw new BadConfigException(reader.problems);
@@ -76,15 +97,27 @@
             noToml(e);
             return null;
         } catch (RuntimeException | AssertionError e) {
-            // A quote that ends within an escape makes the parser itself fail; it does not say where.
-            problems.add(new Problem(file, 0, "", "no TOML", "text that can be parsed, as no escape cut short"));
+            // A quote that ends within an escape makes the parser itself fail; it does not say
+            // where.
+            problems.add(
+                    new Problem(
+                            file,
+                            0,
+                            "",
+                            "no TOML",
+                            "text that can be parsed, as no escape cut short"));
             return null;
         }
     }
 
     private void noToml(TomlParseError error) {
-        problems.add(new Problem(file, error.position().line(), "", "no TOML",
-                String.valueOf(error.getMessage()).replaceAll("\\p{Cntrl}", " ")));
+        problems.add(
+                new Problem(
+                        file,
+                        error.position().line(),
+                        "",
+                        "no TOML",
+                        String.valueOf(error.getMessage()).replaceAll("\\p{Cntrl}", " ")));
     }
 
     private static String join(String path, String name) {
@@ -114,9 +147,22 @@
             }
         }
         Map<String, List<Values>> tables = new HashMap<>();
-        form.tables.forEach((name, inner) -> tables.put(name, inner.list()
-                ? list(join(path, name), toml.get(List.of(name)), inner, line(toml, name, line))
-                : List.of(inner(join(path, name), toml.get(List.of(name)), inner.table(), line(toml, name, line)))));
+        form.tables.forEach(
+                (name, inner) ->
+                        tables.put(
+                                name,
+                                inner.list()
+                                        ? list(
+                                                join(path, name),
+                                                toml.get(List.of(name)),
+                                                inner,
+                                                line(toml, name, line))
+                                        : List.of(
+                                                inner(
+                                                        join(path, name),
+                                                        toml.get(List.of(name)),
+                                                        inner.table(),
+                                                        line(toml, name, line)))));
         return problems.isEmpty() ? new Values(form, values, tables, line) : null;
     }
 
@@ -139,7 +185,8 @@
         if (raw == null) {
             return list;
         }
-        if (!(raw instanceof TomlArray array) || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
+        if (!(raw instanceof TomlArray array)
+                || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
             problem(line, path, show(raw), "a list of tables, each headed [[" + path + "]]");
             return list;
         }
@@ -148,7 +195,12 @@
             return list;
         }
         for (int i = 0; i < array.size(); i++) {
-            list.add(inner(path + "[" + i + "]", array.getTable(i), inner.table(), array.inputPositionOf(i).line()));
+            list.add(
+                    inner(
+                            path + "[" + i + "]",
+                            array.getTable(i),
+                            inner.table(),
+                            array.inputPositionOf(i).line()));
         }
         return list;
     }
@@ -173,8 +225,13 @@
                 nearest = known;
             }
         }
-        problem(line, join(path, name), "an unknown key",
-                nearest != null ? "did you mean '" + nearest + "'?" : String.join(", ", form.names()));
+        problem(
+                line,
+                join(path, name),
+                "an unknown key",
+                nearest != null
+                        ? "did you mean '" + nearest + "'?"
+                        : String.join(", ", form.names()));
     }
 
     private void problem(int line, String key, String found, String allowed) {
@@ -182,8 +239,12 @@
     }
 
     private static String show(Object raw) {
-        String text = raw instanceof String ? '"' + raw.toString() + '"' : raw instanceof TomlTable ? "a table"
-                : raw instanceof TomlArray ? "a list" : String.valueOf(raw);
+        String text =
+                raw instanceof String
+                        ? '"' + raw.toString() + '"'
+                        : raw instanceof TomlTable
+                                ? "a table"
+                                : raw instanceof TomlArray ? "a list" : String.valueOf(raw);
         String line = text.replaceAll("\\p{Cntrl}", " ");
         return line.length() > MOST_SHOWN ? line.substring(0, MOST_SHOWN) + "..." : line;
     }
