--- a/config/src/main/java/frostrelay/config/Values.java
+++ b/config/src/main/java/frostrelay/config/Values.java
@@ -1,5 +1,7 @@
 package frostrelay.config;
 
+import org.tomlj.Toml;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -7,11 +9,11 @@
 import java.util.Objects;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.tomlj.Toml;
 
 /**
- * The values in force of one table: those of the file, and the standard ones where it has none. Immutable. A name or a
- * kind that the form does not have is a fault of the program and told by an exception.
+ * The values in force of one table: those of the file, and the standard ones where it has none.
+ * Immutable. A name or a kind that the form does not have is a fault of the program and told by an
+ * exception.
  */
 public final class Values {
     private static final Pattern STEP = Pattern.compile("([^\\[]+)(?:\\[(\\d{1,6})])?");
@@ -68,9 +70,9 @@
     }
 
     /**
-     * The same values but for one. {@code path}: as problems name keys, {@code clients.rate} or {@code class[0].aim};
-     * {@code literal}: as a file has it, quotes left out or not. Throws {@link BadConfigException}; {@code file} and
-     * {@code line} are where it was asked for.
+     * The same values but for one. {@code path}: as problems name keys, {@code clients.rate} or
+     * {@code class[0].aim}; {@code literal}: as a file has it, quotes left out or not. Throws
+     * {@link BadConfigException}; {@code file} and {@code line} are where it was asked for.
      */
     public Values with(String path, String literal, String file, int line) {
         int dot = path.indexOf('.');
@@ -79,7 +81,12 @@
             List<Values> all = step.matches() ? tables.get(step.group(1)) : null;
             int place = all == null || step.group(2) == null ? 0 : Integer.parseInt(step.group(2));
             if (all == null || place >= all.size()) {
-                throw refused(file, line, path, "a table that is not there", String.join(", ", tables.keySet()));
+                throw refused(
+                        file,
+                        line,
+                        path,
+                        "a table that is not there",
+                        String.join(", ", tables.keySet()));
             }
             List<Values> fresh = new ArrayList<>(all);
             fresh.set(place, all.get(place).with(path.substring(dot + 1), literal, file, line));
@@ -103,7 +110,8 @@
         return new Values(form, fresh, tables, this.line);
     }
 
-    private static BadConfigException refused(String file, int line, String path, String found, String allowed) {
+    private static BadConfigException refused(
+            String file, int line, String path, String found, String allowed) {
         return new BadConfigException(List.of(new Problem(file, line, path, found, allowed)));
     }
 
@@ -123,12 +131,25 @@
 
     private void write(String path, boolean list, StringBuilder text) {
         if (!path.isEmpty()) {
-            text.append(text.length() > 0 ? "\n" : "").append(list ? "[[" : "[").append(path)
+            text.append(text.length() > 0 ? "\n" : "")
+                    .append(list ? "[[" : "[")
+                    .append(path)
                     .append(list ? "]]\n" : "]\n");
         }
-        form.keys.forEach((name, key) -> text.append(name).append(" = ").append(key.kind().write(values.get(name)))
-                .append('\n'));
-        form.tables.forEach((name, inner) -> list(name)
-                .forEach(one -> one.write(path.isEmpty() ? name : path + "." + name, inner.list(), text)));
+        form.keys.forEach(
+                (name, key) ->
+                        text.append(name)
+                                .append(" = ")
+                                .append(key.kind().write(values.get(name)))
+                                .append('\n'));
+        form.tables.forEach(
+                (name, inner) ->
+                        list(name)
+                                .forEach(
+                                        one ->
+                                                one.write(
+                                                        path.isEmpty() ? name : path + "." + name,
+                                                        inner.list(),
+                                                        text)));
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/ColdGuard.java
+++ b/emulator/src/main/java/frostrelay/emulator/ColdGuard.java
@@ -1,6 +1,9 @@
 package frostrelay.emulator;
 
-/** Watches what one cold cache is sent: more than a multiple of what it can do, over a while, pushes it over. */
+/**
+ * Watches what one cold cache is sent: more than a multiple of what it can do, over a while, pushes
+ * it over.
+ */
 final class ColdGuard {
     static final double TIP_MULTIPLE = 4;
     static final long FALL_TIME = 1_000_000_000L;
--- a/emulator/src/main/java/frostrelay/emulator/Course.java
+++ b/emulator/src/main/java/frostrelay/emulator/Course.java
@@ -8,8 +8,8 @@
 import java.util.function.ToLongFunction;
 
 /**
- * How a day went, second by second: what was counted in each, and how busy caches were. Many caches share a row, so that
- * what is kept grows with the day's length and not with the plant.
+ * How a day went, second by second: what was counted in each, and how busy caches were. Many caches
+ * share a row, so that what is kept grows with the day's length and not with the plant.
  */
 public final class Course {
     private static final int MOST_ROWS = 64;
@@ -59,7 +59,9 @@
     }
 
     private static <T> List<T> row(List<T> all, int row, int rows) {
-        return all.subList((int) ((long) row * all.size() / rows), (int) ((long) (row + 1) * all.size() / rows));
+        return all.subList(
+                (int) ((long) row * all.size() / rows),
+                (int) ((long) (row + 1) * all.size() / rows));
     }
 
     private static <T> long sum(List<T> all, ToLongFunction<T> one) {
@@ -73,10 +75,11 @@
 
     /** A second has passed. */
     void sample(int second, Figures figures, int cores) {
-        counters.forEach((name, counter) -> {
-            long all = counter.getAsLong();
-            bySecond.get(name)[second] = all - before.put(name, all);
-        });
+        counters.forEach(
+                (name, counter) -> {
+                    long all = counter.getAsLong();
+                    bySecond.get(name)[second] = all - before.put(name, all);
+                });
         p50[second] = figures.lately(50);
         p99[second] = figures.lately(99);
         figures.forgetLately();
@@ -91,7 +94,10 @@
             long came = sum(row, SimBalancer::taken);
             long good = sum(row, SimBalancer::served);
             // What came in one second may be served in the next: more than all is none.
-            unserved[i][second] = came == taken[i] ? 0 : Math.max(0, 1 - (good - served[i]) / (float) (came - taken[i]));
+            unserved[i][second] =
+                    came == taken[i]
+                            ? 0
+                            : Math.max(0, 1 - (good - served[i]) / (float) (came - taken[i]));
             taken[i] = came;
             served[i] = good;
         }
@@ -114,12 +120,18 @@
         return p99.clone();
     }
 
-    /** Work of caches' cores in each second as a part of what they can do; a row for one cache or for several. */
+    /**
+     * Work of caches' cores in each second as a part of what they can do; a row for one cache or
+     * for several.
+     */
     public float[][] load() {
         return copy(load);
     }
 
-    /** The part of tries that came in each second and were not served; a row for one balancer or for several. */
+    /**
+     * The part of tries that came in each second and were not served; a row for one balancer or for
+     * several.
+     */
     public float[][] unserved() {
         return copy(unserved);
     }
--- a/emulator/src/main/java/frostrelay/emulator/EventHeap.java
+++ b/emulator/src/main/java/frostrelay/emulator/EventHeap.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** Events in the order of their moments, those of one moment in the order of adding. Four children a node, over arrays. */
+/**
+ * Events in the order of their moments, those of one moment in the order of adding. Four children a
+ * node, over arrays.
+ */
 final class EventHeap {
     private static final int CHILDREN = 4;
 
--- a/emulator/src/main/java/frostrelay/emulator/Memory.java
+++ b/emulator/src/main/java/frostrelay/emulator/Memory.java
@@ -1,11 +1,12 @@
 package frostrelay.emulator;
 
-import java.util.Arrays;
 import org.agrona.collections.Int2IntHashMap;
 
+import java.util.Arrays;
+
 /**
- * What a cache keeps: so many objects, those used or kept longest ago go first. An object is void once its key was written.
- * Places in arrays, linked by age; they grow with what is kept.
+ * What a cache keeps: so many objects, those used or kept longest ago go first. An object is void
+ * once its key was written. Places in arrays, linked by age; they grow with what is kept.
  */
 final class Memory {
     private static final int NONE = -1;
--- a/emulator/src/main/java/frostrelay/emulator/PlainModule.java
+++ b/emulator/src/main/java/frostrelay/emulator/PlainModule.java
@@ -1,13 +1,14 @@
 package frostrelay.emulator;
 
 import frostrelay.policy.Api;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 
 /**
- * Sends each request once, to the cache that its key names, and fails it if that fails. It costs next to nothing: what a day
- * takes with it is the emulator's own time.
+ * Sends each request once, to the cache that its key names, and fails it if that fails. It costs
+ * next to nothing: what a day takes with it is the emulator's own time.
  */
 final class PlainModule implements Api.Events {
     @Override
--- a/emulator/src/main/java/frostrelay/emulator/SimBalancer.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimBalancer.java
@@ -2,17 +2,19 @@
 
 import frostrelay.policy.Api;
 import frostrelay.policy.Api.Reason;
+
+import org.agrona.collections.Long2LongHashMap;
+import org.agrona.collections.Long2ObjectHashMap;
+
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Set;
-import org.agrona.collections.Long2LongHashMap;
-import org.agrona.collections.Long2ObjectHashMap;
 
 /**
- * One balancer: the real decision module with a ledger of open requests round it, as the real balancer has one. Its one
- * core takes a while for each event; what comes meanwhile waits.
+ * One balancer: the real decision module with a ledger of open requests round it, as the real
+ * balancer has one. Its one core takes a while for each event; what comes meanwhile waits.
  */
 final class SimBalancer implements Api.Actions, SimDiscovery.Subscriber {
     /** Makes the decision module. */
@@ -41,7 +43,12 @@
     }
 
     /** A final answer; LOST where the balancer died with it. */
-    enum Answer { SERVED, REFUSED, FAILED, LOST }
+    enum Answer {
+        SERVED,
+        REFUSED,
+        FAILED,
+        LOST
+    }
 
     private static final long MILLISECOND = 1_000_000L;
     private static final long WAYS = 6 * MILLISECOND;
@@ -55,6 +62,7 @@
         final List<Attempt> attempts = new ArrayList<>(2);
         int pending;
         boolean over;
+
         /** Its end at the latest, on the timeline. */
         long end = Timeline.NO_MARK;
 
@@ -74,12 +82,18 @@
         long timeout = Timeline.NO_MARK;
         Api.Source source = Api.Source.UNKNOWN;
         int place;
-        /** In which life of the cache its connection came up, {@link #NO_LINK} while it has none. */
+
+        /**
+         * In which life of the cache its connection came up, {@link #NO_LINK} while it has none.
+         */
         int link = NO_LINK;
+
         /** The first on its connection bears the handshake's work. */
         boolean first;
+
         /** It is on its way: it may run. */
         boolean written;
+
         boolean told = true;
 
         Attempt(Exchange exchange, int number, long sentAt) {
@@ -120,20 +134,24 @@
 
         @Override
         public void ended(long now, SimCache.End end) {
-            Reason reason = switch (end) {
-                case SERVED, HIT, FETCHED -> Reason.OK;
-                case FAILED -> Reason.ERROR;
-                case BUSY -> Reason.REJECTED;
-                case REFUSED -> Reason.CONNECT_FAILED;
-                case RESET -> Reason.RESET;
-            };
-            source = switch (end) {
-                case HIT -> Api.Source.CACHE;
-                case FETCHED -> Api.Source.FETCH;
-                default -> Api.Source.UNKNOWN;
-            };
+            Reason reason =
+                    switch (end) {
+                        case SERVED, HIT, FETCHED -> Reason.OK;
+                        case FAILED -> Reason.ERROR;
+                        case BUSY -> Reason.REJECTED;
+                        case REFUSED -> Reason.CONNECT_FAILED;
+                        case RESET -> Reason.RESET;
+                    };
+            source =
+                    switch (end) {
+                        case HIT -> Api.Source.CACHE;
+                        case FETCHED -> Api.Source.FETCH;
+                        default -> Api.Source.UNKNOWN;
+                    };
             if (!wire.losesAnswer() && wire.passes(zone, zone(place))) {
-                timeline.at(now + wire.delay(zone(place), zone), then -> busy(then, at -> SimBalancer.this.ended(at, this, reason)));
+                timeline.at(
+                        now + wire.delay(zone(place), zone),
+                        then -> busy(then, at -> SimBalancer.this.ended(at, this, reason)));
             }
         }
     }
@@ -143,8 +161,10 @@
     private final Timeline timeline;
     private final Wire wire;
     private final SimDiscovery discovery;
+
     /** What answers at the address that a place's id is listed with. */
     private final List<SimCache> addresses;
+
     private final Long2LongHashMap places;
     private final Module module;
     private final Api.Settings settings;
@@ -152,13 +172,20 @@
     private final int zones;
     private final long seed;
     private final Long2ObjectHashMap<Exchange> exchanges = new Long2ObjectHashMap<>();
+
     /** Caches that nothing sent from here reaches. */
     private final BitSet cut = new BitSet();
+
     private final SimReferee referee;
+
     /** Connections; null where they are not part of the model. */
     private final SimLinks links;
-    /** Since when this balancer has been told that a cache drains or is gone; 0 where it has not. */
+
+    /**
+     * Since when this balancer has been told that a cache drains or is gone; 0 where it has not.
+     */
     private final long[] leavingSince;
+
     private Set<Long> held = Set.of();
     private Api.Events router;
     private int life;
@@ -172,9 +199,17 @@
     private long served;
 
     /** {@code seed}: of its module; its zone is that of its settings. */
-    SimBalancer(Plant plant, Timeline timeline, Wire wire, SimDiscovery discovery, List<SimCache> addresses,
-                Long2LongHashMap places, Module module, Api.Settings settings,
-                SimReferee referee, long seed) {
+    SimBalancer(
+            Plant plant,
+            Timeline timeline,
+            Wire wire,
+            SimDiscovery discovery,
+            List<SimCache> addresses,
+            Long2LongHashMap places,
+            Module module,
+            Api.Settings settings,
+            SimReferee referee,
+            long seed) {
         this.referee = referee;
         this.leavingSince = new long[addresses.size()];
         this.spec = plant.balancer();
@@ -212,13 +247,17 @@
     private void note(long at, Api.ListMode mode, List<Api.Server> servers) {
         if (mode != Api.ListMode.FAILED) {
             for (Api.Server server : servers) {
-                leave((int) places.get(server.id()), at, server.state() != Api.State.READY || held.contains(server.id()));
+                leave(
+                        (int) places.get(server.id()),
+                        at,
+                        server.state() != Api.State.READY || held.contains(server.id()));
             }
         }
     }
 
     private void leave(int place, long at, boolean leaves) {
-        leavingSince[place] = !leaves ? 0 : leavingSince[place] == 0 ? Math.max(1, at) : leavingSince[place];
+        leavingSince[place] =
+                !leaves ? 0 : leavingSince[place] == 0 ? Math.max(1, at) : leavingSince[place];
     }
 
     /** Operators hold these caches out of use, all of them and no others. */
@@ -236,12 +275,14 @@
     void restart(long at, long longest) {
         leaving = true;
         int mine = life;
-        timeline.at(at + longest, then -> {
-            if (mine == life) {
-                kill(then);
-                start(then);
-            }
-        });
+        timeline.at(
+                at + longest,
+                then -> {
+                    if (mine == life) {
+                        kill(then);
+                        start(then);
+                    }
+                });
     }
 
     /** Dies with everything it holds. */
@@ -254,7 +295,9 @@
         discovery.forget(this);
         List<Exchange> lost = new ArrayList<>(exchanges.values());
         exchanges.clear();
-        lost.stream().filter(exchange -> !exchange.over).sorted(Comparator.comparingLong(exchange -> exchange.id))
+        lost.stream()
+                .filter(exchange -> !exchange.over)
+                .sorted(Comparator.comparingLong(exchange -> exchange.id))
                 .forEach(exchange -> exchange.caller.answered(at, Answer.LOST, 0));
     }
 
@@ -281,12 +324,14 @@
         }
         freeAt = Math.max(at, freeAt) + spec.cost();
         int mine = life;
-        timeline.at(freeAt, then -> {
-            if (mine == life) {
-                now = then;
-                action.happen(then);
-            }
-        });
+        timeline.at(
+                freeAt,
+                then -> {
+                    if (mine == life) {
+                        now = then;
+                        action.happen(then);
+                    }
+                });
     }
 
     /** A request arrives; returns under which number it can be taken back. */
@@ -299,21 +344,27 @@
         Exchange exchange = new Exchange(id, caller, at + caller.waits() - WAYS);
         exchanges.put(id, exchange);
         int mine = life;
-        exchange.end = timeline.at(exchange.deadline + MILLISECOND, then -> {
-            if (mine == life && !exchange.over) {
-                // The module has left it open past its deadline: one answer is owed all the same.
-                referee.broken(SimReferee.Rule.LEFT_OPEN);
-                now = then;
-                finish(exchange, Answer.FAILED, 0);
-                router.onClientGone(then, id);
-            }
-        });
-        busy(at, then -> {
-            // Its client may have left while it waited for the core.
-            if (!exchange.over) {
-                router.onRequest(then, caller.request(id, exchange.deadline));
-            }
-        });
+        exchange.end =
+                timeline.at(
+                        exchange.deadline + MILLISECOND,
+                        then -> {
+                            if (mine == life && !exchange.over) {
+                                // The module has left it open past its deadline: one answer is owed
+                                // all the same.
+                                referee.broken(SimReferee.Rule.LEFT_OPEN);
+                                now = then;
+                                finish(exchange, Answer.FAILED, 0);
+                                router.onClientGone(then, id);
+                            }
+                        });
+        busy(
+                at,
+                then -> {
+                    // Its client may have left while it waited for the core.
+                    if (!exchange.over) {
+                        router.onRequest(then, caller.request(id, exchange.deadline));
+                    }
+                });
         return id;
     }
 
@@ -357,8 +408,16 @@
             served++;
             finish(exchange, Answer.SERVED, 0);
         }
-        router.onOutcome(at, new Api.Outcome(exchange.id, attempt.number, reason, at - attempt.sentAt, exchange.over,
-                attempt.source, NO_REPORT));
+        router.onOutcome(
+                at,
+                new Api.Outcome(
+                        exchange.id,
+                        attempt.number,
+                        reason,
+                        at - attempt.sentAt,
+                        exchange.over,
+                        attempt.source,
+                        NO_REPORT));
         forget(exchange);
     }
 
@@ -371,7 +430,8 @@
         }
     }
 
-    // What the module asks for. Outcomes that come at once are events of their own: the module is not reentrant.
+    // What the module asks for. Outcomes that come at once are events of their own: the module is
+    // not reentrant.
 
     @Override
     public void send(long request, long server, long cutAt) {
@@ -390,10 +450,17 @@
         copies += exchange.attempts.size() > 1 ? 1 : 0;
         long until = cutAt <= 0 ? exchange.deadline : Math.min(cutAt, exchange.deadline);
         // What never left cannot have run: its connection did not come up in time.
-        attempt.timeout = timeline.at(until, then -> ended(then, attempt,
-                attempt.written ? Reason.TIMEOUT : Reason.CONNECT_FAILED));
+        attempt.timeout =
+                timeline.at(
+                        until,
+                        then ->
+                                ended(
+                                        then,
+                                        attempt,
+                                        attempt.written ? Reason.TIMEOUT : Reason.CONNECT_FAILED));
         attempt.place = (int) places.get(server);
-        if (leavingSince[attempt.place] != 0 && now - leavingSince[attempt.place] > Emulation.DRAIN_GRACE) {
+        if (leavingSince[attempt.place] != 0
+                && now - leavingSince[attempt.place] > Emulation.DRAIN_GRACE) {
             referee.broken(SimReferee.Rule.SENT_TO_DRAINING);
         }
         if (links == null) {
@@ -416,29 +483,34 @@
         links.begin();
         int place = attempt.place;
         long begun = now;
-        long trip = wire.delay(zone, zone(place)) + wire.delay(zone(place), zone) + linkSpec.handshake();
-        timeline.at(begun + trip, then -> {
-            if (attempt.mine != life) {
-                return;
-            }
-            Boolean up = reaches(place) ? addresses.get(place).link() : null;
-            if (up == null) {
-                timeline.at(begun + linkSpec.timeout(), at -> unconnected(at, attempt));
-            } else if (!up) {
-                unconnected(then, attempt);
-            } else {
-                links.up(then, place);
-                if (attempt.over) {
-                    // Cancelled while it came up: nothing was written, and it is kept.
-                    links.free(then, place, links.life(place));
-                } else {
-                    attempt.link = links.life(place);
-                    attempt.first = true;
-                    now = then;
-                    write(then, attempt);
-                }
-            }
-        });
+        long trip =
+                wire.delay(zone, zone(place))
+                        + wire.delay(zone(place), zone)
+                        + linkSpec.handshake();
+        timeline.at(
+                begun + trip,
+                then -> {
+                    if (attempt.mine != life) {
+                        return;
+                    }
+                    Boolean up = reaches(place) ? addresses.get(place).link() : null;
+                    if (up == null) {
+                        timeline.at(begun + linkSpec.timeout(), at -> unconnected(at, attempt));
+                    } else if (!up) {
+                        unconnected(then, attempt);
+                    } else {
+                        links.up(then, place);
+                        if (attempt.over) {
+                            // Cancelled while it came up: nothing was written, and it is kept.
+                            links.free(then, place, links.life(place));
+                        } else {
+                            attempt.link = links.life(place);
+                            attempt.first = true;
+                            now = then;
+                            write(then, attempt);
+                        }
+                    }
+                });
     }
 
     private void unconnected(long at, Attempt attempt) {
@@ -456,18 +528,25 @@
         SimCache cache = addresses.get(attempt.place);
         attempt.told = cache.place() == attempt.place;
         boolean reset = wire.resets();
-        timeline.at(at + wire.delay(zone, zone(attempt.place)), then -> {
-            if (reset) {
-                timeline.at(then + wire.delay(zone(attempt.place), zone), back -> ended(back, attempt, Reason.RESET));
-            }
-            // Of those that are reset every other one has come, and may run.
-            if (!reset || (attempt.exchange.id & 1) == 0) {
-                cache.accept(then, attempt);
-            }
-        });
-    }
-
-    /** A connection is free after an answer; given up under a request it is closed, as the answer may still come. */
+        timeline.at(
+                at + wire.delay(zone, zone(attempt.place)),
+                then -> {
+                    if (reset) {
+                        timeline.at(
+                                then + wire.delay(zone(attempt.place), zone),
+                                back -> ended(back, attempt, Reason.RESET));
+                    }
+                    // Of those that are reset every other one has come, and may run.
+                    if (!reset || (attempt.exchange.id & 1) == 0) {
+                        cache.accept(then, attempt);
+                    }
+                });
+    }
+
+    /**
+     * A connection is free after an answer; given up under a request it is closed, as the answer
+     * may still come.
+     */
     private void release(long at, Attempt attempt, Reason reason) {
         if (attempt.link == NO_LINK) {
             return;
@@ -511,12 +590,14 @@
     @Override
     public void wakeAt(long moment, int token) {
         int mine = life;
-        timeline.at(moment, then -> {
-            if (mine == life) {
-                now = then;
-                router.onTimer(then, token);
-            }
-        });
+        timeline.at(
+                moment,
+                then -> {
+                    if (mine == life) {
+                        now = then;
+                        router.onTimer(then, token);
+                    }
+                });
     }
 
     @Override
--- a/emulator/src/main/java/frostrelay/emulator/SimCache.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimCache.java
@@ -1,15 +1,27 @@
 package frostrelay.emulator;
 
+import org.agrona.collections.Int2ObjectHashMap;
+
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
-import org.agrona.collections.Int2ObjectHashMap;
 
-/** A cache: cores that serve in the order of arrival, a bounded queue, memory, misses to the origin, a cold start. */
+/**
+ * A cache: cores that serve in the order of arrival, a bounded queue, memory, misses to the origin,
+ * a cold start.
+ */
 final class SimCache {
     /** How work at a cache ends. */
-    enum End { SERVED, HIT, FETCHED, FAILED, BUSY, REFUSED, RESET }
+    enum End {
+        SERVED,
+        HIT,
+        FETCHED,
+        FAILED,
+        BUSY,
+        REFUSED,
+        RESET
+    }
 
     /** Work for a cache. */
     interface Job {
@@ -23,7 +35,9 @@
         /** Whether nobody waits any more: waiting work is dropped then. */
         boolean dropped();
 
-        /** Whether who sent it has been told of the cache: it may think that another one is there. */
+        /**
+         * Whether who sent it has been told of the cache: it may think that another one is there.
+         */
         boolean told();
 
         void ended(long now, End end);
@@ -62,6 +76,7 @@
 
     /** Lives of a newcomer are none of those that the cache before it at the same address had. */
     private static final int NEWCOMER = 1 << 20;
+
     /** Numbers without a pattern, out of a counter. */
     private static final int GOLDEN = 0x9E3779B9;
 
@@ -70,33 +85,49 @@
     private final int mostLinks;
     private final Timeline timeline;
     private final SimOrigin origin;
+
     /** How often each key was written, over all caches. */
     private final int[] versions;
+
     private final ColdGuard guard;
     private final Memory memory;
     private final Deque<Visit> waiting = new ArrayDeque<>();
     private final Int2ObjectHashMap<List<Visit>> fetching = new Int2ObjectHashMap<>();
+
     /** All that has come and not ended is linked behind this, in the order in which it came. */
     private final Visit open = new Visit(null);
+
     private int busy;
     private boolean down;
     private double slow = 1;
     private long startedAt = Long.MIN_VALUE / 2;
+
     /** Counts lives: what belongs to a former one ends in nothing. */
     private int life;
+
     private long hits;
     private long misses;
     private long worked;
+
     /** Takes what comes and answers nothing. */
     private boolean silent;
+
     /** The part of requests that fails for a cause of its own. */
     private double failing;
+
     private int links;
     private long wasted;
     private int failures;
 
     /** {@code mostLinks}: connections that it holds. */
-    SimCache(Plant.Cache spec, int place, int mostLinks, Timeline timeline, SimOrigin origin, int[] versions, ColdGuard guard) {
+    SimCache(
+            Plant.Cache spec,
+            int place,
+            int mostLinks,
+            Timeline timeline,
+            SimOrigin origin,
+            int[] versions,
+            ColdGuard guard) {
         this.guard = guard;
         this.spec = spec;
         this.place = place;
@@ -142,31 +173,37 @@
 
     private double speed(long now) {
         long age = now - startedAt;
-        double warm = age >= spec.warmWithin() ? 1 : spec.coldFrom() + (1 - spec.coldFrom()) * age / spec.warmWithin();
+        double warm =
+                age >= spec.warmWithin()
+                        ? 1
+                        : spec.coldFrom() + (1 - spec.coldFrom()) * age / spec.warmWithin();
         return warm / slow;
     }
 
     private void begin(long now, Visit visit) {
         busy++;
         int mine = life;
-        // Crowding: each that waits slows the one in work, as context switches and lost cache lines do.
+        // Crowding: each that waits slows the one in work, as context switches and lost cache lines
+        // do.
         long time = (long) (visit.job.work() * (1 + spec.crowding() * waiting.size()) / speed(now));
         worked += time;
-        timeline.at(now + time, then -> {
-            if (mine != life) {
-                return;
-            }
-            busy--;
-            worked(then, visit, time);
-            while (busy < spec.cores() && !waiting.isEmpty()) {
-                Visit next = waiting.poll();
-                if (next.job.dropped()) {
-                    next.leave();
-                } else {
-                    begin(then, next);
-                }
-            }
-        });
+        timeline.at(
+                now + time,
+                then -> {
+                    if (mine != life) {
+                        return;
+                    }
+                    busy--;
+                    worked(then, visit, time);
+                    while (busy < spec.cores() && !waiting.isEmpty()) {
+                        Visit next = waiting.poll();
+                        if (next.job.dropped()) {
+                            next.leave();
+                        } else {
+                            begin(then, next);
+                        }
+                    }
+                });
     }
 
     private void worked(long now, Visit visit, long time) {
@@ -179,7 +216,7 @@
         if (job.write()) {
             job.ran(now);
             versions[job.key()]++;
-            call(now, good -> { }, List.of(visit));
+            call(now, good -> {}, List.of(visit));
             return;
         }
         if (memory.has(job.key(), versions[job.key()])) {
@@ -199,12 +236,15 @@
             fetching.put(job.key(), all);
         }
         int version = versions[job.key()];
-        call(now, good -> {
-            fetching.remove(job.key());
-            if (good) {
-                memory.keep(job.key(), version);
-            }
-        }, all);
+        call(
+                now,
+                good -> {
+                    fetching.remove(job.key());
+                    if (good) {
+                        memory.keep(job.key(), version);
+                    }
+                },
+                all);
     }
 
     private interface Fetched {
@@ -213,13 +253,23 @@
 
     private void call(long now, Fetched then, List<Visit> visits) {
         int mine = life;
-        origin.call(now, (at, good) -> {
-            if (mine == life) {
-                then.fetched(good);
-                visits.forEach(visit -> end(at, visit,
-                        !good ? End.FAILED : visit.job.write() ? End.SERVED : End.FETCHED));
-            }
-        });
+        origin.call(
+                now,
+                (at, good) -> {
+                    if (mine == life) {
+                        then.fetched(good);
+                        visits.forEach(
+                                visit ->
+                                        end(
+                                                at,
+                                                visit,
+                                                !good
+                                                        ? End.FAILED
+                                                        : visit.job.write()
+                                                                ? End.SERVED
+                                                                : End.FETCHED));
+                    }
+                });
     }
 
     /** The process dies with all it holds. */
@@ -263,7 +313,10 @@
         failing = part;
     }
 
-    /** Whether a new connection comes up: null while nothing answers, as from a machine that is cut off. */
+    /**
+     * Whether a new connection comes up: null while nothing answers, as from a machine that is cut
+     * off.
+     */
     Boolean link() {
         if (silent) {
             return null;
@@ -295,7 +348,10 @@
         return links;
     }
 
-    /** Nanoseconds of its cores' time that were given to work that nobody waited for when it was done. */
+    /**
+     * Nanoseconds of its cores' time that were given to work that nobody waited for when it was
+     * done.
+     */
     long wasted() {
         return wasted;
     }
--- a/emulator/src/main/java/frostrelay/emulator/SimClients.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimClients.java
@@ -1,18 +1,21 @@
 package frostrelay.emulator;
 
 import frostrelay.policy.Api;
-import java.util.List;
-import java.util.stream.IntStream;
+
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.AliasMethodDiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
+import java.util.List;
+import java.util.stream.IntStream;
+
 /** Clients in an open loop, with patience, retries and back-off, behind a plain front. */
 final class SimClients {
     private static final double SECOND = 1e9;
     private static final int MOST_SHIFT = 10;
+
     /** With less time left than this no client asks again: the answer could not come. */
     private static final long LEAST_WAIT = 20_000_000L;
 
@@ -32,8 +35,13 @@
     private double hasty = 1;
     private long open;
 
-    SimClients(Plant plant, Timeline timeline, Wire wire, List<SimBalancer> balancers, Figures figures,
-               SimReferee referee) {
+    SimClients(
+            Plant plant,
+            Timeline timeline,
+            Wire wire,
+            List<SimBalancer> balancers,
+            Figures figures,
+            SimReferee referee) {
         this.referee = referee;
         this.plant = plant;
         this.timeline = timeline;
@@ -43,15 +51,25 @@
         random = Randoms.of(plant.seed(), "clients");
         tenants = Randoms.of(plant.seed(), "tenants");
         gaps = ZigguratSampler.Exponential.of(random);
-        keys = plant.clients().offset() == 0
-                ? RejectionInversionZipfSampler.of(random, plant.clients().keys(), plant.clients().zipf())
-                : flattened(random, plant.clients());
+        keys =
+                plant.clients().offset() == 0
+                        ? RejectionInversionZipfSampler.of(
+                                random, plant.clients().keys(), plant.clients().zipf())
+                        : flattened(random, plant.clients());
     }
 
     /** Zipf and Mandelbrot's law, ranks from 1 on. */
-    private static SharedStateDiscreteSampler flattened(UniformRandomProvider random, Plant.Clients clients) {
-        double[] weights = IntStream.rangeClosed(0, clients.keys())
-                .mapToDouble(rank -> rank == 0 ? 0 : Math.pow(rank + clients.offset(), -clients.zipf())).toArray();
+    private static SharedStateDiscreteSampler flattened(
+            UniformRandomProvider random, Plant.Clients clients) {
+        double[] weights =
+                IntStream.rangeClosed(0, clients.keys())
+                        .mapToDouble(
+                                rank ->
+                                        rank == 0
+                                                ? 0
+                                                : Math.pow(
+                                                        rank + clients.offset(), -clients.zipf()))
+                        .toArray();
         return AliasMethodDiscreteSampler.of(random, weights);
     }
 
@@ -60,12 +78,19 @@
     }
 
     private void next(long now) {
-        long at = now + (long) (gaps.sample() * SECOND / (plant.clients().rate() * surge * tide(now)));
+        long at =
+                now
+                        + (long)
+                                (gaps.sample()
+                                        * SECOND
+                                        / (plant.clients().rate() * surge * tide(now)));
         if (at < plant.settle() + plant.length()) {
-            timeline.at(at, then -> {
-                new First(then).send(then);
-                next(then);
-            });
+            timeline.at(
+                    at,
+                    then -> {
+                        new First(then).send(then);
+                        next(then);
+                    });
         }
     }
 
@@ -75,7 +100,10 @@
         return swing == 0 ? 1 : 1 + swing * Math.sin(2 * Math.PI * now / plant.clients().period());
     }
 
-    /** Popularity drifts: ranks move through the keys, so that the most popular ones are others after a while. */
+    /**
+     * Popularity drifts: ranks move through the keys, so that the most popular ones are others
+     * after a while.
+     */
     private int key(long now) {
         long moved = (long) (plant.clients().drift() * now / SECOND);
         return (int) ((keys.sample() - 1 + moved) % plant.clients().keys());
@@ -172,12 +200,21 @@
                 figures.served(at, now - at, now - at <= load.aim(), number, tenant, load.worth());
                 return;
             }
-            // What may have run is made again only where a repeat does no harm or is dropped by its key.
-            boolean may = answer == SimBalancer.Answer.REFUSED || load.effect() != Api.Effect.FRAGILE;
-            long backoff = (long) ((plant.clients().backoff() << Math.min(tries - 1, MOST_SHIFT))
-                    * (0.5 + random.nextDouble()));
-            long wait = eager > 1 ? 0 : plant.clients().comeAgain() ? Math.max(comeAgain, backoff) : backoff;
-            if (may && tries <= plant.clients().retries() * eager && now + wait + LEAST_WAIT < at + load.deadline()) {
+            // What may have run is made again only where a repeat does no harm or is dropped by its
+            // key.
+            boolean may =
+                    answer == SimBalancer.Answer.REFUSED || load.effect() != Api.Effect.FRAGILE;
+            long backoff =
+                    (long)
+                            ((plant.clients().backoff() << Math.min(tries - 1, MOST_SHIFT))
+                                    * (0.5 + random.nextDouble()));
+            long wait =
+                    eager > 1
+                            ? 0
+                            : plant.clients().comeAgain() ? Math.max(comeAgain, backoff) : backoff;
+            if (may
+                    && tries <= plant.clients().retries() * eager
+                    && now + wait + LEAST_WAIT < at + load.deadline()) {
                 timeline.at(now + wait, this::send);
             } else {
                 open--;
@@ -198,6 +235,7 @@
         private SimBalancer balancer;
         private long id;
         private boolean over;
+
         /** The end of its patience, on the timeline. */
         private final long patience;
 
@@ -227,8 +265,15 @@
 
         @Override
         public Api.Request request(long number, long deadline) {
-            return new Api.Request(number, first.number, first.tenant, Long.reverse(first.key + 1L), deadline,
-                    (long) first.work, first.tries > 1, write());
+            return new Api.Request(
+                    number,
+                    first.number,
+                    first.tenant,
+                    Long.reverse(first.key + 1L),
+                    deadline,
+                    (long) first.work,
+                    first.tries > 1,
+                    write());
         }
 
         @Override
--- a/emulator/src/main/java/frostrelay/emulator/SimDiscovery.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimDiscovery.java
@@ -1,6 +1,7 @@
 package frostrelay.emulator;
 
 import frostrelay.policy.Api;
+
 import java.util.Arrays;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -8,8 +9,9 @@
 import java.util.Set;
 
 /**
- * Discovery: tells subscribers of changes, late, and at times not at all. One service for all balancers that works through
- * calls in turn; each answer to a watch is followed by its next call. Stands outside of all zones.
+ * Discovery: tells subscribers of changes, late, and at times not at all. One service for all
+ * balancers that works through calls in turn; each answer to a watch is followed by its next call.
+ * Stands outside of all zones.
  */
 final class SimDiscovery {
     /** Hears lists. */
@@ -24,8 +26,10 @@
     private final Timeline timeline;
     private final Plant.Discovery spec;
     private final int zones;
+
     /** By place; null for a cache that is not there yet. */
     private final Api.Server[] servers;
+
     private final Set<Subscriber> subscribers = new LinkedHashSet<>();
     private boolean down;
     private double late = 1;
@@ -61,10 +65,15 @@
 
     /** A cache's state changes; it is told once the lateness has passed. */
     void change(long now, int place, Api.State state, long startedAt) {
-        timeline.at(now + (long) (spec.lateness() * late), then -> tell(then, place, server(place, state, startedAt)));
+        timeline.at(
+                now + (long) (spec.lateness() * late),
+                then -> tell(then, place, server(place, state, startedAt)));
     }
 
-    /** A cache is listed as gone, or again as it is, though nothing has happened to it: told at once. */
+    /**
+     * A cache is listed as gone, or again as it is, though nothing has happened to it: told at
+     * once.
+     */
     void slander(long now, int place, boolean on) {
         tell(now, place, server(place, on ? Api.State.GONE : Api.State.READY, 0));
     }
@@ -105,17 +114,19 @@
             fail(now + spec.patience(), subscriber);
             return;
         }
-        timeline.at(turn, then -> {
-            if (down) {
-                failed++;
-                subscriber.onList(then, Api.ListMode.FAILED, List.of());
-            } else {
-                subscribers.add(subscriber);
-                List<Api.Server> all = list();
-                lines += all.size();
-                subscriber.onList(then, Api.ListMode.FULL, all);
-            }
-        });
+        timeline.at(
+                turn,
+                then -> {
+                    if (down) {
+                        failed++;
+                        subscriber.onList(then, Api.ListMode.FAILED, List.of());
+                    } else {
+                        subscribers.add(subscriber);
+                        List<Api.Server> all = list();
+                        lines += all.size();
+                        subscriber.onList(then, Api.ListMode.FULL, all);
+                    }
+                });
     }
 
     private void fail(long at, Subscriber subscriber) {
--- a/emulator/src/main/java/frostrelay/emulator/SimFaults.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimFaults.java
@@ -1,19 +1,23 @@
 package frostrelay.emulator;
 
 import frostrelay.policy.Api;
+
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.sampling.PermutationSampler;
+
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.sampling.PermutationSampler;
 
 /** Brings a plant's faults about, and undoes them. */
 final class SimFaults {
     /** What is replaced is told to drain first. */
     private static final long DRAIN = 2_000_000_000L;
+
     /** One newcomer in so many takes over the address of the one that it replaces. */
     private static final int REUSED = 3;
+
     /** The part of its reads that a failing cache fails. */
     private static final double MOST = 0.9;
 
@@ -28,11 +32,20 @@
     private final SimClients clients;
     private final UniformRandomProvider random;
     private final Set<Long> held = new HashSet<>();
+
     /** The place of the next newcomer. */
     private int newcomers;
 
-    SimFaults(Plant plant, Timeline timeline, Wire wire, SimOrigin origin, SimDiscovery discovery, List<SimCache> caches,
-              List<SimCache> addresses, List<SimBalancer> balancers, SimClients clients) {
+    SimFaults(
+            Plant plant,
+            Timeline timeline,
+            Wire wire,
+            SimOrigin origin,
+            SimDiscovery discovery,
+            List<SimCache> caches,
+            List<SimCache> addresses,
+            List<SimBalancer> balancers,
+            SimClients clients) {
         this.plant = plant;
         this.timeline = timeline;
         this.wire = wire;
@@ -48,17 +61,27 @@
 
     /** Each comes at its time from now on. */
     void begin() {
-        plant.faults().forEach(fault -> timeline.at(plant.settle() + fault.at(), now -> apply(now, fault)));
+        plant.faults()
+                .forEach(
+                        fault ->
+                                timeline.at(plant.settle() + fault.at(), now -> apply(now, fault)));
     }
 
     private void apply(long now, Plant.Fault fault) {
-        boolean ofBalancers = fault.kind() == Plant.Kind.BALANCER_RESTART || fault.kind() == Plant.Kind.BALANCER_WAVE;
+        boolean ofBalancers =
+                fault.kind() == Plant.Kind.BALANCER_RESTART
+                        || fault.kind() == Plant.Kind.BALANCER_WAVE;
         int all = ofBalancers ? balancers.size() : plant.caches();
         int[] met = new PermutationSampler(random, all, fault.count(all)).sample();
         int zone = plant.zones() == 1 ? 0 : random.nextInt(plant.zones());
         switch (fault.kind()) {
             case CACHE_REPLACE -> inSteps(now, fault, met, this::replace);
-            case BALANCER_WAVE -> inSteps(now, fault, met, (then, place) -> balancers.get(place).restart(then, longest()));
+            case BALANCER_WAVE ->
+                    inSteps(
+                            now,
+                            fault,
+                            met,
+                            (then, place) -> balancers.get(place).restart(then, longest()));
             case ZONE_LOST -> lose(now, fault, zone);
             default -> {
                 set(now, fault, met, zone, true);
@@ -77,7 +100,9 @@
         int steps = fault.steps();
         for (int i = 0; i < met.length; i++) {
             int place = met[i];
-            timeline.at(now + fault.length() * ((long) i * steps / met.length) / steps, then -> step.happen(then, place));
+            timeline.at(
+                    now + fault.length() * ((long) i * steps / met.length) / steps,
+                    then -> step.happen(then, place));
         }
     }
 
@@ -91,19 +116,23 @@
         discovery.change(now, place, Api.State.DRAINING, 0);
         caches.get(fresh).comeIn(now);
         discovery.change(now, fresh, Api.State.READY, now);
-        timeline.at(now + DRAIN, then -> {
-            caches.get(place).kill(then);
-            discovery.change(then, place, Api.State.GONE, 0);
-            if (fresh % REUSED == 0) {
-                addresses.set(place, caches.get(fresh));
-            }
-        });
+        timeline.at(
+                now + DRAIN,
+                then -> {
+                    caches.get(place).kill(then);
+                    discovery.change(then, place, Api.State.GONE, 0);
+                    if (fresh % REUSED == 0) {
+                        addresses.set(place, caches.get(fresh));
+                    }
+                });
     }
 
     /** Without zones a part of the caches stands for one. */
     private void lose(long now, Plant.Fault fault, int zone) {
         if (plant.zones() == 1) {
-            int[] met = new PermutationSampler(random, plant.caches(), fault.count(plant.caches())).sample();
+            int[] met =
+                    new PermutationSampler(random, plant.caches(), fault.count(plant.caches()))
+                            .sample();
             Arrays.stream(met).forEach(place -> outOfService(now, fault, place));
             return;
         }
@@ -178,7 +207,10 @@
             case CACHE_FAILING -> cache.failing(on ? MOST : 0);
             case WRONG_ENTRIES -> discovery.slander(now, place, on);
             // Half of the balancers lose sight of these caches: the two sides see different plants.
-            case PARTITION -> balancers.subList(0, (balancers.size() + 1) / 2).forEach(one -> one.cutOff(place, on));
+            case PARTITION ->
+                    balancers
+                            .subList(0, (balancers.size() + 1) / 2)
+                            .forEach(one -> one.cutOff(place, on));
             case COPIES_RELEASED -> {
                 if (on) {
                     cache.release();
--- a/emulator/src/main/java/frostrelay/emulator/SimFront.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimFront.java
@@ -1,17 +1,23 @@
 package frostrelay.emulator;
 
-import java.util.Arrays;
-import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** The plain front: deals clients out over the balancers of their zone, some of which are given several times the mean. */
+import java.util.Arrays;
+import java.util.List;
+
+/**
+ * The plain front: deals clients out over the balancers of their zone, some of which are given
+ * several times the mean.
+ */
 final class SimFront {
     private final List<SimBalancer> balancers;
     private final int zones;
     private final boolean even;
+
     /** Sums of what balancers are given, by place, for each zone. */
     private final double[][] sums;
+
     private int crowded = -1;
     private double shift;
 
@@ -20,8 +26,12 @@
         this.zones = plant.zones();
         even = zones == 1 && plant.clients().skew() == 0;
         sums = new double[zones][balancers.size()];
-        ZigguratSampler.NormalizedGaussian spread = ZigguratSampler.NormalizedGaussian.of(Randoms.of(plant.seed(), "front"));
-        double[] weights = balancers.stream().mapToDouble(one -> Math.exp(plant.clients().skew() * spread.sample())).toArray();
+        ZigguratSampler.NormalizedGaussian spread =
+                ZigguratSampler.NormalizedGaussian.of(Randoms.of(plant.seed(), "front"));
+        double[] weights =
+                balancers.stream()
+                        .mapToDouble(one -> Math.exp(plant.clients().skew() * spread.sample()))
+                        .toArray();
         for (int zone = 0; zone < zones; zone++) {
             double sum = 0;
             for (int i = 0; i < weights.length; i++) {
@@ -56,7 +66,8 @@
         int zone = shift > 0 && random.nextDouble() < shift ? crowded : random.nextInt(zones);
         double[] row = sums[zone];
         int at = Arrays.binarySearch(row, random.nextDouble() * row[row.length - 1]);
-        // Sums stand still where others' balancers are: the first place past the draw is one of this zone.
+        // Sums stand still where others' balancers are: the first place past the draw is one of
+        // this zone.
         return Math.min(row.length - 1, at < 0 ? -at - 1 : at);
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/SimJudgements.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimJudgements.java
@@ -12,18 +12,21 @@
 import frostrelay.peers.Peers;
 import frostrelay.peers.Stamp;
 import frostrelay.peers.State;
+
+import org.apache.commons.rng.UniformRandomProvider;
+
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A tier of balancers in simulated time that tell each other what they see of their caches, each with the real {@link Peers} and
- * {@link Judgements}, and how many requests each takes, with the real {@link Counts}: some caches fall silent for a while, all others fail now and then by chance. The same seed gives the
- * same day.
+ * A tier of balancers in simulated time that tell each other what they see of their caches, each
+ * with the real {@link Peers} and {@link Judgements}, and how many requests each takes, with the
+ * real {@link Counts}: some caches fall silent for a while, all others fail now and then by chance.
+ * The same seed gives the same day.
  */
 public final class SimJudgements {
     private static final long MILLISECOND = 1_000_000L;
@@ -31,9 +34,15 @@
     private static final long WALL_MS = 1_790_000_000_000L;
     private static final long LEAST_WAY = 2_100_000L;
     private static final long MOST_WAY = 30 * MILLISECOND;
-    /** When a copy goes out for what is not answered, and so when silence is seen; and when an answer is. */
+
+    /**
+     * When a copy goes out for what is not answered, and so when silence is seen; and when an
+     * answer is.
+     */
     private static final long SILENT = 250 * MILLISECOND;
+
     private static final long ANSWERED = 40 * MILLISECOND;
+
     /** One read in so many goes to a lowered cache all the same. */
     private static final int LOOK = 8;
 
@@ -41,13 +50,22 @@
      * What is played.
      *
      * @param balancers in the tier
-     * @param caches    that all of them list
-     * @param reads     of each balancer a second
-     * @param loss      part of the datagrams that are lost
-     * @param dead      part of the caches that fall silent, {@code length} seconds long, from ten seconds behind the settling on
-     * @param chance    part of the attempts at a healthy cache that fail
+     * @param caches that all of them list
+     * @param reads of each balancer a second
+     * @param loss part of the datagrams that are lost
+     * @param dead part of the caches that fall silent, {@code length} seconds long, from ten
+     *     seconds behind the settling on
+     * @param chance part of the attempts at a healthy cache that fail
      */
-    public record Plan(int balancers, int caches, double reads, double loss, double dead, int length, double chance, long seed) {
+    public record Plan(
+            int balancers,
+            int caches,
+            double reads,
+            double loss,
+            double dead,
+            int length,
+            double chance,
+            long seed) {
         private long dies() {
             return (10 + 15 + balancers / 5) * SECOND;
         }
@@ -70,26 +88,45 @@
     private final SimNetwork network;
     private final UniformRandomProvider reads;
     private final Node[] nodes;
+
     /** Who found a dead cache bad itself, in this order of moments. */
     private final List<List<Long>> finders = new ArrayList<>();
+
     private final long[] thirdAt;
     private long wronglyLowered;
     private long attemptsAtDead;
     private long attempts;
     private long taken;
     private long takenBefore;
-    /** Of each look at a balancer's count of the tier's requests: how far off its rate is, what it covers, how old its oldest word is. */
+
+    /**
+     * Of each look at a balancer's count of the tier's requests: how far off its rate is, what it
+     * covers, how old its oldest word is.
+     */
     private final List<Double> errors = new ArrayList<>();
+
     private final List<Double> covers = new ArrayList<>();
     private final List<Long> ages = new ArrayList<>();
     private int outside;
-    /** By seconds from the death on: balancers that lower a dead cache, of all, and mean error of the count. */
+
+    /**
+     * By seconds from the death on: balancers that lower a dead cache, of all, and mean error of
+     * the count.
+     */
     private final List<Double> loweredBy = new ArrayList<>();
+
     private final List<Double> errorBy = new ArrayList<>();
 
     private SimJudgements(Plan plan) {
         this.plan = plan;
-        network = new SimNetwork(timeline, Randoms.of(plan.seed, "network"), plan.balancers, plan.loss, LEAST_WAY, MOST_WAY);
+        network =
+                new SimNetwork(
+                        timeline,
+                        Randoms.of(plan.seed, "network"),
+                        plan.balancers,
+                        plan.loss,
+                        LEAST_WAY,
+                        MOST_WAY);
         reads = Randoms.of(plan.seed, "reads");
         nodes = new Node[plan.balancers];
         thirdAt = new long[plan.caches];
@@ -110,7 +147,9 @@
     private Map<String, Object> play() {
         for (int i = 0; i < nodes.length; i++) {
             int place = i;
-            timeline.at(reads.nextLong(SECOND), now -> (nodes[place] = new Node(place, now)).begin(now));
+            timeline.at(
+                    reads.nextLong(SECOND),
+                    now -> (nodes[place] = new Node(place, now)).begin(now));
         }
         for (long second = plan.dies() - 5 * SECOND; second < plan.ends(); second += SECOND) {
             timeline.at(second, this::look);
@@ -123,7 +162,10 @@
         return figures(spent);
     }
 
-    /** Looks once a second at what up to a hundred balancers make of the tier's requests, against what clients asked. */
+    /**
+     * Looks once a second at what up to a hundred balancers make of the tier's requests, against
+     * what clients asked.
+     */
     private void look(long now) {
         double rate = taken - takenBefore;
         takenBefore = taken;
@@ -216,16 +258,40 @@
         Node(int place, long now) {
             network.super(place);
             long life = Incarnation.of(WALL_MS + now / MILLISECOND);
-            judgements = new Judgements(JudgementSettings.STANDARD, place, plan.balancers, life,
-                    (moment, rank) -> peers().known(moment, rank).state() == State.ALIVE, this);
-            peers = new Peers(PeerSettings.STANDARD, place, plan.balancers, now, life, plan.seed * 31 + place,
-                    new Stamp(1, 0, 7, 1, 1, 0, 0), 0, this, this);
-            counts = new Counts(CountSettings.STANDARD, place, plan.balancers, now, life,
-                    rank -> peers.known(timeline.now(), rank).state() == State.ALIVE, this::post);
-            peers.carry((moment, to, hold) -> {
-                judgements.load(moment, to, hold);
-                counts.load(moment, to, hold);
-            });
+            judgements =
+                    new Judgements(
+                            JudgementSettings.STANDARD,
+                            place,
+                            plan.balancers,
+                            life,
+                            (moment, rank) -> peers().known(moment, rank).state() == State.ALIVE,
+                            this);
+            peers =
+                    new Peers(
+                            PeerSettings.STANDARD,
+                            place,
+                            plan.balancers,
+                            now,
+                            life,
+                            plan.seed * 31 + place,
+                            new Stamp(1, 0, 7, 1, 1, 0, 0),
+                            0,
+                            this,
+                            this);
+            counts =
+                    new Counts(
+                            CountSettings.STANDARD,
+                            place,
+                            plan.balancers,
+                            now,
+                            life,
+                            rank -> peers.known(timeline.now(), rank).state() == State.ALIVE,
+                            this::post);
+            peers.carry(
+                    (moment, to, hold) -> {
+                        judgements.load(moment, to, hold);
+                        counts.load(moment, to, hold);
+                    });
         }
 
         void begin(long now) {
@@ -263,23 +329,27 @@
             attempts += out ? 1 : 0;
             attemptsAtDead += out && dead(cache, now) ? 1 : 0;
             boolean silent = dead(cache, now) || reads.nextDouble() < plan.chance;
-            timeline.at(now + (silent ? SILENT : ANSWERED), then -> {
-                judgements.onSeen(then, cache, silent ? Seen.SILENT : Seen.ANSWERED, now);
-                schedule(then);
-                wakeJudge(then);
-            });
+            timeline.at(
+                    now + (silent ? SILENT : ANSWERED),
+                    then -> {
+                        judgements.onSeen(then, cache, silent ? Seen.SILENT : Seen.ANSWERED, now);
+                        schedule(then);
+                        wakeJudge(then);
+                    });
         }
 
         private void wakeJudge(long now) {
             long next = Math.max(now, judgements.next());
             if (next < judgeAt) {
                 judgeAt = next;
-                timeline.at(next, then -> {
-                    judgeAt = Long.MAX_VALUE;
-                    judgements.onWake(then);
-                    schedule(then);
-                    wakeJudge(then);
-                });
+                timeline.at(
+                        next,
+                        then -> {
+                            judgeAt = Long.MAX_VALUE;
+                            judgements.onWake(then);
+                            schedule(then);
+                            wakeJudge(then);
+                        });
             }
         }
 
@@ -322,12 +392,16 @@
             if (dead((int) cache, now)) {
                 List<Long> found = finders.get((int) cache);
                 found.add(now);
-                thirdAt[(int) cache] = found.size() == JudgementSettings.STANDARD.witnesses() ? now : thirdAt[(int) cache];
+                thirdAt[(int) cache] =
+                        found.size() == JudgementSettings.STANDARD.witnesses()
+                                ? now
+                                : thirdAt[(int) cache];
             }
         }
 
         @Override
-        public void onCargo(long now, long held, int from, long incarnation, int type, ByteBuffer content) {
+        public void onCargo(
+                long now, long held, int from, long incarnation, int type, ByteBuffer content) {
             counts.onCargo(now, held, from, incarnation, type, content.duplicate());
             judgements.onCargo(now, held, from, incarnation, type, content);
             wakeJudge(now);
--- a/emulator/src/main/java/frostrelay/emulator/SimLinks.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimLinks.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * One balancer's connections to caches: counted for each cache, not held one by one. Idle ones are closed a while before
- * the cache would; those to a process that died are gone with it.
+ * One balancer's connections to caches: counted for each cache, not held one by one. Idle ones are
+ * closed a while before the cache would; those to a process that died are gone with it.
  */
 final class SimLinks {
     /** Part of the caches' idle time after which the real balancer gives a connection up. */
--- a/emulator/src/main/java/frostrelay/emulator/SimNetwork.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimNetwork.java
@@ -1,11 +1,16 @@
 package frostrelay.emulator;
 
 import frostrelay.peers.Peers;
+
+import org.apache.commons.rng.UniformRandomProvider;
+
 import java.util.Arrays;
 import java.util.function.BiPredicate;
-import org.apache.commons.rng.UniformRandomProvider;
 
-/** What lies between balancers that talk: it loses datagrams, takes its time, can be cut, and counts what is sent. */
+/**
+ * What lies between balancers that talk: it loses datagrams, takes its time, can be cut, and counts
+ * what is sent.
+ */
 final class SimNetwork {
     private static final long SECOND = 1_000_000_000L;
 
@@ -17,15 +22,24 @@
     private final Station[] stations;
     private final long[] seconds;
     private final long[] sentInIt;
+
     /** Whether no way leads from one to the other now. */
     BiPredicate<Integer, Integer> apart = (from, to) -> false;
+
     long bytes;
     long datagrams;
+
     /** The most bytes that one sent in any second of the clock. */
     long busiest;
 
     /** {@code least}, {@code most}: a datagram's way, nanoseconds. */
-    SimNetwork(Timeline timeline, UniformRandomProvider random, int count, double loss, long least, long most) {
+    SimNetwork(
+            Timeline timeline,
+            UniformRandomProvider random,
+            int count,
+            double loss,
+            long least,
+            long most) {
         this.timeline = timeline;
         this.random = random;
         this.loss = loss;
@@ -88,13 +102,15 @@
                 return;
             }
             byte[] copy = Arrays.copyOf(data, length);
-            timeline.at(now + least + random.nextLong(Math.max(1, most - least)), then -> {
-                Station there = stations[to];
-                if (there != null && !there.dead) {
-                    there.peers().onDatagram(then, place, copy, length);
-                    there.schedule(then);
-                }
-            });
+            timeline.at(
+                    now + least + random.nextLong(Math.max(1, most - least)),
+                    then -> {
+                        Station there = stations[to];
+                        if (there != null && !there.dead) {
+                            there.peers().onDatagram(then, place, copy, length);
+                            there.schedule(then);
+                        }
+                    });
         }
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/SimOrigin.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimOrigin.java
@@ -1,8 +1,9 @@
 package frostrelay.emulator;
 
+import org.apache.commons.rng.UniformRandomProvider;
+
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.apache.commons.rng.UniformRandomProvider;
 
 /** The one origin behind all caches: some places, a queue, and a fall when it is overdriven. */
 final class SimOrigin {
@@ -47,7 +48,8 @@
             windowAt = now;
             windowCount = 0;
         }
-        if (++windowCount > spec.fallMultiple() * spec.places() * SECOND / spec.time() && spec.fallMultiple() > 0
+        if (++windowCount > spec.fallMultiple() * spec.places() * SECOND / spec.time()
+                && spec.fallMultiple() > 0
                 && now >= downUntil) {
             falls++;
             stop(now, spec.fallTime());
@@ -67,13 +69,15 @@
         busy++;
         // Half of a fetch is the same for all, the other half varies.
         double part = 0.5 - 0.5 * Math.log(1 - random.nextDouble());
-        timeline.at(now + (long) (spec.time() * part * slow), then -> {
-            busy--;
-            done.done(then, then >= downUntil);
-            while (busy < spec.places() && !waiting.isEmpty()) {
-                begin(then, waiting.poll());
-            }
-        });
+        timeline.at(
+                now + (long) (spec.time() * part * slow),
+                then -> {
+                    busy--;
+                    done.done(then, then >= downUntil);
+                    while (busy < spec.places() && !waiting.isEmpty()) {
+                        begin(then, waiting.poll());
+                    }
+                });
     }
 
     /** It carries nothing out for so long. */
--- a/emulator/src/main/java/frostrelay/emulator/SimPeers.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimPeers.java
@@ -9,46 +9,70 @@
 import frostrelay.stragglers.Kind;
 import frostrelay.stragglers.StragglerSettings;
 import frostrelay.stragglers.Stragglers;
+
+import org.apache.commons.rng.UniformRandomProvider;
+
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A tier of balancers that talk, in simulated time, each with the real {@link Peers}: a network between them that loses
- * datagrams, takes its time and can be cut. The same seed gives the same day.
+ * A tier of balancers that talk, in simulated time, each with the real {@link Peers}: a network
+ * between them that loses datagrams, takes its time and can be cut. The same seed gives the same
+ * day.
  */
 public final class SimPeers {
     private static final long MILLISECOND = 1_000_000L;
     private static final long SECOND = 1_000_000_000L;
     private static final long CHANGED = 1_000_000L;
+
     /** A call of discovery, there and back. */
     private static final long CALL = 50 * MILLISECOND;
+
     private static final long WALL_MS = 1_790_000_000_000L;
+
     /** Discovery is down for some of them for so long. */
     public static final long LATE = 30_000_000_000L;
 
     /**
      * What is played.
      *
-     * @param balancers   in the tier
-     * @param loss        part of the datagrams that are lost
-     * @param delayLeast  and {@code delayMost}: a datagram's way, nanoseconds
-     * @param ceiling     bytes that each may send in any second
-     * @param seconds     how long, behind all of the others
-     * @param changes     balancers that change what they act on, one every four seconds from {@link #settled} on
-     * @param together    whether, besides, all of them change within 300 ms once, in the middle
-     * @param killed      balancers that die at {@link #settled}
-     * @param late        part of the balancers whose discovery tells them of the change together only {@link #LATE} later
-     * @param askable     whether a call of discovery out of turn brings the list to those that are told late: only their watches
-     *                    are lost
-     * @param partition   part of the balancers that is cut from the others for ten seconds from the middle on
+     * @param balancers in the tier
+     * @param loss part of the datagrams that are lost
+     * @param delayLeast and {@code delayMost}: a datagram's way, nanoseconds
+     * @param ceiling bytes that each may send in any second
+     * @param seconds how long, behind all of the others
+     * @param changes balancers that change what they act on, one every four seconds from {@link
+     *     #settled} on
+     * @param together whether, besides, all of them change within 300 ms once, in the middle
+     * @param killed balancers that die at {@link #settled}
+     * @param late part of the balancers whose discovery tells them of the change together only
+     *     {@link #LATE} later
+     * @param askable whether a call of discovery out of turn brings the list to those that are told
+     *     late: only their watches are lost
+     * @param partition part of the balancers that is cut from the others for ten seconds from the
+     *     middle on
      */
-    public record Plan(int balancers, double loss, long delayLeast, long delayMost, int ceiling, int seconds, int changes,
-                       boolean together, int killed, double partition, double late, boolean askable, long seed) {
-        /** Seconds from the start until everybody has heard of everybody: the flood of a start is not measured with the rest. */
+    public record Plan(
+            int balancers,
+            double loss,
+            long delayLeast,
+            long delayMost,
+            int ceiling,
+            int seconds,
+            int changes,
+            boolean together,
+            int killed,
+            double partition,
+            double late,
+            boolean askable,
+            long seed) {
+        /**
+         * Seconds from the start until everybody has heard of everybody: the flood of a start is
+         * not measured with the rest.
+         */
         public int settled() {
             return 15 + balancers / 5;
         }
@@ -59,8 +83,20 @@
 
         /** The site's own ways: 2.1 to 30 ms. */
         public static Plan of(int balancers, double loss, int seconds, int changes, long seed) {
-            return new Plan(balancers, loss, 2_100_000L, 30 * MILLISECOND, PeerSettings.STANDARD.ceiling(), seconds, changes,
-                    false, 0, 0, 0, false, seed);
+            return new Plan(
+                    balancers,
+                    loss,
+                    2_100_000L,
+                    30 * MILLISECOND,
+                    PeerSettings.STANDARD.ceiling(),
+                    seconds,
+                    changes,
+                    false,
+                    0,
+                    0,
+                    0,
+                    false,
+                    seed);
         }
     }
 
@@ -84,8 +120,13 @@
     private long askSecond;
     private int aside;
     private int mostAside;
-    /** By seconds from the change together on: calls out of turn, balancers that are behind, and those that are aside. */
+
+    /**
+     * By seconds from the change together on: calls out of turn, balancers that are behind, and
+     * those that are aside.
+     */
     private final List<int[]> course = new ArrayList<>();
+
     private long lastStraggler = -1;
     private boolean cut;
     private long cutEnds;
@@ -93,8 +134,14 @@
 
     private SimPeers(Plan plan) {
         this.plan = plan;
-        network = new SimNetwork(timeline, Randoms.of(plan.seed, "network"), plan.balancers, plan.loss, plan.delayLeast,
-                plan.delayMost);
+        network =
+                new SimNetwork(
+                        timeline,
+                        Randoms.of(plan.seed, "network"),
+                        plan.balancers,
+                        plan.loss,
+                        plan.delayLeast,
+                        plan.delayMost);
         int side = (int) (plan.partition * plan.balancers);
         network.apart = (from, to) -> cut && from < side != to < side;
         events = Randoms.of(plan.seed, "events");
@@ -114,7 +161,9 @@
         for (int i = 0; i < nodes.length; i++) {
             int place = i;
             // They do not start in the same moment, nor a day apart.
-            timeline.at(events.nextLong(SECOND), now -> (nodes[place] = new Node(place, now)).join(now));
+            timeline.at(
+                    events.nextLong(SECOND),
+                    now -> (nodes[place] = new Node(place, now)).join(now));
         }
         for (int i = 0; i < plan.changes; i++) {
             timeline.at((plan.settled() + 4L * i) * SECOND, this::change);
@@ -124,7 +173,9 @@
             for (int i = 0; i < nodes.length; i++) {
                 int place = i;
                 boolean late = i < plan.late * nodes.length;
-                timeline.at(togetherAt + events.nextLong(300 * MILLISECOND) + (late ? LATE : 0), now -> nodes[place].told(now));
+                timeline.at(
+                        togetherAt + events.nextLong(300 * MILLISECOND) + (late ? LATE : 0),
+                        now -> nodes[place].told(now));
             }
             for (long second = 0; plan.late > 0 && second < plan.seconds; second++) {
                 timeline.at(togetherAt + second * SECOND, this::look);
@@ -193,7 +244,9 @@
         all.put("datagramsASecondEach", quietDatagrams / (double) plan.seconds / plan.balancers);
         all.put("mostBytesInASecond", network.busiest);
         // What the platform asks for it where each balancer has ten requests a second.
-        all.put("price", 0.01 * (quietBytes / (double) plan.seconds) / (256 * 10.0 * plan.balancers));
+        all.put(
+                "price",
+                0.01 * (quietBytes / (double) plan.seconds) / (256 * 10.0 * plan.balancers));
         return all;
     }
 
@@ -201,8 +254,16 @@
     static void put(Map<String, Object> all, String name, List<Long> values) {
         long[] sorted = values.stream().mapToLong(Long::longValue).sorted().toArray();
         for (double part : new double[] {0.5, 0.99, 1}) {
-            all.put(name + (part == 1 ? "Max" : "P" + Math.round(part * 100)) + "Ms", sorted.length == 0 ? null
-                    : sorted[(int) Math.min(sorted.length - 1, Math.ceil(part * sorted.length) - 1)] / MILLISECOND);
+            all.put(
+                    name + (part == 1 ? "Max" : "P" + Math.round(part * 100)) + "Ms",
+                    sorted.length == 0
+                            ? null
+                            : sorted[
+                                            (int)
+                                                    Math.min(
+                                                            sorted.length - 1,
+                                                            Math.ceil(part * sorted.length) - 1)]
+                                    / MILLISECOND);
         }
     }
 
@@ -221,15 +282,17 @@
                 other.waiting.put(place, new Waited(now, sequence, knows));
             }
         }
-        timeline.at(now + 10 * SECOND, then -> {
-            for (Node other : nodes) {
-                Waited left = other.waiting.get(place);
-                if (left != null && left.sequence == sequence && !other.dead) {
-                    other.waiting.remove(place);
-                    missed++;
-                }
-            }
-        });
+        timeline.at(
+                now + 10 * SECOND,
+                then -> {
+                    for (Node other : nodes) {
+                        Waited left = other.waiting.get(place);
+                        if (left != null && left.sequence == sequence && !other.dead) {
+                            other.waiting.remove(place);
+                            missed++;
+                        }
+                    }
+                });
     }
 
     private void kill(long now) {
@@ -240,8 +303,7 @@
         }
     }
 
-    private record Waited(long since, int sequence, boolean[] knows) {
-    }
+    private record Waited(long since, int sequence, boolean[] knows) {}
 
     private final class Node extends SimNetwork.Station implements Stragglers.Actions {
         private final Peers peers;
@@ -259,10 +321,28 @@
         Node(int place, long now) {
             network.super(place);
             newer = plan.together ? new boolean[plan.balancers] : new boolean[0];
-            peers = new Peers(PeerSettings.STANDARD.under(plan.ceiling), place, plan.balancers, now,
-                    Incarnation.of(WALL_MS + now / MILLISECOND), plan.seed * 31 + place, stamp(1), 0, this, this);
-            stragglers = plan.late > 0 ? new Stragglers(StragglerSettings.STANDARD, place, plan.balancers, plan.seed + place,
-                    stamp(1), this) : null;
+            peers =
+                    new Peers(
+                            PeerSettings.STANDARD.under(plan.ceiling),
+                            place,
+                            plan.balancers,
+                            now,
+                            Incarnation.of(WALL_MS + now / MILLISECOND),
+                            plan.seed * 31 + place,
+                            stamp(1),
+                            0,
+                            this,
+                            this);
+            stragglers =
+                    plan.late > 0
+                            ? new Stragglers(
+                                    StragglerSettings.STANDARD,
+                                    place,
+                                    plan.balancers,
+                                    plan.seed + place,
+                                    stamp(1),
+                                    this)
+                            : null;
         }
 
         /** What is known of another may have changed. */
@@ -271,12 +351,21 @@
                 return;
             }
             Known known = peers.known(now, rank);
-            stragglers.onPeer(now, rank, known.state(), known.stamp(), Incarnation.unixMs(known.incarnation()), known.age());
+            stragglers.onPeer(
+                    now,
+                    rank,
+                    known.state(),
+                    known.stamp(),
+                    Incarnation.unixMs(known.incarnation()),
+                    known.age());
             lagged(now);
         }
 
         private void lagged(long now) {
-            if (!knew && now >= togetherAt && stragglers.standing() != Stragglers.Standing.CURRENT && number != CHANGED
+            if (!knew
+                    && now >= togetherAt
+                    && stragglers.standing() != Stragglers.Standing.CURRENT
+                    && number != CHANGED
                     && stragglers.newest() == CHANGED) {
                 knew = true;
                 knewBehind.add(now - togetherAt);
@@ -284,11 +373,13 @@
             long next = Math.max(now, stragglers.next(now));
             if (next < lagWakeAt) {
                 lagWakeAt = next;
-                timeline.at(next, then -> {
-                    lagWakeAt = Long.MAX_VALUE;
-                    stragglers.onWake(then);
-                    lagged(then);
-                });
+                timeline.at(
+                        next,
+                        then -> {
+                            lagWakeAt = Long.MAX_VALUE;
+                            stragglers.onWake(then);
+                            lagged(then);
+                        });
             }
         }
 
@@ -376,8 +467,13 @@
         public void onState(long now, int rank, long incarnation, State state, int by) {
             consider(now, rank);
             Node other = nodes[rank];
-            boolean lost = other == null || other.dead || cut || now < cutEnds + 5 * SECOND && plan.partition > 0
-                    && now > cutEnds - 10 * SECOND;
+            boolean lost =
+                    other == null
+                            || other.dead
+                            || cut
+                            || now < cutEnds + 5 * SECOND
+                                    && plan.partition > 0
+                                    && now > cutEnds - 10 * SECOND;
             if (state == State.SUSPECTED && !lost && by == place) {
                 episodes++;
             }
--- a/emulator/src/main/java/frostrelay/emulator/SimReferee.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimReferee.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Holds a day to the operators' rules, from what clients, caches and balancers' ledgers see, whatever the module says of
- * itself. Counts breaks by rule.
+ * Holds a day to the operators' rules, from what clients, caches and balancers' ledgers see,
+ * whatever the module says of itself. Counts breaks by rule.
  */
 final class SimReferee {
     /** What must hold. */
@@ -18,7 +18,10 @@
         LEFT_OPEN,
         /** A first try had no end by the end of the day. */
         UNANSWERED,
-        /** A cache was sent something though it had been told to be draining or gone for longer than the grace. */
+        /**
+         * A cache was sent something though it had been told to be draining or gone for longer than
+         * the grace.
+         */
         SENT_TO_DRAINING,
         /** A cache that was cold got more than it can stand. */
         COLD_PUSHED_OVER
--- a/emulator/src/main/java/frostrelay/emulator/Timeline.java
+++ b/emulator/src/main/java/frostrelay/emulator/Timeline.java
@@ -3,32 +3,42 @@
 import java.util.Arrays;
 
 /**
- * What is still to happen, in the order of time; what happens at the same moment goes in the order in which it was added,
- * so that a day is the same each time. A calendar queue (Brown 1988): a wheel of short slots that are put in order only
- * when their time comes; what lies past the wheel waits in a heap. Most events are timers that are taken back: their
- * places are used again at once, so that what is touched stays small. Not safe for threads.
+ * What is still to happen, in the order of time; what happens at the same moment goes in the order
+ * in which it was added, so that a day is the same each time. A calendar queue (Brown 1988): a
+ * wheel of short slots that are put in order only when their time comes; what lies past the wheel
+ * waits in a heap. Most events are timers that are taken back: their places are used again at once,
+ * so that what is touched stays small. Not safe for threads.
  */
 final class Timeline {
     /** A slot is 65.5 µs long, the wheel 4.3 s. */
     private static final int SLOT_SHIFT = 16;
+
     private static final int SLOTS = 1 << 16;
     private static final int MASK = SLOTS - 1;
     private static final int NONE = -1;
+
     /** Of a mark: the place is in the lower bits, the order in the others. */
     private static final int PLACE_BITS = 24;
+
     private static final long PLACE_MASK = (1L << PLACE_BITS) - 1;
+
     /** A mark of nothing. */
     static final long NO_MARK = -1;
 
     /** Of the present slot, and of those before it. */
     private final EventHeap due = new EventHeap();
+
     private final EventHeap beyond = new EventHeap();
+
     /** The first event of each slot, in no order, and which slots have any. */
     private final int[] heads = new int[SLOTS];
+
     private final long[] filled = new long[SLOTS / Long.SIZE];
     private int inWheel;
+
     /** Events of the wheel, linked by slot; free places are linked as well. */
     private long[] times = new long[1024];
+
     private long[] orders = new long[1024];
     private Event[] events = new Event[1024];
     private int[] nexts = new int[1024];
@@ -45,8 +55,8 @@
     }
 
     /**
-     * At that moment, or now if it has passed. Returns a mark to {@link #cancel} it by, which is good for nothing once it
-     * has happened.
+     * At that moment, or now if it has passed. Returns a mark to {@link #cancel} it by, which is
+     * good for nothing once it has happened.
      */
     long at(long time, Event event) {
         long moment = Math.max(now, time);
@@ -63,8 +73,8 @@
     }
 
     /**
-     * Takes an event back that would do nothing. It may happen all the same, if it is due at once or far off: who cancels
-     * must bear that.
+     * Takes an event back that would do nothing. It may happen all the same, if it is due at once
+     * or far off: who cancels must bear that.
      */
     void cancel(long mark) {
         int node = (int) (mark & PLACE_MASK);
@@ -139,13 +149,16 @@
 
     /** Goes on to the next slot that holds something; false if there is none up to that moment. */
     private boolean turn(long until) {
-        long next = Math.min(nextInWheel(), beyond.isEmpty() ? Long.MAX_VALUE : beyond.time() >> SLOT_SHIFT);
+        long next =
+                Math.min(
+                        nextInWheel(),
+                        beyond.isEmpty() ? Long.MAX_VALUE : beyond.time() >> SLOT_SHIFT);
         if (next > until >> SLOT_SHIFT) {
             return false;
         }
         slot = next;
         int place = (int) next & MASK;
-        for (int node = heads[place]; node != NONE;) {
+        for (int node = heads[place]; node != NONE; ) {
             due.add(times[node], orders[node], events[node]);
             int following = nexts[node];
             release(node);
--- a/emulator/src/main/java/frostrelay/emulator/Wire.java
+++ b/emulator/src/main/java/frostrelay/emulator/Wire.java
@@ -18,7 +18,8 @@
 
     /** One way within a zone. */
     long delay() {
-        return spec.delay() + (spec.jitter() == 0 ? 0 : (long) (random.nextDouble() * spec.jitter()));
+        return spec.delay()
+                + (spec.jitter() == 0 ? 0 : (long) (random.nextDouble() * spec.jitter()));
     }
 
     /** One way from one zone to another. */
--- a/emulator/src/main/java/frostrelay/lab/Day.java
+++ b/emulator/src/main/java/frostrelay/lab/Day.java
@@ -1,9 +1,11 @@
 package frostrelay.lab;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+
 import frostrelay.emulator.Course;
 import frostrelay.emulator.Emulation;
 import frostrelay.emulator.Plant;
+
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -12,12 +14,19 @@
 import java.util.Map;
 
 /**
- * What is kept of a day that was played: nothing in it depends on the machine. {@code course}: series by name, a value
- * for each second; {@code load}, a row for one cache or for several, and {@code unserved}, likewise of balancers; all
- * empty where they are not kept.
+ * What is kept of a day that was played: nothing in it depends on the machine. {@code course}:
+ * series by name, a value for each second; {@code load}, a row for one cache or for several, and
+ * {@code unserved}, likewise of balancers; all empty where they are not kept.
  */
-public record Day(int point, long seed, long asked, long breaks, Map<String, Double> metrics,
-                  Map<String, List<Double>> course, List<List<Double>> load, List<List<Double>> unserved) {
+public record Day(
+        int point,
+        long seed,
+        long asked,
+        long breaks,
+        Map<String, Double> metrics,
+        Map<String, List<Double>> course,
+        List<List<Double>> load,
+        List<List<Double>> unserved) {
     private static final double DIGITS = 1e6;
 
     /** Plays a day of a point. */
@@ -30,14 +39,28 @@
         List<List<Double>> unserved = List.of();
         if (withCourse) {
             Course went = result.course();
-            went.counts().forEach((name, counts) -> course.put(name,
-                    Arrays.stream(counts).mapToObj(count -> (double) count).toList()));
+            went.counts()
+                    .forEach(
+                            (name, counts) ->
+                                    course.put(
+                                            name,
+                                            Arrays.stream(counts)
+                                                    .mapToObj(count -> (double) count)
+                                                    .toList()));
             course.put("p50Ms", Arrays.stream(went.p50()).boxed().toList());
             course.put("p99Ms", Arrays.stream(went.p99()).boxed().toList());
             load = rows(went.load());
             unserved = rows(went.unserved());
         }
-        return new Day(point, plant.seed(), result.figures().asked(), result.breaks(), metrics, course, load, unserved);
+        return new Day(
+                point,
+                plant.seed(),
+                result.figures().asked(),
+                result.breaks(),
+                metrics,
+                course,
+                load,
+                unserved);
     }
 
     private static List<List<Double>> rows(float[][] rows) {
@@ -76,12 +99,20 @@
     static Day of(String line) throws IOException {
         Map<String, Object> all = JSON.std.mapFrom(line);
         Map<String, Double> metrics = new LinkedHashMap<>();
-        map(all.get("metrics")).forEach((name, value) -> metrics.put(name, ((Number) value).doubleValue()));
+        map(all.get("metrics"))
+                .forEach((name, value) -> metrics.put(name, ((Number) value).doubleValue()));
         Map<String, List<Double>> course = new LinkedHashMap<>();
-        map(all.getOrDefault("course", Map.of())).forEach((name, values) -> course.put(name, numbers(values)));
-        return new Day(((Number) all.get("point")).intValue(), ((Number) all.get("seed")).longValue(),
-                ((Number) all.get("asked")).longValue(), ((Number) all.get("breaks")).longValue(), metrics, course,
-                rows(all, "load"), rows(all, "unserved"));
+        map(all.getOrDefault("course", Map.of()))
+                .forEach((name, values) -> course.put(name, numbers(values)));
+        return new Day(
+                ((Number) all.get("point")).intValue(),
+                ((Number) all.get("seed")).longValue(),
+                ((Number) all.get("asked")).longValue(),
+                ((Number) all.get("breaks")).longValue(),
+                metrics,
+                course,
+                rows(all, "load"),
+                rows(all, "unserved"));
     }
 
     private static List<List<Double>> rows(Map<String, Object> all, String name) {
--- a/emulator/src/main/java/frostrelay/lab/Goal.java
+++ b/emulator/src/main/java/frostrelay/lab/Goal.java
@@ -7,16 +7,24 @@
 
 /** What must hold of a day: a metric on one side of a bound. */
 public record Goal(String metric, boolean atLeast, double bound) {
-    private static final Pattern FORM = Pattern.compile("\\s*(\\w+)\\s*(>=|<=)\\s*([0-9]+(?:\\.[0-9]+)?)\\s*");
+    private static final Pattern FORM =
+            Pattern.compile("\\s*(\\w+)\\s*(>=|<=)\\s*([0-9]+(?:\\.[0-9]+)?)\\s*");
 
-    /** From a text as {@code afterwards >= 0.95}; throws {@link IllegalArgumentException} that says what is allowed. */
+    /**
+     * From a text as {@code afterwards >= 0.95}; throws {@link IllegalArgumentException} that says
+     * what is allowed.
+     */
     public static Goal parse(String text) {
         Matcher parts = FORM.matcher(text);
         if (!parts.matches() || !Metrics.NAMES.contains(parts.group(1))) {
-            throw new IllegalArgumentException("'" + text + "' is no goal: METRIC >= NUMBER or METRIC <= NUMBER, with one of "
-                    + String.join(", ", Metrics.NAMES));
+            throw new IllegalArgumentException(
+                    "'"
+                            + text
+                            + "' is no goal: METRIC >= NUMBER or METRIC <= NUMBER, with one of "
+                            + String.join(", ", Metrics.NAMES));
         }
-        return new Goal(parts.group(1), parts.group(2).equals(">="), Double.parseDouble(parts.group(3)));
+        return new Goal(
+                parts.group(1), parts.group(2).equals(">="), Double.parseDouble(parts.group(3)));
     }
 
     /** How far the goal is missed, in the metric's unit; 0 or less where it is met. */
--- a/emulator/src/main/java/frostrelay/lab/Hunt.java
+++ b/emulator/src/main/java/frostrelay/lab/Hunt.java
@@ -4,6 +4,10 @@
 import frostrelay.emulator.Plant;
 import frostrelay.emulator.Plant.Fault;
 import frostrelay.emulator.Plant.Kind;
+
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
+
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -15,13 +19,12 @@
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Searches for faults after which a plant misses a goal: at random first, then by small changes to the worst that were
- * found, and last each is made as small as it can be while the goal is still missed (Zeller and Hildebrandt 2002 for the
- * idea). Finds the same for the same seed, however many threads. Threading: one caller.
+ * Searches for faults after which a plant misses a goal: at random first, then by small changes to
+ * the worst that were found, and last each is made as small as it can be while the goal is still
+ * missed (Zeller and Hildebrandt 2002 for the idea). Finds the same for the same seed, however many
+ * threads. Threading: one caller.
  */
 public final class Hunt {
     private static final double FIRST = 0.22;
@@ -32,10 +35,11 @@
     private static final long TICK = 100_000_000L;
     private static final double LEAST_PART = 0.05;
 
-    /** What was found. {@code missedBy}: on the mean over the seeds; {@code value}: of the worst of them,
-     * {@code seed}; {@code tried}: days played until then. */
-    public record Found(List<Fault> faults, double missedBy, double value, long seed, int tried) {
-    }
+    /**
+     * What was found. {@code missedBy}: on the mean over the seeds; {@code value}: of the worst of
+     * them, {@code seed}; {@code tried}: days played until then.
+     */
+    public record Found(List<Fault> faults, double missedBy, double value, long seed, int tried) {}
 
     private final Plant base;
     private final Goal goal;
@@ -48,11 +52,21 @@
     private record Candidate(List<Fault> faults, double missedBy, double value, long seed) {
         /** Which kinds it has: two candidates of the same kinds are one finding. */
         String kinds() {
-            return faults.stream().map(fault -> fault.kind().name()).sorted().distinct().collect(Collectors.joining("+"));
+            return faults.stream()
+                    .map(fault -> fault.kind().name())
+                    .sorted()
+                    .distinct()
+                    .collect(Collectors.joining("+"));
         }
     }
 
-    private Hunt(Plant base, Goal goal, int seeds, long seed, ExecutorService pool, Consumer<String> told) {
+    private Hunt(
+            Plant base,
+            Goal goal,
+            int seeds,
+            long seed,
+            ExecutorService pool,
+            Consumer<String> told) {
         this.base = base;
         this.goal = goal;
         this.seeds = seeds;
@@ -62,11 +76,20 @@
     }
 
     /**
-     * Hunts with so many random tries, a quarter as many small changes, and keeps the worst of different kinds. Faults of
-     * the plant itself are left out. Throws {@link IllegalArgumentException} if the plant misses the goal without any.
+     * Hunts with so many random tries, a quarter as many small changes, and keeps the worst of
+     * different kinds. Faults of the plant itself are left out. Throws {@link
+     * IllegalArgumentException} if the plant misses the goal without any.
      */
-    public static List<Found> run(Plant plant, Goal goal, int tries, int keep, int seeds, long seed, int threads,
-                                  Consumer<String> told) throws InterruptedException {
+    public static List<Found> run(
+            Plant plant,
+            Goal goal,
+            int tries,
+            int keep,
+            int seeds,
+            long seed,
+            int threads,
+            Consumer<String> told)
+            throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             return new Hunt(plant.with(List.of()), goal, seeds, seed, pool, told).run(tries, keep);
@@ -80,8 +103,11 @@
     private List<Found> run(int tries, int keep) throws InterruptedException, ExecutionException {
         Candidate quiet = play(List.of(List.of())).get(0);
         if (quiet.missedBy > 0) {
-            throw new IllegalArgumentException("without any fault the plant misses the goal " + goal + " already: "
-                    + quiet.value);
+            throw new IllegalArgumentException(
+                    "without any fault the plant misses the goal "
+                            + goal
+                            + " already: "
+                            + quiet.value);
         }
         List<List<Fault>> first = new ArrayList<>();
         for (int i = 0; i < tries; i++) {
@@ -106,7 +132,9 @@
             }
             Candidate small = shrink(candidate);
             if (!found.containsKey(small.kinds())) {
-                found.put(small.kinds(), new Found(small.faults, small.missedBy, small.value, small.seed, tried));
+                found.put(
+                        small.kinds(),
+                        new Found(small.faults, small.missedBy, small.value, small.seed, tried));
                 told.accept("found: " + String.join("; ", FaultWords.of(small.faults)));
             }
         }
@@ -117,15 +145,20 @@
         return all.stream().filter(one -> one.missedBy > 0).count();
     }
 
-    /** The worst first; of the same kinds only the worst, so that one weakness does not hide the others. */
+    /**
+     * The worst first; of the same kinds only the worst, so that one weakness does not hide the
+     * others.
+     */
     private static List<Candidate> worst(List<Candidate> all) {
         Map<String, Candidate> byKinds = new LinkedHashMap<>();
-        all.stream().sorted(Comparator.comparingDouble((Candidate one) -> one.missedBy).reversed())
+        all.stream()
+                .sorted(Comparator.comparingDouble((Candidate one) -> one.missedBy).reversed())
                 .forEach(one -> byKinds.putIfAbsent(one.kinds(), one));
         return List.copyOf(byKinds.values());
     }
 
-    private List<Candidate> play(List<List<Fault>> all) throws InterruptedException, ExecutionException {
+    private List<Candidate> play(List<List<Fault>> all)
+            throws InterruptedException, ExecutionException {
         List<Future<Map<String, Double>>> days = new ArrayList<>();
         for (List<Fault> faults : all) {
             for (int i = 0; i < seeds; i++) {
@@ -159,9 +192,13 @@
         List<Fault> faults = new ArrayList<>();
         for (int i = random.nextInt(MOST_FAULTS); i >= 0; i--) {
             Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
-            faults.add(fault(base.length() * (FIRST + (LAST - FIRST) * random.nextDouble()),
-                    base.length() * LONGEST * random.nextDouble(), kind, random.nextDouble(),
-                    1.5 + 4.5 * random.nextDouble()));
+            faults.add(
+                    fault(
+                            base.length() * (FIRST + (LAST - FIRST) * random.nextDouble()),
+                            base.length() * LONGEST * random.nextDouble(),
+                            kind,
+                            random.nextDouble(),
+                            1.5 + 4.5 * random.nextDouble()));
         }
         return faults;
     }
@@ -169,7 +206,10 @@
     /** Within what is asked of a plant, in steps that people can read. */
     private static Fault fault(double at, double length, Kind kind, double part, double factor) {
         long whole = Math.max(TICK, (long) (length / TICK) * TICK);
-        return new Fault((long) (at / TICK) * TICK, kind == Kind.COPIES_RELEASED ? 0 : whole, kind,
+        return new Fault(
+                (long) (at / TICK) * TICK,
+                kind == Kind.COPIES_RELEASED ? 0 : whole,
+                kind,
                 Math.rint(Math.max(LEAST_PART, Math.min(1, part)) * 100) / 100,
                 Math.rint(Math.max(1, Math.min(8, factor)) * 10) / 10);
     }
@@ -181,10 +221,23 @@
         if (fresh.size() < MOST_FAULTS && random.nextInt(4) == 0) {
             fresh.add(drawn().get(0));
         } else {
-            fresh.set(place, fault(Math.max(base.length() * FIRST, Math.min(base.length() * LAST,
-                    old.at() + base.length() * 0.05 * (random.nextDouble() - 0.5))),
-                    Math.min(base.length() * LONGEST, old.length() * (0.6 + random.nextDouble())), old.kind(),
-                    old.part() * (0.6 + random.nextDouble()), old.factor() * (0.6 + random.nextDouble())));
+            fresh.set(
+                    place,
+                    fault(
+                            Math.max(
+                                    base.length() * FIRST,
+                                    Math.min(
+                                            base.length() * LAST,
+                                            old.at()
+                                                    + base.length()
+                                                            * 0.05
+                                                            * (random.nextDouble() - 0.5))),
+                            Math.min(
+                                    base.length() * LONGEST,
+                                    old.length() * (0.6 + random.nextDouble())),
+                            old.kind(),
+                            old.part() * (0.6 + random.nextDouble()),
+                            old.factor() * (0.6 + random.nextDouble())));
         }
         return fresh;
     }
@@ -215,9 +268,21 @@
         }
         for (int i = 0; i < faults.size(); i++) {
             Fault old = faults.get(i);
-            for (Fault mild : List.of(fault(old.at(), old.length() / 2.0, old.kind(), old.part(), old.factor()),
-                    fault(old.at(), old.length(), old.kind(), old.part() / 2, old.factor()),
-                    fault(old.at(), old.length(), old.kind(), old.part(), 1 + (old.factor() - 1) / 2))) {
+            for (Fault mild :
+                    List.of(
+                            fault(
+                                    old.at(),
+                                    old.length() / 2.0,
+                                    old.kind(),
+                                    old.part(),
+                                    old.factor()),
+                            fault(old.at(), old.length(), old.kind(), old.part() / 2, old.factor()),
+                            fault(
+                                    old.at(),
+                                    old.length(),
+                                    old.kind(),
+                                    old.part(),
+                                    1 + (old.factor() - 1) / 2))) {
                 if (!mild.equals(old)) {
                     List<Fault> one = new ArrayList<>(faults);
                     one.set(i, mild);
--- a/emulator/src/main/java/frostrelay/lab/Interval.java
+++ b/emulator/src/main/java/frostrelay/lab/Interval.java
@@ -1,25 +1,39 @@
 package frostrelay.lab;
 
-import java.util.Arrays;
 import org.apache.commons.statistics.distribution.TDistribution;
 
-/** A mean and half the width of its 95% confidence interval by Student's t; the half is 0 for a single value. */
+import java.util.Arrays;
+
+/**
+ * A mean and half the width of its 95% confidence interval by Student's t; the half is 0 for a
+ * single value.
+ */
 public record Interval(double mean, double half) {
     private static final double UPPER = 0.975;
 
     /** Of some values, at least one. */
     public static Interval of(double[] values) {
-        return new Interval(mean(values), values.length < 2 ? 0
-                : error(values) * TDistribution.of(values.length - 1).inverseCumulativeProbability(UPPER));
+        return new Interval(
+                mean(values),
+                values.length < 2
+                        ? 0
+                        : error(values)
+                                * TDistribution.of(values.length - 1)
+                                        .inverseCumulativeProbability(UPPER));
     }
 
-    /** How likely a mean so far from zero is by chance alone, by the same distribution; of at least two values. */
+    /**
+     * How likely a mean so far from zero is by chance alone, by the same distribution; of at least
+     * two values.
+     */
     static double chance(double[] values) {
         double error = error(values);
         if (error == 0) {
             return mean(values) == 0 ? 1 : 0;
         }
-        return 2 * TDistribution.of(values.length - 1).survivalProbability(Math.abs(mean(values)) / error);
+        return 2
+                * TDistribution.of(values.length - 1)
+                        .survivalProbability(Math.abs(mean(values)) / error);
     }
 
     private static double mean(double[] values) {
--- a/emulator/src/main/java/frostrelay/lab/Kept.java
+++ b/emulator/src/main/java/frostrelay/lab/Kept.java
@@ -4,6 +4,7 @@
 import frostrelay.config.Values;
 import frostrelay.emulator.Emulation;
 import frostrelay.emulator.Plant;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,31 +21,47 @@
         }
     }
 
-    private Kept() {
-    }
+    private Kept() {}
 
-    /** Writes a day: the plant without its own faults, what was found, and the goal as what must hold. */
-    public static void write(Path plant, Path file, Goal goal, Hunt.Found found) throws IOException {
-        Values values = TomlFile.read(plant, PlantFile.form()).without("fault")
-                .with("seed", String.valueOf(found.seed()), plant.toString(), 0)
-                .with("kept.goal", goal.toString(), plant.toString(), 0)
-                .with("kept.found", String.format(Locale.ROOT, "%.4f", found.value()), plant.toString(), 0)
-                .with("kept.must", goal.toString(), plant.toString(), 0);
+    /**
+     * Writes a day: the plant without its own faults, what was found, and the goal as what must
+     * hold.
+     */
+    public static void write(Path plant, Path file, Goal goal, Hunt.Found found)
+            throws IOException {
+        Values values =
+                TomlFile.read(plant, PlantFile.form())
+                        .without("fault")
+                        .with("seed", String.valueOf(found.seed()), plant.toString(), 0)
+                        .with("kept.goal", goal.toString(), plant.toString(), 0)
+                        .with(
+                                "kept.found",
+                                String.format(Locale.ROOT, "%.4f", found.value()),
+                                plant.toString(),
+                                0)
+                        .with("kept.must", goal.toString(), plant.toString(), 0);
         StringBuilder text = new StringBuilder("# Found by a hunt:\n");
-        FaultWords.of(found.faults()).forEach(fault -> text.append("#   ").append(fault).append('\n'));
+        FaultWords.of(found.faults())
+                .forEach(fault -> text.append("#   ").append(fault).append('\n'));
         text.append(values.write());
         found.faults().forEach(fault -> text.append('\n').append(FaultWords.toml(fault)));
         Files.writeString(file, text);
     }
 
-    /** Plays a kept day with its own seed; throws {@link frostrelay.config.BadConfigException} for a bad file. */
+    /**
+     * Plays a kept day with its own seed; throws {@link frostrelay.config.BadConfigException} for a
+     * bad file.
+     */
     public static Replayed replay(Path file) {
         Values values = TomlFile.read(file, PlantFile.form());
         Plant plant = PlantFile.bind(file.toString(), values);
         Goal must = Goal.parse(values.table("kept").text("must"));
         Emulation.Result result = Emulation.play(plant);
         Map<String, Double> metrics = Metrics.of(plant, result);
-        return new Replayed(must, metrics.getOrDefault(must.metric(), Double.NaN), must.missedBy(metrics),
+        return new Replayed(
+                must,
+                metrics.getOrDefault(must.metric(), Double.NaN),
+                must.missedBy(metrics),
                 result.breaks());
     }
 }
--- a/emulator/src/main/java/frostrelay/lab/Lab.java
+++ b/emulator/src/main/java/frostrelay/lab/Lab.java
@@ -1,6 +1,7 @@
 package frostrelay.lab;
 
 import frostrelay.emulator.Plant;
+
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -13,8 +14,9 @@
 import java.util.concurrent.ThreadPoolExecutor;
 
 /**
- * Plays an experiment over threads: the same seeds for all points, so that two points differ by their plants and not by
- * chance. Which days are played does not depend on the number of threads, and what is in the file is not played again.
+ * Plays an experiment over threads: the same seeds for all points, so that two points differ by
+ * their plants and not by chance. Which days are played does not depend on the number of threads,
+ * and what is in the file is not played again.
  */
 public final class Lab {
     /** Hears how far it is: days done of the most there can be. */
@@ -23,20 +25,23 @@
         void done(int days, int most);
     }
 
-    private Lab() {
-    }
+    private Lab() {}
 
     /**
-     * Plays what is missing. An interrupt ends it: what was played is in the file. Throws {@link IOException} if that
-     * cannot be written.
+     * Plays what is missing. An interrupt ends it: what was played is in the file. Throws {@link
+     * IOException} if that cannot be written.
      */
     public static void play(Experiment experiment, ResultsFile file, int threads, Progress progress)
             throws IOException, InterruptedException {
-        ThreadPoolExecutor pool = (ThreadPoolExecutor) Executors.newFixedThreadPool(threads, task -> {
-            Thread thread = new Thread(task, "lab");
-            thread.setDaemon(true);
-            return thread;
-        });
+        ThreadPoolExecutor pool =
+                (ThreadPoolExecutor)
+                        Executors.newFixedThreadPool(
+                                threads,
+                                task -> {
+                                    Thread thread = new Thread(task, "lab");
+                                    thread.setDaemon(true);
+                                    return thread;
+                                });
         try {
             int most = experiment.points().size() * experiment.seeds();
             int done = 0;
@@ -71,13 +76,17 @@
             }
             throw new IllegalStateException("a day could not be played", e.getCause());
         } finally {
-            // Not interrupted: that would close the file under the one that writes, and under all others.
+            // Not interrupted: that would close the file under the one that writes, and under all
+            // others.
             pool.shutdown();
             pool.getQueue().clear();
         }
     }
 
-    /** What is done is given at once, interrupted or not: an interrupt would be seen by the file, which it closes. */
+    /**
+     * What is done is given at once, interrupted or not: an interrupt would be seen by the file,
+     * which it closes.
+     */
     private static void endIfInterrupted() throws InterruptedException {
         if (Thread.interrupted()) {
             throw new InterruptedException();
@@ -88,18 +97,19 @@
         return experiment.stop() == null ? experiment.seeds() : experiment.stop().least();
     }
 
-    private static Future<Day> submit(ExecutorService pool, Experiment experiment, int point, int number,
-                                      ResultsFile file) {
+    private static Future<Day> submit(
+            ExecutorService pool, Experiment experiment, int point, int number, ResultsFile file) {
         Experiment.Point played = experiment.points().get(point);
         Plant day = played.draws().apply(played.plant().seed() + number);
-        return pool.submit(() -> {
-            Day known = file.find(point, day.seed());
-            if (known == null) {
-                // The course of one day is enough to look at, and keeps the file small.
-                known = Day.play(point, day, number == 0);
-                file.add(known);
-            }
-            return known;
-        });
+        return pool.submit(
+                () -> {
+                    Day known = file.find(point, day.seed());
+                    if (known == null) {
+                        // The course of one day is enough to look at, and keeps the file small.
+                        known = Day.play(point, day, number == 0);
+                        file.add(known);
+                    }
+                    return known;
+                });
     }
 }
--- a/emulator/src/main/java/frostrelay/lab/ResultsFile.java
+++ b/emulator/src/main/java/frostrelay/lab/ResultsFile.java
@@ -1,6 +1,7 @@
 package frostrelay.lab;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -20,20 +21,27 @@
 import java.util.TreeMap;
 
 /**
- * Days that were played, one to a line, behind a line that says of which experiment. A day is on disk before the next
- * call returns; a line that was cut short by a crash is dropped when the file is opened again. While days come in they
- * stand in the order of coming; {@link #finish} puts them in the order of points and seeds, so that the same experiment
- * gives the same bytes however many threads played it. One process at a time may write. Safe for threads.
+ * Days that were played, one to a line, behind a line that says of which experiment. A day is on
+ * disk before the next call returns; a line that was cut short by a crash is dropped when the file
+ * is opened again. While days come in they stand in the order of coming; {@link #finish} puts them
+ * in the order of points and seeds, so that the same experiment gives the same bytes however many
+ * threads played it. One process at a time may write. Safe for threads.
  */
 public final class ResultsFile implements Closeable {
     private static final int FORMAT = 1;
 
     /**
-     * What a file holds. {@code points}: labels in their order; {@code settings}: what a sweep set, {@code faults}
-     * in words and {@code spans}, from and to of each in seconds, for each point.
+     * What a file holds. {@code points}: labels in their order; {@code settings}: what a sweep set,
+     * {@code faults} in words and {@code spans}, from and to of each in seconds, for each point.
      */
-    public record Held(String name, String digest, List<String> points, List<Map<String, String>> settings,
-                       List<List<String>> faults, List<List<List<Double>>> spans, List<List<Day>> byPoint) {
+    public record Held(
+            String name,
+            String digest,
+            List<String> points,
+            List<Map<String, String>> settings,
+            List<List<String>> faults,
+            List<List<List<Double>>> spans,
+            List<List<Day>> byPoint) {
         /** The days of a point in the order of their seeds. */
         public List<Day> of(int point) {
             return byPoint.get(point);
@@ -58,7 +66,9 @@
 
         @Override
         public int compareTo(Key other) {
-            return point != other.point ? Integer.compare(point, other.point) : Long.compare(seed, other.seed);
+            return point != other.point
+                    ? Integer.compare(point, other.point)
+                    : Long.compare(seed, other.seed);
         }
     }
 
@@ -91,15 +101,19 @@
     }
 
     /**
-     * Opens a file to go on with an experiment, or begins one. Throws {@link IOException} with a plain message where
-     * another process writes it or it belongs to another experiment.
+     * Opens a file to go on with an experiment, or begins one. Throws {@link IOException} with a
+     * plain message where another process writes it or it belongs to another experiment.
      */
     public static ResultsFile open(Path path, Experiment experiment) throws IOException {
         if (path.getParent() != null) {
             Files.createDirectories(path.getParent());
         }
-        FileChannel channel = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ,
-                StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(
+                        path,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.READ,
+                        StandardOpenOption.WRITE);
         try {
             FileLock lock;
             try {
@@ -123,8 +137,10 @@
         Lines lines = Lines.read(path);
         if (lines.bytes > 0) {
             if (!digest(path, lines.all[0]).equals(experiment.digest())) {
-                throw new IOException(path + " holds the results of another experiment (or of this one before it was"
-                        + " changed); name another file with --out, or remove it");
+                throw new IOException(
+                        path
+                                + " holds the results of another experiment (or of this one before it was"
+                                + " changed); name another file with --out, or remove it");
             }
             days.putAll(lines.days(path));
         }
@@ -143,8 +159,12 @@
             }
             return String.valueOf(all.get("digest"));
         } catch (IOException | RuntimeException e) {
-            throw new IOException(path + ":1: not a file of results (" + e.getMessage().lines().findFirst().orElse("")
-                    + ")", e);
+            throw new IOException(
+                    path
+                            + ":1: not a file of results ("
+                            + e.getMessage().lines().findFirst().orElse("")
+                            + ")",
+                    e);
         }
     }
 
@@ -163,8 +183,16 @@
         all.put("digest", experiment.digest());
         all.put("points", experiment.points().stream().map(Experiment.Point::label).toList());
         all.put("settings", experiment.points().stream().map(Experiment.Point::settings).toList());
-        all.put("faults", experiment.points().stream().map(point -> FaultWords.of(point.plant().faults())).toList());
-        all.put("spans", experiment.points().stream().map(point -> FaultWords.spans(point.plant().faults())).toList());
+        all.put(
+                "faults",
+                experiment.points().stream()
+                        .map(point -> FaultWords.of(point.plant().faults()))
+                        .toList());
+        all.put(
+                "spans",
+                experiment.points().stream()
+                        .map(point -> FaultWords.spans(point.plant().faults()))
+                        .toList());
         return JSON.std.asString(all) + "\n";
     }
 
@@ -197,19 +225,27 @@
         }
     }
 
-    /** Puts all days in order, in one step: the file is the old or the new one, never half of either. */
+    /**
+     * Puts all days in order, in one step: the file is the old or the new one, never half of
+     * either.
+     */
     public synchronized void finish() throws IOException {
         Path fresh = path.resolveSibling(path.getFileName() + ".new");
         StringBuilder text = new StringBuilder(head);
         for (Day day : days.values()) {
             text.append(day.json()).append('\n');
         }
-        try (FileChannel out = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel out =
+                FileChannel.open(
+                        fresh,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             write(out, text.toString());
             out.force(true);
         }
-        Files.move(fresh, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                fresh, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** Reads a file that nobody need have finished. */
@@ -221,19 +257,31 @@
         List<List<Day>> byPoint = new ArrayList<>();
         NavigableMap<Key, Day> days = lines.days(path);
         for (int point = 0; point < points.size(); point++) {
-            byPoint.add(List.copyOf(days.subMap(new Key(point, Long.MIN_VALUE), new Key(point + 1, Long.MIN_VALUE))
-                    .values()));
+            byPoint.add(
+                    List.copyOf(
+                            days.subMap(
+                                            new Key(point, Long.MIN_VALUE),
+                                            new Key(point + 1, Long.MIN_VALUE))
+                                    .values()));
         }
         List<Map<String, String>> settings = new ArrayList<>();
         for (Object one : (List<?>) top.get("settings")) {
             Map<String, String> each = new LinkedHashMap<>();
-            ((Map<?, ?>) one).forEach((key, value) -> each.put((String) key, String.valueOf(value)));
+            ((Map<?, ?>) one)
+                    .forEach((key, value) -> each.put((String) key, String.valueOf(value)));
             settings.add(each);
         }
-        return new Held(String.valueOf(top.get("name")), digest, points, settings,
+        return new Held(
+                String.valueOf(top.get("name")),
+                digest,
+                points,
+                settings,
                 ((List<?>) top.get("faults")).stream().map(ResultsFile::texts).toList(),
-                ((List<?>) top.get("spans")).stream().map(point -> ((List<?>) point).stream().map(Day::numbers).toList())
-                        .toList(), byPoint);
+                ((List<?>) top.get("spans"))
+                        .stream()
+                                .map(point -> ((List<?>) point).stream().map(Day::numbers).toList())
+                                .toList(),
+                byPoint);
     }
 
     private static List<String> texts(Object list) {
--- a/emulator/src/test/java/frostrelay/emulator/TheoryTest.java
+++ b/emulator/src/test/java/frostrelay/emulator/TheoryTest.java
@@ -8,31 +8,49 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
+
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
 /** The model's parts against what is known of them in closed form. */
 class TheoryTest {
     private static final double WORK = 1e6;
 
     /** What a cache made of a stream of jobs: mean wait in units of work, and the share of hits. */
-    private record Made(double waited, double hits) {
-    }
+    private record Made(double waited, double hits) {}
 
-    private static Made serve(int cores, double load, boolean fixed, int memory, int keys, double zipf, int jobs) {
+    private static Made serve(
+            int cores, double load, boolean fixed, int memory, int keys, double zipf, int jobs) {
         Timeline timeline = new Timeline();
         UniformRandomProvider random = Randoms.of(7, "theory");
         ZigguratSampler.Exponential draws = ZigguratSampler.Exponential.of(random);
         SharedStateDiscreteSampler popular = RejectionInversionZipfSampler.of(random, keys, zipf);
         SimOrigin origin = new SimOrigin(new Plant.Origin(1_000_000, 1, 0, 0, 0), timeline, 1);
-        SimCache cache = new SimCache(new Plant.Cache(cores, Integer.MAX_VALUE, 0, memory, Plant.Eviction.LRU, 1, 0, false, false), 0, Integer.MAX_VALUE, timeline,
-                origin, new int[keys], null);
+        SimCache cache =
+                new SimCache(
+                        new Plant.Cache(
+                                cores,
+                                Integer.MAX_VALUE,
+                                0,
+                                memory,
+                                Plant.Eviction.LRU,
+                                1,
+                                0,
+                                false,
+                                false),
+                        0,
+                        Integer.MAX_VALUE,
+                        timeline,
+                        origin,
+                        new int[keys],
+                        null);
         if (keys == 1) {
             cache.fill(0);
         }
@@ -44,45 +62,48 @@
             double work = fixed ? WORK : draws.sample() * WORK;
             int key = popular.sample() - 1;
             timeline.run(arrival);
-            cache.accept(arrival, new SimCache.Job() {
-                @Override
-                public int key() {
-                    return key;
-                }
+            cache.accept(
+                    arrival,
+                    new SimCache.Job() {
+                        @Override
+                        public int key() {
+                            return key;
+                        }
 
-                @Override
-                public double work() {
-                    return work;
-                }
+                        @Override
+                        public double work() {
+                            return work;
+                        }
 
-                @Override
-                public boolean write() {
-                    return false;
-                }
+                        @Override
+                        public boolean write() {
+                            return false;
+                        }
 
-                @Override
-                public boolean told() {
-                    return true;
-                }
+                        @Override
+                        public boolean told() {
+                            return true;
+                        }
 
-                @Override
-                public boolean dropped() {
-                    return false;
-                }
+                        @Override
+                        public boolean dropped() {
+                            return false;
+                        }
 
-                @Override
-                public void ended(long now, SimCache.End end) {
-                    waited[0] += now - arrival - work;
-                }
+                        @Override
+                        public void ended(long now, SimCache.End end) {
+                            waited[0] += now - arrival - work;
+                        }
 
-                @Override
-                public void ran(long now) {
-                    throw new AssertionError("a read has no effect");
-                }
-            });
+                        @Override
+                        public void ran(long now) {
+                            throw new AssertionError("a read has no effect");
+                        }
+                    });
         }
         timeline.run(Long.MAX_VALUE / 2);
-        return new Made(waited[0] / jobs / WORK, cache.hits() / (double) (cache.hits() + cache.misses()));
+        return new Made(
+                waited[0] / jobs / WORK, cache.hits() / (double) (cache.hits() + cache.misses()));
     }
 
     /** Erlang's C: the chance to wait in M/M/c. */
@@ -117,7 +138,10 @@
         assertEquals(1, wait / theory, 0.04, "wait " + wait + ", theory " + theory);
     }
 
-    /** Che, Tung and Wang (2002): an LRU cache keeps what was asked for within one time that is the same for all keys. */
+    /**
+     * Che, Tung and Wang (2002): an LRU cache keeps what was asked for within one time that is the
+     * same for all keys.
+     */
     @Example
     void hitsAreThoseOfChesApproximation() {
         int keys = 5_000;
@@ -150,26 +174,38 @@
         }
     }
 
-    /** Whatever is added, and while time goes on, it happens in order, and what is equal in the order of adding. */
-    /** Within a slot of the wheel, over many, more than once round, and past it; moved on in steps that end anywhere. */
+    /**
+     * Whatever is added, and while time goes on, it happens in order, and what is equal in the
+     * order of adding.
+     */
+    /**
+     * Within a slot of the wheel, over many, more than once round, and past it; moved on in steps
+     * that end anywhere.
+     */
     @Property(tries = 300, seed = "20261201")
-    void thingsHappenInOrder(@ForAll @Size(max = 200) List<@LongRange(min = 0, max = 50) Long> times,
-                             @ForAll @LongRange(min = 0, max = 3) long scale, @ForAll @LongRange(min = 1, max = 60) long step) {
+    void thingsHappenInOrder(
+            @ForAll @Size(max = 200) List<@LongRange(min = 0, max = 50) Long> times,
+            @ForAll @LongRange(min = 0, max = 3) long scale,
+            @ForAll @LongRange(min = 1, max = 60) long step) {
         long unit = new long[] {1, 40_000, 300_000_000, 7_000_000_000L}[(int) scale];
         Timeline timeline = new Timeline();
         List<long[]> happened = new ArrayList<>();
         for (int i = 0; i < times.size(); i++) {
             int number = i;
-            timeline.at(times.get(i) * unit, now -> {
-                happened.add(new long[] {now, number});
-                if (number % 3 == 0) {
-                    timeline.at(now + 7 * unit, then -> happened.add(new long[] {then, 1_000 + number}));
-                }
-            });
+            timeline.at(
+                    times.get(i) * unit,
+                    now -> {
+                        happened.add(new long[] {now, number});
+                        if (number % 3 == 0) {
+                            timeline.at(
+                                    now + 7 * unit,
+                                    then -> happened.add(new long[] {then, 1_000 + number}));
+                        }
+                    });
         }
         // Some are taken back, twice, and their places used again: the others must not notice.
         for (int i = 0; i < times.size(); i++) {
-            long mark = timeline.at(times.get(i) * unit, now -> { });
+            long mark = timeline.at(times.get(i) * unit, now -> {});
             timeline.cancel(mark);
             timeline.cancel(mark);
         }
@@ -189,10 +225,15 @@
         }
     }
 
-    /** Against the library's map: who goes first is the same by use and by age, through writes and releases. */
+    /**
+     * Against the library's map: who goes first is the same by use and by age, through writes and
+     * releases.
+     */
     @Property(tries = 200, seed = "20261201")
-    void aCacheKeepsWhatALinkedMapWould(@ForAll @Size(max = 300) List<@LongRange(min = 0, max = 400) Long> steps,
-                                        @ForAll boolean byUse, @ForAll @LongRange(min = 1, max = 90) long most) {
+    void aCacheKeepsWhatALinkedMapWould(
+            @ForAll @Size(max = 300) List<@LongRange(min = 0, max = 400) Long> steps,
+            @ForAll boolean byUse,
+            @ForAll @LongRange(min = 1, max = 90) long most) {
         Memory memory = new Memory((int) most, byUse ? Plant.Eviction.LRU : Plant.Eviction.FIFO);
         Map<Integer, Integer> model = new LinkedHashMap<>(16, 0.75f, byUse);
         for (long step : steps) {
--- a/emulator/src/test/java/frostrelay/lab/LabTest.java
+++ b/emulator/src/test/java/frostrelay/lab/LabTest.java
@@ -8,6 +8,11 @@
 
 import frostrelay.config.BadConfigException;
 import frostrelay.emulator.Plant;
+
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,13 +21,14 @@
 import java.util.List;
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 
-/** Experiments from file to results: the same bytes however they were played, and nothing lost when they are cut off. */
+/**
+ * Experiments from file to results: the same bytes however they were played, and nothing lost when
+ * they are cut off.
+ */
 class LabTest {
-    private static final String SMALL = """
+    private static final String SMALL =
+            """
             length = "12s"
             [plant]
             caches = 4
@@ -32,14 +38,17 @@
             share = 1.0
             """;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private Experiment experiment;
 
     @BeforeEach
     void write() throws IOException {
         Files.writeString(folder.resolve("small.toml"), SMALL);
-        experiment = ExperimentFile.read(Files.writeString(folder.resolve("sweep.toml"), """
+        experiment =
+                ExperimentFile.read(
+                        Files.writeString(
+                                folder.resolve("sweep.toml"),
+                                """
                 [experiment]
                 plant = "small.toml"
                 seeds = 3
@@ -68,18 +77,27 @@
         assertEquals(18, held.days().size());
         assertEquals(List.of("50/s", "15ms"), List.copyOf(held.settings().get(1).values()));
         // Twice the work at eight times the load is felt: the sweep reached the plant.
-        assertTrue(held.of(5).get(0).metrics().get("p99Ms") > 2 * held.of(0).get(0).metrics().get("p99Ms"));
+        assertTrue(
+                held.of(5).get(0).metrics().get("p99Ms")
+                        > 2 * held.of(0).get(0).metrics().get("p99Ms"));
         assertTrue(held.of(5).get(0).asked() > 6 * held.of(0).get(0).asked());
     }
 
-    /** Cut at any byte, the file is taken up again with every whole day in it, and ends as if nothing had been. */
+    /**
+     * Cut at any byte, the file is taken up again with every whole day in it, and ends as if
+     * nothing had been.
+     */
     @Test
     void aTornFileIsTakenUp() throws Exception {
         byte[] whole = play("whole.jsonl", 8);
         for (int cut : new int[] {0, 1, whole.length / 3, whole.length / 2, whole.length - 1}) {
             Path torn = folder.resolve("torn.jsonl");
             Files.write(torn, java.util.Arrays.copyOf(whole, cut));
-            long lines = new String(whole, 0, cut, java.nio.charset.StandardCharsets.UTF_8).chars().filter(c -> c == '\n').count();
+            long lines =
+                    new String(whole, 0, cut, java.nio.charset.StandardCharsets.UTF_8)
+                            .chars()
+                            .filter(c -> c == '\n')
+                            .count();
             try (ResultsFile file = ResultsFile.open(torn, experiment)) {
                 assertEquals(Math.max(0, lines - 1), file.size(), "cut at " + cut);
             }
@@ -91,11 +109,18 @@
     void anInterruptKeepsWhatWasPlayed() throws Exception {
         Path path = folder.resolve("cut.jsonl");
         try (ResultsFile file = ResultsFile.open(path, experiment)) {
-            assertThrows(InterruptedException.class, () -> Lab.play(experiment, file, 2, (done, most) -> {
-                if (done == 5) {
-                    Thread.currentThread().interrupt();
-                }
-            }));
+            assertThrows(
+                    InterruptedException.class,
+                    () ->
+                            Lab.play(
+                                    experiment,
+                                    file,
+                                    2,
+                                    (done, most) -> {
+                                        if (done == 5) {
+                                            Thread.currentThread().interrupt();
+                                        }
+                                    }));
             assertTrue(file.size() >= 5);
         }
         assertTrue(ResultsFile.read(path).days().size() >= 5);
@@ -108,10 +133,15 @@
         Experiment other = ExperimentFile.ofPlants(List.of(folder.resolve("small.toml")), 2);
         Path path = folder.resolve("kept.jsonl");
         byte[] before = Files.readAllBytes(path);
-        assertTrue(assertThrows(IOException.class, () -> ResultsFile.open(path, other)).getMessage()
-                .contains("another experiment"));
+        assertTrue(
+                assertThrows(IOException.class, () -> ResultsFile.open(path, other))
+                        .getMessage()
+                        .contains("another experiment"));
         Path noise = Files.writeString(folder.resolve("noise.jsonl"), "hello\n");
-        assertTrue(assertThrows(IOException.class, () -> ResultsFile.open(noise, other)).getMessage().contains(":1:"));
+        assertTrue(
+                assertThrows(IOException.class, () -> ResultsFile.open(noise, other))
+                        .getMessage()
+                        .contains(":1:"));
         try (ResultsFile first = ResultsFile.open(path, experiment)) {
             assertEquals(18, first.size());
             assertThrows(IOException.class, () -> ResultsFile.open(path, experiment));
@@ -123,27 +153,45 @@
 
     @Test
     void sweepsThatCannotBeMeantAreRefused() throws IOException {
-        for (String sweep : List.of("key = \"clients.rote\"\nvalues = \"1/s\"", "key = \"clients.rate\"\nvalues = \"fast\"",
-                "key = \"fault[0].at\"\nvalues = \"1s\"", "key = \"clients.rate\"\nvalues = \", ,\"",
-                "key = \"class[0].aim\"\nvalues = \"3s\"", "key = \"clients\"\nvalues = \"1\"",
-                "key = \"clients.rate\"\nvalues = \"-1/s\"")) {
-            Path file = Files.writeString(folder.resolve("bad.toml"),
-                    "[experiment]\nplant = \"small.toml\"\n[[sweep]]\n" + sweep + "\n");
+        for (String sweep :
+                List.of(
+                        "key = \"clients.rote\"\nvalues = \"1/s\"",
+                        "key = \"clients.rate\"\nvalues = \"fast\"",
+                        "key = \"fault[0].at\"\nvalues = \"1s\"",
+                        "key = \"clients.rate\"\nvalues = \", ,\"",
+                        "key = \"class[0].aim\"\nvalues = \"3s\"",
+                        "key = \"clients\"\nvalues = \"1\"",
+                        "key = \"clients.rate\"\nvalues = \"-1/s\"")) {
+            Path file =
+                    Files.writeString(
+                            folder.resolve("bad.toml"),
+                            "[experiment]\nplant = \"small.toml\"\n[[sweep]]\n" + sweep + "\n");
             assertThrows(BadConfigException.class, () -> ExperimentFile.read(file), sweep);
         }
     }
 
-    /** A stop rule that is met at once plays no more than its least; one that cannot be met plays all. */
-    /** Values lie within their range, differ from seed to seed and not for one seed; what has two units is refused. */
+    /**
+     * A stop rule that is met at once plays no more than its least; one that cannot be met plays
+     * all.
+     */
+    /**
+     * Values lie within their range, differ from seed to seed and not for one seed; what has two
+     * units is refused.
+     */
     @Test
     void whatIsDrawnIsDrawnForEachSeed() throws IOException {
         String draw = "[[draw]]\nkey = \"clients.rate\"\nleast = \"100/s\"\nmost = \"%s\"\n";
         Path path = folder.resolve("drawn.toml");
         Files.writeString(path, SMALL + String.format(draw, "200/s"));
         Experiment.Point point = ExperimentFile.ofPlants(List.of(path), 2).points().get(0);
-        double[] rates = LongStream.range(1, 50).mapToDouble(seed -> point.draws().apply(seed).clients().rate()).toArray();
-        assertTrue(Arrays.stream(rates).allMatch(rate -> rate >= 100 && rate <= 200)
-                && Arrays.stream(rates).distinct().count() > 25, Arrays.toString(rates));
+        double[] rates =
+                LongStream.range(1, 50)
+                        .mapToDouble(seed -> point.draws().apply(seed).clients().rate())
+                        .toArray();
+        assertTrue(
+                Arrays.stream(rates).allMatch(rate -> rate >= 100 && rate <= 200)
+                        && Arrays.stream(rates).distinct().count() > 25,
+                Arrays.toString(rates));
         assertEquals(point.draws().apply(9), point.draws().apply(9));
         Files.writeString(path, SMALL + String.format(draw, "2000ms"));
         assertThrows(BadConfigException.class, () -> ExperimentFile.ofPlants(List.of(path), 2));
@@ -152,11 +200,16 @@
     @Test
     void aStopRuleEndsAPoint() throws Exception {
         for (double half : new double[] {1, 1e-9}) {
-            Experiment stopped = new Experiment("stop", "stop" + half, experiment.points(), 5,
-                    new Experiment.Stop("service", half, 2));
+            Experiment stopped =
+                    new Experiment(
+                            "stop",
+                            "stop" + half,
+                            experiment.points(),
+                            5,
+                            new Experiment.Stop("service", half, 2));
             Path path = folder.resolve("stop" + half + ".jsonl");
             try (ResultsFile file = ResultsFile.open(path, stopped)) {
-                Lab.play(stopped, file, 8, (done, most) -> { });
+                Lab.play(stopped, file, 8, (done, most) -> {});
                 int most = ResultsFile.read(path).of(5).size();
                 assertEquals(half == 1 ? 2 : 5, most);
             }
@@ -167,19 +220,28 @@
     void whatDiffersIsToldAndWhatDoesNotIsNot() throws Exception {
         play("a.jsonl", 8);
         ResultsFile.Held held = ResultsFile.read(folder.resolve("a.jsonl"));
-        assertTrue(Comparison.of(held, held).stream().noneMatch(Comparison.Difference::beyondChance));
+        assertTrue(
+                Comparison.of(held, held).stream().noneMatch(Comparison.Difference::beyondChance));
         List<Comparison.Difference> apart = Comparison.of(held, 0, 5);
-        assertTrue(apart.stream().anyMatch(one -> one.metric().equals("p50Ms") && one.beyondChance()), apart.toString());
+        assertTrue(
+                apart.stream().anyMatch(one -> one.metric().equals("p50Ms") && one.beyondChance()),
+                apart.toString());
     }
 
-    /** A plant that lives by its origin: the hunt finds that an outage hurts, and makes it no larger than needed. */
+    /**
+     * A plant that lives by its origin: the hunt finds that an outage hurts, and makes it no larger
+     * than needed.
+     */
     @Test
     void aHuntFindsAndShrinks() throws Exception {
         Plant plant = PlantFile.parse("hunted", SMALL);
         Goal goal = Goal.parse("service >= 0.97");
-        List<Hunt.Found> found = Hunt.run(plant, goal, 24, 2, 1, 3, 8, line -> { });
+        List<Hunt.Found> found = Hunt.run(plant, goal, 24, 2, 1, 3, 8, line -> {});
         assertFalse(found.isEmpty());
-        assertEquals(found, Hunt.run(plant, goal, 24, 2, 1, 3, 2, line -> { }), "the same on two threads");
+        assertEquals(
+                found,
+                Hunt.run(plant, goal, 24, 2, 1, 3, 2, line -> {}),
+                "the same on two threads");
         for (Hunt.Found one : found) {
             assertTrue(one.missedBy() > 0 && one.faults().size() <= 3 && !one.faults().isEmpty());
             Path kept = folder.resolve("kept.toml");
@@ -188,20 +250,24 @@
             assertEquals(one.value(), again.value(), 1e-9, "what was kept is what was found");
             assertFalse(again.good());
         }
-        assertThrows(IllegalArgumentException.class, () -> Hunt.run(plant, Goal.parse("service >= 1.5"), 8, 1, 1, 1, 2,
-                line -> { }));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> Hunt.run(plant, Goal.parse("service >= 1.5"), 8, 1, 1, 1, 2, line -> {}));
     }
 
     /** Days found by hunts hold what must hold of them since. */
     @Test
     void keptDaysHold() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("../deploy/lab/kept"))) {
-            List<Path> all = files.filter(file -> file.toString().endsWith(".toml")).sorted().toList();
+            List<Path> all =
+                    files.filter(file -> file.toString().endsWith(".toml")).sorted().toList();
             assertTrue(all.size() >= 5);
-            all.parallelStream().forEach(file -> {
-                Kept.Replayed day = Kept.replay(file);
-                assertTrue(day.good(), file + ": " + day);
-            });
+            all.parallelStream()
+                    .forEach(
+                            file -> {
+                                Kept.Replayed day = Kept.replay(file);
+                                assertTrue(day.good(), file + ": " + day);
+                            });
         }
     }
 }
--- a/judgements/src/main/java/frostrelay/judgements/Judgements.java
+++ b/judgements/src/main/java/frostrelay/judgements/Judgements.java
@@ -2,6 +2,7 @@
 
 import frostrelay.peers.Cargo;
 import frostrelay.peers.Hold;
+
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,9 +14,10 @@
 import java.util.TreeSet;
 
 /**
- * What this balancer makes of its caches, by its own attempts and by what others say that they saw. Others' word is advice: it lowers
- * a cache, never ends its traffic, and own fresh answers outweigh it. Decides by events alone; for one thread; moments are
- * nanoseconds of one clock that never falls. {@code docs/design/shared-state.md} has the ways weighed.
+ * What this balancer makes of its caches, by its own attempts and by what others say that they saw.
+ * Others' word is advice: it lowers a cache, never ends its traffic, and own fresh answers outweigh
+ * it. Decides by events alone; for one thread; moments are nanoseconds of one clock that never
+ * falls. {@code docs/design/shared-state.md} has the ways weighed.
  */
 public final class Judgements implements Cargo {
     /** What comes of it. */
@@ -26,28 +28,42 @@
         /** Something is to be told soon, to whomever. */
         void changed();
 
-        /** Sends one section to one balancer now; false where the bounds on talk do not let it through. */
+        /**
+         * Sends one section to one balancer now; false where the bounds on talk do not let it
+         * through.
+         */
         boolean post(int to, int type, ByteBuffer section);
 
         /** By its own attempts this balancer finds a cache bad, and did not before. */
         void findsBad(long cache);
     }
 
-    /** Whether another's word counts at a moment: it is heard, and acts on a list that is not old. */
+    /**
+     * Whether another's word counts at a moment: it is heard, and acts on a list that is not old.
+     */
     public interface Trust {
         boolean counts(long now, int rank);
     }
 
     /** What its writer says itself, and what another brings of it. */
     private static final int SECTION = 32;
+
     private static final int BROUGHT = 33;
+
     /** So much of a datagram is filled with one section. */
     private static final int MOST_SECTION = 180;
+
     private static final int MOST_CACHES = 4_096;
+
     /** Fewer others than this: all but one of them are the witnesses that it takes. */
     private static final int FEW = 4;
-    /** Contradicted by the others about so large a part of the caches that both know, one's word counts for nothing. */
+
+    /**
+     * Contradicted by the others about so large a part of the caches that both know, one's word
+     * counts for nothing.
+     */
     private static final double CONTRADICTED = 0.5;
+
     private static final long NEVER = Long.MAX_VALUE;
 
     private final JudgementSettings settings;
@@ -57,21 +73,31 @@
     private final Trust trust;
     private final Actions actions;
     private long life;
+
     /** The caches that the own list names as ready, and their starts. */
     private Map<Long, Integer> listed = Map.of();
+
     private final Map<Long, Own> own = new HashMap<>();
     private final Map<Long, Said> others = new HashMap<>();
     private Set<Long> lowered = Set.of();
     private boolean deaf;
     private long lookAt;
+
     /** When all others are told straight, in a small tier. */
     private long tellAt = NEVER;
+
     private long written;
     private long merged;
     private long refused;
 
     /** {@code me}: this balancer's number among {@code count}; {@code life}: its incarnation. */
-    public Judgements(JudgementSettings settings, int me, int count, long life, Trust trust, Actions actions) {
+    public Judgements(
+            JudgementSettings settings,
+            int me,
+            int count,
+            long life,
+            Trust trust,
+            Actions actions) {
         this.settings = settings;
         this.me = me;
         this.count = count;
@@ -84,12 +110,19 @@
 
     // What comes in.
 
-    /** The caches that the own list names as ready, with their own starts in milliseconds. What is known of another start is over. */
+    /**
+     * The caches that the own list names as ready, with their own starts in milliseconds. What is
+     * known of another start is over.
+     */
     public void onList(long now, Map<Long, Long> caches) {
         Map<Long, Integer> fresh = new HashMap<>();
         caches.forEach((cache, boot) -> fresh.put(cache, (int) (long) boot));
-        own.keySet().removeIf(cache -> !fresh.containsKey(cache)
-                || listed.containsKey(cache) && !listed.get(cache).equals(fresh.get(cache)));
+        own.keySet()
+                .removeIf(
+                        cache ->
+                                !fresh.containsKey(cache)
+                                        || listed.containsKey(cache)
+                                                && !listed.get(cache).equals(fresh.get(cache)));
         listed = fresh;
         judge(now);
     }
@@ -149,8 +182,8 @@
     }
 
     /**
-     * A section came from a peer in that life of it, held up for so long on its way; one of another module is passed over. What it brings of others is kept apart from
-     * what it says itself.
+     * A section came from a peer in that life of it, held up for so long on its way; one of another
+     * module is passed over. What it brings of others is kept apart from what it says itself.
      */
     public void onCargo(long now, long held, int from, long incarnation, int type, ByteBuffer in) {
         boolean brought = type == BROUGHT;
@@ -161,8 +194,13 @@
         while (in.remaining() >= bytes) {
             Evidence.Read read = Evidence.read(in, from, incarnation, brought);
             Evidence one = read.evidence();
-            boolean own = one.rank() == me || brought && (one.rank() == from || one.rank() >= count || !one.isBad());
-            if (own || read.age() + held >= settings.forget() || others.size() >= MOST_CACHES && !others.containsKey(read.cache())) {
+            boolean own =
+                    one.rank() == me
+                            || brought
+                                    && (one.rank() == from || one.rank() >= count || !one.isBad());
+            if (own
+                    || read.age() + held >= settings.forget()
+                    || others.size() >= MOST_CACHES && !others.containsKey(read.cache())) {
                 refused++;
                 continue;
             }
@@ -170,14 +208,20 @@
             long at = now - held - read.age();
             boolean taken = brought ? said.bring(from, one, at) : said.hear(one, at);
             merged += taken ? 1 : 0;
-            if (taken && !brought && one.isBad() && Integer.valueOf(one.boot()).equals(listed.get(read.cache()))) {
+            if (taken
+                    && !brought
+                    && one.isBad()
+                    && Integer.valueOf(one.boot()).equals(listed.get(read.cache()))) {
                 pass(now, read.cache(), one, at);
             }
         }
         judge(now);
     }
 
-    /** What one has said itself is told on once, as its word, in tiers too large for it to tell everybody. */
+    /**
+     * What one has said itself is told on once, as its word, in tiers too large for it to tell
+     * everybody.
+     */
     private void pass(long now, long cache, Evidence one, long at) {
         if (news.isFew()) {
             return;
@@ -202,7 +246,10 @@
         }
     }
 
-    /** In a small tier all are told straight; what got lost comes with the second copy, or with a probe. */
+    /**
+     * In a small tier all are told straight; what got lost comes with the second copy, or with a
+     * probe.
+     */
     private void tellAll(long now) {
         tellAt = NEVER;
         for (int to = 0; to < count; to++) {
@@ -239,36 +286,46 @@
         return count - 1 >= FEW ? settings.witnesses() : Math.max(1, count - 2);
     }
 
-    /** Others that say themselves that a cache is bad, whoever they are: enough of them need not be told of more. */
+    /**
+     * Others that say themselves that a cache is bad, whoever they are: enough of them need not be
+     * told of more.
+     */
     private int speakers(long now, long cache, int boot) {
         Said said = others.get(cache);
         return said == null ? 0 : said.speakers(now, settings.forget(), boot, true).size();
     }
 
-    /** Those whose word on most of the caches of which they speak, two at least, is contradicted by others and shared by none. */
+    /**
+     * Those whose word on most of the caches of which they speak, two at least, is contradicted by
+     * others and shared by none.
+     */
     private Set<Integer> contradicted(long now) {
         Map<Integer, int[]> counts = new HashMap<>();
-        others.forEach((cache, said) -> {
-            Integer boot = listed.get(cache);
-            if (boot == null) {
-                return;
-            }
-            Own mine = own.get(cache);
-            List<Integer> bad = said.speakers(now, settings.forget(), boot, true);
-            boolean well = mine != null && mine.freshGood(now, settings.fresh())
-                    || !said.speakers(now, settings.forget(), boot, false).isEmpty();
-            for (int rank : bad) {
-                int[] of = counts.computeIfAbsent(rank, one -> new int[2]);
-                of[0]++;
-                of[1] += well && bad.size() <= 1 ? 1 : 0;
-            }
-        });
+        others.forEach(
+                (cache, said) -> {
+                    Integer boot = listed.get(cache);
+                    if (boot == null) {
+                        return;
+                    }
+                    Own mine = own.get(cache);
+                    List<Integer> bad = said.speakers(now, settings.forget(), boot, true);
+                    boolean well =
+                            mine != null && mine.freshGood(now, settings.fresh())
+                                    || !said.speakers(now, settings.forget(), boot, false)
+                                            .isEmpty();
+                    for (int rank : bad) {
+                        int[] of = counts.computeIfAbsent(rank, one -> new int[2]);
+                        of[0]++;
+                        of[1] += well && bad.size() <= 1 ? 1 : 0;
+                    }
+                });
         Set<Integer> out = new HashSet<>();
-        counts.forEach((rank, of) -> {
-            if (of[1] >= 2 && of[1] > CONTRADICTED * of[0]) {
-                out.add(rank);
-            }
-        });
+        counts.forEach(
+                (rank, of) -> {
+                    if (of[1] >= 2 && of[1] > CONTRADICTED * of[0]) {
+                        out.add(rank);
+                    }
+                });
         return out;
     }
 
@@ -284,30 +341,52 @@
         List<Doubt> doubts = new ArrayList<>();
         if (!deaf) {
             Set<Integer> passed = others.isEmpty() ? Set.of() : contradicted(now);
-            others.forEach((cache, said) -> {
-                Integer boot = listed.get(cache);
-                Own mine = own.get(cache);
-                if (boot == null || mine != null && mine.freshGood(now, settings.fresh())) {
-                    return;
-                }
-                Said.Sum sum = said.sum(now, settings.forget(), boot, mine == null ? Long.MIN_VALUE : mine.answeredAt(),
-                        rank -> !passed.contains(rank) && trust.counts(now, rank));
-                if (sum.kinds() == Seen.SILENT.bit() && mine != null && mine.freshGood(now, settings.half())) {
-                    // It is slow for some keys, and for what waits behind them on one connection.
-                    return;
-                }
-                // Its own attempts are one more witness, who needs nobody's trust, but for one whose last attempt was answered.
-                int bad = sum.bad() + (mine != null && mine.failed() && mine.isBad(now, settings) ? 1 : 0);
-                if (bad > 2 * sum.good()) {
-                    doubts.add(new Doubt(cache, bad, sum.kinds()));
-                }
-            });
+            others.forEach(
+                    (cache, said) -> {
+                        Integer boot = listed.get(cache);
+                        Own mine = own.get(cache);
+                        if (boot == null || mine != null && mine.freshGood(now, settings.fresh())) {
+                            return;
+                        }
+                        Said.Sum sum =
+                                said.sum(
+                                        now,
+                                        settings.forget(),
+                                        boot,
+                                        mine == null ? Long.MIN_VALUE : mine.answeredAt(),
+                                        rank -> !passed.contains(rank) && trust.counts(now, rank));
+                        if (sum.kinds() == Seen.SILENT.bit()
+                                && mine != null
+                                && mine.freshGood(now, settings.half())) {
+                            // It is slow for some keys, and for what waits behind them on one
+                            // connection.
+                            return;
+                        }
+                        // Its own attempts are one more witness, who needs nobody's trust, but for
+                        // one whose last attempt was answered.
+                        int bad =
+                                sum.bad()
+                                        + (mine != null
+                                                        && mine.failed()
+                                                        && mine.isBad(now, settings)
+                                                ? 1
+                                                : 0);
+                        if (bad > 2 * sum.good()) {
+                            doubts.add(new Doubt(cache, bad, sum.kinds()));
+                        }
+                    });
         }
-        // Where so many fail, or leave some unanswered, the cause is behind them all: no cache is worse than another.
+        // Where so many fail, or leave some unanswered, the cause is behind them all: no cache is
+        // worse than another.
         int some = Math.max(1, news.isFew() ? needed() - 1 : needed());
         long common = doubts.stream().filter(one -> one.bad >= some && one.answersOthers()).count();
-        doubts.removeIf(one -> one.bad < needed() || common > settings.common() * listed.size() && one.answersOthers());
-        doubts.sort(Comparator.comparingInt((Doubt one) -> -one.bad).thenComparingLong(Doubt::cache));
+        doubts.removeIf(
+                one ->
+                        one.bad < needed()
+                                || common > settings.common() * listed.size()
+                                        && one.answersOthers());
+        doubts.sort(
+                Comparator.comparingInt((Doubt one) -> -one.bad).thenComparingLong(Doubt::cache));
         int most = listed.size() < 2 ? 0 : (int) Math.ceil(listed.size() * settings.lowered());
         Set<Long> fresh = new TreeSet<>();
         doubts.stream().limit(most).forEach(one -> fresh.add(one.cache));
@@ -324,7 +403,10 @@
         return lowered;
     }
 
-    /** What others say of a cache, or are said to say, with the age of each in nanoseconds, by their numbers. */
+    /**
+     * What others say of a cache, or are said to say, with the age of each in nanoseconds, by their
+     * numbers.
+     */
     public Map<Evidence, Long> said(long now, long cache) {
         Said said = others.get(cache);
         return said == null ? Map.of() : said.told(now);
@@ -335,7 +417,10 @@
         return new TreeSet<>(others.keySet());
     }
 
-    /** Evidence that was written here, that was taken from others, and that was passed over as old or impossible. */
+    /**
+     * Evidence that was written here, that was taken from others, and that was passed over as old
+     * or impossible.
+     */
     public long[] counts() {
         return new long[] {written, merged, refused};
     }
--- a/judgements/src/main/java/frostrelay/judgements/News.java
+++ b/judgements/src/main/java/frostrelay/judgements/News.java
@@ -8,18 +8,22 @@
 import java.util.Map;
 
 /**
- * Evidence that others are to hear, and whom it was told: each one once in large tiers, so that none is wasted on who knows it,
- * and twice in small ones. The newest goes first; what is too old goes nowhere. For one thread.
+ * Evidence that others are to hear, and whom it was told: each one once in large tiers, so that
+ * none is wasted on who knows it, and twice in small ones. The newest goes first; what is too old
+ * goes nowhere. For one thread.
  */
 final class News {
-    /** In tiers of so few others everybody is told straight, twice: at 30% loss nine of a hundred miss both, and probes follow. */
+    /**
+     * In tiers of so few others everybody is told straight, twice: at 30% loss nine of a hundred
+     * miss both, and probes follow.
+     */
     static final int FEW = 16;
+
     private static final int COPIES = 2;
     private static final int MOST = 256;
 
     /** What is told: evidence of a writer on a cache. */
-    private record Key(long cache, int writer) {
-    }
+    private record Key(long cache, int writer) {}
 
     private static final class Item {
         Evidence evidence;
@@ -35,10 +39,14 @@
     private final int passes;
     private final long forget;
     private final Map<Key, Item> items = new LinkedHashMap<>();
+
     /** What was handed out last. */
     private final Map<Key, Item> batch = new LinkedHashMap<>();
 
-    /** {@code sends}: of own evidence; {@code passes}: of what another said, in tiers that are not small. */
+    /**
+     * {@code sends}: of own evidence; {@code passes}: of what another said, in tiers that are not
+     * small.
+     */
     News(int me, int count, int sends, int passes, long forget) {
         this.me = me;
         others = count - 1;
@@ -85,16 +93,19 @@
     }
 
     private boolean due(Item item, int to) {
-        return item.evidence.rank() != to && item.left > 0 && item.told.getOrDefault(to, 0) < (few ? COPIES : 1);
+        return item.evidence.rank() != to
+                && item.left > 0
+                && item.told.getOrDefault(to, 0) < (few ? COPIES : 1);
     }
 
     /** What was handed out last for that one did not go out: it is to be told yet. */
     void missed(int to) {
-        batch.forEach((key, item) -> {
-            item.told.merge(to, -1, Integer::sum);
-            item.left++;
-            items.putIfAbsent(key, item);
-        });
+        batch.forEach(
+                (key, item) -> {
+                    item.told.merge(to, -1, Integer::sum);
+                    item.left++;
+                    items.putIfAbsent(key, item);
+                });
         batch.clear();
     }
 
--- a/judgements/src/main/java/frostrelay/judgements/Own.java
+++ b/judgements/src/main/java/frostrelay/judgements/Own.java
@@ -4,20 +4,28 @@
 final class Own {
     /** Less than a third of one attempt is gone. */
     private static final double LEAST = 0.3;
+
     private static final double LN2 = Math.log(2);
     private double good;
     private double bad;
+
     /** Attempts in a row that were none. */
     private int row;
+
     private int kinds;
     private long at;
     private long goodAt = Long.MIN_VALUE / 2;
+
     /** What was last written of it, and when; null for nothing. */
     Evidence written;
+
     long writtenAt = Long.MIN_VALUE / 2;
     int seq;
 
-    /** {@code sentAt}: of the attempt. One unanswered while its cache answered others tells of its key, not of the cache. */
+    /**
+     * {@code sentAt}: of the attempt. One unanswered while its cache answered others tells of its
+     * key, not of the cache.
+     */
     void see(long now, Seen seen, long sentAt, long half) {
         if (seen == Seen.SILENT && goodAt >= sentAt) {
             return;
@@ -62,8 +70,8 @@
     }
 
     /**
-     * Two in a row, one behind a long while without an answer, or most of what was seen lately; silence alone not where it
-     * answered others lately, as it is slow for some keys then.
+     * Two in a row, one behind a long while without an answer, or most of what was seen lately;
+     * silence alone not where it answered others lately, as it is slow for some keys then.
      */
     boolean isBad(long now, JudgementSettings settings) {
         fade(now, settings.half());
@@ -75,8 +83,15 @@
 
     Evidence write(long now, int rank, long life, int boot, boolean found, long half) {
         fade(now, half);
-        written = new Evidence(rank, life, ++seq & 0xffff, boot, found ? 0 : (int) Math.min(255, Math.ceil(good)),
-                found ? (int) Math.min(255, Math.ceil(Math.max(1, bad))) : 0, found ? kinds : 0);
+        written =
+                new Evidence(
+                        rank,
+                        life,
+                        ++seq & 0xffff,
+                        boot,
+                        found ? 0 : (int) Math.min(255, Math.ceil(good)),
+                        found ? (int) Math.min(255, Math.ceil(Math.max(1, bad))) : 0,
+                        found ? kinds : 0);
         writtenAt = now;
         return written;
     }
--- a/judgements/src/main/java/frostrelay/judgements/Said.java
+++ b/judgements/src/main/java/frostrelay/judgements/Said.java
@@ -11,12 +11,17 @@
 import java.util.function.IntPredicate;
 
 /**
- * What others say of one cache. Each writer's own word is a register of its own; what a third brings of it stands beside it, by who
- * brought it, and is passed over where the writer itself has spoken since. For one thread.
+ * What others say of one cache. Each writer's own word is a register of its own; what a third
+ * brings of it stands beside it, by who brought it, and is passed over where the writer itself has
+ * spoken since. For one thread.
  */
 final class Said {
-    /** So many writers that only others bring are kept, and so many who bring each: more voices than anybody needs. */
+    /**
+     * So many writers that only others bring are kept, and so many who bring each: more voices than
+     * anybody needs.
+     */
     private static final int MOST_BROUGHT = 24;
+
     private static final int MOST_BRINGERS = 3;
 
     /** Evidence, and when its writer wrote it, on this balancer's clock. */
@@ -41,6 +46,7 @@
     }
 
     private final Map<Integer, Known> own = new HashMap<>();
+
     /** By writer and by who brought it. */
     private final Map<Integer, Map<Integer, Known>> brought = new TreeMap<>();
 
@@ -75,14 +81,17 @@
         return own.isEmpty() && brought.isEmpty();
     }
 
-    /** What all of it comes to: voices that find the cache bad, those that find it well, and of what kind. */
-    record Sum(int bad, int good, int kinds) {
-    }
+    /**
+     * What all of it comes to: voices that find the cache bad, those that find it well, and of what
+     * kind.
+     */
+    record Sum(int bad, int good, int kinds) {}
 
     /**
-     * A voice is a writer that spoke itself, or one with somebody who brings it; nobody takes part in two voices, as writer or as
-     * bringer, so that one liar is one voice whatever it writes in whose name. Word that is older than {@code overtaken} does not
-     * count, nor does that of those who do not {@code count}.
+     * A voice is a writer that spoke itself, or one with somebody who brings it; nobody takes part
+     * in two voices, as writer or as bringer, so that one liar is one voice whatever it writes in
+     * whose name. Word that is older than {@code overtaken} does not count, nor does that of those
+     * who do not {@code count}.
      */
     Sum sum(long now, long forget, int boot, long overtaken, IntPredicate count) {
         int bad = 0;
@@ -110,9 +119,13 @@
             }
             for (Map.Entry<Integer, Known> by : one.getValue().entrySet()) {
                 Known known = by.getValue();
-                boolean counts = known.fits(now, forget, boot) && known.at > overtaken && known.evidence.isBad()
-                        && (itself == null || !itself.evidence.later(known.evidence)) && !used.contains(by.getKey())
-                        && count.test(by.getKey());
+                boolean counts =
+                        known.fits(now, forget, boot)
+                                && known.at > overtaken
+                                && known.evidence.isBad()
+                                && (itself == null || !itself.evidence.later(known.evidence))
+                                && !used.contains(by.getKey())
+                                && count.test(by.getKey());
                 if (counts) {
                     used.add(writer);
                     used.add(by.getKey());
@@ -128,19 +141,35 @@
     /** Those that themselves say that it is bad, or that it is well. */
     List<Integer> speakers(long now, long forget, int boot, boolean bad) {
         List<Integer> found = new ArrayList<>();
-        own.forEach((rank, known) -> {
-            if (known.fits(now, forget, boot) && known.evidence.isBad() == bad) {
-                found.add(rank);
-            }
-        });
+        own.forEach(
+                (rank, known) -> {
+                    if (known.fits(now, forget, boot) && known.evidence.isBad() == bad) {
+                        found.add(rank);
+                    }
+                });
         return found;
     }
 
-    /** Each one's latest word, first-hand or brought, with its age in nanoseconds, by their numbers. */
+    /**
+     * Each one's latest word, first-hand or brought, with its age in nanoseconds, by their numbers.
+     */
     Map<Evidence, Long> told(long now) {
         Map<Integer, Known> latest = new TreeMap<>(own);
-        brought.forEach((writer, by) -> by.values().forEach(known -> latest.merge(writer, known,
-                (a, b) -> a.evidence.later(b.evidence) || a.evidence.equals(b.evidence) ? a : b)));
+        brought.forEach(
+                (writer, by) ->
+                        by.values()
+                                .forEach(
+                                        known ->
+                                                latest.merge(
+                                                        writer,
+                                                        known,
+                                                        (a, b) ->
+                                                                a.evidence.later(b.evidence)
+                                                                                || a.evidence
+                                                                                        .equals(
+                                                                                                b.evidence)
+                                                                        ? a
+                                                                        : b)));
         Map<Evidence, Long> all = new LinkedHashMap<>();
         latest.values().forEach(known -> all.put(known.evidence, now - known.at));
         return all;
--- a/judgements/src/main/java/frostrelay/judgements/counts/Count.java
+++ b/judgements/src/main/java/frostrelay/judgements/counts/Count.java
@@ -2,7 +2,9 @@
 
 import java.util.Locale;
 
-/** What each balancer counts since its life began; on the wire in this order, later ones at the end. */
+/**
+ * What each balancer counts since its life began; on the wire in this order, later ones at the end.
+ */
 public enum Count {
     /** Requests of clients, but for their retries. */
     FIRST_TRIES,
--- a/judgements/src/main/java/frostrelay/judgements/counts/Counts.java
+++ b/judgements/src/main/java/frostrelay/judgements/counts/Counts.java
@@ -3,6 +3,7 @@
 import frostrelay.peers.Cargo;
 import frostrelay.peers.Hold;
 import frostrelay.peers.Incarnation;
+
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -11,12 +12,14 @@
 import java.util.function.IntPredicate;
 
 /**
- * Counts over the fleet: what this balancer did, and what each other said that it had done, first-hand. They ride on datagrams that go out
- * anyway. What was not heard is not taken as nothing: each sum says how many it covers, how old it is, and what it can be at most.
+ * Counts over the fleet: what this balancer did, and what each other said that it had done,
+ * first-hand. They ride on datagrams that go out anyway. What was not heard is not taken as
+ * nothing: each sum says how many it covers, how old it is, and what it can be at most.
  *
- * <p>Under silence a sum slides to this balancer's own count times the balancers that are there, which is what a balancer alone
- * goes by; it comes back as the others are heard, one by one. Decides nothing; for one thread; moments are nanoseconds of one clock that
- * never falls. {@code docs/design/shared-state.md} has the ways weighed.
+ * <p>Under silence a sum slides to this balancer's own count times the balancers that are there,
+ * which is what a balancer alone goes by; it comes back as the others are heard, one by one.
+ * Decides nothing; for one thread; moments are nanoseconds of one clock that never falls. {@code
+ * docs/design/shared-state.md} has the ways weighed.
  */
 public final class Counts implements Cargo {
     /** Where what others are to hear goes besides riding along. */
@@ -31,10 +34,13 @@
     /** One balancer's, as known here. */
     private static final class Heard {
         Vector vector;
+
         /** When its last word was written. */
         long at;
+
         /** Where its rates are taken from, and what they were. */
         long[] mark;
+
         long markAt;
         double[] rates = new double[Vector.KINDS];
         double[] fastest = new double[Vector.KINDS];
@@ -71,12 +77,24 @@
     private final Heard mine = new Heard();
     private final Map<Integer, Heard> others = new TreeMap<>();
     private final Map<Integer, Long> toldAt = new TreeMap<>();
+
     /** Whose turn it was last. */
     private int turn;
+
     private long refused;
 
-    /** {@code me}: this balancer's number among {@code count}; {@code there}: whether another is there as far as is known. */
-    public Counts(CountSettings settings, int me, int count, long now, long incarnation, IntPredicate there, Actions actions) {
+    /**
+     * {@code me}: this balancer's number among {@code count}; {@code there}: whether another is
+     * there as far as is known.
+     */
+    public Counts(
+            CountSettings settings,
+            int me,
+            int count,
+            long now,
+            long incarnation,
+            IntPredicate there,
+            Actions actions) {
         this.settings = settings;
         this.me = me;
         this.count = count;
@@ -95,8 +113,8 @@
     }
 
     /**
-     * A section came from a peer in that life of it, held up for so long on its way; one of another module is passed over, and so is
-     * what nobody can have done.
+     * A section came from a peer in that life of it, held up for so long on its way; one of another
+     * module is passed over, and so is what nobody can have done.
      */
     public void onCargo(long now, long held, int from, long incarnation, int type, ByteBuffer in) {
         if (type != SECTION || from == me || from >= count) {
@@ -112,7 +130,8 @@
         if (heard.vector == null || said.life() > heard.vector.life()) {
             heard.begin(said, at);
         } else if (said.life() == heard.vector.life()) {
-            // A second more than the time since: what was under way when it was last heard came late.
+            // A second more than the time since: what was under way when it was last heard came
+            // late.
             double most = settings.most() * ((now - heard.at) / SECOND + 1);
             for (Count one : Count.values()) {
                 if (said.of(one) - heard.vector.of(one) > most) {
@@ -149,7 +168,9 @@
         for (int i = 0; i < count && left > 0; i++) {
             turn = (turn + 1) % count;
             Long before = toldAt.get(turn);
-            if (turn != me && there.test(turn) && (before == null || now - before >= settings.silent())) {
+            if (turn != me
+                    && there.test(turn)
+                    && (before == null || now - before >= settings.silent())) {
                 actions.post(turn, SECTION, section());
                 toldAt.put(turn, now);
                 left--;
@@ -182,13 +203,19 @@
             all++;
             Heard heard = others.get(i);
             if (heard == null) {
-                // What one has done of which nothing was ever heard is not nothing: it is not known.
+                // What one has done of which nothing was ever heard is not nothing: it is not
+                // known.
                 most = Double.POSITIVE_INFINITY;
                 continue;
             }
             long age = now - heard.at;
             long value = heard.vector.values()[kind];
-            most += value + age / SECOND * settings.leap() * Math.max(settings.least(), heard.fastest[kind]);
+            most +=
+                    value
+                            + age
+                                    / SECOND
+                                    * settings.leap()
+                                    * Math.max(settings.least(), heard.fastest[kind]);
             if (age >= settings.forget()) {
                 continue;
             }
@@ -210,18 +237,31 @@
 
     /** Without a step: in full while it is fresh, then less with age. */
     private double weight(long age) {
-        return Math.max(0, Math.min(1, (double) (settings.forget() - age) / (settings.forget() - settings.fresh())));
+        return Math.max(
+                0,
+                Math.min(
+                        1,
+                        (double) (settings.forget() - age)
+                                / (settings.forget() - settings.fresh())));
     }
 
-    /** What each other said last, for operators: its number, life, age in nanoseconds, and its counts in their order. */
-    public record Row(int number, long life, long age, long[] values) {
-    }
+    /**
+     * What each other said last, for operators: its number, life, age in nanoseconds, and its
+     * counts in their order.
+     */
+    public record Row(int number, long life, long age, long[] values) {}
 
     /** All of them, by their numbers. */
     public List<Row> rows(long now) {
         List<Row> rows = new ArrayList<>();
-        others.forEach((number, heard) -> rows.add(new Row(number, heard.vector.life(), now - heard.at,
-                heard.vector.values().clone())));
+        others.forEach(
+                (number, heard) ->
+                        rows.add(
+                                new Row(
+                                        number,
+                                        heard.vector.life(),
+                                        now - heard.at,
+                                        heard.vector.values().clone())));
         return rows;
     }
 
--- a/judgements/src/main/java/frostrelay/judgements/counts/Sum.java
+++ b/judgements/src/main/java/frostrelay/judgements/counts/Sum.java
@@ -3,13 +3,14 @@
 /**
  * What is known of one count over the tier, and how well.
  *
- * @param known   what those covered had done at the least, each in its present life as far as it is known
- * @param most    what all that are there can have done at the most by now, if none has quadrupled its pace since it was heard;
- *                infinite where of one of them nothing was ever heard
- * @param rate    of the whole tier a second, with what is missing taken to be as the mean of what is covered
+ * @param known what those covered had done at the least, each in its present life as far as it is
+ *     known
+ * @param most what all that are there can have done at the most by now, if none has quadrupled its
+ *     pace since it was heard; infinite where of one of them nothing was ever heard
+ * @param rate of the whole tier a second, with what is missing taken to be as the mean of what is
+ *     covered
  * @param covered balancers heard of lately, this one included
- * @param of      balancers that are there as far as is known
- * @param oldest  age of the oldest word among the covered, nanoseconds
+ * @param of balancers that are there as far as is known
+ * @param oldest age of the oldest word among the covered, nanoseconds
  */
-public record Sum(long known, double most, double rate, int covered, int of, long oldest) {
-}
+public record Sum(long known, double most, double rate, int covered, int of, long oldest) {}
--- a/judgements/src/main/java/frostrelay/judgements/counts/Vector.java
+++ b/judgements/src/main/java/frostrelay/judgements/counts/Vector.java
@@ -4,16 +4,18 @@
 import java.util.Arrays;
 
 /**
- * One balancer's counts in one life of it: each only ever grows. A state-based CRDT, a map of grow-only counters by writer
- * (Shapiro et al. 2011): {@link #join} takes the larger of each count, and the later life as a whole, so it is commutative, associative
- * and idempotent, and loss, order and doubles do not matter. Immutable.
+ * One balancer's counts in one life of it: each only ever grows. A state-based CRDT, a map of
+ * grow-only counters by writer (Shapiro et al. 2011): {@link #join} takes the larger of each count,
+ * and the later life as a whole, so it is commutative, associative and idempotent, and loss, order
+ * and doubles do not matter. Immutable.
  *
- * @param life   when the writer's life began, as its incarnation without objections has it
+ * @param life when the writer's life began, as its incarnation without objections has it
  * @param values by {@link Count}
  */
 record Vector(long life, long[] values) {
     /** Of each count on the wire: ten years at three thousand a second. */
     private static final int BYTES = 5;
+
     private static final int U8 = 0xff;
     static final int KINDS = Count.values().length;
 
@@ -48,7 +50,9 @@
         return in.hasRemaining() && in.remaining() % BYTES == 0;
     }
 
-    /** What a build that knows fewer left out is 0; what one that knows more added is passed over. */
+    /**
+     * What a build that knows fewer left out is 0; what one that knows more added is passed over.
+     */
     static Vector read(long life, ByteBuffer in) {
         long[] values = new long[KINDS];
         for (int i = 0; i < KINDS && in.remaining() >= BYTES; i++) {
@@ -59,7 +63,9 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Vector that && life == that.life && Arrays.equals(values, that.values);
+        return other instanceof Vector that
+                && life == that.life
+                && Arrays.equals(values, that.values);
     }
 
     @Override
--- a/judgements/src/test/java/frostrelay/judgements/JudgementsHold.java
+++ b/judgements/src/test/java/frostrelay/judgements/JudgementsHold.java
@@ -2,13 +2,13 @@
 
 import frostrelay.peers.Cargo;
 import frostrelay.peers.Datagrams;
+
 import java.nio.ByteBuffer;
 import java.util.function.BiConsumer;
 
 /** What one would tell another now. */
 final class JudgementsHold {
-    private JudgementsHold() {
-    }
+    private JudgementsHold() {}
 
     /** All sections; empty for nothing. */
     static byte[] of(Cargo cargo, long now, int to) {
--- a/judgements/src/test/java/frostrelay/judgements/JudgementsTest.java
+++ b/judgements/src/test/java/frostrelay/judgements/JudgementsTest.java
@@ -4,14 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import frostrelay.peers.Incarnation;
-import java.nio.ByteBuffer;
-import java.util.ArrayList;
-import java.util.Collections;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Random;
-import java.util.Set;
+
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -19,8 +12,18 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.IntRange;
+
 import org.junit.jupiter.api.Test;
 
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+
 /** What a balancer makes of others' word on caches, whoever lies and in whatever order it comes. */
 class JudgementsTest implements Judgements.Actions {
     private static final long MS = 1_000_000L;
@@ -73,8 +76,15 @@
 
     /** As the wire form in docs/design/shared-state.md has it. */
     private static void tell(Judgements to, long now, long cache, Evidence one, int age) {
-        ByteBuffer out = ByteBuffer.allocate(18).putLong(cache).putShort((short) one.seq()).putInt(one.boot()).put((byte) age)
-                .put((byte) one.good()).put((byte) one.bad()).put((byte) one.kinds());
+        ByteBuffer out =
+                ByteBuffer.allocate(18)
+                        .putLong(cache)
+                        .putShort((short) one.seq())
+                        .putInt(one.boot())
+                        .put((byte) age)
+                        .put((byte) one.good())
+                        .put((byte) one.bad())
+                        .put((byte) one.kinds());
         to.onCargo(now, 0, one.rank(), one.life(), 32, out.flip());
     }
 
@@ -87,15 +97,23 @@
 
     @Provide
     Arbitrary<Evidence> evidence() {
-        return Combinators.combine(Arbitraries.longs().between(1, 3), Arbitraries.integers().between(0, 9),
-                Arbitraries.integers().between(0, 2), Arbitraries.integers().between(0, 3), Arbitraries.integers().between(0, 3),
-                Arbitraries.integers().between(0, 7)).as((life, seq, boot, good, bad, kinds) -> new Evidence(5, life << 7, seq,
-                boot, good, bad, kinds));
+        return Combinators.combine(
+                        Arbitraries.longs().between(1, 3),
+                        Arbitraries.integers().between(0, 9),
+                        Arbitraries.integers().between(0, 2),
+                        Arbitraries.integers().between(0, 3),
+                        Arbitraries.integers().between(0, 3),
+                        Arbitraries.integers().between(0, 7))
+                .as(
+                        (life, seq, boot, good, bad, kinds) ->
+                                new Evidence(5, life << 7, seq, boot, good, bad, kinds));
     }
 
     @Property(tries = 1_000)
-    void joinIsCommutativeAssociativeAndIdempotent(@ForAll("evidence") Evidence a, @ForAll("evidence") Evidence b,
-                                                   @ForAll("evidence") Evidence c) {
+    void joinIsCommutativeAssociativeAndIdempotent(
+            @ForAll("evidence") Evidence a,
+            @ForAll("evidence") Evidence b,
+            @ForAll("evidence") Evidence c) {
         assertEquals(Evidence.join(a, b), Evidence.join(b, a));
         assertEquals(Evidence.join(Evidence.join(a, b), c), Evidence.join(a, Evidence.join(b, c)));
         assertEquals(a, Evidence.join(a, a));
@@ -104,12 +122,16 @@
 
     /** Order, doubles and who brings it change nothing; nor is anybody's evidence counted twice. */
     @Property(tries = 200)
-    void whateverOrderItComesInTheSameIsKnown(@ForAll long seed, @ForAll @IntRange(min = 1, max = 30) int messages) {
+    void whateverOrderItComesInTheSameIsKnown(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 30) int messages) {
         Random random = new Random(seed);
         List<Evidence> all = new ArrayList<>();
         for (int i = 0; i < messages; i++) {
             int rank = 1 + random.nextInt(5);
-            all.add(random.nextBoolean() ? bad(rank, random.nextInt(6), Seen.SILENT) : good(rank, random.nextInt(6)));
+            all.add(
+                    random.nextBoolean()
+                            ? bad(rank, random.nextInt(6), Seen.SILENT)
+                            : good(rank, random.nextInt(6)));
         }
         List<Evidence> other = new ArrayList<>(all);
         other.addAll(all.subList(0, random.nextInt(messages)));
@@ -172,9 +194,13 @@
         assertEquals(Set.of(), lowered);
     }
 
-    /** One liar is one voice: in its own name, in others', and where honest ones pass on what it said of itself. */
+    /**
+     * One liar is one voice: in its own name, in others', and where honest ones pass on what it
+     * said of itself.
+     */
     @Property(tries = 300)
-    void aLiarIsOneVoiceWhateverItBringsAndWhoeverRepeatsIt(@ForAll long seed, @ForAll @IntRange(min = 1, max = 2) int liars) {
+    void aLiarIsOneVoiceWhateverItBringsAndWhoeverRepeatsIt(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 2) int liars) {
         lowered = Set.of();
         Random random = new Random(seed);
         Judgements one = of(40, 6, (now, rank) -> true);
@@ -210,7 +236,10 @@
         assertEquals(Set.of(), lowered);
     }
 
-    /** In a small tier each is told twice; what the ceiling held back counts as told to nobody and comes later. */
+    /**
+     * In a small tier each is told twice; what the ceiling held back counts as told to nobody and
+     * comes later.
+     */
     @Test
     void whatTheCeilingHoldsBackIsToldLater() {
         Judgements one = of(4, 6, (now, rank) -> true);
@@ -241,7 +270,10 @@
         assertEquals(Set.of(5L), lowered, "one that is not there is another matter");
     }
 
-    /** What needs the origin takes long: caches leave some reads unanswered and answer others meanwhile. */
+    /**
+     * What needs the origin takes long: caches leave some reads unanswered and answer others
+     * meanwhile.
+     */
     @Test
     void readsThatAreSlowForTheirKeysTellNothingOfTheirCache() {
         Judgements one = of(6, 6, (now, rank) -> true);
@@ -270,9 +302,13 @@
         assertEquals(Set.of(9L), lowered);
     }
 
-    /** Whatever comes, a third of the listed caches at most is lowered, and damaged sections cost nothing but themselves. */
+    /**
+     * Whatever comes, a third of the listed caches at most is lowered, and damaged sections cost
+     * nothing but themselves.
+     */
     @Property(tries = 200)
-    void theBoundHoldsWhateverComes(@ForAll long seed, @ForAll @IntRange(min = 2, max = 12) int count) {
+    void theBoundHoldsWhateverComes(
+            @ForAll long seed, @ForAll @IntRange(min = 2, max = 12) int count) {
         lowered = Set.of();
         Random random = new Random(seed);
         Judgements one = of(count, 6, (now, rank) -> random.nextInt(4) > 0);
@@ -280,17 +316,31 @@
         for (int i = 0; i < 300; i++) {
             now += random.nextInt(300) * MS;
             switch (random.nextInt(5)) {
-                case 0 -> one.onSeen(now, 1 + random.nextInt(8), Seen.values()[random.nextInt(Seen.values().length)], now);
+                case 0 ->
+                        one.onSeen(
+                                now,
+                                1 + random.nextInt(8),
+                                Seen.values()[random.nextInt(Seen.values().length)],
+                                now);
                 case 1 -> {
                     byte[] noise = new byte[random.nextInt(120)];
                     random.nextBytes(noise);
                     one.onCargo(now, 0, random.nextInt(14), LIFE, 32, ByteBuffer.wrap(noise));
                 }
                 case 2 -> one.onWake(Math.max(now, one.next()));
-                default -> tell(one, now, 1 + random.nextInt(8), random.nextInt(4) > 0 ? bad(random.nextInt(14), i, Seen.SILENT)
-                        : good(random.nextInt(14), i), random.nextInt(256));
+                default ->
+                        tell(
+                                one,
+                                now,
+                                1 + random.nextInt(8),
+                                random.nextInt(4) > 0
+                                        ? bad(random.nextInt(14), i, Seen.SILENT)
+                                        : good(random.nextInt(14), i),
+                                random.nextInt(256));
             }
-            assertTrue(lowered.size() <= 2 && Set.of(1L, 2L, 3L, 4L, 5L, 6L).containsAll(lowered), lowered.toString());
+            assertTrue(
+                    lowered.size() <= 2 && Set.of(1L, 2L, 3L, 4L, 5L, 6L).containsAll(lowered),
+                    lowered.toString());
         }
     }
 }
