--- a/judgements/src/test/java/frostrelay/judgements/counts/CountsTest.java
+++ b/judgements/src/test/java/frostrelay/judgements/counts/CountsTest.java
@@ -5,11 +5,7 @@
 
 import frostrelay.peers.Datagrams;
 import frostrelay.peers.Incarnation;
-import java.nio.ByteBuffer;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.List;
-import java.util.Random;
+
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -17,9 +13,19 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.IntRange;
+
 import org.junit.jupiter.api.Test;
 
-/** What the tier does together lies within what is said of it, whatever is lost, late, doubled or cut off. */
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Random;
+
+/**
+ * What the tier does together lies within what is said of it, whatever is lost, late, doubled or
+ * cut off.
+ */
 class CountsTest {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
@@ -28,13 +34,19 @@
 
     @Provide
     Arbitrary<Vector> vectors() {
-        return Combinators.combine(Arbitraries.longs().between(1, 2), Arbitraries.longs().between(0, 4).list()
-                .ofSize(Vector.KINDS)).as((life, values) -> new Vector(life, values.stream().mapToLong(Long::longValue).toArray()));
+        return Combinators.combine(
+                        Arbitraries.longs().between(1, 2),
+                        Arbitraries.longs().between(0, 4).list().ofSize(Vector.KINDS))
+                .as(
+                        (life, values) ->
+                                new Vector(
+                                        life,
+                                        values.stream().mapToLong(Long::longValue).toArray()));
     }
 
     @Property(tries = 1_000)
-    void joinIsCommutativeAssociativeAndIdempotent(@ForAll("vectors") Vector a, @ForAll("vectors") Vector b,
-                                                   @ForAll("vectors") Vector c) {
+    void joinIsCommutativeAssociativeAndIdempotent(
+            @ForAll("vectors") Vector a, @ForAll("vectors") Vector b, @ForAll("vectors") Vector c) {
         assertEquals(Vector.join(a, b), Vector.join(b, a));
         assertEquals(Vector.join(Vector.join(a, b), c), Vector.join(a, Vector.join(b, c)));
         assertEquals(a, Vector.join(a, a));
@@ -42,7 +54,14 @@
     }
 
     private static Counts of(int me, int count, long now, long wallMs) {
-        return new Counts(CountSettings.STANDARD, me, count, now, Incarnation.of(wallMs), rank -> true, (to, type, section) -> { });
+        return new Counts(
+                CountSettings.STANDARD,
+                me,
+                count,
+                now,
+                Incarnation.of(wallMs),
+                rank -> true,
+                (to, type, section) -> {});
     }
 
     /** What one would tell another now; empty for nothing. */
@@ -51,15 +70,16 @@
         return loaded.hasRemaining() ? loaded.slice(2, loaded.remaining() - 2) : loaded;
     }
 
-    private record Late(long sent, long at, int from, long life, ByteBuffer section) {
-    }
+    private record Late(long sent, long at, int from, long life, ByteBuffer section) {}
 
     /**
-     * Four balancers, of whom some send much: at each moment the truth lies between what is known and what is taken for the most, for
-     * words that are lost, doubled, late by two seconds and out of order, and lives that end.
+     * Four balancers, of whom some send much: at each moment the truth lies between what is known
+     * and what is taken for the most, for words that are lost, doubled, late by two seconds and out
+     * of order, and lives that end.
      */
     @Property(tries = 150)
-    void theTruthLiesWithinTheBounds(@ForAll long seed, @ForAll @IntRange(min = 0, max = 60) int lost) {
+    void theTruthLiesWithinTheBounds(
+            @ForAll long seed, @ForAll @IntRange(min = 0, max = 60) int lost) {
         Random random = new Random(seed);
         int count = 4;
         Counts[] all = new Counts[count];
@@ -88,27 +108,55 @@
             if (section.hasRemaining() && random.nextInt(100) >= lost) {
                 way.add(new Late(now, now + random.nextInt(2_000) * MS, i, lives[i], section));
                 if (random.nextBoolean()) {
-                    way.add(new Late(now, now + random.nextInt(2_000) * MS, i, lives[i], section.duplicate()));
+                    way.add(
+                            new Late(
+                                    now,
+                                    now + random.nextInt(2_000) * MS,
+                                    i,
+                                    lives[i],
+                                    section.duplicate()));
                 }
             }
             long moment = now;
-            way.removeIf(one -> {
-                if (one.at <= moment) {
-                    all[0].onCargo(moment, moment - one.sent, one.from, Incarnation.of(one.life), SECTION, one.section);
-                }
-                return one.at <= moment;
-            });
+            way.removeIf(
+                    one -> {
+                        if (one.at <= moment) {
+                            all[0].onCargo(
+                                    moment,
+                                    moment - one.sent,
+                                    one.from,
+                                    Incarnation.of(one.life),
+                                    SECTION,
+                                    one.section);
+                        }
+                        return one.at <= moment;
+                    });
             if (step % 50 == 0) {
                 all[0].tick(now);
             }
             Sum sum = all[0].sum(now, Count.SENDS);
             long sent = Arrays.stream(truth).sum();
-            assertTrue(sum.known() <= sent && sent <= sum.most(), step + ": " + sum + " and " + sent);
-            assertEquals(truth[0], all[0].sum(now, Count.SENDS).known() - all[0].rows(now).stream().filter(row -> now(row))
-                    .mapToLong(row -> row.values()[Count.SENDS.ordinal()]).sum());
+            assertTrue(
+                    sum.known() <= sent && sent <= sum.most(), step + ": " + sum + " and " + sent);
+            assertEquals(
+                    truth[0],
+                    all[0].sum(now, Count.SENDS).known()
+                            - all[0].rows(now).stream()
+                                    .filter(row -> now(row))
+                                    .mapToLong(row -> row.values()[Count.SENDS.ordinal()])
+                                    .sum());
         }
-        all[0].onCargo(now, 0, 1, Incarnation.of(WALL + 99_000), SECTION, told(of(1, count, now, WALL + 99_000), now, 0));
-        assertEquals(0, all[0].rows(now).get(0).values()[Count.SENDS.ordinal()], "a later life begins with nothing");
+        all[0].onCargo(
+                now,
+                0,
+                1,
+                Incarnation.of(WALL + 99_000),
+                SECTION,
+                told(of(1, count, now, WALL + 99_000), now, 0));
+        assertEquals(
+                0,
+                all[0].rows(now).get(0).values()[Count.SENDS.ordinal()],
+                "a later life begins with nothing");
     }
 
     private static boolean now(Counts.Row row) {
@@ -148,16 +196,22 @@
                 mine.tick(now);
             }
             double rate = mine.sum(now, Count.FIRST_TRIES).rate();
-            assertTrue(rate <= before + 1e-6 && before - rate < 60, "from " + before + " to " + rate);
+            assertTrue(
+                    rate <= before + 1e-6 && before - rate < 60, "from " + before + " to " + rate);
             before = rate;
         }
         assertEquals(50, before, 1);
         Sum alone = mine.sum(now, Count.FIRST_TRIES);
         assertEquals(1, alone.covered());
         assertEquals(5, alone.of());
-        assertTrue(alone.most() >= 4 * 500 + alone.known(), "who is not heard is not taken as nothing: " + alone);
+        assertTrue(
+                alone.most() >= 4 * 500 + alone.known(),
+                "who is not heard is not taken as nothing: " + alone);
         Counts fresh = of(0, 5, now, WALL);
-        assertEquals(Double.POSITIVE_INFINITY, fresh.sum(now, Count.SENDS).most(), "nor is who was never heard");
+        assertEquals(
+                Double.POSITIVE_INFINITY,
+                fresh.sum(now, Count.SENDS).most(),
+                "nor is who was never heard");
     }
 
     @Test
@@ -172,7 +226,13 @@
         mine.onCargo(2 * SECOND, 0, 1, Incarnation.of(WALL + 1), SECTION, lie.flip());
         assertEquals(0, mine.sum(2 * SECOND, Count.SENDS).known());
         assertEquals(1, mine.refused());
-        mine.onCargo(2 * SECOND, 0, 2, Incarnation.of(WALL + 2), SECTION, ByteBuffer.wrap(new byte[] {1, 2, 3}));
+        mine.onCargo(
+                2 * SECOND,
+                0,
+                2,
+                Incarnation.of(WALL + 2),
+                SECTION,
+                ByteBuffer.wrap(new byte[] {1, 2, 3}));
         mine.onCargo(2 * SECOND, 0, 9, Incarnation.of(WALL + 2), SECTION, lie.rewind());
         assertEquals(2, mine.sum(2 * SECOND, Count.SENDS).covered());
     }
--- a/judgements/src/test/java/frostrelay/peers/Datagrams.java
+++ b/judgements/src/test/java/frostrelay/peers/Datagrams.java
@@ -4,8 +4,7 @@
 
 /** A datagram's room, for tests of what other modules load into it. */
 public final class Datagrams {
-    private Datagrams() {
-    }
+    private Datagrams() {}
 
     /** The sections that cargo loads into an empty datagram for a balancer. */
     public static ByteBuffer loaded(Cargo cargo, long now, int to) {
--- a/node/src/main/java/frostrelay/console/Answer.java
+++ b/node/src/main/java/frostrelay/console/Answer.java
@@ -8,13 +8,15 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
+
 import java.nio.charset.StandardCharsets;
 
 /**
- * What a caller is told: a status and one word or line in JSON, or in its place a whole body. {@code allow}: the method of
- * the path, or null.
+ * What a caller is told: a status and one word or line in JSON, or in its place a whole body.
+ * {@code allow}: the method of the path, or null.
  */
-record Answer(HttpResponseStatus status, String text, HttpMethod allow, byte[] whole, CharSequence type) {
+record Answer(
+        HttpResponseStatus status, String text, HttpMethod allow, byte[] whole, CharSequence type) {
     Answer(HttpResponseStatus status, String text, HttpMethod allow) {
         this(status, text, allow, null, HttpHeaderValues.APPLICATION_JSON);
     }
@@ -30,10 +32,16 @@
     /** None of the texts holds what JSON would have to escape. */
     FullHttpResponse response() {
         String name = status.code() < HttpResponseStatus.BAD_REQUEST.code() ? "status" : "error";
-        byte[] body = whole != null ? whole : ("{\"" + name + "\":\"" + text + "\"}\n").getBytes(StandardCharsets.UTF_8);
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.wrappedBuffer(body));
-        response.headers().set(HttpHeaderNames.CONTENT_TYPE, type)
+        byte[] body =
+                whole != null
+                        ? whole
+                        : ("{\"" + name + "\":\"" + text + "\"}\n")
+                                .getBytes(StandardCharsets.UTF_8);
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
+        response.headers()
+                .set(HttpHeaderNames.CONTENT_TYPE, type)
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         if (allow != null) {
--- a/node/src/main/java/frostrelay/console/ConsoleServer.java
+++ b/node/src/main/java/frostrelay/console/ConsoleServer.java
@@ -2,6 +2,7 @@
 
 import frostrelay.log.Event;
 import frostrelay.log.Log;
+
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -18,6 +19,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.util.concurrent.Future;
+
 import java.net.InetSocketAddress;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
@@ -25,15 +27,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operators' address: HTTP/1.1, one call a connection. Heads, bodies, the number of connections and the time
- * each may take are bounded, so that callers who send nothing, half a call or too much cost next to nothing.
+ * The operators' address: HTTP/1.1, one call a connection. Heads, bodies, the number of connections
+ * and the time each may take are bounded, so that callers who send nothing, half a call or too much
+ * cost next to nothing.
  */
 public final class ConsoleServer {
     private static final int MOST_LINE = 1024;
     private static final int MOST_HEAD = 8 * 1024;
     private static final int MOST_BODY = 4 * 1024;
+
     /** Connections at once; one more costs the oldest that still owes its call. */
     private static final int MOST_CONNECTIONS = 16;
+
     private static final int BACKLOG = 64;
 
     private final EventLoop loop;
@@ -41,7 +46,10 @@
     private final long callMs;
     private final Set<Connection> connections = new LinkedHashSet<>();
 
-    /** {@code callMs}: within this a call must be whole, and as long again its caller has to take the answer. */
+    /**
+     * {@code callMs}: within this a call must be whole, and as long again its caller has to take
+     * the answer.
+     */
     public ConsoleServer(EventLoop loop, Operations operations, long callMs) {
         this.loop = loop;
         this.calls = new Calls(operations, loop);
@@ -50,20 +58,28 @@
 
     /** Begins to take calls. */
     public ChannelFuture listen(InetSocketAddress address) {
-        return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 // A caller may end its sending behind the call and still wait for the answer.
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .childHandler(new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel fresh) {
-                        Connection connection = new Connection(fresh);
-                        fresh.pipeline().addLast(new HttpServerCodec(MOST_LINE, MOST_HEAD, MOST_BODY),
-                                connection.new Whole(), connection);
-                    }
-                }).bind(address);
+                .childHandler(
+                        new ChannelInitializer<>() {
+                            @Override
+                            protected void initChannel(Channel fresh) {
+                                Connection connection = new Connection(fresh);
+                                fresh.pipeline()
+                                        .addLast(
+                                                new HttpServerCodec(
+                                                        MOST_LINE, MOST_HEAD, MOST_BODY),
+                                                connection.new Whole(),
+                                                connection);
+                            }
+                        })
+                .bind(address);
     }
 
     private void makeRoom() {
@@ -91,8 +107,15 @@
         public void channelActive(ChannelHandlerContext ctx) {
             connections.add(this);
             makeRoom();
-            timeout = loop.schedule(() -> answer(Answer.of(HttpResponseStatus.REQUEST_TIMEOUT, "the call is not whole")),
-                    callMs, TimeUnit.MILLISECONDS);
+            timeout =
+                    loop.schedule(
+                            () ->
+                                    answer(
+                                            Answer.of(
+                                                    HttpResponseStatus.REQUEST_TIMEOUT,
+                                                    "the call is not whole")),
+                            callMs,
+                            TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -102,17 +125,25 @@
             }
             called = true;
             timeout.cancel(false);
-            calls.answer(request).addListener((Future<Answer> done) -> {
-                if (done.isSuccess()) {
-                    answer(done.getNow());
-                } else {
-                    Log.write(Event.CALL_FAILED, String.valueOf(done.cause()));
-                    answer(Answer.of(HttpResponseStatus.INTERNAL_SERVER_ERROR, "the call failed: see the log"));
-                }
-            });
+            calls.answer(request)
+                    .addListener(
+                            (Future<Answer> done) -> {
+                                if (done.isSuccess()) {
+                                    answer(done.getNow());
+                                } else {
+                                    Log.write(Event.CALL_FAILED, String.valueOf(done.cause()));
+                                    answer(
+                                            Answer.of(
+                                                    HttpResponseStatus.INTERNAL_SERVER_ERROR,
+                                                    "the call failed: see the log"));
+                                }
+                            });
         }
 
-        /** Answers once and ends the sending; what the caller still sends is read, lest a reset lose the answer. */
+        /**
+         * Answers once and ends the sending; what the caller still sends is read, lest a reset lose
+         * the answer.
+         */
         private void answer(Answer answer) {
             if (answered || !channel.isActive()) {
                 return;
@@ -121,19 +152,23 @@
             called = true;
             timeout.cancel(false);
             timeout = loop.schedule(() -> channel.close(), callMs, TimeUnit.MILLISECONDS);
-            channel.writeAndFlush(answer.response()).addListener(sent -> {
-                if (sent.isSuccess()) {
-                    ((SocketChannel) channel).shutdownOutput();
-                } else {
-                    channel.close();
-                }
-            });
+            channel.writeAndFlush(answer.response())
+                    .addListener(
+                            sent -> {
+                                if (sent.isSuccess()) {
+                                    ((SocketChannel) channel).shutdownOutput();
+                                } else {
+                                    channel.close();
+                                }
+                            });
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            // The far end has ended its sending: without a whole call, or behind the answer, that is all.
-            if (event instanceof io.netty.channel.socket.ChannelInputShutdownEvent && (!called || answered)) {
+            // The far end has ended its sending: without a whole call, or behind the answer, that
+            // is all.
+            if (event instanceof io.netty.channel.socket.ChannelInputShutdownEvent
+                    && (!called || answered)) {
                 ctx.close();
             }
         }
@@ -158,8 +193,12 @@
             }
 
             @Override
-            protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-                answer(Answer.of(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long"));
+            protected void handleOversizedMessage(
+                    ChannelHandlerContext ctx, HttpMessage oversized) {
+                answer(
+                        Answer.of(
+                                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
+                                "the body is too long"));
             }
         }
     }
--- a/node/src/main/java/frostrelay/console/Operations.java
+++ b/node/src/main/java/frostrelay/console/Operations.java
@@ -2,20 +2,26 @@
 
 import io.netty.util.concurrent.Future;
 
-/** What operators may ask of a balancer. Calls come on its event loop; repeating one is harmless. */
+/**
+ * What operators may ask of a balancer. Calls come on its event loop; repeating one is harmless.
+ */
 public interface Operations {
     /** Whether this process is ready to serve. */
     boolean ready();
 
-    /** What this balancer acts on and what it knows of the others, as JSON; null where it keeps no account. */
+    /**
+     * What this balancer acts on and what it knows of the others, as JSON; null where it keeps no
+     * account.
+     */
     byte[] audit();
 
     /** Its record so far, in the form of the audit's files; null where it keeps none. */
     byte[] auditRecord();
 
     /**
-     * Decides in place of the program how this balancer stands to the others, lastingly: {@code keep-in}, {@code shut-out} or
-     * {@code follow:KIND:NUMBER}; an empty word with {@code on} false ends all of that. Done with false where it minds nobody.
+     * Decides in place of the program how this balancer stands to the others, lastingly: {@code
+     * keep-in}, {@code shut-out} or {@code follow:KIND:NUMBER}; an empty word with {@code on} false
+     * ends all of that. Done with false where it minds nobody.
      */
     Future<Boolean> override(String word, boolean on);
 
@@ -25,6 +31,9 @@
     /** Takes clients again. */
     void stopDrain();
 
-    /** Holds a server out of use, or lets it be used again: done with false for an id that nobody has. */
+    /**
+     * Holds a server out of use, or lets it be used again: done with false for an id that nobody
+     * has.
+     */
     Future<Boolean> hold(String id, boolean out);
 }
--- a/node/src/main/java/frostrelay/lifecycle/HoldStore.java
+++ b/node/src/main/java/frostrelay/lifecycle/HoldStore.java
@@ -1,8 +1,10 @@
 package frostrelay.lifecycle;
 
+import com.fasterxml.jackson.jr.ob.JSON;
+
 import frostrelay.log.Event;
 import frostrelay.log.Log;
-import com.fasterxml.jackson.jr.ob.JSON;
+
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.charset.StandardCharsets;
@@ -17,8 +19,9 @@
 import java.util.TreeSet;
 
 /**
- * Words that operators said, such as the ids that they hold out of use, in one small file that outlasts the process. Every process of the balancer
- * may change it, one at a time, and replaces it whole, so that no reader finds half of it. Waits for files.
+ * Words that operators said, such as the ids that they hold out of use, in one small file that
+ * outlasts the process. Every process of the balancer may change it, one at a time, and replaces it
+ * whole, so that no reader finds half of it. Waits for files.
  */
 final class HoldStore {
     /** A longer file is none of ours. */
@@ -28,8 +31,10 @@
     private final Path file;
     private final Path lock;
     private final Path draft;
+
     /** What was read or written last: it stands while the file cannot be read. */
     private Set<String> last = Set.of();
+
     private boolean unreadable;
 
     /** {@code name}: of the file in the folder, and of the list in it. */
@@ -72,13 +77,21 @@
 
     /** Holds an id or lets it go, and returns all that are held then. */
     Set<String> change(String id, boolean out) throws IOException {
-        try (FileChannel guard = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
+        try (FileChannel guard =
+                FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
             guard.lock();
             Set<String> ids = new TreeSet<>(read());
             // Letting go of nothing in particular is letting go of everything.
-            if (out ? ids.add(id) : id.isEmpty() ? ids.removeAll(Set.copyOf(ids)) : ids.remove(id)) {
-                Files.writeString(draft, JSON.std.asString(Map.of(name, ids)), StandardCharsets.UTF_8);
-                Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            if (out
+                    ? ids.add(id)
+                    : id.isEmpty() ? ids.removeAll(Set.copyOf(ids)) : ids.remove(id)) {
+                Files.writeString(
+                        draft, JSON.std.asString(Map.of(name, ids)), StandardCharsets.UTF_8);
+                Files.move(
+                        draft,
+                        file,
+                        StandardCopyOption.ATOMIC_MOVE,
+                        StandardCopyOption.REPLACE_EXISTING);
             }
             last = Set.copyOf(ids);
             return last;
--- a/node/src/main/java/frostrelay/lifecycle/SharedFolder.java
+++ b/node/src/main/java/frostrelay/lifecycle/SharedFolder.java
@@ -2,6 +2,7 @@
 
 import frostrelay.log.Event;
 import frostrelay.log.Log;
+
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Set;
@@ -15,13 +16,16 @@
 import java.util.function.Supplier;
 
 /**
- * What the processes of one balancer share through {@code $TMPDIR}: the operators' holds, and while an upgrade lasts,
- * that there are two of them. It is looked at on a thread of its own: an event loop must not wait for files.
+ * What the processes of one balancer share through {@code $TMPDIR}: the operators' holds, and while
+ * an upgrade lasts, that there are two of them. It is looked at on a thread of its own: an event
+ * loop must not wait for files.
  */
 public final class SharedFolder implements AutoCloseable {
-    /** What a look showed: the ids held, what else operators decided, the further processes of this balancer that serve now, and their use. */
-    public record Look(Set<String> holds, Set<String> overrides, int others, Usage usage) {
-    }
+    /**
+     * What a look showed: the ids held, what else operators decided, the further processes of this
+     * balancer that serve now, and their use.
+     */
+    public record Look(Set<String> holds, Set<String> overrides, int others, Usage usage) {}
 
     /** Hears on the folder's thread what it shows; every look is told, changed or not. */
     public interface Listener {
@@ -31,16 +35,19 @@
 
     /** Far below the time within which another process's hold must be heeded. */
     private static final long LOOK_MS = 100;
+
     private static final long CLOSE_MS = 500;
 
     private final Siblings siblings;
     private final HoldStore holds;
     private final HoldStore overrides;
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread fresh = new Thread(task, "folder");
-        fresh.setDaemon(true);
-        return fresh;
-    });
+    private final ScheduledExecutorService thread =
+            Executors.newSingleThreadScheduledExecutor(
+                    task -> {
+                        Thread fresh = new Thread(task, "folder");
+                        fresh.setDaemon(true);
+                        return fresh;
+                    });
 
     /** {@code name} is this process's own among those that share the folder. */
     public SharedFolder(Path folder, String name) {
@@ -54,7 +61,10 @@
         return thread.submit((Callable<Look>) this::read).get();
     }
 
-    /** Whether other processes of this balancer serve now; no, where the folder does not tell within the limit. */
+    /**
+     * Whether other processes of this balancer serve now; no, where the folder does not tell within
+     * the limit.
+     */
     public boolean othersServe(long limitMs) throws InterruptedException, ExecutionException {
         try {
             return thread.submit(siblings::others).get(limitMs, TimeUnit.MILLISECONDS).count() > 0;
@@ -69,10 +79,13 @@
         return new Look(holds.read(), overrides.read(), others.count(), others.usage());
     }
 
-    /** Says that this process serves and what it uses, and looks from now on a few times a second. */
+    /**
+     * Says that this process serves and what it uses, and looks from now on a few times a second.
+     */
     public void serve(Supplier<Usage> usage, Listener listener) {
         thread.execute(siblings::announce);
-        thread.scheduleWithFixedDelay(() -> exchange(usage, listener), 0, LOOK_MS, TimeUnit.MILLISECONDS);
+        thread.scheduleWithFixedDelay(
+                () -> exchange(usage, listener), 0, LOOK_MS, TimeUnit.MILLISECONDS);
     }
 
     private void exchange(Supplier<Usage> usage, Listener listener) {
@@ -85,24 +98,32 @@
         }
     }
 
-    /** Holds an id or lets it go; {@code done} hears on the folder's thread what is held then, or why it failed. */
+    /**
+     * Holds an id or lets it go; {@code done} hears on the folder's thread what is held then, or
+     * why it failed.
+     */
     public void hold(String id, boolean out, BiConsumer<Set<String>, Exception> done) {
         change(holds, id, out, done);
     }
 
-    /** Likewise for a decision in place of the program; an empty word with {@code on} false ends all of them. */
+    /**
+     * Likewise for a decision in place of the program; an empty word with {@code on} false ends all
+     * of them.
+     */
     public void override(String word, boolean on, BiConsumer<Set<String>, Exception> done) {
         change(overrides, word, on, done);
     }
 
-    private void change(HoldStore store, String id, boolean on, BiConsumer<Set<String>, Exception> done) {
-        thread.execute(() -> {
-            try {
-                done.accept(store.change(id, on), null);
-            } catch (IOException | RuntimeException e) {
-                done.accept(null, e);
-            }
-        });
+    private void change(
+            HoldStore store, String id, boolean on, BiConsumer<Set<String>, Exception> done) {
+        thread.execute(
+                () -> {
+                    try {
+                        done.accept(store.change(id, on), null);
+                    } catch (IOException | RuntimeException e) {
+                        done.accept(null, e);
+                    }
+                });
     }
 
     @Override
--- a/node/src/main/java/frostrelay/lifecycle/Siblings.java
+++ b/node/src/main/java/frostrelay/lifecycle/Siblings.java
@@ -2,6 +2,7 @@
 
 import frostrelay.log.Event;
 import frostrelay.log.Log;
+
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -14,9 +15,10 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The serving processes of one balancer: during an upgrade there are two, which share its folder. Each holds the
- * lock on a file of its own, which the system lets go however the process ends; a file whose lock is free is a
- * dead one's. The file tells what its process has in use. All of this waits for files.
+ * The serving processes of one balancer: during an upgrade there are two, which share its folder.
+ * Each holds the lock on a file of its own, which the system lets go however the process ends; a
+ * file whose lock is free is a dead one's. The file tells what its process has in use. All of this
+ * waits for files.
  */
 final class Siblings implements AutoCloseable {
     /** What the others amount to. */
@@ -33,6 +35,7 @@
     private final Path folder;
     private final Path own;
     private FileChannel announced;
+
     /** The folder could not be read, and the log says so. */
     private boolean blind;
 
@@ -79,7 +82,8 @@
 
     /** What the process has in use whose file this is; null if it is dead. */
     private static Usage read(Path file) throws IOException {
-        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+        try (FileChannel channel =
+                FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             if (isFree(channel)) {
                 Files.deleteIfExists(file);
                 return null;
--- a/node/src/main/java/frostrelay/lifecycle/Usage.java
+++ b/node/src/main/java/frostrelay/lifecycle/Usage.java
@@ -2,7 +2,10 @@
 
 import java.nio.ByteBuffer;
 
-/** How many descriptors a process has in use, for clients and for hosts: its balancer's processes share one limit. */
+/**
+ * How many descriptors a process has in use, for clients and for hosts: its balancer's processes
+ * share one limit.
+ */
 public record Usage(int clients, int hosts) {
     static final Usage NONE = new Usage(0, 0);
     private static final int BYTES = 2 * Integer.BYTES;
@@ -15,7 +18,10 @@
         return ByteBuffer.allocate(BYTES).putInt(clients).putInt(hosts).flip();
     }
 
-    /** What was read, nothing where it is too short or cannot be: its writer may be about to write it. */
+    /**
+     * What was read, nothing where it is too short or cannot be: its writer may be about to write
+     * it.
+     */
     static Usage decode(ByteBuffer bytes) {
         if (bytes.remaining() < BYTES) {
             return NONE;
--- a/node/src/main/java/frostrelay/log/Event.java
+++ b/node/src/main/java/frostrelay/log/Event.java
@@ -1,75 +1,164 @@
 package frostrelay.log;
 
-import java.util.List;
 import org.slf4j.event.Level;
 
+import java.util.List;
+
 /**
- * Everything that the balancer logs, with the fields of each line in their order. {@code docs/events.md} is made from
- * this and a test holds it to it.
+ * Everything that the balancer logs, with the fields of each line in their order. {@code
+ * docs/events.md} is made from this and a test holds it to it.
  */
 public enum Event {
     SERVES(Level.INFO, "Clients are taken from now on.", "listen", "console"),
     CANNOT_START(Level.ERROR, "It ends with 1.", "reason"),
-    STOPS(Level.INFO, "SIGTERM came: requests are accepted and answered for so many milliseconds more.", "replaced",
-            "accepts-ms", "answers-ms"),
-    SHUTDOWN_PROGRESS(Level.INFO, "How far a shutdown is: connections of clients, and the first open requests with the milliseconds"
-            + " that are left to answer each.", "elapsed-ms", "clients", "open", "requests"),
+    STOPS(
+            Level.INFO,
+            "SIGTERM came: requests are accepted and answered for so many milliseconds more.",
+            "replaced",
+            "accepts-ms",
+            "answers-ms"),
+    SHUTDOWN_PROGRESS(
+            Level.INFO,
+            "How far a shutdown is: connections of clients, and the first open requests with the milliseconds"
+                    + " that are left to answer each.",
+            "elapsed-ms",
+            "clients",
+            "open",
+            "requests"),
     REQUEST(Level.DEBUG, "A request changed its state.", "id", "state", "detail"),
     CLIENT_CLOSED(Level.DEBUG, "A client's connection ended.", "client", "reason", "unanswered"),
     STOPPED_SHORT(Level.ERROR, "The orderly stop failed; the process ends all the same.", "reason"),
-    SIGNAL_IGNORED(Level.WARN, "It was started where SIGHUP is ignored, as under nohup: a replaced configuration is"
-            + " found by looking at the file instead.", "signal", "look-ms"),
-    SETTINGS_TAKEN(Level.INFO, "A replaced configuration holds from now on.", "classes", "attempts"),
-    SETTINGS_REFUSED(Level.ERROR, "A replaced configuration cannot be used; the old one stays, whole.", "reason"),
-    COUNTS(Level.INFO, "What has been counted since the start, every ten seconds; what is 0 is left out.", "counts", "gauges"),
+    SIGNAL_IGNORED(
+            Level.WARN,
+            "It was started where SIGHUP is ignored, as under nohup: a replaced configuration is"
+                    + " found by looking at the file instead.",
+            "signal",
+            "look-ms"),
+    SETTINGS_TAKEN(
+            Level.INFO, "A replaced configuration holds from now on.", "classes", "attempts"),
+    SETTINGS_REFUSED(
+            Level.ERROR,
+            "A replaced configuration cannot be used; the old one stays, whole.",
+            "reason"),
+    COUNTS(
+            Level.INFO,
+            "What has been counted since the start, every ten seconds; what is 0 is left out.",
+            "counts",
+            "gauges"),
     DRAIN_BEGINS(Level.INFO, "Operators send the clients away."),
     DRAIN_ENDS(Level.INFO, "Clients are taken again."),
     HOLDS(Level.INFO, "What operators hold out of use has changed.", "caches"),
-    SIBLING_SERVES(Level.INFO, "Another process of this balancer serves: descriptors are shared with it.", "others"),
+    SIBLING_SERVES(
+            Level.INFO,
+            "Another process of this balancer serves: descriptors are shared with it.",
+            "others"),
     SIBLING_ENDED(Level.INFO, "Another process of this balancer has ended.", "others"),
-    SIBLINGS_UNSEEN(Level.WARN, "Other processes of this balancer cannot be looked for, or cannot see this one.",
+    SIBLINGS_UNSEEN(
+            Level.WARN,
+            "Other processes of this balancer cannot be looked for, or cannot see this one.",
             "reason"),
-    HOLDS_UNREADABLE(Level.WARN, "The file of holds is torn or somebody else's; those known so far stay.", "file",
+    HOLDS_UNREADABLE(
+            Level.WARN,
+            "The file of holds is torn or somebody else's; those known so far stay.",
+            "file",
             "reason"),
     FOLDER_FAILED(Level.WARN, "A look at the folder shared with other processes failed.", "reason"),
     CALL_FAILED(Level.WARN, "An operators' call could not be carried out.", "reason"),
     DISCOVERY_MOVES(Level.INFO, "The configuration names another discovery.", "from", "to"),
     DISCOVERY_MOVED(Level.INFO, "The other discovery has answered.", "at", "version", "known"),
-    DISCOVERY_FAILED(Level.WARN, "A call or a watch ended without a list; the module says when to ask again. `silence`: another one is opened at once.",
+    DISCOVERY_FAILED(
+            Level.WARN,
+            "A call or a watch ended without a list; the module says when to ask again. `silence`: another one is opened at once.",
             "reason"),
-    PEER(Level.WARN, "A peer did what the protocol does not allow. At most 20 such lines between two counts.", "what"),
-    VIOLATION(Level.ERROR, "What must never happen did: a fault of this program, or a machine that gave it no time. Bounded as lines"
-            + " of peers are.", "invariant", "what"),
-    UNEXPECTED(Level.ERROR, "An exception that nobody expected. Bounded as lines of peers are.", "where", "exception",
+    PEER(
+            Level.WARN,
+            "A peer did what the protocol does not allow. At most 20 such lines between two counts.",
+            "what"),
+    VIOLATION(
+            Level.ERROR,
+            "What must never happen did: a fault of this program, or a machine that gave it no time. Bounded as lines"
+                    + " of peers are.",
+            "invariant",
+            "what"),
+    UNEXPECTED(
+            Level.ERROR,
+            "An exception that nobody expected. Bounded as lines of peers are.",
+            "where",
+            "exception",
             "trace"),
-    LIBRARY(Level.WARN, "A library complains. At most 100 such lines in a process's life.", "logger", "message",
+    LIBRARY(
+            Level.WARN,
+            "A library complains. At most 100 such lines in a process's life.",
+            "logger",
+            "message",
             "exception"),
-    PEERS_TALK(Level.INFO, "It talks with the balancers of its tier from now on.", "at", "number", "of", "ceiling"),
+    PEERS_TALK(
+            Level.INFO,
+            "It talks with the balancers of its tier from now on.",
+            "at",
+            "number",
+            "of",
+            "ceiling"),
     PEERS_SILENT(Level.WARN, "It was to talk with its peers and does not.", "reason"),
-    PEER_STATE(Level.INFO, "What is believed of another balancer has changed. At most 200 such lines between two counts.",
-            "number", "state", "said-by"),
-    STRAGGLER(Level.WARN, "This balancer has become a straggler, or is none any more, or a version has two contents.", "what"),
-    AVOIDS(Level.INFO, "So many caches are avoided on others' word, as their lists or their operators' holds have it.", "caches",
-            "list", "others-list", "held"),
-    STAYS_BEHIND(Level.ERROR, "Others act on a newer version and fail under it: it is not followed. Operators decide.", "kind",
-            "number", "why"),
-    SERVES_WORSE(Level.WARN, "By its own counts this balancer serves worse since it took a version of these kinds; others are told.",
-            "kinds", "list", "config"),
-    SETTINGS_HANDED_OVER(Level.INFO, "Settings that its file lacks came from another balancer, whole by their digest.", "config"),
-    FINDS_BAD(Level.INFO, "By its own attempts this balancer finds a cache bad and tells others. Bounded likewise.", "cache"),
-    LOWERS(Level.INFO, "Exactly these caches are lowered now, as others find them bad. Bounded as lines on peers' states are.",
+    PEER_STATE(
+            Level.INFO,
+            "What is believed of another balancer has changed. At most 200 such lines between two counts.",
+            "number",
+            "state",
+            "said-by"),
+    STRAGGLER(
+            Level.WARN,
+            "This balancer has become a straggler, or is none any more, or a version has two contents.",
+            "what"),
+    AVOIDS(
+            Level.INFO,
+            "So many caches are avoided on others' word, as their lists or their operators' holds have it.",
+            "caches",
+            "list",
+            "others-list",
+            "held"),
+    STAYS_BEHIND(
+            Level.ERROR,
+            "Others act on a newer version and fail under it: it is not followed. Operators decide.",
+            "kind",
+            "number",
+            "why"),
+    SERVES_WORSE(
+            Level.WARN,
+            "By its own counts this balancer serves worse since it took a version of these kinds; others are told.",
+            "kinds",
+            "list",
+            "config"),
+    SETTINGS_HANDED_OVER(
+            Level.INFO,
+            "Settings that its file lacks came from another balancer, whole by their digest.",
+            "config"),
+    FINDS_BAD(
+            Level.INFO,
+            "By its own attempts this balancer finds a cache bad and tells others. Bounded likewise.",
+            "cache"),
+    LOWERS(
+            Level.INFO,
+            "Exactly these caches are lowered now, as others find them bad. Bounded as lines on peers' states are.",
             "caches"),
     OVERRIDES(Level.INFO, "What operators decided in place of the program has changed.", "decided"),
-    STEPS_ASIDE(Level.WARN, "Behind for long and not brought up, it sends clients away until it is current.", "why"),
+    STEPS_ASIDE(
+            Level.WARN,
+            "Behind for long and not brought up, it sends clients away until it is current.",
+            "why"),
     COMES_BACK(Level.INFO, "It is current again, or may not be aside, and takes clients.", "why"),
-    AUDIT_LACKS(Level.ERROR, "The audit's record cannot be written; what is missing is named in it as a gap. Service goes on.",
+    AUDIT_LACKS(
+            Level.ERROR,
+            "The audit's record cannot be written; what is missing is named in it as a gap. Service goes on.",
             "reason"),
     REHEARSED(Level.INFO, "The build has played a balancer's life once.", "answers");
 
     /** How much it matters. */
     public final Level level;
+
     /** What it means, in a sentence. */
     public final String meaning;
+
     /** The names of its fields, in their order. */
     public final List<String> fields;
 
@@ -86,15 +175,23 @@
 
     /** The page on all events. */
     public static String page() {
-        StringBuilder page = new StringBuilder("# What the balancer logs\n\n"
-                + "One line an event. On a terminal it is text; otherwise a JSON object with `time` (UTC), `level`,"
-                + " `event`, `balancer`\nand the fields named here. Values and keys of clients never appear. What peers"
-                + " can cause is bounded in lines and length.\n\n"
-                + "| event | level | fields | meaning |\n| --- | --- | --- | --- |\n");
+        StringBuilder page =
+                new StringBuilder(
+                        "# What the balancer logs\n\n"
+                                + "One line an event. On a terminal it is text; otherwise a JSON object with `time` (UTC), `level`,"
+                                + " `event`, `balancer`\nand the fields named here. Values and keys of clients never appear. What peers"
+                                + " can cause is bounded in lines and length.\n\n"
+                                + "| event | level | fields | meaning |\n| --- | --- | --- | --- |\n");
         for (Event event : values()) {
-            page.append("| `").append(event.word()).append("` | ").append(event.level.toString().toLowerCase(
-                    java.util.Locale.ROOT)).append(" | ").append(String.join(", ", event.fields)).append(" | ")
-                    .append(event.meaning).append(" |\n");
+            page.append("| `")
+                    .append(event.word())
+                    .append("` | ")
+                    .append(event.level.toString().toLowerCase(java.util.Locale.ROOT))
+                    .append(" | ")
+                    .append(String.join(", ", event.fields))
+                    .append(" | ")
+                    .append(event.meaning)
+                    .append(" |\n");
         }
         return page.toString();
     }
--- a/node/src/main/java/frostrelay/log/LineEncoder.java
+++ b/node/src/main/java/frostrelay/log/LineEncoder.java
@@ -3,8 +3,12 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.classic.spi.IThrowableProxy;
 import ch.qos.logback.core.encoder.EncoderBase;
+
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
+
+import org.slf4j.event.KeyValuePair;
+
 import java.io.IOException;
 import java.io.StringWriter;
 import java.net.InetSocketAddress;
@@ -15,11 +19,11 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import org.slf4j.event.KeyValuePair;
 
 /**
- * One line an event, as JSON or as text. Logback's own JSON encoder puts fields into a list of pairs, and its patterns
- * open a file of time zones at the first line: where that line tells of missing descriptors, this would fail in turn.
+ * One line an event, as JSON or as text. Logback's own JSON encoder puts fields into a list of
+ * pairs, and its patterns open a file of time zones at the first line: where that line tells of
+ * missing descriptors, this would fail in turn.
  */
 final class LineEncoder extends EncoderBase<ILoggingEvent> {
     private static final int MOST_TEXT = 2_000;
@@ -48,7 +52,9 @@
         String balancer = event.getLoggerContextVO().getPropertyMap().get(LogSetup.BALANCER);
         boolean own = event.getLoggerName().equals(Log.NAME);
         String name = own ? event.getMessage() : Event.LIBRARY.word();
-        return (json ? json(time, level, name, balancer, fields) : text(time, level, name, balancer, fields))
+        return (json
+                        ? json(time, level, name, balancer, fields)
+                        : text(time, level, name, balancer, fields))
                 .getBytes(StandardCharsets.UTF_8);
     }
 
@@ -69,7 +75,8 @@
         return fields;
     }
 
-    private static String json(String time, String level, String name, String balancer, Map<String, Object> fields) {
+    private static String json(
+            String time, String level, String name, String balancer, Map<String, Object> fields) {
         StringWriter line = new StringWriter(256);
         try (JsonGenerator out = JSON.createGenerator(line)) {
             out.writeStartObject();
@@ -115,17 +122,28 @@
         }
     }
 
-    private static String text(String time, String level, String name, String balancer, Map<String, Object> fields) {
+    private static String text(
+            String time, String level, String name, String balancer, Map<String, Object> fields) {
         List<String> words = new ArrayList<>();
         // No peer may end a line, or begin one that looks like ours.
-        fields.forEach((key, value) -> words.add(key + "=" + show(value).replaceAll("\\p{Cntrl}", "?")));
-        return time + ' ' + String.format(Locale.ROOT, "%-5s", level) + ' ' + (balancer == null ? "" : balancer + ' ')
-                + name + (words.isEmpty() ? "" : "  ") + String.join(" ", words) + '\n';
+        fields.forEach(
+                (key, value) -> words.add(key + "=" + show(value).replaceAll("\\p{Cntrl}", "?")));
+        return time
+                + ' '
+                + String.format(Locale.ROOT, "%-5s", level)
+                + ' '
+                + (balancer == null ? "" : balancer + ' ')
+                + name
+                + (words.isEmpty() ? "" : "  ")
+                + String.join(" ", words)
+                + '\n';
     }
 
     private static String show(Object value) {
-        String text = value instanceof InetSocketAddress address ? address.getHostString() + ':' + address.getPort()
-                : String.valueOf(value);
+        String text =
+                value instanceof InetSocketAddress address
+                        ? address.getHostString() + ':' + address.getPort()
+                        : String.valueOf(value);
         return text.length() > MOST_TEXT ? text.substring(0, MOST_TEXT) + "..." : text;
     }
 }
--- a/node/src/main/java/frostrelay/log/LogSetup.java
+++ b/node/src/main/java/frostrelay/log/LogSetup.java
@@ -9,19 +9,29 @@
 import ch.qos.logback.core.filter.Filter;
 import ch.qos.logback.core.spi.ContextAwareBase;
 import ch.qos.logback.core.spi.FilterReply;
-import java.util.concurrent.atomic.AtomicInteger;
+
 import org.slf4j.LoggerFactory;
 
+import java.util.concurrent.atomic.AtomicInteger;
+
 /**
- * Sets logging up in code: reading a file of XML would cost a start more than all the rest of logging. Found by Logback
- * as a service.
+ * Sets logging up in code: reading a file of XML would cost a start more than all the rest of
+ * logging. Found by Logback as a service.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
     /** How lines look. */
-    public enum Format { JSON, TEXT, AUTO }
+    public enum Format {
+        JSON,
+        TEXT,
+        AUTO
+    }
 
     static final String BALANCER = "balancer";
-    /** Lines that libraries may write in a process's life; what they say after that is the same again. */
+
+    /**
+     * Lines that libraries may write in a process's life; what they say after that is the same
+     * again.
+     */
     private static final int MOST_LIBRARY_LINES = 100;
 
     @Override
@@ -40,7 +50,9 @@
     private static void apply(LoggerContext context, Format format, Level least) {
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         root.detachAndStopAllAppenders();
-        LineEncoder encoder = new LineEncoder(format == Format.JSON || format == Format.AUTO && System.console() == null);
+        LineEncoder encoder =
+                new LineEncoder(
+                        format == Format.JSON || format == Format.AUTO && System.console() == null);
         encoder.setContext(context);
         encoder.start();
         ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
@@ -60,8 +72,10 @@
 
         @Override
         public FilterReply decide(ILoggingEvent event) {
-            return event.getLoggerName().equals(Log.NAME) || lines.incrementAndGet() <= MOST_LIBRARY_LINES
-                    ? FilterReply.NEUTRAL : FilterReply.DENY;
+            return event.getLoggerName().equals(Log.NAME)
+                            || lines.incrementAndGet() <= MOST_LIBRARY_LINES
+                    ? FilterReply.NEUTRAL
+                    : FilterReply.DENY;
         }
     }
 }
--- a/node/src/main/java/frostrelay/node/Acting.java
+++ b/node/src/main/java/frostrelay/node/Acting.java
@@ -5,6 +5,7 @@
 import frostrelay.judgements.Seen;
 import frostrelay.peers.Stamp;
 import frostrelay.policy.Api;
+
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -13,20 +14,27 @@
 import java.util.TreeSet;
 import java.util.function.LongSupplier;
 
-/** Puts the stamp together that this balancer acts under, has every change of it entered, and counts what is done. */
+/**
+ * Puts the stamp together that this balancer acts under, has every change of it entered, and counts
+ * what is done.
+ */
 final class Acting implements Witness {
-    private record Listed(int number, boolean ready, long bootMs, long digest) {
-    }
+    private record Listed(int number, boolean ready, long bootMs, long digest) {}
 
     /** Hears of changes. */
     interface Changes {
         /** It acts on this from now on. */
         void onStamp(Stamp stamp);
 
-        /** Operators hold these caches here, by their numbers, and the stamp has this digest for it. */
+        /**
+         * Operators hold these caches here, by their numbers, and the stamp has this digest for it.
+         */
         void onHolds(long digest, Set<Long> caches);
 
-        /** The list has changed: the caches that it names as ready, with their starts in milliseconds, and their names. */
+        /**
+         * The list has changed: the caches that it names as ready, with their starts in
+         * milliseconds, and their names.
+         */
         void onListed(Map<Long, Long> ready, Map<Long, String> names);
 
         /** An attempt at a cache told this of it. */
@@ -67,19 +75,33 @@
             members.forEach(member -> unnamed.remove(member.uid()));
             unnamed.forEach(uid -> put(rev, uid, Api.State.GONE, list.get(uid).bootMs));
         }
-        members.forEach(member -> put(rev, member.uid(), member.server().state(),
-                member.server().startedAt() / Clock.MILLISECOND));
+        members.forEach(
+                member ->
+                        put(
+                                rev,
+                                member.uid(),
+                                member.server().state(),
+                                member.server().startedAt() / Clock.MILLISECOND));
         Map<Long, Long> ready = new HashMap<>();
         Map<Long, String> names = new HashMap<>();
-        list.forEach((uid, listed) -> {
-            if (listed.ready) {
-                ready.put(Catalog.hash(uid), listed.bootMs);
-                names.put(Catalog.hash(uid), uid);
-            }
-        });
+        list.forEach(
+                (uid, listed) -> {
+                    if (listed.ready) {
+                        ready.put(Catalog.hash(uid), listed.bootMs);
+                        names.put(Catalog.hash(uid), uid);
+                    }
+                });
         changes.onListed(ready, names);
         Stamp now = audit.stamp();
-        change(new Stamp(now.build(), now.confNumber(), now.confDigest(), rev, listDigest, now.holds(), now.terms()),
+        change(
+                new Stamp(
+                        now.build(),
+                        now.confNumber(),
+                        now.confDigest(),
+                        rev,
+                        listDigest,
+                        now.holds(),
+                        now.terms()),
                 mode == Api.ListMode.CACHED ? Cause.START : Cause.DISCOVERY);
     }
 
@@ -109,27 +131,44 @@
     /** The caches that the list names as ready, by their numbers. */
     Set<Long> ready() {
         Set<Long> ready = new HashSet<>();
-        list.forEach((uid, listed) -> {
-            if (listed.ready) {
-                ready.add(Catalog.hash(uid));
-            }
-        });
+        list.forEach(
+                (uid, listed) -> {
+                    if (listed.ready) {
+                        ready.add(Catalog.hash(uid));
+                    }
+                });
         return ready;
     }
 
     @Override
     public void onConfig(Config config) {
         Stamp now = audit.stamp();
-        change(new Stamp(now.build(), config.version(), config.digest(), now.listRev(), now.listDigest(), now.holds(),
-                now.terms()), Cause.FILE);
+        change(
+                new Stamp(
+                        now.build(),
+                        config.version(),
+                        config.digest(),
+                        now.listRev(),
+                        now.listDigest(),
+                        now.holds(),
+                        now.terms()),
+                Cause.FILE);
     }
 
     @Override
     public void onHolds(Set<String> names) {
         Stamp now = audit.stamp();
         long digest = names.isEmpty() ? 0 : Digests.of(String.join("\n", new TreeSet<>(names)));
-        change(new Stamp(now.build(), now.confNumber(), now.confDigest(), now.listRev(), now.listDigest(), digest,
-                now.terms()), Cause.OPERATORS);
+        change(
+                new Stamp(
+                        now.build(),
+                        now.confNumber(),
+                        now.confDigest(),
+                        now.listRev(),
+                        now.listDigest(),
+                        digest,
+                        now.terms()),
+                Cause.OPERATORS);
         Set<Long> caches = new HashSet<>();
         names.forEach(name -> caches.add(Catalog.hash(name)));
         changes.onHolds(digest, caches);
--- a/node/src/main/java/frostrelay/node/Ask.java
+++ b/node/src/main/java/frostrelay/node/Ask.java
@@ -3,7 +3,10 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 
-/** What a client asks for, checked, whatever protocol it speaks: as much as a request's life needs to know of it. */
+/**
+ * What a client asks for, checked, whatever protocol it speaks: as much as a request's life needs
+ * to know of it.
+ */
 interface Ask {
     /** Under which its hosts know the request. */
     String id();
--- a/node/src/main/java/frostrelay/node/Backend.java
+++ b/node/src/main/java/frostrelay/node/Backend.java
@@ -3,18 +3,28 @@
 import frostrelay.lifecycle.ActionGuard;
 import frostrelay.policy.Api;
 import frostrelay.policy.Api.Reason;
+
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /** Where attempts go: hosts of one kind, and the connections to them. Runs on the event loop. */
 interface Backend {
-    /** Hears how attempts end, but for those that were abandoned; {@code value}: what is still coming, or null. */
+    /**
+     * Hears how attempts end, but for those that were abandoned; {@code value}: what is still
+     * coming, or null.
+     */
     interface Listener {
-        /** Whether an attempt may be written now to a host to which the last send may begin by {@code hostUntil}. */
+        /**
+         * Whether an attempt may be written now to a host to which the last send may begin by
+         * {@code hostUntil}.
+         */
         ActionGuard.Verdict maySend(Attempt attempt, long hostUntil);
 
-        /** How long the host of an attempt is told that it is waited for, in nanoseconds, if it is written now. */
+        /**
+         * How long the host of an attempt is told that it is waited for, in nanoseconds, if it is
+         * written now.
+         */
         long tellableWait(Attempt attempt);
 
         /** An attempt is written to the host that the listener numbered so. */
--- a/node/src/main/java/frostrelay/node/Balancer.java
+++ b/node/src/main/java/frostrelay/node/Balancer.java
@@ -1,15 +1,17 @@
 package frostrelay.node;
 
-import frostrelay.policy.Api;
-import frostrelay.policy.Api.Reason;
 import frostrelay.judgements.Seen;
 import frostrelay.lifecycle.ActionGuard;
 import frostrelay.lifecycle.SharedFolder;
 import frostrelay.log.Event;
 import frostrelay.log.Log;
+import frostrelay.policy.Api;
+import frostrelay.policy.Api.Reason;
+
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import io.netty.util.concurrent.Promise;
+
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -23,29 +25,47 @@
 import java.util.function.LongSupplier;
 
 /**
- * Stands between the sockets and the decision module: the ledger of open requests and their attempts, and
- * the timers. It decides nothing: what is sent, repeated, refused or given up is the module's word.
+ * Stands between the sockets and the decision module: the ledger of open requests and their
+ * attempts, and the timers. It decides nothing: what is sent, repeated, refused or given up is the
+ * module's word.
  *
- * <p>All of it runs on the one event loop. Events reach the module one at a time: an outcome that an action
- * causes at once is queued and handed over when the module has returned, as the module is not reentrant.
+ * <p>All of it runs on the one event loop. Events reach the module one at a time: an outcome that
+ * an action causes at once is queued and handed over when the module has returned, as the module is
+ * not reentrant.
  */
 final class Balancer implements Api.Actions, Backend.Listener, Discovery.Listener {
     /**
-     * A client counts its wait from when it sent, not from when the request was read here, and the answer
-     * has its way to go as well: this much is taken off, so that a final answer is there before it is overdue.
+     * A client counts its wait from when it sent, not from when the request was read here, and the
+     * answer has its way to go as well: this much is taken off, so that a final answer is there
+     * before it is overdue.
      */
     private static final long WAYS = 6 * Clock.MILLISECOND;
-    /** The sweep comes four times a second; when it is overdue by twice that, the process was stopped or starved. */
+
+    /**
+     * The sweep comes four times a second; when it is overdue by twice that, the process was
+     * stopped or starved.
+     */
     private static final long PAUSE = 750 * Clock.MILLISECOND;
+
     /** A few rounds of the event loop, each of which reads all that has come; far below any aim. */
     private static final long CATCH_UP_MS = 10;
-    /** An agent that is down comes back within seconds, and what it has then binds at once, but for a drain's 500 ms. */
+
+    /**
+     * An agent that is down comes back within seconds, and what it has then binds at once, but for
+     * a drain's 500 ms.
+     */
     private static final long AGENT_AGAIN_MS = 150;
+
     /** A silent agent tells nothing: clients are not kept waiting for it for longer at a start. */
     private static final long FIRST_LIST_MS = 2_000;
+
     /** Past its deadline by this, a request that the module has left open is answered here. */
     private static final long LAST_CALL = Clock.MILLISECOND;
-    /** A final answer that is later than this has another cause than a process that was held up for as long as it may be. */
+
+    /**
+     * A final answer that is later than this has another cause than a process that was held up for
+     * as long as it may be.
+     */
     private static final long MOST_LATE = ActionGuard.HELD_UP + 50 * Clock.MILLISECOND;
 
     /** Makes the decision module, given where its actions go. */
@@ -54,8 +74,9 @@
     }
 
     /**
-     * What the module is to be told. The frequent ones are classes of their own: without the second compiler, which this
-     * program does not load, a lambda that holds something is made through a slow call into the JVM each time.
+     * What the module is to be told. The frequent ones are classes of their own: without the second
+     * compiler, which this program does not load, a lambda that holds something is made through a
+     * slow call into the JVM each time.
      */
     private abstract static class ModuleEvent {
         final Exchange exchange;
@@ -93,8 +114,17 @@
             }
             Ask ask = exchange.ask;
             witness.onTaken(ask.repeat());
-            router.onRequest(Clock.now(), new Api.Request(exchange.id, ask.requestClass(), ask.tenant(),
-                    ask.keyNumber(), exchange.answerBy, ask.work(), ask.repeat(), ask.write()));
+            router.onRequest(
+                    Clock.now(),
+                    new Api.Request(
+                            exchange.id,
+                            ask.requestClass(),
+                            ask.tenant(),
+                            ask.keyNumber(),
+                            exchange.answerBy,
+                            ask.work(),
+                            ask.repeat(),
+                            ask.write()));
         }
     }
 
@@ -133,11 +163,22 @@
             }
             float[] report = site().report(answer == null ? null : answer.report());
             long now = Clock.now();
-            router.onOutcome(now, new Api.Outcome(exchange.id, attempt.number, reason, now - attempt.sentAt,
-                    exchange.over, source, report));
-        }
-
-        /** What this tells of the cache; null for nothing. What it turns away while it is full is no fault of its own. */
+            router.onOutcome(
+                    now,
+                    new Api.Outcome(
+                            exchange.id,
+                            attempt.number,
+                            reason,
+                            now - attempt.sentAt,
+                            exchange.over,
+                            source,
+                            report));
+        }
+
+        /**
+         * What this tells of the cache; null for nothing. What it turns away while it is full is no
+         * fault of its own.
+         */
         private Seen seen() {
             return switch (reason) {
                 case OK, MISS -> Seen.ANSWERED;
@@ -181,7 +222,10 @@
             this.exchange = exchange;
         }
 
-        /** The module has not answered in time; whatever the reason, the client must not be left without. */
+        /**
+         * The module has not answered in time; whatever the reason, the client must not be left
+         * without.
+         */
         @Override
         public void run() {
             if (!exchange.over) {
@@ -213,30 +257,50 @@
     private final Backend pool;
     private final Discovery discovery;
     private final Map<Long, Exchange> exchanges = new HashMap<>();
+
     /** The ids of requests that are owed an answer. */
     private final Set<String> openIds = new HashSet<>();
+
     private final Budget budget;
     private final ActionGuard guard;
+
     /** Unix time in milliseconds, which may step; for what discovery tells in it alone. */
     private final LongSupplier wallMs;
+
     private final StartTimes startTimes = new StartTimes();
     private final Witness witness;
     private final Queue<ModuleEvent> events = new ArrayDeque<>();
     private Set<Long> held = Set.of();
     private Set<Long> heldElsewhere = Set.of();
     private Set<Long> avoided = Set.of();
+
     /** The list's entries as discovery told them. */
     private final Map<Long, Api.Server> listed = new HashMap<>();
-    /** When the last sweep was, and whether requests that come behind a pause wait for what others have told. */
+
+    /**
+     * When the last sweep was, and whether requests that come behind a pause wait for what others
+     * have told.
+     */
     private long beat = Clock.now();
+
     private boolean catchUp;
     private boolean inModule;
     private long lastId;
+
     /** Done once discovery was heard, or failed, where its list binds from the first moment on. */
     private final Promise<Void> heard;
 
-    Balancer(Config config, EventLoop loop, Counters counters, Module module, Backend.Maker backend,
-             Budget budget, ActionGuard guard, SharedFolder.Look shared, Witness witness, LongSupplier wallMs) {
+    Balancer(
+            Config config,
+            EventLoop loop,
+            Counters counters,
+            Module module,
+            Backend.Maker backend,
+            Budget budget,
+            ActionGuard guard,
+            SharedFolder.Look shared,
+            Witness witness,
+            LongSupplier wallMs) {
         this.budget = budget;
         this.wallMs = wallMs;
         this.guard = guard;
@@ -260,8 +324,9 @@
     }
 
     /**
-     * Done when clients may come. Where lists are pushed, the agent's list binds from the first moment of this process, and
-     * the one of the configuration may be old: nothing is sent before the agent was heard, or has failed.
+     * Done when clients may come. Where lists are pushed, the agent's list binds from the first
+     * moment of this process, and the one of the configuration may be old: nothing is sent before
+     * the agent was heard, or has failed.
      */
     Future<Void> heard() {
         return heard;
@@ -270,9 +335,10 @@
     // What comes in.
 
     /**
-     * Takes a request, which is answered exactly once unless its client leaves first. Hosts know requests by
-     * their ids alone: a second one under an open id could be served with what was made for the first.
-     * {@code arrivedAt}: when it had come whole; its client's wait has run since, however long it stood in line here.
+     * Takes a request, which is answered exactly once unless its client leaves first. Hosts know
+     * requests by their ids alone: a second one under an open id could be served with what was made
+     * for the first. {@code arrivedAt}: when it had come whole; its client's wait has run since,
+     * however long it stood in line here.
      */
     Exchange take(Ask ask, long arrivedAt, Exchange.Client client) throws IdInUseException {
         if (openIds.contains(ask.id())) {
@@ -280,7 +346,14 @@
         }
         long now = Clock.now();
         long answerBy = guard.answerBy(arrivedAt, ask.waitMs() * Clock.MILLISECOND - WAYS);
-        Exchange exchange = new Exchange(++lastId, ask, site().settings.classes().get(ask.requestClass()), now, answerBy, client);
+        Exchange exchange =
+                new Exchange(
+                        ++lastId,
+                        ask,
+                        site().settings.classes().get(ask.requestClass()),
+                        now,
+                        answerBy,
+                        client);
         counters.taken++;
         trace(exchange, "taken", ask.waitMs());
         // Running out of room is told to the client: a refusal of what never went out does no harm.
@@ -296,7 +369,8 @@
         openIds.add(ask.id());
         scheduleLastCall(exchange, now);
         if (catchUp && now - beat > PAUSE) {
-            // This process stood still: what others have told it meanwhile waits in its sockets, and is read first.
+            // This process stood still: what others have told it meanwhile waits in its sockets,
+            // and is read first.
             loop.schedule(() -> post(new Asked(exchange)), CATCH_UP_MS, TimeUnit.MILLISECONDS);
         } else {
             post(new Asked(exchange));
@@ -305,10 +379,16 @@
     }
 
     private void scheduleLastCall(Exchange exchange, long now) {
-        exchange.lastCall = loop.schedule(new LastCall(exchange), exchange.answerBy + LAST_CALL - now, TimeUnit.NANOSECONDS);
+        exchange.lastCall =
+                loop.schedule(
+                        new LastCall(exchange),
+                        exchange.answerBy + LAST_CALL - now,
+                        TimeUnit.NANOSECONDS);
     }
 
-    /** From now on every request is answered by this moment, also those that were accepted before. */
+    /**
+     * From now on every request is answered by this moment, also those that were accepted before.
+     */
     void answerAllBy(long latest) {
         long now = Clock.now();
         for (Exchange exchange : exchanges.values()) {
@@ -346,7 +426,8 @@
         if (mode != Api.ListMode.FAILED) {
             startTimes.onList(Clock.now(), wallMs.getAsLong() * Clock.MILLISECOND);
         }
-        List<Api.Server> own = members.stream().map(Catalog.Member::server).map(this::onOwnClock).toList();
+        List<Api.Server> own =
+                members.stream().map(Catalog.Member::server).map(this::onOwnClock).toList();
         own.forEach(server -> listed.put(server.id(), server));
         if (all) {
             startTimes.keep(listed.keySet());
@@ -358,7 +439,10 @@
         }
     }
 
-    /** Where lists are pushed, the module asks for none: the agent beside this process is watched all the time, at no cost. */
+    /**
+     * Where lists are pushed, the module asks for none: the agent beside this process is watched
+     * all the time, at no cost.
+     */
     private void follow(Api.ListMode mode) {
         if (mode == Api.ListMode.CACHED) {
             discovery.subscribe();
@@ -383,16 +467,27 @@
 
     private ActionGuard.Send facts(long now, Attempt attempt, long hostUntil) {
         Exchange exchange = attempt.exchange;
-        return new ActionGuard.Send(exchange.over, exchange.client.unseenSince(now), attempt.cutAt, exchange.answerBy, hostUntil, repeatUntil(attempt));
+        return new ActionGuard.Send(
+                exchange.over,
+                exchange.client.unseenSince(now),
+                attempt.cutAt,
+                exchange.answerBy,
+                hostUntil,
+                repeatUntil(attempt));
     }
 
-    /** Until when it does no harm to send an attempt, for what the attempts before it may have done. */
+    /**
+     * Until when it does no harm to send an attempt, for what the attempts before it may have done.
+     */
     private long repeatUntil(Attempt attempt) {
         for (int i = 0; i < attempt.number; i++) {
             Attempt earlier = attempt.exchange.attempts.get(i);
             if (earlier.ended == null || !earlier.ended.neverRan) {
-                Api.RequestClass current = site().settings.classes().get(attempt.exchange.ask.requestClass());
-                return Math.min(repeatUntil(attempt.exchange.requestClass, earlier), repeatUntil(current, earlier));
+                Api.RequestClass current =
+                        site().settings.classes().get(attempt.exchange.ask.requestClass());
+                return Math.min(
+                        repeatUntil(attempt.exchange.requestClass, earlier),
+                        repeatUntil(current, earlier));
             }
         }
         return ActionGuard.NEVER;
@@ -406,17 +501,24 @@
         };
     }
 
-    /** Looks once more, with the clock read anew: what is found here was held up for longer than is allowed for. */
+    /**
+     * Looks once more, with the clock read anew: what is found here was held up for longer than is
+     * allowed for.
+     */
     @Override
     public void onWritten(Attempt attempt, long hostUntil) {
         long now = Clock.now();
-        ActionGuard.Verdict verdict = guard.maySend(now - ActionGuard.HELD_UP, facts(now, attempt, hostUntil));
+        ActionGuard.Verdict verdict =
+                guard.maySend(now - ActionGuard.HELD_UP, facts(now, attempt, hostUntil));
         if (verdict != ActionGuard.Verdict.ALLOWED) {
-            counters.violated(Violation.WRITTEN_AGAINST_GUARD, attempt.exchange.ask.id() + ": " + verdict);
+            counters.violated(
+                    Violation.WRITTEN_AGAINST_GUARD, attempt.exchange.ask.id() + ": " + verdict);
         }
         long overstated = now + attempt.toldMs * Clock.MILLISECOND - attempt.exchange.answerBy;
         if (overstated > ActionGuard.HELD_UP) {
-            counters.violated(Violation.TIME_OVERSTATED, attempt.exchange.ask.id() + ": by " + overstated / Clock.MILLISECOND + " ms");
+            counters.violated(
+                    Violation.TIME_OVERSTATED,
+                    attempt.exchange.ask.id() + ": by " + overstated / Clock.MILLISECOND + " ms");
         }
     }
 
@@ -441,7 +543,10 @@
         end(attempt, reason, answer, value);
     }
 
-    /** The configuration was replaced: of what it tells, the settings and where discovery is change under way. */
+    /**
+     * The configuration was replaced: of what it tells, the settings and where discovery is change
+     * under way.
+     */
     void reload(Config fresh) {
         witness.onConfig(fresh);
         site.swap(fresh.site());
@@ -491,13 +596,14 @@
     }
 
     /**
-     * On others' word these are avoided: by their newer lists, for which the module takes them as drained, and {@code held} by
-     * their operators, which is as though ours did.
+     * On others' word these are avoided: by their newer lists, for which the module takes them as
+     * drained, and {@code held} by their operators, which is as though ours did.
      */
     void onAvoid(Set<Long> servers, Set<Long> heldByOthers) {
         Set<Long> changed = new TreeSet<>(avoided);
         changed.addAll(servers);
-        changed.removeIf(id -> avoided.contains(id) == servers.contains(id) || !listed.containsKey(id));
+        changed.removeIf(
+                id -> avoided.contains(id) == servers.contains(id) || !listed.containsKey(id));
         avoided = servers;
         heldElsewhere = heldByOthers;
         List<Api.Server> entries = changed.stream().map(listed::get).map(this::heard).toList();
@@ -511,14 +617,28 @@
             startTimes.forget(told.id());
             return told;
         }
-        return new Api.Server(told.id(), told.zone(), told.kind(), told.cell(), told.state(), told.weight(),
+        return new Api.Server(
+                told.id(),
+                told.zone(),
+                told.kind(),
+                told.cell(),
+                told.state(),
+                told.weight(),
                 startTimes.own(told.id(), told.startedAt()));
     }
 
     /** An entry of the list as others' newer ones have it. */
     private Api.Server heard(Api.Server own) {
-        return own.state() != Api.State.READY || !avoided.contains(own.id()) ? own : new Api.Server(own.id(), own.zone(),
-                own.kind(), own.cell(), Api.State.DRAINING, own.weight(), own.startedAt());
+        return own.state() != Api.State.READY || !avoided.contains(own.id())
+                ? own
+                : new Api.Server(
+                        own.id(),
+                        own.zone(),
+                        own.kind(),
+                        own.cell(),
+                        Api.State.DRAINING,
+                        own.weight(),
+                        own.startedAt());
     }
 
     /** The fleet finds these bad. */
@@ -546,8 +666,8 @@
     }
 
     /**
-     * Whether the list names a server so, or did lately: operators restart what they take out, and discovery may call it gone just
-     * before their call comes in.
+     * Whether the list names a server so, or did lately: operators restart what they take out, and
+     * discovery may call it gone just before their call comes in.
      */
     boolean knows(String name) {
         return pool.knows(Catalog.hash(name));
@@ -594,7 +714,8 @@
         try {
             event.tell();
         } catch (RuntimeException e) {
-            // A fault in the module must not take the other requests with it, nor leave this one open.
+            // A fault in the module must not take the other requests with it, nor leave this one
+            // open.
             counters.unexpected("unexpected exception", e);
             if (event.exchange != null) {
                 settle(event.exchange);
@@ -613,7 +734,8 @@
 
     /** Answers by the rules without the module: a refusal only where nothing can have run. */
     private void settle(Exchange exchange) {
-        boolean mayRun = exchange.mayHaveRun || exchange.attempts.stream().anyMatch(Attempt::written);
+        boolean mayRun =
+                exchange.mayHaveRun || exchange.attempts.stream().anyMatch(Attempt::written);
         for (Attempt attempt : List.copyOf(exchange.attempts)) {
             // The module hears of it, and may answer by it: what never left is told as such.
             drop(attempt, attempt.written() ? Reason.CANCELLED : Reason.MOOT);
@@ -673,14 +795,19 @@
         }
     }
 
-    /** True the first time; a request that found no room was never in the ledger, and its id is its own. */
+    /**
+     * True the first time; a request that found no room was never in the ledger, and its id is its
+     * own.
+     */
     private boolean close(Exchange exchange) {
         if (!exchange.close()) {
             return false;
         }
         long late = exchange.lateness(Clock.now());
         if (late > MOST_LATE) {
-            counters.violated(Violation.UNANSWERED, exchange.ask.id() + ": for " + late / Clock.MILLISECOND + " ms past its time");
+            counters.violated(
+                    Violation.UNANSWERED,
+                    exchange.ask.id() + ": for " + late / Clock.MILLISECOND + " ms past its time");
         }
         if (exchanges.containsKey(exchange.id)) {
             openIds.remove(exchange.ask.id());
@@ -699,7 +826,9 @@
         }
         long now = Clock.now();
         long cut = cutAt <= 0 ? exchange.answerBy : Math.min(cutAt, exchange.answerBy);
-        Attempt attempt = new Attempt(exchange, exchange.attempts.size(), server, now, cut, witness.sequence());
+        Attempt attempt =
+                new Attempt(
+                        exchange, exchange.attempts.size(), server, now, cut, witness.sequence());
         if (attempt.number > 0) {
             counters.repeated(exchange.attempts.get(attempt.number - 1).ended);
         }
@@ -730,7 +859,10 @@
         if (exchange != null && !exchange.over) {
             Api.Settings settings = site().settings;
             long most = settings.retryAfter() ? Math.min(retryAfter, settings.maxRetryAfter()) : 0;
-            answerRefused(exchange, RefusalReason.DECIDED, (most + Clock.MILLISECOND - 1) / Clock.MILLISECOND);
+            answerRefused(
+                    exchange,
+                    RefusalReason.DECIDED,
+                    (most + Clock.MILLISECOND - 1) / Clock.MILLISECOND);
         }
     }
 
@@ -744,7 +876,8 @@
 
     @Override
     public void wakeAt(long moment, int token) {
-        loop.schedule(new Timer(moment, token), Math.max(0, moment - Clock.now()), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                new Timer(moment, token), Math.max(0, moment - Clock.now()), TimeUnit.NANOSECONDS);
     }
 
     @Override
--- a/node/src/main/java/frostrelay/node/Budget.java
+++ b/node/src/main/java/frostrelay/node/Budget.java
@@ -1,8 +1,9 @@
 package frostrelay.node;
 
 /**
- * Bytes of values that may be held at one time, those of open requests and those still coming in alike. What
- * peers announce costs nothing; what they have sent counts, so that no crowd of them can fill the heap.
+ * Bytes of values that may be held at one time, those of open requests and those still coming in
+ * alike. What peers announce costs nothing; what they have sent counts, so that no crowd of them
+ * can fill the heap.
  */
 final class Budget {
     private final long most;
--- a/node/src/main/java/frostrelay/node/Catalog.java
+++ b/node/src/main/java/frostrelay/node/Catalog.java
@@ -1,7 +1,9 @@
 package frostrelay.node;
 
 import frostrelay.policy.Api;
+
 import io.netty.util.NetUtil;
+
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -17,34 +19,42 @@
     private static final long FNV_PRIME = 0x100000001b3L;
 
     /** A host as the module knows it, and where it is reached from here. */
-    record Member(String uid, Api.Server server, InetSocketAddress endpoint) {
-    }
+    record Member(String uid, Api.Server server, InetSocketAddress endpoint) {}
 
     static Catalog parse(Map<?, ?> json, Site site) {
         List<Member> members = new ArrayList<>();
         for (Object target : Json.list(json, "targets")) {
             members.add(member(Json.object(target), site));
         }
-        return new Catalog(Json.get(json, "rev", Number.class).longValue(),
-                Json.get(json, "all", Boolean.class), members);
+        return new Catalog(
+                Json.get(json, "rev", Number.class).longValue(),
+                Json.get(json, "all", Boolean.class),
+                members);
     }
 
     private static Member member(Map<?, ?> json, Site site) {
-        Api.State state = switch (Json.get(json, "state", String.class)) {
-            case "Ready" -> Api.State.READY;
-            case "Terminating" -> Api.State.DRAINING;
-            case "Gone" -> Api.State.GONE;
-            default -> throw new ConfigException("unknown state of a cache host: " + json.get("state"));
-        };
-        // The id comes from the uid, never from the endpoint, which differs from balancer to balancer:
+        Api.State state =
+                switch (Json.get(json, "state", String.class)) {
+                    case "Ready" -> Api.State.READY;
+                    case "Terminating" -> Api.State.DRAINING;
+                    case "Gone" -> Api.State.GONE;
+                    default ->
+                            throw new ConfigException(
+                                    "unknown state of a cache host: " + json.get("state"));
+                };
+        // The id comes from the uid, never from the endpoint, which differs from balancer to
+        // balancer:
         // rendezvous hashing and slow start need the same id everywhere.
         String uid = Json.get(json, "uid", String.class);
-        Api.Server server = new Api.Server(hash(uid),
-                site.zone(Json.get(json, "az", String.class, "")),
-                site.kind(Json.get(json, "model", String.class, "")),
-                Json.get(json, "pod_group", Number.class, 0).intValue(), state,
-                Json.get(json, "capacity_hint", Number.class, 1).doubleValue(),
-                Json.get(json, "boot_ms", Number.class, 0).longValue() * Clock.MILLISECOND);
+        Api.Server server =
+                new Api.Server(
+                        hash(uid),
+                        site.zone(Json.get(json, "az", String.class, "")),
+                        site.kind(Json.get(json, "model", String.class, "")),
+                        Json.get(json, "pod_group", Number.class, 0).intValue(),
+                        state,
+                        Json.get(json, "capacity_hint", Number.class, 1).doubleValue(),
+                        Json.get(json, "boot_ms", Number.class, 0).longValue() * Clock.MILLISECOND);
         return new Member(uid, server, address(Json.get(json, "endpoint", String.class)));
     }
 
@@ -60,7 +70,10 @@
     /** Reads ADDRESS:PORT; names are not looked up, as there is no DNS. */
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
-        byte[] address = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+        byte[] address =
+                colon < 0
+                        ? null
+                        : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
             int port = address == null ? -1 : Integer.parseInt(text.substring(colon + 1));
             if (port >= 0 && port <= MOST_PORT) {
--- a/node/src/main/java/frostrelay/node/ClientServer.java
+++ b/node/src/main/java/frostrelay/node/ClientServer.java
@@ -3,6 +3,7 @@
 import frostrelay.lifecycle.ActionGuard;
 import frostrelay.log.Event;
 import frostrelay.log.Log;
+
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -21,6 +22,7 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioChannelOption;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
+
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
 import java.util.ArrayDeque;
@@ -31,38 +33,81 @@
 final class ClientServer {
     /** Requests of one connection that may be open at once; further ones wait to be begun. */
     private static final int MOST_PIPELINED = 64;
+
     /** Bytes of answers, over all connections, that clients may leave unread. */
     private static final long MOST_UNREAD = 8L * 1024 * 1024;
+
     private static final int BACKLOG = 1024;
+
     /**
-     * Connections taken in one turn of the loop. All of them hold a descriptor before the first is looked at, and
-     * one that is closed keeps it until the next turn: more at once than there is room for run out of descriptors.
+     * Connections taken in one turn of the loop. All of them hold a descriptor before the first is
+     * looked at, and one that is closed keeps it until the next turn: more at once than there is
+     * room for run out of descriptors.
      */
     private static final int ACCEPTS_AT_ONCE = 16;
+
     private static final long ACCEPT_AGAIN_MS = 20;
-    /** Reads of one connection before the loop turns to the next, lest one that floods starves the others. */
+
+    /**
+     * Reads of one connection before the loop turns to the next, lest one that floods starves the
+     * others.
+     */
     private static final int READS_AT_ONCE = 4;
+
     private static final int MOST_READ = 16 * 1024;
-    /** A first command, or one that has begun, must be whole within this time; good clients may need 2 s. */
+
+    /**
+     * A first command, or one that has begun, must be whole within this time; good clients may need
+     * 2 s.
+     */
     private static final long COMMAND_NS = 2_500 * Clock.MILLISECOND;
-    /** A connection on which nothing has been asked for so long is closed; good clients ask far more often. */
+
+    /**
+     * A connection on which nothing has been asked for so long is closed; good clients ask far more
+     * often.
+     */
     private static final long IDLE_NS = 20 * Clock.SECOND;
-    /** A client that does not take the answer behind which its connection closes is not waited for longer. */
+
+    /**
+     * A client that does not take the answer behind which its connection closes is not waited for
+     * longer.
+     */
     private static final long FAREWELL_NS = 2 * Clock.SECOND;
-    /** A client that has been sent the end of a connection closes it a way's time later; each that does not holds a descriptor. */
+
+    /**
+     * A client that has been sent the end of a connection closes it a way's time later; each that
+     * does not holds a descriptor.
+     */
     private static final long LINGER_NS = Clock.SECOND;
-    /** What comes on a connection that answers nothing more is passed over with such pauses: a flood must not cost much. */
+
+    /**
+     * What comes on a connection that answers nothing more is passed over with such pauses: a flood
+     * must not cost much.
+     */
     private static final long PASS_OVER_MS = 50;
+
     /** A connection that is read again is given this long before what waits of it is begun. */
     private static final long READ_FIRST_MS = 2;
-    /** After a fault a connection is not read for this long, and after so many faults no more at all. */
+
+    /**
+     * After a fault a connection is not read for this long, and after so many faults no more at
+     * all.
+     */
     private static final long PENALTY_MS = 50;
+
     private static final int MOST_FAULTS = 8;
-    private static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(16 * 1024, 64 * 1024);
-    /** Pieces of long values, over all connections, that clients may leave waiting before hosts are read no more. */
+    private static final WriteBufferWaterMark MARKS =
+            new WriteBufferWaterMark(16 * 1024, 64 * 1024);
+
+    /**
+     * Pieces of long values, over all connections, that clients may leave waiting before hosts are
+     * read no more.
+     */
     private static final long MOST_STREAMED = 6L * 1024 * 1024;
+
     /** A long value that neither end moves on for so long is given up. */
     private static final long STALLED_NS = 10 * Clock.SECOND;
+
     private static final byte[] CRLF = {'\r', '\n'};
 
     private final Balancer balancer;
@@ -73,13 +118,23 @@
     private final ReadAhead.Total ahead = new ReadAhead.Total();
     private Channel server;
     private long unread;
+
     /** Bytes of long values that are written and not taken yet. */
     private long streamed;
+
     private final ActionGuard guard;
 
-    /** {@code mostSurplus}: connections over {@code mostClients} that are kept just to be refused. */
-    ClientServer(Balancer balancer, EventLoop loop, Counters counters, Budget budget, ActionGuard guard, int mostClients,
-                 int mostSurplus) {
+    /**
+     * {@code mostSurplus}: connections over {@code mostClients} that are kept just to be refused.
+     */
+    ClientServer(
+            Balancer balancer,
+            EventLoop loop,
+            Counters counters,
+            Budget budget,
+            ActionGuard guard,
+            int mostClients,
+            int mostSurplus) {
         this.balancer = balancer;
         this.guard = guard;
         this.budget = budget;
@@ -89,28 +144,41 @@
     }
 
     ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true)
-                // While an upgrade lasts, the old process and the new one listen here together.
-                .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .handler(new AcceptFaults())
-                .option(ChannelOption.RCVBUF_ALLOCATOR,
-                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS_AT_ONCE))
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RCVBUF_ALLOCATOR,
-                        // Read on behind a short read: that is where the end of a connection shows.
-                        new AdaptiveRecvByteBufAllocator(512, 2048, MOST_READ).respectMaybeMoreData(false)
-                                .maxMessagesPerRead(READS_AT_ONCE))
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, MARKS)
-                .childHandler(new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel fresh) {
-                        MetaDecoder decoder = MetaDecoder.ofCommands(budget);
-                        Connection connection = new Connection((SocketChannel) fresh, decoder);
-                        fresh.pipeline().addLast(connection.readAhead, decoder, connection);
-                    }
-                }).bind(address);
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loop, loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        // While an upgrade lasts, the old process and the new one listen here
+                        // together.
+                        .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .handler(new AcceptFaults())
+                        .option(
+                                ChannelOption.RCVBUF_ALLOCATOR,
+                                new ServerChannelRecvByteBufAllocator()
+                                        .maxMessagesPerRead(ACCEPTS_AT_ONCE))
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childOption(
+                                ChannelOption.RCVBUF_ALLOCATOR,
+                                // Read on behind a short read: that is where the end of a
+                                // connection shows.
+                                new AdaptiveRecvByteBufAllocator(512, 2048, MOST_READ)
+                                        .respectMaybeMoreData(false)
+                                        .maxMessagesPerRead(READS_AT_ONCE))
+                        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, MARKS)
+                        .childHandler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel fresh) {
+                                        MetaDecoder decoder = MetaDecoder.ofCommands(budget);
+                                        Connection connection =
+                                                new Connection((SocketChannel) fresh, decoder);
+                                        fresh.pipeline()
+                                                .addLast(connection.readAhead, decoder, connection);
+                                    }
+                                })
+                        .bind(address);
         server = bound.channel();
         return bound;
     }
@@ -122,7 +190,9 @@
         }
     }
 
-    /** From now on so many connections are held at most; idle ones make room as further ones come. */
+    /**
+     * From now on so many connections are held at most; idle ones make room as further ones come.
+     */
     void limit(int most) {
         limiter.limit(most);
     }
@@ -132,8 +202,8 @@
     }
 
     /**
-     * Closes those that say nothing, stop halfway or have been idle for long: each holds a descriptor and memory
-     * that others need. To be called a few times a second.
+     * Closes those that say nothing, stop halfway or have been idle for long: each holds a
+     * descriptor and memory that others need. To be called a few times a second.
      */
     void sweep() {
         long now = Clock.now();
@@ -142,19 +212,24 @@
         }
     }
 
-    /** An accept that fails, for want of descriptors, is tried again soon: it must not reach the loop itself. */
+    /**
+     * An accept that fails, for want of descriptors, is tried again soon: it must not reach the
+     * loop itself.
+     */
     private final class AcceptFaults extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             counters.noise("cannot accept: " + cause);
             ctx.channel().config().setAutoRead(false);
-            loop.schedule(() -> ctx.channel().config().setAutoRead(true), ACCEPT_AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> ctx.channel().config().setAutoRead(true),
+                    ACCEPT_AGAIN_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
     /** A command that was read, and when it came. */
-    private record Arrived(MetaFrame frame, long at) {
-    }
+    private record Arrived(MetaFrame frame, long at) {}
 
     /** An answer has left. */
     private final class Taken implements ChannelFutureListener {
@@ -176,12 +251,16 @@
         private ByteBuf answer;
         private Command command;
         private Exchange exchange;
+
         /** The long value behind the answer, until its last piece has been written. */
         private ValueStream value;
+
         /** The answer's line has been written and the value follows. */
         private boolean streaming;
+
         /** Pieces that the client has not taken yet, and when it last took one. */
         private int unsent;
+
         private long progressAt;
 
         Slot(Connection connection) {
@@ -190,8 +269,10 @@
 
         @Override
         public void served(Reply reply, ValueStream coming) {
-            String line = command.write() ? "HD O" + command.id() + " c" + reply.receipt() + "\r\n"
-                    : "VA " + reply.length() + " O" + command.id() + "\r\n";
+            String line =
+                    command.write()
+                            ? "HD O" + command.id() + " c" + reply.receipt() + "\r\n"
+                            : "VA " + reply.length() + " O" + command.id() + "\r\n";
             if (coming == null) {
                 answer(line, reply.data());
             } else {
@@ -201,7 +282,11 @@
 
         @Override
         public void refused(long retryAfterMs) {
-            answer(retryAfterMs > 0 ? "SERVER_ERROR busy " + retryAfterMs + "\r\n" : "SERVER_ERROR busy\r\n", null);
+            answer(
+                    retryAfterMs > 0
+                            ? "SERVER_ERROR busy " + retryAfterMs + "\r\n"
+                            : "SERVER_ERROR busy\r\n",
+                    null);
         }
 
         @Override
@@ -239,10 +324,15 @@
             adjustDemand();
         }
 
-        /** Reads the host on while its client takes what comes, and all of them together do not leave too much. */
+        /**
+         * Reads the host on while its client takes what comes, and all of them together do not
+         * leave too much.
+         */
         private void adjustDemand() {
             if (streaming && value != null) {
-                value.demand(connection.channel.isWritable() && (unsent == 0 || streamed < MOST_STREAMED));
+                value.demand(
+                        connection.channel.isWritable()
+                                && (unsent == 0 || streamed < MOST_STREAMED));
             }
         }
 
@@ -251,12 +341,16 @@
             int bytes = piece.readableBytes();
             unsent += bytes;
             streamed += bytes;
-            connection.channel.writeAndFlush(piece).addListener(done -> {
-                unsent -= bytes;
-                streamed -= bytes;
-                progressAt = Clock.now();
-                adjustDemand();
-            });
+            connection
+                    .channel
+                    .writeAndFlush(piece)
+                    .addListener(
+                            done -> {
+                                unsent -= bytes;
+                                streamed -= bytes;
+                                progressAt = Clock.now();
+                                adjustDemand();
+                            });
             adjustDemand();
         }
 
@@ -274,7 +368,10 @@
             value = null;
             counters.cutShort++;
             connection.closeReason = CloseReason.VALUE_BROKEN;
-            connection.channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
+            connection
+                    .channel
+                    .writeAndFlush(Unpooled.EMPTY_BUFFER)
+                    .addListener(ChannelFutureListener.CLOSE);
         }
 
         /** Whether neither end has moved for too long. */
@@ -283,39 +380,55 @@
         }
     }
 
-    private final class Connection extends SimpleChannelInboundHandler<MetaFrame> implements ReadAhead.Listener, ConnectionLimiter.Limited {
+    private final class Connection extends SimpleChannelInboundHandler<MetaFrame>
+            implements ReadAhead.Listener, ConnectionLimiter.Limited {
         private final SocketChannel channel;
         private final MetaDecoder decoder;
         private final ReadAhead readAhead = new ReadAhead(this, ahead, READS_AT_ONCE);
         private final Queue<Slot> slots = new ArrayDeque<>();
+
         /** Commands that have been read and not begun. */
         private final Queue<Arrived> arrived = new ArrayDeque<>();
+
         /** When it came, fell idle or began to quit. */
         private long since = Clock.now();
+
         /** When the command that is still coming in began; 0 if there is none. */
         private long halfSince;
+
         /** A command has been begun since it was idle last. */
         private boolean asked;
+
         private boolean spoke;
         private int faults;
         private long pausedUntil;
         private long readFirstUntil;
+
         /** There was no room for it: all it gets is a refusal. */
         private boolean surplus;
+
         private boolean quitting;
+
         /** The last answer is on its way and the end of our output behind it. */
         private boolean leaving;
+
         /** The output has ended; only the client's end is waited for. */
         private boolean shut;
+
         private boolean gone;
+
         /** Why this end closes the connection; null while it does not. */
         private CloseReason closeReason;
+
         /** Commands are being begun: answers wait until that is done. */
         private boolean reading;
+
         /** The task that begins commands is due. */
         private boolean due;
+
         /** Made once: see {@link Balancer} on lambdas. */
         private final Runnable beginning = this::begin;
+
         private final Runnable adjusting = this::adjust;
 
         Connection(SocketChannel channel, MetaDecoder decoder) {
@@ -342,7 +455,9 @@
             surplus = true;
         }
 
-        /** Counted out now, as the channel reports its end only later: a burst would evict but one. */
+        /**
+         * Counted out now, as the channel reports its end only later: a burst would evict but one.
+         */
         @Override
         public void evict() {
             limiter.remove(this);
@@ -361,7 +476,10 @@
 
         private void beIdle() {
             // Asked again while it is idle, it keeps its place in the line.
-            ConnectionLimiter.Quiet kind = spoke && faults == 0 ? ConnectionLimiter.Quiet.IDLE : ConnectionLimiter.Quiet.UNPROVEN;
+            ConnectionLimiter.Quiet kind =
+                    spoke && faults == 0
+                            ? ConnectionLimiter.Quiet.IDLE
+                            : ConnectionLimiter.Quiet.UNPROVEN;
             if (limiter.becomesQuiet(this, kind) && asked) {
                 asked = false;
                 since = Clock.now();
@@ -376,10 +494,15 @@
             channel.close();
         }
 
-        /** What was read and is not answered must not end with the connection, unless the client broke it or left. */
+        /**
+         * What was read and is not answered must not end with the connection, unless the client
+         * broke it or left.
+         */
         private void checkNothingOwed(CloseReason reason) {
             if (reason.isOwnChoice()) {
-                counters.violated(Violation.CLOSED_UNANSWERED, reason + ": " + slots.size() + " open, " + arrived.size() + " read");
+                counters.violated(
+                        Violation.CLOSED_UNANSWERED,
+                        reason + ": " + slots.size() + " open, " + arrived.size() + " read");
             }
         }
 
@@ -400,14 +523,18 @@
             if (!slots.isEmpty() && slots.peek().isStalled(now)) {
                 counters.cutShort++;
                 close(CloseReason.VALUE_STALLED);
-            } else if (isDone() && !leaving && guard.mayCloseQuiet(now, spoke, since, halfSince != 0)) {
+            } else if (isDone()
+                    && !leaving
+                    && guard.mayCloseQuiet(now, spoke, since, halfSince != 0)) {
                 quit(unwelcomeReason());
             } else if (leaving) {
                 if (now - since > (shut ? LINGER_NS : FAREWELL_NS)) {
                     channel.close();
                 }
             } else if (isDone()) {
-                boolean late = !spoke && now - since > COMMAND_NS || halfSince != 0 && now - halfSince > COMMAND_NS;
+                boolean late =
+                        !spoke && now - since > COMMAND_NS
+                                || halfSince != 0 && now - halfSince > COMMAND_NS;
                 if (late) {
                     quit(CloseReason.INCOMPLETE_COMMAND);
                 } else if (now - since > IDLE_NS) {
@@ -466,16 +593,20 @@
         }
 
         private boolean mayBegin() {
-            return !quitting && !readAhead.isBehind() && slots.size() < MOST_PIPELINED && channel.isWritable()
+            return !quitting
+                    && !readAhead.isBehind()
+                    && slots.size() < MOST_PIPELINED
+                    && channel.isWritable()
                     && Clock.now() >= Math.max(pausedUntil, readFirstUntil);
         }
 
         /**
-         * Begins the commands that were read, once the reads of this turn are over: by then the end of a
-         * connection that was closed behind them has been seen too, and what nobody waits for any more is let drop.
-         * Guards against a queue of connections that all are dead by the time they are accepted, each of which
-         * would cost as much as a live one: a slow start, a stalled machine, any burst that clients give up on.
-         * Harm: a client that only closes its sending side is not answered, as ever.
+         * Begins the commands that were read, once the reads of this turn are over: by then the end
+         * of a connection that was closed behind them has been seen too, and what nobody waits for
+         * any more is let drop. Guards against a queue of connections that all are dead by the time
+         * they are accepted, each of which would cost as much as a live one: a slow start, a
+         * stalled machine, any burst that clients give up on. Harm: a client that only closes its
+         * sending side is not answered, as ever.
          */
         private void begin() {
             due = false;
@@ -515,8 +646,9 @@
         }
 
         /**
-         * Answers what cannot be served. Nothing behind a fault of framing is read; behind any other one reading
-         * rests, so that a client which sends the same again at once takes no time from the others.
+         * Answers what cannot be served. Nothing behind a fault of framing is read; behind any
+         * other one reading rests, so that a client which sends the same again at once takes no
+         * time from the others.
          */
         private void fault(Slot slot, String answer, boolean last) {
             counters.malformed++;
@@ -570,7 +702,9 @@
             if (!guard.mayAccept(now)) {
                 return RefusalReason.NOT_ACCEPTING;
             }
-            return guard.isUnseen(now, readAhead.unseenSince(now)) ? RefusalReason.CLIENT_UNSEEN : null;
+            return guard.isUnseen(now, readAhead.unseenSince(now))
+                    ? RefusalReason.CLIENT_UNSEEN
+                    : null;
         }
 
         /** Writes the answers that no earlier command has to come before. */
@@ -592,7 +726,8 @@
             }
             if (wrote) {
                 channel.flush();
-                // Its client has just been answered: nothing is on the way that a close could cross.
+                // Its client has just been answered: nothing is on the way that a close could
+                // cross.
                 endIfUnwelcome();
             }
             adjust();
@@ -620,7 +755,10 @@
             flushReady();
         }
 
-        /** Begins what waits, reads on, stops reading, or leaves, as its open requests and its client's reading allow. */
+        /**
+         * Begins what waits, reads on, stops reading, or leaves, as its open requests and its
+         * client's reading allow.
+         */
         void adjust() {
             if (gone) {
                 return;
@@ -648,22 +786,28 @@
         }
 
         /**
-         * Shuts the output behind what is still being written and reads on until the client has closed as well, for a while:
-         * a close over bytes that were not read resets the connection, and its client loses the last answer. What is read
-         * from now on is passed over, and its client sends it again elsewhere.
+         * Shuts the output behind what is still being written and reads on until the client has
+         * closed as well, for a while: a close over bytes that were not read resets the connection,
+         * and its client loses the last answer. What is read from now on is passed over, and its
+         * client sends it again elsewhere.
          */
         private void leave() {
             leaving = true;
             since = Clock.now();
             limiter.becomesBusy(this);
             limiter.becomesQuiet(this, ConnectionLimiter.Quiet.ENDING);
-            channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(written -> channel.shutdownOutput().addListener(ended -> {
-                shut = true;
-                since = Clock.now();
-                if (!ended.isSuccess()) {
-                    channel.close();
-                }
-            }));
+            channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
+                    .addListener(
+                            written ->
+                                    channel.shutdownOutput()
+                                            .addListener(
+                                                    ended -> {
+                                                        shut = true;
+                                                        since = Clock.now();
+                                                        if (!ended.isSuccess()) {
+                                                            channel.close();
+                                                        }
+                                                    }));
         }
 
         @Override
--- a/node/src/main/java/frostrelay/node/CloseReason.java
+++ b/node/src/main/java/frostrelay/node/CloseReason.java
@@ -20,7 +20,10 @@
     IDLE,
     /** No command came in time, or one that had begun was not completed. */
     INCOMPLETE_COMMAND,
-    /** The client broke the protocol too often, or in a way that hides where the next command begins. */
+    /**
+     * The client broke the protocol too often, or in a way that hides where the next command
+     * begins.
+     */
     PROTOCOL_FAULT,
     /** The client leaves too many answers unread. */
     ANSWERS_UNREAD,
@@ -35,8 +38,15 @@
     boolean isOwnChoice() {
         return switch (this) {
             case SHUTTING_DOWN, DRAINING, EVICTED, SURPLUS, IDLE, INCOMPLETE_COMMAND -> true;
-            case CLIENT_CLOSED, CLIENT_QUIT, TURNED_AWAY, PROTOCOL_FAULT, ANSWERS_UNREAD, VALUE_STALLED, VALUE_BROKEN,
-                    CONNECTION_ERROR -> false;
+            case CLIENT_CLOSED,
+                    CLIENT_QUIT,
+                    TURNED_AWAY,
+                    PROTOCOL_FAULT,
+                    ANSWERS_UNREAD,
+                    VALUE_STALLED,
+                    VALUE_BROKEN,
+                    CONNECTION_ERROR ->
+                    false;
         };
     }
 }
--- a/node/src/main/java/frostrelay/node/Command.java
+++ b/node/src/main/java/frostrelay/node/Command.java
@@ -1,9 +1,11 @@
 package frostrelay.node;
 
 import frostrelay.policy.Api;
+
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.ByteBufUtil;
+
 import java.nio.charset.StandardCharsets;
 
 /** A client's read or write, checked, with what is needed to pass it on in the same words. */
@@ -11,6 +13,7 @@
     private static final int MOST_KEY = 250;
     private static final int MOST_OPAQUE = 32;
     private static final int HEX_KEY = 16;
+
     /** A longer guess at the work is cut to this, in microseconds: no client means it. */
     private static final long MOST_WORK = 3_600_000_000L;
 
@@ -31,8 +34,10 @@
     private final int tenant;
     private final long waitMs;
     private final boolean repeat;
+
     /** Expected work in nanoseconds, 0 if not told. */
     private final long work;
+
     private final String[] figures;
     private int waitAt = -1;
 
@@ -48,7 +53,8 @@
         String list = null;
         boolean wantsValue = false;
         for (String word : frame.words().subList(flags, frame.words().size())) {
-            // Said twice, a flag could be passed on in a form that no client sent: it counts as unknown.
+            // Said twice, a flag could be passed on in a form that no client sent: it counts as
+            // unknown.
             if (word.charAt(0) == 'O' && id == null) {
                 id = word.substring(1);
             } else if (word.charAt(0) == 'P' && list == null) {
@@ -101,7 +107,10 @@
         return number;
     }
 
-    /** In plain loops, as all that each request runs through: streams are slow for long after a start. */
+    /**
+     * In plain loops, as all that each request runs through: streams are slow for long after a
+     * start.
+     */
     private String figure(String name) {
         for (String figure : figures) {
             if (figure.startsWith(name) && figure.startsWith("=", name.length())) {
@@ -164,7 +173,10 @@
         return value == null ? 0 : value.length;
     }
 
-    /** The key as the module's number: hexadecimal keys as they are, others by a hash all balancers share. */
+    /**
+     * The key as the module's number: hexadecimal keys as they are, others by a hash all balancers
+     * share.
+     */
     @Override
     public long keyNumber() {
         try {
@@ -182,8 +194,13 @@
     public ByteBuf encode(ByteBufAllocator alloc, long leftMs) {
         String[] list = figures.clone();
         list[waitAt] = "d=" + leftMs;
-        String line = (write ? "ms " + key + " " + value.length : "mg " + key + " v") + " O" + opaque
-                + " P" + String.join(",", list) + "\r\n";
+        String line =
+                (write ? "ms " + key + " " + value.length : "mg " + key + " v")
+                        + " O"
+                        + opaque
+                        + " P"
+                        + String.join(",", list)
+                        + "\r\n";
         return line(alloc, line, value);
     }
 
--- a/node/src/main/java/frostrelay/node/ConfigFile.java
+++ b/node/src/main/java/frostrelay/node/ConfigFile.java
@@ -11,13 +11,14 @@
 
 /** The configuration file and what was read of it last. Waits for files. Safe for threads. */
 public final class ConfigFile {
-    private record Stamp(FileTime modified, long size) {
-    }
+    private record Stamp(FileTime modified, long size) {}
 
     private final Path path;
     private long content;
+
     /** Of the last look, and of the last that was found to hold nothing new. */
     private Stamp seen;
+
     private Stamp settled;
 
     ConfigFile(String path) {
@@ -41,8 +42,9 @@
     }
 
     /**
-     * Whether it holds something else than was loaded last. To be called now and then: a change counts once two looks in
-     * a row have found the file the same, lest half of it be read while it is written.
+     * Whether it holds something else than was loaded last. To be called now and then: a change
+     * counts once two looks in a row have found the file the same, lest half of it be read while it
+     * is written.
      */
     synchronized boolean changed() {
         try {
@@ -69,14 +71,19 @@
     }
 
     /**
-     * Reads a file as a balancer would at its start and tells what holds, a line each. Throws {@link ConfigException}
-     * with what is wrong. Nothing is started.
+     * Reads a file as a balancer would at its start and tells what holds, a line each. Throws
+     * {@link ConfigException} with what is wrong. Nothing is started.
      */
     public static List<String> check(Path file) {
         Config config = Config.read(new ConfigFile(file.toString()));
-        return List.of("name " + config.name(), "listen " + config.listen(), "console " + config.console(),
-                "discovery " + config.discovery(), "descriptors " + config.sockets(),
+        return List.of(
+                "name " + config.name(),
+                "listen " + config.listen(),
+                "console " + config.console(),
+                "discovery " + config.discovery(),
+                "descriptors " + config.sockets(),
                 "classes " + String.join(", ", config.site().names()),
-                "attempts " + config.site().settings.maxAttempts(), "caches known " + config.known().members().size());
+                "attempts " + config.site().settings.maxAttempts(),
+                "caches known " + config.known().members().size());
     }
 }
--- a/node/src/main/java/frostrelay/node/ConnectionLimiter.java
+++ b/node/src/main/java/frostrelay/node/ConnectionLimiter.java
@@ -1,6 +1,7 @@
 package frostrelay.node;
 
 import io.netty.channel.EventLoop;
+
 import java.util.ArrayDeque;
 import java.util.EnumMap;
 import java.util.Iterator;
@@ -11,8 +12,8 @@
 import java.util.Set;
 
 /**
- * Limits how many clients' connections are open, and decides which quiet one is closed to make room for another. Runs on the event
- * loop.
+ * Limits how many clients' connections are open, and decides which quiet one is closed to make room
+ * for another. Runs on the event loop.
  */
 final class ConnectionLimiter<C extends ConnectionLimiter.Limited> {
     /** A connection as far as the limiter deals with it. */
@@ -27,9 +28,15 @@
         void refuseAll();
     }
 
-    /** Connections on which nothing is going on, by what they are; in the order in which they make room. */
+    /**
+     * Connections on which nothing is going on, by what they are; in the order in which they make
+     * room.
+     */
     enum Quiet {
-        /** This end's output has ended, and only the client's end is waited for: there is nothing on them to lose. */
+        /**
+         * This end's output has ended, and only the client's end is waited for: there is nothing on
+         * them to lose.
+         */
         ENDING,
         /** They never brought a good command, or brought a bad one. */
         UNPROVEN,
@@ -37,18 +44,25 @@
         IDLE
     }
 
-    /** No connection that has yet to speak is closed sooner to make room: its command may be on its way. */
+    /**
+     * No connection that has yet to speak is closed sooner to make room: its command may be on its
+     * way.
+     */
     private static final long YOUNG_NS = 100 * Clock.MILLISECOND;
+
     /** So large a part of all connections without a good command is a crowd. */
     private static final int CROWD_PART = 4;
 
     private final EventLoop loop;
     private final int surplus;
     private final Set<C> open = new LinkedHashSet<>();
+
     /** Each in the order in which they fell quiet, the first for the longest time. */
     private final Map<Quiet, Set<C>> quiet = new EnumMap<>(Quiet.class);
+
     /** Those that came while there was no room, and have not been given any yet. */
     private final Queue<C> waiting = new ArrayDeque<>();
+
     private int most;
 
     /** {@code surplus}: connections over {@code most} that are kept just to be refused. */
@@ -61,7 +75,9 @@
         }
     }
 
-    /** From now on so many connections are held at most; idle ones make room as further ones come. */
+    /**
+     * From now on so many connections are held at most; idle ones make room as further ones come.
+     */
     void limit(int fresh) {
         most = fresh;
     }
@@ -75,7 +91,10 @@
         return List.copyOf(open);
     }
 
-    /** Takes a new connection, for which room is looked for if there is none; false if it cannot even be refused. */
+    /**
+     * Takes a new connection, for which room is looked for if there is none; false if it cannot
+     * even be refused.
+     */
     boolean admit(C fresh) {
         if (open.size() >= most + surplus && !evictFirst(Quiet.ENDING, 0)) {
             return false;
@@ -91,7 +110,9 @@
         return true;
     }
 
-    /** Nothing is going on on a connection; false if that was so before, as it then keeps its place. */
+    /**
+     * Nothing is going on on a connection; false if that was so before, as it then keeps its place.
+     */
     boolean becomesQuiet(C connection, Quiet kind) {
         return quiet.get(kind).add(connection);
     }
@@ -108,8 +129,9 @@
     }
 
     /**
-     * Finds room for those that came without any. It runs behind the reads of the same turn of the loop: a
-     * connection whose command was waiting to be read is not idle any more, and would be lost by a close.
+     * Finds room for those that came without any. It runs behind the reads of the same turn of the
+     * loop: a connection whose command was waiting to be read is not idle any more, and would be
+     * lost by a close.
      */
     private void makeRoom() {
         for (C late = waiting.poll(); late != null; late = waiting.poll()) {
@@ -120,9 +142,12 @@
     }
 
     private boolean evictAny() {
-        // In a crowd that says nothing all are young: good idle connections must not make room for it.
+        // In a crowd that says nothing all are young: good idle connections must not make room for
+        // it.
         long least = quiet.get(Quiet.UNPROVEN).size() > most / CROWD_PART ? 0 : YOUNG_NS;
-        return evictFirst(Quiet.ENDING, 0) || evictFirst(Quiet.UNPROVEN, least) || evictFirst(Quiet.IDLE, 0);
+        return evictFirst(Quiet.ENDING, 0)
+                || evictFirst(Quiet.UNPROVEN, least)
+                || evictFirst(Quiet.IDLE, 0);
     }
 
     private boolean evictFirst(Quiet kind, long leastNs) {
--- a/node/src/main/java/frostrelay/node/Counters.java
+++ b/node/src/main/java/frostrelay/node/Counters.java
@@ -4,41 +4,59 @@
 import frostrelay.log.Event;
 import frostrelay.log.Log;
 import frostrelay.policy.Api.Reason;
+
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 
-/** Sparse counts for the log, to find causes by: how requests and attempts end, and how late we run. */
+/**
+ * Sparse counts for the log, to find causes by: how requests and attempts end, and how late we run.
+ */
 final class Counters {
     private static final long MICROSECOND = 1_000L;
+
     /** Lines that peers may cause between two prints, and the length of one. */
     private static final int MOST_NOISES = 20;
+
     private static final int MOST_NOISE = 200;
     private static final int MOST_FRAMES = 6;
+
     /** Twice a large tier: every balancer of it may go and come back between two prints. */
     private static final int MOST_STATES = 200;
+
     private final long[] outcomes = new long[Reason.values().length];
     private final long[] refusals = new long[RefusalReason.values().length];
     private final long[] closes = new long[CloseReason.values().length];
     private final long[] violations = new long[Violation.values().length];
     private final long[] denials = new long[ActionGuard.Verdict.values().length];
-    /** Further attempts, by how the one before them ended; the last place counts those beside one that is still out. */
+
+    /**
+     * Further attempts, by how the one before them ended; the last place counts those beside one
+     * that is still out.
+     */
     private final long[] repeats = new long[Reason.values().length + 1];
+
     long taken;
     long served;
     long failed;
     long clientsGone;
+
     /** Commands whose clients had closed their connections before anything was done. */
     long departed;
+
     long malformed;
+
     /** Long values whose client got only part of them. */
     long cutShort;
+
     long lastCalls;
     long connects;
+
     /** Attempts for which there was no connection to a cache, nor room for one. */
     long noLinkRoom;
+
     private long timers;
     private long lateTimers;
     private long latest;
@@ -70,7 +88,10 @@
         }
     }
 
-    /** One more attempt of a request; {@code last}: how the one before it ended, null while that is still out. */
+    /**
+     * One more attempt of a request; {@code last}: how the one before it ended, null while that is
+     * still out.
+     */
     void repeated(Reason last) {
         repeats[last == null ? Reason.values().length : last.ordinal()]++;
     }
@@ -118,8 +139,8 @@
     }
 
     /**
-     * Writes what has been counted so far. What explains requests without an answer comes first, and what is 0 is left out: where
-     * logs are shown, long lines are cut.
+     * Writes what has been counted so far. What explains requests without an answer comes first,
+     * and what is 0 is left out: where logs are shown, long lines are cut.
      */
     void print(Map<String, Object> gauges) {
         Map<String, Object> counts = new LinkedHashMap<>();
@@ -156,7 +177,8 @@
         }
     }
 
-    private static void putUnlessEmpty(Map<String, Object> counts, String name, Map<String, Object> detail) {
+    private static void putUnlessEmpty(
+            Map<String, Object> counts, String name, Map<String, Object> detail) {
         if (!detail.isEmpty()) {
             counts.put(name, detail);
         }
@@ -165,7 +187,9 @@
     /** What a peer can cause as often as it likes: told in part, so that it cannot fill the log. */
     void noise(String what) {
         if (++noises <= MOST_NOISES) {
-            Log.write(Event.PEER, what.length() > MOST_NOISE ? what.substring(0, MOST_NOISE) + "..." : what);
+            Log.write(
+                    Event.PEER,
+                    what.length() > MOST_NOISE ? what.substring(0, MOST_NOISE) + "..." : what);
         }
     }
 
--- a/node/src/main/java/frostrelay/node/Counting.java
+++ b/node/src/main/java/frostrelay/node/Counting.java
@@ -7,6 +7,7 @@
 import frostrelay.peers.Cargo;
 import frostrelay.peers.State;
 import frostrelay.policy.Api;
+
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -20,9 +21,18 @@
     private final Seams.Sums sums;
 
     Counting(PeerPort port, int rank, int count, long incarnation, UnaryOperator<Seams.Sums> seam) {
-        counts = new Counts(CountSettings.STANDARD, rank, count, Clock.now(), incarnation, number -> port.peers() != null
-                && port.peers().known(Clock.now(), number).state() == State.ALIVE,
-                port::post);
+        counts =
+                new Counts(
+                        CountSettings.STANDARD,
+                        rank,
+                        count,
+                        Clock.now(),
+                        incarnation,
+                        number ->
+                                port.peers() != null
+                                        && port.peers().known(Clock.now(), number).state()
+                                                == State.ALIVE,
+                        port::post);
         sums = seam.apply(counts::sum);
     }
 
@@ -75,7 +85,9 @@
             Sum sum = sums.sum(now, one);
             Map<String, Object> told = new LinkedHashMap<>();
             told.put("known", sum.known());
-            told.put("most", Double.isInfinite(sum.most()) ? "unknown" : (Object) Math.round(sum.most()));
+            told.put(
+                    "most",
+                    Double.isInfinite(sum.most()) ? "unknown" : (Object) Math.round(sum.most()));
             told.put("rate", Math.round(sum.rate() * 10) / 10.0);
             told.put("covered", sum.covered());
             told.put("of", sum.of());
--- a/node/src/main/java/frostrelay/node/CurrentSite.java
+++ b/node/src/main/java/frostrelay/node/CurrentSite.java
@@ -1,6 +1,9 @@
 package frostrelay.node;
 
-/** The settings that hold now: one value, swapped whole, so that nothing ever goes by half of the new ones. */
+/**
+ * The settings that hold now: one value, swapped whole, so that nothing ever goes by half of the
+ * new ones.
+ */
 final class CurrentSite {
     private Site site;
 
--- a/node/src/main/java/frostrelay/node/Dial.java
+++ b/node/src/main/java/frostrelay/node/Dial.java
@@ -4,30 +4,33 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
+
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
 /** Opens connections. */
 final class Dial {
-    private Dial() {
-    }
+    private Dial() {}
 
     /**
-     * Connects. {@code failed} hears on the loop why that came to nothing: where there is not even a descriptor, Netty tells it
-     * on a thread of its own, and all that hears of it belongs to the loop. May be called back before this returns.
+     * Connects. {@code failed} hears on the loop why that came to nothing: where there is not even
+     * a descriptor, Netty tells it on a thread of its own, and all that hears of it belongs to the
+     * loop. May be called back before this returns.
      */
-    static Channel connect(Bootstrap bootstrap, InetSocketAddress to, EventLoop loop, Consumer<Throwable> failed) {
+    static Channel connect(
+            Bootstrap bootstrap, InetSocketAddress to, EventLoop loop, Consumer<Throwable> failed) {
         ChannelFuture up = bootstrap.connect(to);
-        up.addListener(done -> {
-            if (done.isSuccess()) {
-                return;
-            }
-            if (loop.inEventLoop()) {
-                failed.accept(done.cause());
-            } else {
-                loop.execute(() -> failed.accept(done.cause()));
-            }
-        });
+        up.addListener(
+                done -> {
+                    if (done.isSuccess()) {
+                        return;
+                    }
+                    if (loop.inEventLoop()) {
+                        failed.accept(done.cause());
+                    } else {
+                        loop.execute(() -> failed.accept(done.cause()));
+                    }
+                });
         return up.channel();
     }
 }
--- a/node/src/main/java/frostrelay/node/Digests.java
+++ b/node/src/main/java/frostrelay/node/Digests.java
@@ -5,10 +5,12 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** Digests of what balancers act on: the first 8 bytes of SHA-256, the same at every balancer and for whoever checks. */
+/**
+ * Digests of what balancers act on: the first 8 bytes of SHA-256, the same at every balancer and
+ * for whoever checks.
+ */
 final class Digests {
-    private Digests() {
-    }
+    private Digests() {}
 
     static long of(byte[] bytes) {
         try {
--- a/node/src/main/java/frostrelay/node/Fleet.java
+++ b/node/src/main/java/frostrelay/node/Fleet.java
@@ -1,8 +1,8 @@
 package frostrelay.node;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+
 import frostrelay.audit.AuditLog;
-import frostrelay.audit.Entry;
 import frostrelay.audit.Recorder;
 import frostrelay.audit.Ring;
 import frostrelay.audit.store.RecordFolder;
@@ -16,7 +16,9 @@
 import frostrelay.peers.Peers;
 import frostrelay.peers.Stamp;
 import frostrelay.peers.State;
+
 import io.netty.channel.EventLoop;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.UncheckedIOException;
@@ -34,12 +36,16 @@
 import java.util.Set;
 import java.util.zip.CRC32;
 
-/** This balancer's part in its tier: its talk with the others and its account of itself. Both may be off. */
+/**
+ * This balancer's part in its tier: its talk with the others and its account of itself. Both may be
+ * off.
+ */
 class Fleet {
     private static final Fleet ALONE = new Fleet();
     private static final long TICK = Clock.SECOND;
     private static final int MOST_PEERS = 4096;
     private static final int PIECE = 16 * 1024;
+
     /** A section of no build so far. */
     private static final int FORM_TO_COME = 250;
 
@@ -51,7 +57,10 @@
         /** The configuration's file is read again. */
         void reread();
 
-        /** Exactly these caches are avoided on others' word: by their lists, and as their operators hold them. */
+        /**
+         * Exactly these caches are avoided on others' word: by their lists, and as their operators
+         * hold them.
+         */
         void avoid(Set<Long> caches, Set<Long> held);
 
         /** It steps aside, or comes back. */
@@ -68,7 +77,13 @@
     }
 
     /** What the options and the platform allow; both have to. */
-    static Fleet of(Config config, FleetOptions options, Seams seams, EventLoop loop, Counters counters, Lead lead) {
+    static Fleet of(
+            Config config,
+            FleetOptions options,
+            Seams seams,
+            EventLoop loop,
+            Counters counters,
+            Lead lead) {
         if (!options.peers() && !options.audit()) {
             return ALONE;
         }
@@ -80,20 +95,16 @@
     }
 
     /** The process serves from now on. */
-    void serve() {
-    }
+    void serve() {}
 
     /** Whether this process talks for its balancer. */
-    void speak(boolean on) {
-    }
+    void speak(boolean on) {}
 
     /** The process begins to end; {@code replaced}: another goes on under its name. */
-    void leave(boolean replaced) {
-    }
+    void leave(boolean replaced) {}
 
     /** To be called a few times a second. */
-    void tick() {
-    }
+    void tick() {}
 
     /** What is known, as JSON; null where nothing is kept. */
     byte[] statement() {
@@ -111,16 +122,13 @@
     }
 
     /** What operators decided, as {@link frostrelay.stragglers.Overrides} has it. */
-    void overrides(Set<String> words) {
-    }
+    void overrides(Set<String> words) {}
 
     /** A configuration with that number was read and cannot be used. */
-    void refused(long number) {
-    }
+    void refused(long number) {}
 
     /** The process ends in order. */
-    void close() {
-    }
+    void close() {}
 
     private static final class Member extends Fleet implements Peers.Listener, Acting.Changes {
         private final FleetOptions options;
@@ -135,22 +143,32 @@
         private final AuditLog audit;
         private final Acting acting;
         private final PeerPort port;
+
         /** Null where it does not care, or has no peers. */
         private final Lagging lagging;
+
         /** Likewise. */
         private final Judging judging;
+
         private final Counting counting;
         private final int count;
         private boolean serving;
         private long tickAt;
         private volatile String lacks;
 
-        Member(Config config, FleetOptions options, Seams seams, EventLoop loop, Counters counters, Lead lead) {
+        Member(
+                Config config,
+                FleetOptions options,
+                Seams seams,
+                EventLoop loop,
+                Counters counters,
+                Lead lead) {
             this.config = config;
             this.options = options;
             this.seams = seams;
             this.counters = counters;
-            // Both clocks at one moment: what is loaded between them would put the whole record in a wrong place.
+            // Both clocks at one moment: what is loaded between them would put the whole record in
+            // a wrong place.
             born = Clock.now();
             long bornWall = seams.wall().getAsLong();
             incarnation = Incarnation.of(bornWall);
@@ -159,28 +177,77 @@
             count = addresses.size();
             ring = new Ring(options.ring());
             folder = options.audit() && options.folder() != null ? folder() : null;
-            Recorder both = !options.audit() ? entry -> { } : entry -> {
-                ring.append(entry);
-                if (folder != null) {
-                    folder.append(entry);
-                }
-            };
+            Recorder both =
+                    !options.audit()
+                            ? entry -> {}
+                            : entry -> {
+                                ring.append(entry);
+                                if (folder != null) {
+                                    folder.append(entry);
+                                }
+                            };
             Stamp first = Acting.first(config, build());
-            audit = new AuditLog(seams.recorder().apply(both), options.each(), born, bornWall,
-                    config.name(), rank, incarnation, first);
-            port = addresses.isEmpty() ? null : new PeerPort(loop, Catalog.address(Json.get(config.json(),
-                    "peer_listen", String.class)), addresses, this::begin);
-            lagging = port == null || !options.stragglers() ? null : new Lagging(options, loop, lead, audit, counters, port,
-                    rank, count, config.seed() ^ incarnation, seams.stragglers());
-            judging = port == null || !options.judgements() ? null : new Judging(loop, lead, counters, port, this::counts,
-                    rank, count, incarnation, seams.judgements());
-            counting = port == null || !options.counts() ? null : new Counting(port, rank, count, incarnation, seams.counts());
+            audit =
+                    new AuditLog(
+                            seams.recorder().apply(both),
+                            options.each(),
+                            born,
+                            bornWall,
+                            config.name(),
+                            rank,
+                            incarnation,
+                            first);
+            port =
+                    addresses.isEmpty()
+                            ? null
+                            : new PeerPort(
+                                    loop,
+                                    Catalog.address(
+                                            Json.get(config.json(), "peer_listen", String.class)),
+                                    addresses,
+                                    this::begin);
+            lagging =
+                    port == null || !options.stragglers()
+                            ? null
+                            : new Lagging(
+                                    options,
+                                    loop,
+                                    lead,
+                                    audit,
+                                    counters,
+                                    port,
+                                    rank,
+                                    count,
+                                    config.seed() ^ incarnation,
+                                    seams.stragglers());
+            judging =
+                    port == null || !options.judgements()
+                            ? null
+                            : new Judging(
+                                    loop,
+                                    lead,
+                                    counters,
+                                    port,
+                                    this::counts,
+                                    rank,
+                                    count,
+                                    incarnation,
+                                    seams.judgements());
+            counting =
+                    port == null || !options.counts()
+                            ? null
+                            : new Counting(port, rank, count, incarnation, seams.counts());
             acting = new Acting(audit, seams.wall(), this);
         }
 
         /** Those of all balancers; none where the platform gives none, or does not allow it. */
         private static List<InetSocketAddress> addresses(Config config) {
-            Map<?, ?> ceilings = Json.get(Json.get(config.json(), "settings", Map.class), "ceilings", Map.class, Map.of());
+            Map<?, ?> ceilings =
+                    Json.get(
+                            Json.get(config.json(), "settings", Map.class),
+                            "ceilings",
+                            Map.class,
+                            Map.of());
             String why = null;
             List<InetSocketAddress> addresses = new ArrayList<>();
             if (!"true".equals(String.valueOf(ceilings.get("peer-messages")))) {
@@ -192,7 +259,9 @@
                     addresses.add(Catalog.address(String.valueOf(one)));
                 }
                 int rank = config.site().settings.rank();
-                if (rank >= addresses.size() || addresses.size() < 2 || addresses.size() > MOST_PEERS) {
+                if (rank >= addresses.size()
+                        || addresses.size() < 2
+                        || addresses.size() > MOST_PEERS) {
                     why = "number " + rank + " of " + addresses.size() + " peers";
                 }
             }
@@ -205,12 +274,20 @@
 
         private RecordFolder folder() {
             String temporary = System.getenv("TMPDIR");
-            Path at = Path.of(temporary == null || temporary.isEmpty() ? System.getProperty("java.io.tmpdir") : temporary)
-                    .resolve(options.folder());
-            return new RecordFolder(at, String.format(Locale.ROOT, "%016x", incarnation), options.most(), reason -> {
-                lacks = reason;
-                Log.write(Event.AUDIT_LACKS, reason);
-            });
+            Path at =
+                    Path.of(
+                                    temporary == null || temporary.isEmpty()
+                                            ? System.getProperty("java.io.tmpdir")
+                                            : temporary)
+                            .resolve(options.folder());
+            return new RecordFolder(
+                    at,
+                    String.format(Locale.ROOT, "%016x", incarnation),
+                    options.most(),
+                    reason -> {
+                        lacks = reason;
+                        Log.write(Event.AUDIT_LACKS, reason);
+                    });
         }
 
         /** A digest of the program's own bytes, so that two builds of one version differ. */
@@ -220,7 +297,13 @@
             }
             CRC32 crc = new CRC32();
             try {
-                Path source = Path.of(Fleet.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+                Path source =
+                        Path.of(
+                                Fleet.class
+                                        .getProtectionDomain()
+                                        .getCodeSource()
+                                        .getLocation()
+                                        .toURI());
                 if (Files.isRegularFile(source)) {
                     // Piece by piece: the whole of it would stay in the heap's memory for good.
                     try (InputStream in = Files.newInputStream(source)) {
@@ -239,10 +322,25 @@
         }
 
         private Peers begin(Peers.Actions actions) {
-            Log.write(Event.PEERS_TALK, config.json().get("peer_listen"), rank, count, options.ceiling());
+            Log.write(
+                    Event.PEERS_TALK,
+                    config.json().get("peer_listen"),
+                    rank,
+                    count,
+                    options.ceiling());
             PeerSettings settings = PeerSettings.STANDARD.under(options.ceiling()).as(seams.form());
-            Peers peers = new Peers(settings, rank, count, born, incarnation, config.seed() ^ Clock.now(), audit.stamp(),
-                    audit.sequence(), actions, this);
+            Peers peers =
+                    new Peers(
+                            settings,
+                            rank,
+                            count,
+                            born,
+                            incarnation,
+                            config.seed() ^ Clock.now(),
+                            audit.stamp(),
+                            audit.sequence(),
+                            actions,
+                            this);
             peers.carry(this::load);
             peers.cargoChanged(Clock.now());
             return peers;
@@ -275,9 +373,13 @@
             }
         }
 
-        /** Whether another's word on shared state counts: it is heard, and acts on no old list as far as that is minded. */
+        /**
+         * Whether another's word on shared state counts: it is heard, and acts on no old list as
+         * far as that is minded.
+         */
         private boolean counts(long now, int number) {
-            return port.peers() != null && port.peers().known(now, number).state() == State.ALIVE
+            return port.peers() != null
+                    && port.peers().known(now, number).state() == State.ALIVE
                     && (lagging == null || lagging.counts(number));
         }
 
@@ -421,7 +523,11 @@
             told.put("stamps", audit.sequence());
             told.put("sinceMs", (now - audit.since()) / Clock.MILLISECOND);
             told.put("why", audit.cause().name().toLowerCase(Locale.ROOT));
-            told.put("record", folder == null ? "memory" : lacks == null ? "folder" : "folder, lacking: " + lacks);
+            told.put(
+                    "record",
+                    folder == null
+                            ? "memory"
+                            : lacks == null ? "folder" : "folder, lacking: " + lacks);
             if (lagging != null) {
                 lagging.state(told);
             }
@@ -473,9 +579,13 @@
                 one.put("state", known.state().name().toLowerCase(Locale.ROOT));
                 one.put("incarnation", known.incarnation());
                 one.put("stamps", known.sequence());
-                // What was last known is told with its age; that it still holds is only said of those that are alive.
-                one.put("actsOn", known.stamp() == null || known.state() != State.ALIVE ? "unknown"
-                        : stamp(known.stamp()));
+                // What was last known is told with its age; that it still holds is only said of
+                // those that are alive.
+                one.put(
+                        "actsOn",
+                        known.stamp() == null || known.state() != State.ALIVE
+                                ? "unknown"
+                                : stamp(known.stamp()));
                 if (known.stamp() != null && known.state() != State.ALIVE) {
                     one.put("lastKnown", stamp(known.stamp()));
                 }
@@ -551,7 +661,8 @@
 
         @Override
         public void onContent(long now, int ref, Stamp stamp) {
-            // The record of who acts on it has it. Peers that were heard of before their stamp's content was:
+            // The record of who acts on it has it. Peers that were heard of before their stamp's
+            // content was:
             for (int i = 0; lagging != null && port.peers() != null && i < count; i++) {
                 consider(i);
             }
--- a/node/src/main/java/frostrelay/node/HostPool.java
+++ b/node/src/main/java/frostrelay/node/HostPool.java
@@ -3,6 +3,7 @@
 import frostrelay.lifecycle.ActionGuard;
 import frostrelay.policy.Api;
 import frostrelay.policy.Api.Reason;
+
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
@@ -14,6 +15,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.nio.NioSocketChannel;
+
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -25,18 +27,31 @@
 import java.util.Set;
 
 /**
- * Connections to cache hosts, each with one request at a time: never more than a site allows, and an
- * attempt that is given up then costs no other request its connection. Nothing is ever sent again here.
+ * Connections to cache hosts, each with one request at a time: never more than a site allows, and
+ * an attempt that is given up then costs no other request its connection. Nothing is ever sent
+ * again here.
  */
 final class HostPool implements Backend {
-    /** Part of the hosts' idle time after which a connection is retired: a request that crossed the close
-     * would end as a reset, which a write cannot repeat. */
+    /**
+     * Part of the hosts' idle time after which a connection is retired: a request that crossed the
+     * close would end as a reset, which a write cannot repeat.
+     */
     private static final double IDLE_PART = 0.6;
-    /** Taken off the drain grace: for the way of the last byte, and for a process that is held up before it writes. */
+
+    /**
+     * Taken off the drain grace: for the way of the last byte, and for a process that is held up
+     * before it writes.
+     */
     private static final long GRACE_MARGIN = 100 * Clock.MILLISECOND + ActionGuard.HELD_UP;
-    /** A host that is gone is known so long: a restart takes 2 to 30 s, and operators' calls may come behind the list's. */
+
+    /**
+     * A host that is gone is known so long: a restart takes 2 to 30 s, and operators' calls may
+     * come behind the list's.
+     */
     private static final long KEPT = 60 * Clock.SECOND;
+
     private static final long NEVER = ActionGuard.NEVER;
+
     /** Bytes of one read, the most that a paused value leaves waiting. */
     private static final int MOST_READ = 16 * 1024;
 
@@ -45,12 +60,16 @@
         final int number;
         InetSocketAddress endpoint;
         boolean gone;
+
         /** When the list last named it. */
         long namedAt;
+
         /** The list's word. */
         boolean listedReady;
+
         /** No send may start from then on. */
         long sendUntil = NEVER;
+
         int links;
         final Deque<Link> idle = new ArrayDeque<>();
 
@@ -66,23 +85,33 @@
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private final Map<Long, Host> hosts = new HashMap<>();
+
     /** All idle connections, the coldest first. */
     private final Set<Link> idle = new LinkedHashSet<>();
+
     /** Each connection holds one value at most, so their number bounds this. */
     private final Budget budget = new Budget(Long.MAX_VALUE);
+
     /** Hosts that operators hold out of use. */
     private Set<Long> held = Set.of();
+
     private int links;
 
-    HostPool(CurrentSite site, EventLoop loop, Counters counters, int mostLinks, Listener listener) {
+    HostPool(
+            CurrentSite site, EventLoop loop, Counters counters, int mostLinks, Listener listener) {
         this.site = site;
         this.counters = counters;
         this.mostLinks = mostLinks;
         this.listener = listener;
         this.loop = loop;
-        this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.RCVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 2048, MOST_READ));
+        this.bootstrap =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(
+                                ChannelOption.RCVBUF_ALLOCATOR,
+                                new AdaptiveRecvByteBufAllocator(512, 2048, MOST_READ));
     }
 
     /** Applies a list before the module sees it, so that every host it may name is known here. */
@@ -94,8 +123,9 @@
         long now = Clock.now();
         Set<Host> unnamed = new LinkedHashSet<>(hosts.values());
         for (Catalog.Member member : members) {
-            Host host = hosts.computeIfAbsent(member.server().id(),
-                    id -> new Host(listener.number(member.uid())));
+            Host host =
+                    hosts.computeIfAbsent(
+                            member.server().id(), id -> new Host(listener.number(member.uid())));
             unnamed.remove(host);
             if (!member.endpoint().equals(host.endpoint)) {
                 closeIdle(host);
@@ -138,7 +168,10 @@
     }
 
     private void leave(Host host, long now) {
-        host.sendUntil = Math.min(host.sendUntil, now + Math.max(0, site.get().settings.drainGrace() - GRACE_MARGIN));
+        host.sendUntil =
+                Math.min(
+                        host.sendUntil,
+                        now + Math.max(0, site.get().settings.drainGrace() - GRACE_MARGIN));
         closeIdle(host);
     }
 
@@ -156,7 +189,8 @@
             link.carry(attempt);
             link.write();
         } else if (links >= mostLinks && !evict()) {
-            // No room here is not the host's fault: told as 'not sent', which blames nobody and refuses.
+            // No room here is not the host's fault: told as 'not sent', which blames nobody and
+            // refuses.
             counters.noLinkRoom++;
             listener.onAnswer(attempt, Reason.MOOT, null, null);
         } else {
@@ -173,8 +207,9 @@
     }
 
     /**
-     * The idle connection that was used last, or null. One that was idle for too long is not used even if no sweep has seen to it
-     * yet, as after a pause of this process: its host may have closed it.
+     * The idle connection that was used last, or null. One that was idle for too long is not used
+     * even if no sweep has seen to it yet, as after a pause of this process: its host may have
+     * closed it.
      */
     private Link warmest(Host host) {
         long oldest = oldestIdle();
@@ -199,7 +234,10 @@
         }
     }
 
-    /** Ends the wait for an attempt. One that was written costs its connection, as its answer may still come. */
+    /**
+     * Ends the wait for an attempt. One that was written costs its connection, as its answer may
+     * still come.
+     */
     @Override
     public void abandon(Attempt attempt) {
         Link link = (Link) attempt.carrier;
@@ -234,7 +272,9 @@
         return true;
     }
 
-    /** Retires connections well before their hosts would, and forgets hosts that are gone for long. */
+    /**
+     * Retires connections well before their hosts would, and forgets hosts that are gone for long.
+     */
     @Override
     public void sweep() {
         long oldest = oldestIdle();
@@ -260,21 +300,31 @@
         into.put("idle", idle.size());
     }
 
-    /** One connection, its states in order: coming up, then idle or carrying an attempt, then closed. */
-    private final class Link extends SimpleChannelInboundHandler<Object> implements ValueStream.Source, Carrier {
+    /**
+     * One connection, its states in order: coming up, then idle or carrying an attempt, then
+     * closed.
+     */
+    private final class Link extends SimpleChannelInboundHandler<Object>
+            implements ValueStream.Source, Carrier {
         private final Host host;
         private final MetaDecoder decoder = MetaDecoder.ofAnswers(budget);
         private Channel channel;
         private Attempt attempt;
+
         /** The write of the present attempt; done when its last byte has left. */
         private ChannelFuture sent;
+
         private long idleSince;
+
         /** The long value that is coming in; its attempt has ended. */
         private ValueStream value;
+
         /** Whose answer came on it last; null if that was none, or has come twice. */
         private String answeredId;
+
         /** Its answer has come and the read that brought it is not over. */
         private boolean answered;
+
         private boolean counted;
 
         private Link(Host host) {
@@ -287,13 +337,19 @@
             counted = true;
             links++;
             host.links++;
-            int timeout = (int) Math.max(1, site.get().settings.connectTimeout() / Clock.MILLISECOND);
-            Bootstrap dial = bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeout).handler(new ChannelInitializer<>() {
-                @Override
-                protected void initChannel(Channel fresh) {
-                    fresh.pipeline().addLast(decoder, Link.this);
-                }
-            });
+            int timeout =
+                    (int) Math.max(1, site.get().settings.connectTimeout() / Clock.MILLISECOND);
+            Bootstrap dial =
+                    bootstrap
+                            .clone()
+                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeout)
+                            .handler(
+                                    new ChannelInitializer<>() {
+                                        @Override
+                                        protected void initChannel(Channel fresh) {
+                                            fresh.pipeline().addLast(decoder, Link.this);
+                                        }
+                                    });
             channel = Dial.connect(dial, host.endpoint, loop, cause -> lost());
         }
 
@@ -315,15 +371,24 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            ActionGuard.Verdict verdict = attempt == null ? ActionGuard.Verdict.REQUEST_OVER : ask(attempt, host);
+            ActionGuard.Verdict verdict =
+                    attempt == null ? ActionGuard.Verdict.REQUEST_OVER : ask(attempt, host);
             if (attempt != null && verdict != ActionGuard.Verdict.ALLOWED) {
-                // What it was to carry must not begin any more: for a server that has left, another may be tried.
+                // What it was to carry must not begin any more: for a server that has left, another
+                // may be tried.
                 Attempt late = attempt;
                 release();
-                listener.onAnswer(late, verdict == ActionGuard.Verdict.SERVER_LEFT ? Reason.CONNECT_FAILED : Reason.MOOT, null, null);
+                listener.onAnswer(
+                        late,
+                        verdict == ActionGuard.Verdict.SERVER_LEFT
+                                ? Reason.CONNECT_FAILED
+                                : Reason.MOOT,
+                        null,
+                        null);
             }
             if (attempt == null) {
-                // Cancelled, cut or denied while the connection came up: nothing is written, the connection is kept.
+                // Cancelled, cut or denied while the connection came up: nothing is written, the
+                // connection is kept.
                 goIdle();
             } else {
                 write();
@@ -391,16 +456,17 @@
             Reason reason = judge(attempt.exchange.ask, answer);
             boolean garbage = reason == null;
             if (garbage) {
-                counters.noise("a cache host broke the protocol: "
-                        + (answer.fault() != null ? answer.fault() : answer.words()));
+                counters.noise(
+                        "a cache host broke the protocol: "
+                                + (answer.fault() != null ? answer.fault() : answer.words()));
             }
             finish(garbage ? Reason.ERROR : reason, answer, garbage || !written());
         }
 
         /**
-         * A connection is free only once all that came has been read and nothing came behind the answer: noise
-         * there, whole or in part, would be taken for the answer to the next request. Likewise any byte on an
-         * idle connection ends it.
+         * A connection is free only once all that came has been read and nothing came behind the
+         * answer: noise there, whole or in part, would be taken for the answer to the next request.
+         * Likewise any byte on an idle connection ends it.
          */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -416,12 +482,14 @@
         }
 
         /**
-         * Whether this is the answer before once more, come late: guards against a write that fails, and may not be repeated,
-         * for what another request was answered twice. Only once, and never for a request that goes by the same id.
+         * Whether this is the answer before once more, come late: guards against a write that
+         * fails, and may not be repeated, for what another request was answered twice. Only once,
+         * and never for a request that goes by the same id.
          */
         private boolean isSecond(MetaFrame answer) {
             String id = answer.streamed() ? null : opaque(answer);
-            boolean second = id != null && id.equals(answeredId) && !id.equals(attempt.exchange.ask.id());
+            boolean second =
+                    id != null && id.equals(answeredId) && !id.equals(attempt.exchange.ask.id());
             answeredId = second ? null : answeredId;
             return second;
         }
@@ -436,9 +504,14 @@
                 return null;
             }
             if (answer.is(0, "SERVER_ERROR")) {
-                return answer.is(1, "busy") ? Reason.REJECTED : answer.is(1, "failed") ? Reason.ERROR : null;
+                return answer.is(1, "busy")
+                        ? Reason.REJECTED
+                        : answer.is(1, "failed") ? Reason.ERROR : null;
             }
-            boolean kind = ask.write() ? answer.is(0, "HD") && answer.receipt() != null : answer.is(0, "VA");
+            boolean kind =
+                    ask.write()
+                            ? answer.is(0, "HD") && answer.receipt() != null
+                            : answer.is(0, "VA");
             return kind && ask.id().equals(opaque(answer)) ? Reason.OK : null;
         }
 
--- a/node/src/main/java/frostrelay/node/Json.java
+++ b/node/src/main/java/frostrelay/node/Json.java
@@ -1,6 +1,7 @@
 package frostrelay.node;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -8,8 +9,7 @@
 
 /** Typed looks into parsed JSON; what is missing or of another type is said in one line. */
 final class Json {
-    private Json() {
-    }
+    private Json() {}
 
     static Map<?, ?> parse(byte[] text) {
         try {
--- a/node/src/main/java/frostrelay/node/Judging.java
+++ b/node/src/main/java/frostrelay/node/Judging.java
@@ -7,7 +7,9 @@
 import frostrelay.log.Event;
 import frostrelay.log.Log;
 import frostrelay.peers.Cargo;
+
 import io.netty.channel.EventLoop;
+
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -18,24 +20,44 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 
-/** What this balancer and the others see of their caches: attempts go to {@link Judgements}, what comes of that to the module. */
+/**
+ * What this balancer and the others see of their caches: attempts go to {@link Judgements}, what
+ * comes of that to the module.
+ */
 final class Judging implements Judgements.Actions {
     private final EventLoop loop;
     private final Fleet.Lead lead;
     private final PeerPort port;
     private final Judgements judgements;
     private final Counters counters;
+
     /** The names of caches, for operators, by their numbers. */
     private final Map<Long, String> names = new LinkedHashMap<>();
+
     private long wakeAt = Long.MAX_VALUE;
 
-    Judging(EventLoop loop, Fleet.Lead lead, Counters counters, PeerPort port, Judgements.Trust trust, int rank, int count,
-            long incarnation, UnaryOperator<Judgements.Actions> seam) {
+    Judging(
+            EventLoop loop,
+            Fleet.Lead lead,
+            Counters counters,
+            PeerPort port,
+            Judgements.Trust trust,
+            int rank,
+            int count,
+            long incarnation,
+            UnaryOperator<Judgements.Actions> seam) {
         this.loop = loop;
         this.lead = lead;
         this.counters = counters;
         this.port = port;
-        judgements = new Judgements(JudgementSettings.STANDARD, rank, count, incarnation, trust, seam.apply(this));
+        judgements =
+                new Judgements(
+                        JudgementSettings.STANDARD,
+                        rank,
+                        count,
+                        incarnation,
+                        trust,
+                        seam.apply(this));
     }
 
     Cargo cargo() {
@@ -73,18 +95,26 @@
         long next = judgements.next();
         if (next < wakeAt) {
             wakeAt = next;
-            loop.schedule(() -> {
-                wakeAt = Long.MAX_VALUE;
-                judgements.onWake(Clock.now());
-                schedule();
-            }, Math.max(0, next - Clock.now()), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        wakeAt = Long.MAX_VALUE;
+                        judgements.onWake(Clock.now());
+                        schedule();
+                    },
+                    Math.max(0, next - Clock.now()),
+                    TimeUnit.NANOSECONDS);
         }
     }
 
     @Override
     public void lower(Set<Long> caches) {
         if (counters.mayTell()) {
-            Log.write(Event.LOWERS, caches.stream().map(cache -> names.getOrDefault(cache, "unknown")).sorted().toList());
+            Log.write(
+                    Event.LOWERS,
+                    caches.stream()
+                            .map(cache -> names.getOrDefault(cache, "unknown"))
+                            .sorted()
+                            .toList());
         }
         lead.lower(caches);
     }
@@ -106,7 +136,9 @@
         return port.post(to, type, section);
     }
 
-    /** Each cache of which anybody says something: who, what, how old, and what is made of it here. */
+    /**
+     * Each cache of which anybody says something: who, what, how old, and what is made of it here.
+     */
     List<Object> statement() {
         long now = Clock.now();
         List<Object> told = new ArrayList<>();
--- a/node/src/main/java/frostrelay/node/Lagging.java
+++ b/node/src/main/java/frostrelay/node/Lagging.java
@@ -14,7 +14,9 @@
 import frostrelay.stragglers.StragglerSettings;
 import frostrelay.stragglers.Stragglers;
 import frostrelay.stragglers.Words;
+
 import io.netty.channel.EventLoop;
+
 import java.nio.ByteBuffer;
 import java.util.EnumSet;
 import java.util.HashSet;
@@ -26,8 +28,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Where this balancer stands to the others of its tier: what it hears goes to {@link Stragglers}, and what comes of that is
- * carried out. On the event loop.
+ * Where this balancer stands to the others of its tier: what it hears goes to {@link Stragglers},
+ * and what comes of that is carried out. On the event loop.
  */
 final class Lagging implements Stragglers.Actions, Words.Listener, Handover.Actions {
     private final FleetOptions options;
@@ -35,29 +37,53 @@
     private final Fleet.Lead lead;
     private final AuditLog audit;
     private final Counters counters;
+
     /** The talk that goes on, or null. */
     private final PeerPort port;
+
     private final Stragglers stragglers;
     private final Words words;
     private final Handover handover;
-    /** It is said for so long that it serves well again: probes of most others come by in that time. */
+
+    /**
+     * It is said for so long that it serves well again: probes of most others come by in that time.
+     */
     private static final long FINE_AGAIN = 10 * Clock.SECOND;
+
     private final Set<Kind> said = EnumSet.noneOf(Kind.class);
     private long fineUntil;
     private long wakeAt = Long.MAX_VALUE;
+
     /** The configuration that was packed last, and as what. */
     private long packedDigest;
+
     private byte[] packed;
 
-    Lagging(FleetOptions options, EventLoop loop, Fleet.Lead lead, AuditLog audit, Counters counters, PeerPort port,
-            int rank, int count, long seed, UnaryOperator<Stragglers.Actions> seam) {
+    Lagging(
+            FleetOptions options,
+            EventLoop loop,
+            Fleet.Lead lead,
+            AuditLog audit,
+            Counters counters,
+            PeerPort port,
+            int rank,
+            int count,
+            long seed,
+            UnaryOperator<Stragglers.Actions> seam) {
         this.options = options;
         this.loop = loop;
         this.lead = lead;
         this.audit = audit;
         this.counters = counters;
         this.port = port;
-        stragglers = new Stragglers(StragglerSettings.STANDARD, rank, count, seed, audit.stamp(), seam.apply(this));
+        stragglers =
+                new Stragglers(
+                        StragglerSettings.STANDARD,
+                        rank,
+                        count,
+                        seed,
+                        audit.stamp(),
+                        seam.apply(this));
         handover = new Handover(seed, this);
         words = new Words(this::knowsHolds);
     }
@@ -90,7 +116,12 @@
     }
 
     void onPeer(Known known) {
-        stragglers.onPeer(Clock.now(), known.rank(), known.state(), known.stamp(), Incarnation.unixMs(known.incarnation()),
+        stragglers.onPeer(
+                Clock.now(),
+                known.rank(),
+                known.state(),
+                known.stamp(),
+                Incarnation.unixMs(known.incarnation()),
                 known.age());
         schedule();
     }
@@ -123,7 +154,8 @@
     /** To be called about once a second. */
     void tick(long now, boolean deaf) {
         stragglers.onDeaf(now, deaf);
-        stragglers.onSecond(now, counters.served + counters.refused() + counters.failed, counters.served);
+        stragglers.onSecond(
+                now, counters.served + counters.refused() + counters.failed, counters.served);
         if (said.isEmpty() && now > fineUntil) {
             for (Kind kind : Kind.values()) {
                 words.failsNoMore(kind);
@@ -169,12 +201,15 @@
         long next = Math.min(stragglers.next(now), handover.next());
         if (next < wakeAt) {
             wakeAt = next;
-            loop.schedule(() -> {
-                wakeAt = Long.MAX_VALUE;
-                stragglers.onWake(Clock.now());
-                handover.onWake(Clock.now());
-                schedule();
-            }, Math.max(0, next - now), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        wakeAt = Long.MAX_VALUE;
+                        stragglers.onWake(Clock.now());
+                        handover.onWake(Clock.now());
+                        schedule();
+                    },
+                    Math.max(0, next - now),
+                    TimeUnit.NANOSECONDS);
         }
     }
 
@@ -209,7 +244,12 @@
 
     @Override
     public void avoid(Set<Long> caches) {
-        Log.write(Event.AVOIDS, caches.size(), audit.stamp().listRev(), stragglers.newest(), stragglers.heldByOthers().size());
+        Log.write(
+                Event.AVOIDS,
+                caches.size(),
+                audit.stamp().listRev(),
+                stragglers.newest(),
+                stragglers.heldByOthers().size());
         Set<Long> held = new HashSet<>(stragglers.heldByOthers());
         held.retainAll(caches);
         Set<Long> away = new HashSet<>(caches);
@@ -227,7 +267,11 @@
     public void says() {
         List<Kind> kinds = stragglers.failing();
         if (!kinds.isEmpty()) {
-            Log.write(Event.SERVES_WORSE, kinds.toString(), audit.stamp().listRev(), audit.stamp().confNumber());
+            Log.write(
+                    Event.SERVES_WORSE,
+                    kinds.toString(),
+                    audit.stamp().listRev(),
+                    audit.stamp().confNumber());
         }
         for (Kind kind : Kind.values()) {
             boolean fails = kinds.contains(kind);
@@ -260,11 +304,17 @@
 
     void state(Map<String, Object> into) {
         into.put("standing", word(stragglers.standing()));
-        into.put("newestList", stragglers.newest() == Long.MIN_VALUE ? "unknown" : stragglers.newest());
+        into.put(
+                "newestList",
+                stragglers.newest() == Long.MIN_VALUE ? "unknown" : stragglers.newest());
         long behind = stragglers.behindFor(Clock.now());
         into.put("behindMs", behind < 0 ? 0 : behind / Clock.MILLISECOND);
         into.put("configStanding", word(stragglers.configStanding()));
-        into.put("newestConfig", stragglers.newestConfig() == Long.MIN_VALUE ? "unknown" : stragglers.newestConfig());
+        into.put(
+                "newestConfig",
+                stragglers.newestConfig() == Long.MIN_VALUE
+                        ? "unknown"
+                        : stragglers.newestConfig());
         into.put("avoids", stragglers.avoided().size());
         into.put("heldByOthers", stragglers.heldByOthers().size());
         into.put("asked", stragglers.asks());
@@ -282,6 +332,10 @@
 
     /** Whether what that one says of shared state is to be gone by. */
     String heeds(int other) {
-        return stragglers.heeds(Clock.now(), other).name().toLowerCase(Locale.ROOT).replace('_', '-');
+        return stragglers
+                .heeds(Clock.now(), other)
+                .name()
+                .toLowerCase(Locale.ROOT)
+                .replace('_', '-');
     }
 }
--- a/node/src/main/java/frostrelay/node/Main.java
+++ b/node/src/main/java/frostrelay/node/Main.java
@@ -2,10 +2,12 @@
 
 /** The real balancer as the platform starts it. */
 public final class Main {
-    private Main() {
-    }
+    private Main() {}
 
-    /** Takes no arguments; {@code GW_CONFIG} names the configuration; {@link FleetOptions} its properties. */
+    /**
+     * Takes no arguments; {@code GW_CONFIG} names the configuration; {@link FleetOptions} its
+     * properties.
+     */
     public static void main(String[] args) {
         Program.start(System.getenv("GW_CONFIG"), Options::ofProperties);
     }
--- a/node/src/main/java/frostrelay/node/MetaDecoder.java
+++ b/node/src/main/java/frostrelay/node/MetaDecoder.java
@@ -3,6 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.ByteToMessageDecoder;
+
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -10,32 +11,44 @@
 import java.util.Set;
 
 /**
- * Cuts a byte stream into {@link MetaFrame}s, strictly and within bounds. A fault in the framing itself (an
- * overlong line, a length that cannot be, a data block without its end) is the last frame of a stream: parsing
- * on would take somebody's data for commands or answers.
+ * Cuts a byte stream into {@link MetaFrame}s, strictly and within bounds. A fault in the framing
+ * itself (an overlong line, a length that cannot be, a data block without its end) is the last
+ * frame of a stream: parsing on would take somebody's data for commands or answers.
  */
 final class MetaDecoder extends ByteToMessageDecoder {
     /** Far above the longest honest line: a key of 250 bytes, an id and a list of figures. */
     static final int MOST_LINE = 2048;
+
     private static final int MOST_DIGITS = 9;
     private static final int CRLF = 2;
+
     /** A value's buffer begins this small and grows with what arrives. */
     private static final int FIRST_BYTES = 1024;
+
     private static final String BAD_CHUNK = "CLIENT_ERROR bad data chunk";
-    /** Commands of the classic protocol that bring data: they are not served, and their data are no commands. */
-    private static final Set<String> CLASSIC_DATA = Set.of("set", "add", "replace", "append", "prepend", "cas");
+
+    /**
+     * Commands of the classic protocol that bring data: they are not served, and their data are no
+     * commands.
+     */
+    private static final Set<String> CLASSIC_DATA =
+            Set.of("set", "add", "replace", "append", "prepend", "cas");
 
     private final String dataWord;
     private final int lengthAt;
     private final int mostValue;
     private final Budget budget;
+
     /** The line whose data block is coming in, null between frames. */
     private List<String> words;
+
     private byte[] data;
     private int length;
     private int filled;
+
     /** The data block is handed on piece by piece. */
     private boolean streaming;
+
     private boolean broken;
 
     private MetaDecoder(String dataWord, int lengthAt, int mostValue, Budget budget) {
--- a/node/src/main/java/frostrelay/node/PeerPort.java
+++ b/node/src/main/java/frostrelay/node/PeerPort.java
@@ -3,6 +3,7 @@
 import frostrelay.log.Event;
 import frostrelay.log.Log;
 import frostrelay.peers.Peers;
+
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -14,6 +15,7 @@
 import io.netty.channel.socket.DatagramPacket;
 import io.netty.channel.socket.nio.NioDatagramChannel;
 import io.netty.util.concurrent.Future;
+
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
@@ -22,7 +24,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** The datagrams of one balancer: hands them to {@link Peers} and keeps its time. On the event loop. */
+/**
+ * The datagrams of one balancer: hands them to {@link Peers} and keeps its time. On the event loop.
+ */
 final class PeerPort extends SimpleChannelInboundHandler<DatagramPacket> implements Peers.Actions {
     /** One byte more than is ever valid, so that what is longer shows as such. */
     private static final int READ = 257;
@@ -39,9 +43,15 @@
     private long wakeAt = Long.MAX_VALUE;
     private long foreign;
 
-    /** {@code addresses}: of all balancers of the tier in their order; {@code maker}: of a talk from its begin on. */
-    PeerPort(EventLoop loop, InetSocketAddress listen, List<InetSocketAddress> addresses,
-             Function<Peers.Actions, Peers> maker) {
+    /**
+     * {@code addresses}: of all balancers of the tier in their order; {@code maker}: of a talk from
+     * its begin on.
+     */
+    PeerPort(
+            EventLoop loop,
+            InetSocketAddress listen,
+            List<InetSocketAddress> addresses,
+            Function<Peers.Actions, Peers> maker) {
         this.loop = loop;
         this.listen = listen;
         this.addresses = addresses;
@@ -56,16 +66,26 @@
         if (channel != null) {
             return;
         }
-        channel = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                // During an upgrade the older process has the address until it sees the younger one.
-                .option(ChannelOption.SO_REUSEADDR, true)
-                .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(READ))
-                .handler(this).bind(listen).addListener(bound -> {
-                    if (!bound.isSuccess()) {
-                        Log.write(Event.PEERS_SILENT, String.valueOf(bound.cause().getMessage()));
-                        close();
-                    }
-                }).channel();
+        channel =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioDatagramChannel.class)
+                        // During an upgrade the older process has the address until it sees the
+                        // younger one.
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(READ))
+                        .handler(this)
+                        .bind(listen)
+                        .addListener(
+                                bound -> {
+                                    if (!bound.isSuccess()) {
+                                        Log.write(
+                                                Event.PEERS_SILENT,
+                                                String.valueOf(bound.cause().getMessage()));
+                                        close();
+                                    }
+                                })
+                        .channel();
         peers = maker.apply(this);
         schedule();
     }
@@ -97,7 +117,9 @@
         return peers;
     }
 
-    /** A module's cargo holds news: it goes out when it is due, not when the next datagram comes. */
+    /**
+     * A module's cargo holds news: it goes out when it is due, not when the next datagram comes.
+     */
     void cargoChanged() {
         if (peers != null) {
             peers.cargoChanged(Clock.now());
@@ -105,7 +127,10 @@
         }
     }
 
-    /** Sends one section of a module to a balancer now; false where the bounds on talk do not let it through. */
+    /**
+     * Sends one section of a module to a balancer now; false where the bounds on talk do not let it
+     * through.
+     */
     boolean post(int to, int type, ByteBuffer section) {
         return peers != null && peers.post(Clock.now(), to, type, section);
     }
@@ -156,8 +181,11 @@
     @Override
     public void send(int to, byte[] data, int length) {
         if (channel != null && channel.isActive()) {
-            channel.writeAndFlush(new DatagramPacket(channel.alloc().buffer(length).writeBytes(data, 0, length),
-                    addresses.get(to)), channel.voidPromise());
+            channel.writeAndFlush(
+                    new DatagramPacket(
+                            channel.alloc().buffer(length).writeBytes(data, 0, length),
+                            addresses.get(to)),
+                    channel.voidPromise());
         }
     }
 
--- a/node/src/main/java/frostrelay/node/Program.java
+++ b/node/src/main/java/frostrelay/node/Program.java
@@ -5,27 +5,37 @@
 import frostrelay.log.Log;
 import frostrelay.log.LogSetup;
 import frostrelay.policy.Router;
+
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.DefaultThreadFactory;
+
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** The real balancer's life: it reads its configuration, at a signal again, serves until SIGTERM and ends with 0. */
+/**
+ * The real balancer's life: it reads its configuration, at a signal again, serves until SIGTERM and
+ * ends with 0.
+ */
 public final class Program {
     /** Where the signal for a replaced configuration is ignored, the file is looked at so often. */
     private static final long LOOK = Clock.SECOND;
+
     /** A shutdown does not wait longer for its folder. */
     private static final long LOOK_LIMIT_MS = 100;
+
     /** Nobody takes longer than this between two pieces of a file that he writes. */
     private static final long BETWEEN_LOOKS = 300 * Clock.MILLISECOND;
 
     /** Where operators' own settings come from; read at the start and at each reload. */
     public interface Own {
-        /** What is set now; throws an exception whose message says what is wrong, and then nothing changes. */
+        /**
+         * What is set now; throws an exception whose message says what is wrong, and then nothing
+         * changes.
+         */
         Options read();
     }
 
@@ -43,7 +53,10 @@
         this.folder = folder;
     }
 
-    /** Starts to serve and returns; the process ends with 1 if that fails. {@code path}: of the configuration. */
+    /**
+     * Starts to serve and returns; the process ends with 1 if that fails. {@code path}: of the
+     * configuration.
+     */
     public static void start(String path, Own own) {
         start(path, own, Seams.NONE);
     }
@@ -57,16 +70,28 @@
             Config config = Config.read(file);
             LogSetup.apply(options.logFormat(), options.logLevel(), config.name());
             EventLoop loop = new NioEventLoopGroup(1, new DefaultThreadFactory("loop")).next();
-            SharedFolder folder = new SharedFolder(temporary(), Long.toString(ProcessHandle.current().pid()));
+            SharedFolder folder =
+                    new SharedFolder(temporary(), Long.toString(ProcessHandle.current().pid()));
             SharedFolder.Look shared = folder.look();
-            Node node = loop.submit(() -> new Node(config, loop, Router::new, folder, shared, options, seams))
-                    .get();
+            Node node =
+                    loop.submit(
+                                    () ->
+                                            new Node(
+                                                    config,
+                                                    loop,
+                                                    Router::new,
+                                                    folder,
+                                                    shared,
+                                                    options,
+                                                    seams))
+                            .get();
             Program program = new Program(file, own, node, loop, folder);
             // A JVM that SIGTERM ends exits with 143; halting at the end of its hook makes that 0.
             Runtime.getRuntime().addShutdownHook(new Thread(program::stop, "stop"));
             if (options.fleet().stragglers()) {
-                ScheduledExecutorService reader = Executors.newSingleThreadScheduledExecutor(
-                        new DefaultThreadFactory("reread", true));
+                ScheduledExecutorService reader =
+                        Executors.newSingleThreadScheduledExecutor(
+                                new DefaultThreadFactory("reread", true));
                 loop.submit(() -> node.onReread(() -> program.reread(reader))).get();
             }
             loop.submit(node::start).get().sync();
@@ -85,31 +110,44 @@
         Runtime.getRuntime().halt(1);
     }
 
-    /** Looks at the file now and then where operators want that, or where no signal would be heard. */
+    /**
+     * Looks at the file now and then where operators want that, or where no signal would be heard.
+     */
     private void watch(boolean ignored, long wanted) {
         long look = wanted > 0 ? wanted : LOOK;
         if (ignored) {
             Log.write(Event.SIGNAL_IGNORED, "HUP", look / Clock.MILLISECOND);
         }
         if (ignored || wanted > 0) {
-            ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(
-                    new DefaultThreadFactory("config", true));
-            thread.scheduleWithFixedDelay(() -> {
-                if (file.changed()) {
-                    reload();
-                }
-            }, look, look, TimeUnit.NANOSECONDS);
+            ScheduledExecutorService thread =
+                    Executors.newSingleThreadScheduledExecutor(
+                            new DefaultThreadFactory("config", true));
+            thread.scheduleWithFixedDelay(
+                    () -> {
+                        if (file.changed()) {
+                            reload();
+                        }
+                    },
+                    look,
+                    look,
+                    TimeUnit.NANOSECONDS);
         }
     }
 
-    /** Takes what the file holds where that is something else: a change counts once two looks have found the file the same. */
+    /**
+     * Takes what the file holds where that is something else: a change counts once two looks have
+     * found the file the same.
+     */
     private void reread(ScheduledExecutorService reader) {
         reader.execute(file::changed);
-        reader.schedule(() -> {
-            if (file.changed()) {
-                reload();
-            }
-        }, BETWEEN_LOOKS, TimeUnit.NANOSECONDS);
+        reader.schedule(
+                () -> {
+                    if (file.changed()) {
+                        reload();
+                    }
+                },
+                BETWEEN_LOOKS,
+                TimeUnit.NANOSECONDS);
     }
 
     /** Reads on the caller's thread. One at a time, so that what was read last is taken last. */
@@ -117,12 +155,13 @@
         try {
             Map<?, ?> json = file.load();
             Options options = own.read();
-            loop.execute(() -> {
-                if (node.reload(json)) {
-                    LogSetup.apply(options.logFormat(), options.logLevel(), node.name());
-                    node.countEvery(options.counts());
-                }
-            });
+            loop.execute(
+                    () -> {
+                        if (node.reload(json)) {
+                            LogSetup.apply(options.logFormat(), options.logLevel(), node.name());
+                            node.countEvery(options.counts());
+                        }
+                    });
         } catch (RuntimeException e) {
             Log.write(Event.SETTINGS_REFUSED, e.getMessage());
             loop.execute(() -> node.refuse(e.getMessage()));
@@ -132,7 +171,8 @@
     /** The folder that all processes of this balancer share, and no other balancer. */
     private static Path temporary() {
         String named = System.getenv("TMPDIR");
-        return Path.of(named == null || named.isEmpty() ? System.getProperty("java.io.tmpdir") : named);
+        return Path.of(
+                named == null || named.isEmpty() ? System.getProperty("java.io.tmpdir") : named);
     }
 
     private void stop() {
