--- a/node/src/main/java/frostrelay/node/ReadAhead.java
+++ b/node/src/main/java/frostrelay/node/ReadAhead.java
@@ -1,23 +1,26 @@
 package frostrelay.node;
 
 import frostrelay.lifecycle.ActionGuard;
+
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.handler.codec.ByteToMessageDecoder;
+
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reads a client's connection ahead of what is served from it, as bytes and within a bound: the end of a connection shows
- * only behind all that was sent on it, and its client must be seen to leave while its earlier commands are out. Runs on the
- * event loop.
+ * Reads a client's connection ahead of what is served from it, as bytes and within a bound: the end
+ * of a connection shows only behind all that was sent on it, and its client must be seen to leave
+ * while its earlier commands are out. Runs on the event loop.
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
     /** Far more than honest clients send at once: hundreds of commands. */
     private static final int MOST = 128 * 1024;
+
     /** Handed on at a time: as few commands as can be are cut apart before their turn. */
     private static final int PIECE = 4 * 1024;
 
@@ -27,7 +30,9 @@
     /** Bytes that come within this of one another count as having come with the first of them. */
     private static final long AT_ONCE_NS = 5 * Clock.MILLISECOND;
 
-    /** What waited while the connection was not read is read within this of its being read again. */
+    /**
+     * What waited while the connection was not read is read within this of its being read again.
+     */
     private static final long RESUME_NS = 20 * Clock.MILLISECOND;
 
     /** Bytes that have come together. */
@@ -46,7 +51,10 @@
         /** Some bytes wait to be {@link #feed fed}. */
         void onBytes();
 
-        /** All that had come has been read, or what one turn may read and the next; {@code bytes}: something was. */
+        /**
+         * All that had come has been read, or what one turn may read and the next; {@code bytes}:
+         * something was.
+         */
         void onRead(boolean bytes);
     }
 
@@ -58,22 +66,35 @@
 
     private final Listener listener;
     private final Total total;
+
     /** Reads of one turn of the loop; after so many there may be more. */
     private final int readsAtOnce;
+
     private ChannelHandlerContext context;
     private ByteBuf held = Unpooled.EMPTY_BUFFER;
+
     /** When the held bytes came, in their order. */
     private final Deque<Arrival> arrivals = new ArrayDeque<>(1);
+
     /** When the piece came that was handed on last. */
     private long arrivedAt;
-    /** Since when nothing was read on purpose, and when that ended; what is read right behind may have come at the first. 0 for neither. */
+
+    /**
+     * Since when nothing was read on purpose, and when that ended; what is read right behind may
+     * have come at the first. 0 for neither.
+     */
     private long restsSince;
+
     private long resumedAt;
+
     /** Since when more may have come than was read; 0 while all has been. */
     private long behindSince;
+
     private int reads;
+
     /** Turns of the loop in which it was read. */
     private long turns;
+
     private boolean discards;
 
     ReadAhead(Listener listener, Total total, int readsAtOnce) {
@@ -134,7 +155,10 @@
         return rested;
     }
 
-    /** Since when the end of the connection would not be seen; {@link ActionGuard#NEVER} while it would. */
+    /**
+     * Since when the end of the connection would not be seen; {@link ActionGuard#NEVER} while it
+     * would.
+     */
     long unseenSince(long now) {
         boolean rested = restsSince != 0 && (resumedAt == 0 || now - resumedAt <= RESUME_NS);
         long since = rested ? restsSince : ActionGuard.NEVER;
@@ -151,7 +175,10 @@
         return arrivedAt;
     }
 
-    /** Where as much was read as is at once, nothing is begun before the next turn has looked for more, and for the end. */
+    /**
+     * Where as much was read as is at once, nothing is begun before the next turn has looked for
+     * more, and for the end.
+     */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         boolean more = reads >= readsAtOnce && hasRoom();
@@ -168,14 +195,26 @@
         }
     }
 
-    /** What a task of this turn schedules runs in the next one, behind its reads: if there were none, all had been read. */
+    /**
+     * What a task of this turn schedules runs in the next one, behind its reads: if there were
+     * none, all had been read.
+     */
     private void awaitNextTurn(long turn) {
-        context.executor().schedule(() -> context.executor().schedule(() -> {
-            if (turn == turns) {
-                caughtUp();
-                listener.onRead(true);
-            }
-        }, NEXT_TURN_MS, TimeUnit.MILLISECONDS), NEXT_TURN_MS, TimeUnit.MILLISECONDS);
+        context.executor()
+                .schedule(
+                        () ->
+                                context.executor()
+                                        .schedule(
+                                                () -> {
+                                                    if (turn == turns) {
+                                                        caughtUp();
+                                                        listener.onRead(true);
+                                                    }
+                                                },
+                                                NEXT_TURN_MS,
+                                                TimeUnit.MILLISECONDS),
+                        NEXT_TURN_MS,
+                        TimeUnit.MILLISECONDS);
     }
 
     private void caughtUp() {
@@ -183,7 +222,10 @@
         behindSince = 0;
     }
 
-    /** Whether it is being read and more may have come: the end of the connection may stand right behind. */
+    /**
+     * Whether it is being read and more may have come: the end of the connection may stand right
+     * behind.
+     */
     boolean isBehind() {
         return behindSince != 0 && restsSince == 0;
     }
--- a/node/src/main/java/frostrelay/node/RefusalReason.java
+++ b/node/src/main/java/frostrelay/node/RefusalReason.java
@@ -4,11 +4,17 @@
 enum RefusalReason {
     /** The decision module refused it. */
     DECIDED,
-    /** It came too late to be answered before this process ends, or this balancer sends its clients away. */
+    /**
+     * It came too late to be answered before this process ends, or this balancer sends its clients
+     * away.
+     */
     NOT_ACCEPTING,
     /** Its connection came while there was no room for it. */
     NO_CONNECTION_ROOM,
-    /** Its client may have left: more of what it sent waits than is read ahead, and the end of its connection would not be seen. */
+    /**
+     * Its client may have left: more of what it sent waits than is read ahead, and the end of its
+     * connection would not be seen.
+     */
     CLIENT_UNSEEN,
     /** As many requests are open as may be. */
     TOO_MANY_OPEN,
--- a/node/src/main/java/frostrelay/node/SettingsMerge.java
+++ b/node/src/main/java/frostrelay/node/SettingsMerge.java
@@ -8,13 +8,12 @@
 import java.util.Set;
 
 /**
- * New settings in the numbering of the former ones. The module knows classes, tenants, zones and kinds by their
- * places in lists, and a file may name them in any order: what was named before keeps its place, also if it is named no
- * more, and what is new comes behind.
+ * New settings in the numbering of the former ones. The module knows classes, tenants, zones and
+ * kinds by their places in lists, and a file may name them in any order: what was named before
+ * keeps its place, also if it is named no more, and what is new comes behind.
  */
 final class SettingsMerge {
-    private SettingsMerge() {
-    }
+    private SettingsMerge() {}
 
     static Map<String, Object> merge(Map<?, ?> former, Map<?, ?> fresh) {
         Map<String, Object> merged = copy(fresh);
@@ -61,9 +60,16 @@
         return List.copyOf(merged.values());
     }
 
-    /** Puts the merged list into an object, and into its {@code place} where that points to in the list. */
-    private static void renumber(Map<String, Object> object, Map<?, ?> former, Map<?, ?> fresh, String list,
-                                 String place) {
+    /**
+     * Puts the merged list into an object, and into its {@code place} where that points to in the
+     * list.
+     */
+    private static void renumber(
+            Map<String, Object> object,
+            Map<?, ?> former,
+            Map<?, ?> fresh,
+            String list,
+            String place) {
         object.computeIfPresent(place, (name, at) -> place(former, fresh, list, at));
         object.put(list, words(former, fresh, list));
     }
@@ -74,10 +80,15 @@
         return words;
     }
 
-    /** Where what stands at a place of the fresh list stands in the merged one; a place outside it stays. */
+    /**
+     * Where what stands at a place of the fresh list stands in the merged one; a place outside it
+     * stays.
+     */
     private static Object place(Map<?, ?> former, Map<?, ?> fresh, String list, Object at) {
         List<?> now = Json.list(fresh, list);
         int place = at instanceof Number number ? number.intValue() : -1;
-        return place >= 0 && place < now.size() ? words(former, fresh, list).indexOf(now.get(place)) : at;
+        return place >= 0 && place < now.size()
+                ? words(former, fresh, list).indexOf(now.get(place))
+                : at;
     }
 }
--- a/node/src/main/java/frostrelay/node/SettingsPack.java
+++ b/node/src/main/java/frostrelay/node/SettingsPack.java
@@ -1,6 +1,7 @@
 package frostrelay.node;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Arrays;
@@ -12,16 +13,16 @@
 import java.util.zip.Inflater;
 
 /**
- * What all balancers of a tier share of a configuration, the settings but for those of one balancer and the operators' number,
- * as bytes that can be handed to another.
+ * What all balancers of a tier share of a configuration, the settings but for those of one balancer
+ * and the operators' number, as bytes that can be handed to another.
  */
 final class SettingsPack {
     /** A hundred times what a configuration has: what unpacks to more is none. */
     private static final int MOST = 512 * 1024;
+
     private static final int PIECE = 4096;
 
-    private SettingsPack() {
-    }
+    private SettingsPack() {}
 
     static byte[] pack(Map<?, ?> json) {
         Map<String, Object> shared = new TreeMap<>();
@@ -48,15 +49,16 @@
     }
 
     /**
-     * A running configuration with what another balancer packed in place of its own; throws {@link ConfigException} where that is
-     * nothing of the kind or has another digest.
+     * A running configuration with what another balancer packed in place of its own; throws {@link
+     * ConfigException} where that is nothing of the kind or has another digest.
      */
     static Map<?, ?> replace(Map<?, ?> running, byte[] packed, long digest) {
         Map<?, ?> shared = Json.parse(unpack(packed));
         Map<String, Object> settings = copy(Json.get(shared, "settings", Map.class));
         settings.keySet().removeAll(Site.OWN);
         if (Digests.of(Site.shared(settings)) != digest) {
-            throw new ConfigException("the settings that were handed over are not those that were asked for");
+            throw new ConfigException(
+                    "the settings that were handed over are not those that were asked for");
         }
         Map<?, ?> own = Json.get(running, "settings", Map.class);
         for (String name : Site.OWN) {
@@ -79,7 +81,8 @@
             while (!inflater.finished()) {
                 int got = inflater.inflate(out, length, out.length - length);
                 length += got;
-                if (got == 0 && (inflater.needsInput() || inflater.needsDictionary()) || length >= MOST) {
+                if (got == 0 && (inflater.needsInput() || inflater.needsDictionary())
+                        || length >= MOST) {
                     throw new ConfigException("what was handed over cannot be unpacked");
                 }
                 out = length == out.length ? Arrays.copyOf(out, out.length * 2) : out;
--- a/node/src/main/java/frostrelay/node/Site.java
+++ b/node/src/main/java/frostrelay/node/Site.java
@@ -2,6 +2,7 @@
 
 import frostrelay.policy.Api;
 import frostrelay.settings.SettingsParser;
+
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,15 +11,29 @@
 import java.util.TreeMap;
 
 /**
- * The settings of a site: those of the module, the names that stand on sockets for its numbers, and the
- * figures that only sockets need.
+ * The settings of a site: those of the module, the names that stand on sockets for its numbers, and
+ * the figures that only sockets need.
  */
 final class Site {
     /** Load report fields: their names on sockets and in the settings, where these differ. */
-    private static final Map<String, String> FIELD_NAMES = Map.of("inflight", "rif", "queue", "q",
-            "util", "busy", "latency_ms", "lat_ms", "qps", "rate", "eps", "fail_rate");
+    private static final Map<String, String> FIELD_NAMES =
+            Map.of(
+                    "inflight",
+                    "rif",
+                    "queue",
+                    "q",
+                    "util",
+                    "busy",
+                    "latency_ms",
+                    "lat_ms",
+                    "qps",
+                    "rate",
+                    "eps",
+                    "fail_rate");
+
     /** Settings that differ from balancer to balancer. */
     static final List<String> OWN = List.of("my-zone", "rank");
+
     private static final float[] NO_REPORT = {};
     private static final char MOST_ASCII = 0x7f;
     private static final long DROPPED_NS = 5 * Clock.SECOND;
@@ -31,9 +46,14 @@
     private final Map<String, Integer> zones;
     private final Map<String, Integer> kinds;
     private final Map<String, Integer> fields;
+
     /** The settings as they were told, in the numbering of this program's life. */
     private final Map<?, ?> json;
-    /** Until when classes that are named no more are still taken: clients hear of new settings later. */
+
+    /**
+     * Until when classes that are named no more are still taken: clients hear of new settings
+     * later.
+     */
     private final Map<String, Long> droppedUntil;
 
     Site(Map<?, ?> json) {
@@ -58,10 +78,16 @@
         tenants = numbers(Json.list(json, "tenants"), true);
         zones = numbers(Json.list(json, "zones"), false);
         kinds = numbers(Json.list(json, "kinds"), false);
-        fields = numbers(Json.list(Json.get(json, "load-report", Map.class, Map.of()), "fields"), false);
+        fields =
+                numbers(
+                        Json.list(Json.get(json, "load-report", Map.class, Map.of()), "fields"),
+                        false);
     }
 
-    /** What holds once these settings are told: names keep their numbers, and dropped classes live on for a while. */
+    /**
+     * What holds once these settings are told: names keep their numbers, and dropped classes live
+     * on for a while.
+     */
     Site succeed(Map<?, ?> fresh, long now) {
         Map<String, Long> until = new HashMap<>();
         for (String name : SettingsMerge.dropped(json, fresh, "categories")) {
@@ -90,7 +116,10 @@
         return text(lines);
     }
 
-    /** Writes an object in the form of the simulator's settings lines, so that both sides parse alike. */
+    /**
+     * Writes an object in the form of the simulator's settings lines, so that both sides parse
+     * alike.
+     */
     private static void flatten(String path, Object value, Map<String, String> lines) {
         if (value instanceof Map<?, ?> map) {
             String prefix = path.isEmpty() ? "" : path + ".";
@@ -123,7 +152,10 @@
     private static Map<String, Integer> numbers(List<?> list, boolean objects) {
         List<String> names = new ArrayList<>();
         for (Object item : list) {
-            names.add(objects ? Json.get(Json.object(item), "name", String.class) : String.valueOf(item));
+            names.add(
+                    objects
+                            ? Json.get(Json.object(item), "name", String.class)
+                            : String.valueOf(item));
         }
         Map<String, Integer> numbers = new HashMap<>();
         for (int i = 0; i < names.size(); i++) {
@@ -132,17 +164,24 @@
         return numbers;
     }
 
-    /** A name in the settings' characters, as read from a line byte by byte; most have none beyond ASCII. */
+    /**
+     * A name in the settings' characters, as read from a line byte by byte; most have none beyond
+     * ASCII.
+     */
     private static String plain(String line) {
         for (int i = 0; line != null && i < line.length(); i++) {
             if (line.charAt(i) > MOST_ASCII) {
-                return new String(line.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
+                return new String(
+                        line.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
             }
         }
         return line;
     }
 
-    /** The number of a request class, or null for a name that the settings do not hold, or no longer. */
+    /**
+     * The number of a request class, or null for a name that the settings do not hold, or no
+     * longer.
+     */
     Integer requestClass(String line) {
         String name = plain(line);
         Long until = droppedUntil.get(name);
@@ -151,12 +190,18 @@
 
     /** The longest deadline of a class that the settings name. */
     long longestDeadline() {
-        return names().stream().mapToLong(name -> settings.classes().get(classes.get(name)).deadline()).max().orElse(0);
+        return names().stream()
+                .mapToLong(name -> settings.classes().get(classes.get(name)).deadline())
+                .max()
+                .orElse(0);
     }
 
     /** The classes that the settings name, those named no more left out. */
     List<String> names() {
-        return classes.keySet().stream().filter(name -> !droppedUntil.containsKey(name)).sorted().toList();
+        return classes.keySet().stream()
+                .filter(name -> !droppedUntil.containsKey(name))
+                .sorted()
+                .toList();
     }
 
     /** The number of a tenant; where the site has none, every name is tenant 0. */
@@ -173,7 +218,9 @@
         return kinds.computeIfAbsent(name, n -> kinds.size());
     }
 
-    /** The values of a load report, as the settings order them; empty unless it holds all of them. */
+    /**
+     * The values of a load report, as the settings order them; empty unless it holds all of them.
+     */
     float[] report(String text) {
         if (text == null || fields.isEmpty()) {
             return NO_REPORT;
--- a/node/src/main/java/frostrelay/node/StartTimes.java
+++ b/node/src/main/java/frostrelay/node/StartTimes.java
@@ -5,25 +5,33 @@
 import java.util.Set;
 
 /**
- * Translates the start times of servers, which discovery tells in Unix time, onto this program's clock, which no step of the wall
- * clock moves: taken as they are behind a step, a server that has just started would count as warm, or as cold for an hour. It reads no clock.
+ * Translates the start times of servers, which discovery tells in Unix time, onto this program's
+ * clock, which no step of the wall clock moves: taken as they are behind a step, a server that has
+ * just started would count as warm, or as cold for an hour. It reads no clock.
  */
 final class StartTimes {
     /** The wall clock is set by so much at least where it is set at all; less is drift. */
     private static final long LEAST_STEP = 500 * Clock.MILLISECOND;
+
     /** A start from before a step may be told of so long after it. */
     private static final long TOLD_WITHIN = 300 * Clock.SECOND;
 
     /** A start as it was told, and on this program's clock. */
-    private record Start(long told, long own) {
-    }
+    private record Start(long told, long own) {}
 
     private final Map<Long, Start> starts = new HashMap<>();
+
     /** When the last list came, and by how much the wall clock was ahead then. */
     private long listAt;
+
     private long ahead;
-    /** No start that is told first in this time was before it: the last list before a step did not have it. */
+
+    /**
+     * No start that is told first in this time was before it: the last list before a step did not
+     * have it.
+     */
     private long floor;
+
     private long floorUntil;
     private long now;
 
@@ -39,7 +47,10 @@
         listAt = now;
     }
 
-    /** When a server of the present list started; {@code told}: in Unix time in nanoseconds, 0 for long ago. */
+    /**
+     * When a server of the present list started; {@code told}: in Unix time in nanoseconds, 0 for
+     * long ago.
+     */
     long own(long server, long told) {
         if (told <= 0) {
             forget(server);
--- a/node/src/main/java/frostrelay/node/ValueStream.java
+++ b/node/src/main/java/frostrelay/node/ValueStream.java
@@ -1,13 +1,14 @@
 package frostrelay.node;
 
 import io.netty.buffer.ByteBuf;
+
 import java.util.ArrayDeque;
 import java.util.Queue;
 
 /**
- * One long value on its way from a host to a client, in pieces that neither end gathers: the host is read only while
- * the client takes what comes. Until the client's end is attached, and its turn has come, at most what one read
- * brought waits here.
+ * One long value on its way from a host to a client, in pieces that neither end gathers: the host
+ * is read only while the client takes what comes. Until the client's end is attached, and its turn
+ * has come, at most what one read brought waits here.
  */
 final class ValueStream {
     /** The host's end. */
@@ -31,7 +32,11 @@
         void broken();
     }
 
-    private enum State { OPEN, WHOLE, BROKEN }
+    private enum State {
+        OPEN,
+        WHOLE,
+        BROKEN
+    }
 
     private final Source source;
     private final Queue<ByteBuf> early = new ArrayDeque<>();
--- a/node/src/main/java/frostrelay/node/Violation.java
+++ b/node/src/main/java/frostrelay/node/Violation.java
@@ -6,7 +6,10 @@
     UNANSWERED,
     /** A connection was closed from this end with a request on it that had no answer. */
     CLOSED_UNANSWERED,
-    /** An attempt was written though its request was over, its time was up, its server had left, or it may have run before. */
+    /**
+     * An attempt was written though its request was over, its time was up, its server had left, or
+     * it may have run before.
+     */
     WRITTEN_AGAINST_GUARD,
     /** A server was told more time than the client has left. */
     TIME_OVERSTATED
--- a/node/src/test/java/frostrelay/console/ConsoleServerTest.java
+++ b/node/src/test/java/frostrelay/console/ConsoleServerTest.java
@@ -6,6 +6,11 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.Future;
+
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -17,11 +22,11 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
 
-/** Each call gets its one answer; callers who send nothing, half or too much get a 4xx and cost nobody else theirs. */
+/**
+ * Each call gets its one answer; callers who send nothing, half or too much get a 4xx and cost
+ * nobody else theirs.
+ */
 class ConsoleServerTest {
     private static final int LIMIT_MS = 20_000;
     private static final long PATIENT_MS = LIMIT_MS;
@@ -87,8 +92,12 @@
 
     private InetSocketAddress console(long callMs) throws Exception {
         EventLoop loop = group.next();
-        return (InetSocketAddress) new ConsoleServer(loop, asked, callMs)
-                .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel().localAddress();
+        return (InetSocketAddress)
+                new ConsoleServer(loop, asked, callMs)
+                        .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                        .sync()
+                        .channel()
+                        .localAddress();
     }
 
     private static Socket connect(InetSocketAddress address) throws IOException {
@@ -98,8 +107,10 @@
     }
 
     private static String read(Socket socket) throws IOException {
-        return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1))
-                .lines().collect(Collectors.joining("\n"));
+        return new BufferedReader(
+                        new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1))
+                .lines()
+                .collect(Collectors.joining("\n"));
     }
 
     private static String call(InetSocketAddress address, String text) throws IOException {
@@ -130,13 +141,20 @@
     @Test
     void aDrainIsStartedAndStopped() throws Exception {
         InetSocketAddress console = console(PATIENT_MS);
-        assertStatus(200, call(console, head("POST", "/ops/drain/start") + "Content-Length: 0\r\n\r\n"));
-        assertStatus(200, call(console, head("POST", "/ops/drain/stop") + "Content-Length: 2\r\n\r\n{}"));
+        assertStatus(
+                200, call(console, head("POST", "/ops/drain/start") + "Content-Length: 0\r\n\r\n"));
+        assertStatus(
+                200,
+                call(console, head("POST", "/ops/drain/stop") + "Content-Length: 2\r\n\r\n{}"));
         assertEquals(List.of("start", "stop"), asked.calls);
     }
 
     private static String holdCall(String which, String body) {
-        return head("POST", "/ops/template-caches/" + which) + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+        return head("POST", "/ops/template-caches/" + which)
+                + "Content-Length: "
+                + body.length()
+                + "\r\n\r\n"
+                + body;
     }
 
     @Test
@@ -152,7 +170,8 @@
     @Test
     void aCallWithoutAnIdIsToldSo() throws Exception {
         InetSocketAddress console = console(PATIENT_MS);
-        for (String body : new String[] {"", "{", "[\"s-1\"]", "null", "{}", "{\"id\":7}", "{\"id\":\"\"}"}) {
+        for (String body :
+                new String[] {"", "{", "[\"s-1\"]", "null", "{}", "{\"id\":7}", "{\"id\":\"\"}"}) {
             assertStatus(400, call(console, holdCall("down", body)));
         }
         assertStatus(405, call(console, head("GET", "/ops/template-caches/up") + "\r\n"));
@@ -166,18 +185,31 @@
         String wrongMethod = call(console, head("GET", "/ops/drain/start") + "\r\n");
         assertStatus(405, wrongMethod);
         assertTrue(wrongMethod.contains("allow: POST"), wrongMethod);
-        assertStatus(405, call(console, head("POST", "/ops/readiness") + "Content-Length: 0\r\n\r\n"));
+        assertStatus(
+                405, call(console, head("POST", "/ops/readiness") + "Content-Length: 0\r\n\r\n"));
         assertStatus(400, call(console, "nonsense\r\n\r\n"));
-        assertStatus(431, call(console, head("GET", "/ops/readiness") + "X: " + "x".repeat(20_000) + "\r\n\r\n"));
-        assertStatus(413, call(console, head("POST", "/ops/drain/start") + "Content-Length: 100000\r\n\r\n"
-                + "x".repeat(100_000)));
+        assertStatus(
+                431,
+                call(
+                        console,
+                        head("GET", "/ops/readiness") + "X: " + "x".repeat(20_000) + "\r\n\r\n"));
+        assertStatus(
+                413,
+                call(
+                        console,
+                        head("POST", "/ops/drain/start")
+                                + "Content-Length: 100000\r\n\r\n"
+                                + "x".repeat(100_000)));
         assertTrue(asked.calls.isEmpty());
     }
 
     @Test
     void oneCallAConnection() throws Exception {
         InetSocketAddress console = console(PATIENT_MS);
-        String answer = call(console, (head("POST", "/ops/drain/start") + "Content-Length: 0\r\n\r\n").repeat(2));
+        String answer =
+                call(
+                        console,
+                        (head("POST", "/ops/drain/start") + "Content-Length: 0\r\n\r\n").repeat(2));
         assertStatus(200, answer);
         assertEquals(answer.indexOf("HTTP/1.1"), answer.lastIndexOf("HTTP/1.1"));
         assertEquals(List.of("start"), asked.calls);
@@ -188,7 +220,10 @@
         InetSocketAddress console = console(PATIENT_MS);
         asked.ready = true;
         try (Socket socket = connect(console)) {
-            socket.getOutputStream().write((head("GET", "/ops/readiness") + "\r\n").getBytes(StandardCharsets.UTF_8));
+            socket.getOutputStream()
+                    .write(
+                            (head("GET", "/ops/readiness") + "\r\n")
+                                    .getBytes(StandardCharsets.UTF_8));
             socket.shutdownOutput();
             assertStatus(200, read(socket));
         }
@@ -199,7 +234,9 @@
         InetSocketAddress console = console(100);
         assertStatus(408, call(console, ""));
         assertStatus(408, call(console, "GET /ops/read"));
-        assertStatus(408, call(console, head("POST", "/ops/drain/start") + "Content-Length: 5\r\n\r\n{"));
+        assertStatus(
+                408,
+                call(console, head("POST", "/ops/drain/start") + "Content-Length: 5\r\n\r\n{"));
         assertTrue(asked.calls.isEmpty());
     }
 
--- a/node/src/test/java/frostrelay/lifecycle/HoldStoreTest.java
+++ b/node/src/test/java/frostrelay/lifecycle/HoldStoreTest.java
@@ -3,17 +3,19 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Set;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 
-/** Holds outlast the process, reach the other one, and survive a file that is not what it should be. */
+/**
+ * Holds outlast the process, reach the other one, and survive a file that is not what it should be.
+ */
 class HoldStoreTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void anotherProcessFindsWhatIsHeldAndChangesIt() throws Exception {
@@ -32,13 +34,19 @@
     void aTornOrForeignFileIsNoHarm() throws Exception {
         HoldStore store = new HoldStore(folder, "holds");
         store.change("s-1", true);
-        for (String text : new String[] {"", "{\"holds\":[\"s-", "[]", "{\"holds\":7}", "{\"holds\":[7]}", "null"}) {
+        for (String text :
+                new String[] {
+                    "", "{\"holds\":[\"s-", "[]", "{\"holds\":7}", "{\"holds\":[7]}", "null"
+                }) {
             Files.writeString(folder.resolve("holds.json"), text);
             assertEquals(Set.of("s-1"), store.read(), text);
             assertEquals(Set.of(), new HoldStore(folder, "holds").read(), text);
         }
         assertEquals(Set.of("s-1", "s-2"), store.change("s-2", true));
-        assertEquals(Set.of("s-1", "s-2"), new HoldStore(folder, "holds").read(), "replaced by the next change");
+        assertEquals(
+                Set.of("s-1", "s-2"),
+                new HoldStore(folder, "holds").read(),
+                "replaced by the next change");
     }
 
     @Test
--- a/node/src/test/java/frostrelay/lifecycle/SiblingsTest.java
+++ b/node/src/test/java/frostrelay/lifecycle/SiblingsTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-import java.nio.file.Files;
-import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+import java.nio.file.Files;
+import java.nio.file.Path;
+
 /** Processes of one balancer see each other through the folder that they share. */
 class SiblingsTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void onlyOthersThatServeAreCounted() throws Exception {
--- a/node/src/test/java/frostrelay/node/ConnectingTest.java
+++ b/node/src/test/java/frostrelay/node/ConnectingTest.java
@@ -3,17 +3,23 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import org.junit.jupiter.api.Test;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.Test;
 
-/** Connections that are long in coming up: what ended meanwhile must not be written once they are. */
+/**
+ * Connections that are long in coming up: what ended meanwhile must not be written once they are.
+ */
 class ConnectingTest {
-    /** A listening socket whose accept queue is full: connections to it come up only when it accepts. */
+    /**
+     * A listening socket whose accept queue is full: connections to it come up only when it
+     * accepts.
+     */
     private static final class FullHost implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         final List<Socket> fillers = new ArrayList<>();
@@ -48,18 +54,22 @@
 
     @Test
     void whatWasCutWhileItsConnectionCameUpIsNeverWritten() throws Exception {
-        try (FullHost host = new FullHost(); Rig rig = new Rig()) {
+        try (FullHost host = new FullHost();
+                Rig rig = new Rig()) {
             rig.extraTargets.add(host.target());
             rig.connectMs = Peer.LIMIT_MS;
             rig.start();
             try (Peer client = rig.client()) {
-                assertEquals("SERVER_ERROR busy 2000", client.ask("ms 1 1 O1 Pc=copy,t=acme,d=100\r\nx"),
+                assertEquals(
+                        "SERVER_ERROR busy 2000",
+                        client.ask("ms 1 1 O1 Pc=copy,t=acme,d=100\r\nx"),
                         "never written, so never run: trying again is harmless");
                 try (Peer leaver = rig.client()) {
                     leaver.write("ms 1 1 O2 Pc=copy,t=acme,d=9000\r\nx\r\n");
                     ServingTest.awaitGauge(rig, " links 2 ");
                 }
-                // On a slow machine the module has tried once more before the leaver was seen to go.
+                // On a slow machine the module has tried once more before the leaver was seen to
+                // go.
                 int links = (int) rig.loop.submit(rig.node::gauges).get().get("links");
                 List<Peer> peers = new ArrayList<>();
                 try {
@@ -84,10 +94,15 @@
         }
     }
 
-    /** Where nothing may be cancelled, what waited for its connection was sent once that was up, seconds after its client left. */
+    /**
+     * Where nothing may be cancelled, what waited for its connection was sent once that was up,
+     * seconds after its client left.
+     */
     @Test
-    void whatItsClientLeftWhileItsConnectionCameUpIsNotSentWhereNothingMayBeCancelled() throws Exception {
-        try (FullHost host = new FullHost(); Rig rig = new Rig()) {
+    void whatItsClientLeftWhileItsConnectionCameUpIsNotSentWhereNothingMayBeCancelled()
+            throws Exception {
+        try (FullHost host = new FullHost();
+                Rig rig = new Rig()) {
             rig.extraTargets.add(host.target());
             rig.connectMs = Peer.LIMIT_MS;
             rig.cancelling = false;
@@ -110,7 +125,8 @@
 
     @Test
     void aConnectionThatNeverComesUpIsGivenUpInTime() throws Exception {
-        try (FullHost host = new FullHost(); Rig rig = new Rig()) {
+        try (FullHost host = new FullHost();
+                Rig rig = new Rig()) {
             rig.extraTargets.add(host.target());
             rig.connectMs = 50;
             rig.start();
@@ -123,7 +139,8 @@
 
     @Test
     void noSendStartsPastTheDrainGrace() throws Exception {
-        try (FullHost host = new FullHost(); Rig rig = new Rig()) {
+        try (FullHost host = new FullHost();
+                Rig rig = new Rig()) {
             rig.extraTargets.add(host.target());
             rig.connectMs = Peer.LIMIT_MS;
             rig.graceMs = 0;
@@ -131,9 +148,22 @@
             try (Peer client = rig.client()) {
                 client.write(Rig.COPY + "\r\n");
                 ServingTest.awaitGauge(rig, " links 1 ");
-                Catalog drained = Catalog.parse(Json.parse(("{\"rev\":8,\"all\":false,\"targets\":["
-                        + host.target().replace("Ready", "Terminating") + "]}").getBytes()), rig.site());
-                rig.loop.submit(() -> rig.node.onList(frostrelay.policy.Api.ListMode.DELTA, drained.members())).get();
+                Catalog drained =
+                        Catalog.parse(
+                                Json.parse(
+                                        ("{\"rev\":8,\"all\":false,\"targets\":["
+                                                        + host.target()
+                                                                .replace("Ready", "Terminating")
+                                                        + "]}")
+                                                .getBytes()),
+                                rig.site());
+                rig.loop
+                        .submit(
+                                () ->
+                                        rig.node.onList(
+                                                frostrelay.policy.Api.ListMode.DELTA,
+                                                drained.members()))
+                        .get();
                 try (Peer peer = host.accept()) {
                     assertEquals("SERVER_ERROR busy", client.line());
                     assertEquals(null, peer.line(), "closed without a command");
--- a/node/src/test/java/frostrelay/node/FakeHost.java
+++ b/node/src/test/java/frostrelay/node/FakeHost.java
@@ -22,26 +22,32 @@
     }
 
     final AtomicInteger connections = new AtomicInteger();
+
     /** First lines of commands, in the order in which they came. */
     final BlockingQueue<String> commands = new LinkedBlockingQueue<>();
+
     /** Takes an element for every connection that its far end has closed. */
     final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+
     private final ServerSocket server;
     private final Thread acceptor;
 
     FakeHost(Script script) throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        acceptor = thread(() -> {
-            while (true) {
-                Socket socket = server.accept();
-                connections.incrementAndGet();
-                thread(() -> {
-                    try (Peer peer = new Peer(socket)) {
-                        script.run(peer);
-                    }
-                });
-            }
-        });
+        acceptor =
+                thread(
+                        () -> {
+                            while (true) {
+                                Socket socket = server.accept();
+                                connections.incrementAndGet();
+                                thread(
+                                        () -> {
+                                            try (Peer peer = new Peer(socket)) {
+                                                script.run(peer);
+                                            }
+                                        });
+                            }
+                        });
     }
 
     private interface Task {
@@ -49,13 +55,15 @@
     }
 
     private static Thread thread(Task task) {
-        Thread thread = new Thread(() -> {
-            try {
-                task.run();
-            } catch (IOException e) {
-                // The test is over, or its script ended the connection.
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                task.run();
+                            } catch (IOException e) {
+                                // The test is over, or its script ended the connection.
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
         return thread;
@@ -64,17 +72,19 @@
     /** A host that answers every command. */
     static FakeHost answering(Answer answer) throws IOException {
         FakeHost[] self = new FakeHost[1];
-        self[0] = new FakeHost(peer -> {
-            String command = self[0].next(peer);
-            while (command != null) {
-                String text = answer.to(command);
-                if (text != null) {
-                    peer.write(text);
-                }
-                command = self[0].next(peer);
-            }
-            self[0].ends.add("end");
-        });
+        self[0] =
+                new FakeHost(
+                        peer -> {
+                            String command = self[0].next(peer);
+                            while (command != null) {
+                                String text = answer.to(command);
+                                if (text != null) {
+                                    peer.write(text);
+                                }
+                                command = self[0].next(peer);
+                            }
+                            self[0].ends.add("end");
+                        });
         return self[0];
     }
 
@@ -85,11 +95,19 @@
 
     static String served(String command) {
         String[] words = command.split(" ");
-        return words[0].equals("mg") ? value(command, words[1]) : "HD " + opaque(command) + " c77\r\n";
+        return words[0].equals("mg")
+                ? value(command, words[1])
+                : "HD " + opaque(command) + " c77\r\n";
     }
 
     static String value(String command, String value) {
-        return "VA " + value.length() + " " + opaque(command) + " h1 Lutil=0.5\r\n" + value + "\r\n";
+        return "VA "
+                + value.length()
+                + " "
+                + opaque(command)
+                + " h1 Lutil=0.5\r\n"
+                + value
+                + "\r\n";
     }
 
     static String opaque(String command) {
--- a/node/src/test/java/frostrelay/node/OperationsTest.java
+++ b/node/src/test/java/frostrelay/node/OperationsTest.java
@@ -14,7 +14,9 @@
 
     @Test
     void aDrainTellsTheFrontNoAndLetsGoOfEveryClient() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start(); Peer idle = rig.client(); Peer busy = rig.client()) {
+        try (Rig rig = new Rig(FakeHost.serving()).start();
+                Peer idle = rig.client();
+                Peer busy = rig.client()) {
             assertEquals("HD O2 c77", idle.ask(Rig.COPY));
             assertTrue(ready(rig));
             rig.loop.submit(rig.node::startDrain).get();
@@ -40,15 +42,18 @@
     void aDrainAnswersWhatIsOpen() throws Exception {
         FakeHost[] host = new FakeHost[1];
         java.util.concurrent.CountDownLatch draining = new java.util.concurrent.CountDownLatch(1);
-        host[0] = FakeHost.answering(command -> {
-            try {
-                draining.await();
-            } catch (InterruptedException e) {
-                return null;
-            }
-            return FakeHost.served(command);
-        });
-        try (Rig rig = new Rig(host).start(); Peer client = rig.client()) {
+        host[0] =
+                FakeHost.answering(
+                        command -> {
+                            try {
+                                draining.await();
+                            } catch (InterruptedException e) {
+                                return null;
+                            }
+                            return FakeHost.served(command);
+                        });
+        try (Rig rig = new Rig(host).start();
+                Peer client = rig.client()) {
             client.write(Rig.COPY + "\r\n");
             host[0].command();
             rig.loop.submit(rig.node::startDrain).get();
@@ -62,13 +67,16 @@
     @Test
     void aHeldHostIsNotUsedUntilItIsLetGo() throws Exception {
         FakeHost[] hosts = {FakeHost.serving(), FakeHost.serving()};
-        try (Rig rig = new Rig(hosts).start(); Peer client = rig.client()) {
+        try (Rig rig = new Rig(hosts).start();
+                Peer client = rig.client()) {
             assertFalse(hold(rig, "s-9", true), "nobody has this id");
             assertFalse(hold(rig, "s-9", false));
             assertTrue(hold(rig, "s-0", true));
             assertTrue(hold(rig, "s-0", true), "twice does no harm");
             for (int i = 0; i < 50; i++) {
-                assertEquals("HD O" + i + " c77", client.ask("ms " + i + " 1 O" + i + " Pc=copy,t=acme,d=5000\r\nx"));
+                assertEquals(
+                        "HD O" + i + " c77",
+                        client.ask("ms " + i + " 1 O" + i + " Pc=copy,t=acme,d=5000\r\nx"));
             }
             assertEquals(0, hosts[0].connections.get());
             assertTrue(hold(rig, "s-0", false), "one call back is enough");
@@ -89,9 +97,13 @@
             rig.console = "127.0.0.1:" + StopTest.freePort();
             rig.start();
             java.net.http.HttpClient http = java.net.http.HttpClient.newHttpClient();
-            java.net.http.HttpResponse<String> answer = http.send(java.net.http.HttpRequest.newBuilder(
-                    java.net.URI.create("http://" + rig.console + "/ops/readiness")).build(),
-                    java.net.http.HttpResponse.BodyHandlers.ofString());
+            java.net.http.HttpResponse<String> answer =
+                    http.send(
+                            java.net.http.HttpRequest.newBuilder(
+                                            java.net.URI.create(
+                                                    "http://" + rig.console + "/ops/readiness"))
+                                    .build(),
+                            java.net.http.HttpResponse.BodyHandlers.ofString());
             assertEquals(200, answer.statusCode());
         }
     }
--- a/node/src/test/java/frostrelay/node/OwnLatenessTest.java
+++ b/node/src/test/java/frostrelay/node/OwnLatenessTest.java
@@ -5,42 +5,58 @@
 
 import frostrelay.policy.Api;
 import frostrelay.policy.Router;
+
+import org.junit.jupiter.api.Test;
+
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.CyclicBarrier;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.Test;
 
-/** What a balancer that is late itself, on a cold start or a small share of a core, must not take for load. */
+/**
+ * What a balancer that is late itself, on a cold start or a small share of a core, must not take
+ * for load.
+ */
 class OwnLatenessTest {
     private static final int READS = 60;
     private static final long AIM_MS = 2_000;
+
     private static void assertServed(Peer client, int from, int to) throws IOException {
         for (int i = from; i < to; i++) {
-            assertEquals("VA 1 O" + i, client.ask("mg " + i + " v O" + i + " Pc=read,t=acme,d=9000"));
+            assertEquals(
+                    "VA 1 O" + i, client.ask("mg " + i + " v O" + i + " Pc=read,t=acme,d=9000"));
             client.data(1);
         }
     }
 
-    /** A host turns away a request whose client has gone meanwhile, and reports no load with that. */
+    /**
+     * A host turns away a request whose client has gone meanwhile, and reports no load with that.
+     */
     @Test
     void rejectionsWithoutTheReportThatOtherAnswersBringShedNothing() throws Exception {
-        FakeHost host = FakeHost.answering(c -> c.startsWith("mg over") ? "SERVER_ERROR busy\r\n"
-                : FakeHost.value(c, "x"));
-        try (Rig rig = new Rig(host).start(); Peer client = rig.client()) {
+        FakeHost host =
+                FakeHost.answering(
+                        c ->
+                                c.startsWith("mg over")
+                                        ? "SERVER_ERROR busy\r\n"
+                                        : FakeHost.value(c, "x"));
+        try (Rig rig = new Rig(host).start();
+                Peer client = rig.client()) {
             assertServed(client, 0, 1);
             for (int i = 0; i < 60; i++) {
-                assertEquals("SERVER_ERROR busy", client.ask("mg over" + i + " v Oover Pc=read,t=acme,d=9000"));
+                assertEquals(
+                        "SERVER_ERROR busy",
+                        client.ask("mg over" + i + " v Oover Pc=read,t=acme,d=9000"));
             }
             assertServed(client, 1, 40);
         }
     }
 
     /**
-     * The module, on a loop that stands still while it takes the last of {@code READS} requests. As many before
-     * them only bring up connections and are kept from the module.
+     * The module, on a loop that stands still while it takes the last of {@code READS} requests. As
+     * many before them only bring up connections and are kept from the module.
      */
     private static final class Stalling extends Scripted {
         private final Router router;
@@ -108,16 +124,23 @@
     private static String reads() {
         StringBuilder commands = new StringBuilder();
         for (int i = 0; i < READS; i++) {
-            commands.append("mg ").append(i).append(" v Or").append(i).append(" Pc=read,t=acme,d=9000\r\n");
+            commands.append("mg ")
+                    .append(i)
+                    .append(" v Or")
+                    .append(i)
+                    .append(" Pc=read,t=acme,d=9000\r\n");
         }
         return commands.toString();
     }
 
-    /** Tries multiplied as more of them were refused, since nothing told clients when to come again. */
+    /**
+     * Tries multiplied as more of them were refused, since nothing told clients when to come again.
+     */
     @Test
     void theMoreIsShedTheLaterClientsAreToldToComeAgain() throws Exception {
         FakeHost full = FakeHost.answering(c -> "SERVER_ERROR busy Lutil=1.0\r\n");
-        try (Rig rig = new Rig(full).start(); Peer client = rig.client()) {
+        try (Rig rig = new Rig(full).start();
+                Peer client = rig.client()) {
             int waits = 0;
             for (int i = 0; i < 200; i++) {
                 String answer = client.ask("mg " + i + " v O" + i + " Pc=read,t=acme,d=9000");
@@ -128,53 +151,67 @@
         }
     }
 
-    /** Answers that came while the loop stood still had not been read when the timers that miss them ran. */
+    /**
+     * Answers that came while the loop stood still had not been read when the timers that miss them
+     * ran.
+     */
     @Test
     void answersThatWaitUnreadAreNotTakenForSlow() throws Exception {
         CyclicBarrier all = new CyclicBarrier(READS);
         CountDownLatch answered = new CountDownLatch(2 * READS);
-        FakeHost host = FakeHost.answering(command -> {
-            try {
-                if (answered.getCount() > READS) {
-                    all.await(Peer.LIMIT_MS, TimeUnit.MILLISECONDS); // so that each read has a connection to itself
-                }
-            } catch (Exception e) {
-                return null;
-            }
-            answered.countDown();
-            return FakeHost.value(command, "x");
-        });
+        FakeHost host =
+                FakeHost.answering(
+                        command -> {
+                            try {
+                                if (answered.getCount() > READS) {
+                                    all.await(
+                                            Peer.LIMIT_MS,
+                                            TimeUnit.MILLISECONDS); // so that each read has a
+                                    // connection to itself
+                                }
+                            } catch (Exception e) {
+                                return null;
+                            }
+                            answered.countDown();
+                            return FakeHost.value(command, "x");
+                        });
         Rig set = new Rig(host);
         set.aimMs = AIM_MS;
         set.module = (settings, seed, actions) -> new Stalling(settings, seed, actions, answered);
-        try (Rig rig = set.start(); Peer client = rig.client()) {
+        try (Rig rig = set.start();
+                Peer client = rig.client()) {
             readAtOnce(client);
             readAtOnce(client);
             assertServed(client, 0, 20);
         }
     }
 
-    /** All that waits behind a stall may be dead by its end, and would be served before the living. */
+    /**
+     * All that waits behind a stall may be dead by its end, and would be served before the living.
+     */
     @Test
     void aCommandWhoseClientHasClosedBehindItIsNotTaken() throws Exception {
         List<Long> taken = new CopyOnWriteArrayList<>();
         CountDownLatch stalled = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         Rig set = new Rig();
-        set.module = (settings, seed, actions) -> new Scripted(actions) {
-            @Override
-            public void onRequest(long now, Api.Request request) {
-                taken.add(request.key());
-                stalled.countDown();
-                try {
-                    go.await(Peer.LIMIT_MS, TimeUnit.MILLISECONDS);
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-                actions.refuse(request.id(), 0);
-            }
-        };
-        try (Rig rig = set.start(); Peer first = rig.client()) {
+        set.module =
+                (settings, seed, actions) ->
+                        new Scripted(actions) {
+                            @Override
+                            public void onRequest(long now, Api.Request request) {
+                                taken.add(request.key());
+                                stalled.countDown();
+                                try {
+                                    go.await(Peer.LIMIT_MS, TimeUnit.MILLISECONDS);
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                                actions.refuse(request.id(), 0);
+                            }
+                        };
+        try (Rig rig = set.start();
+                Peer first = rig.client()) {
             first.write("mg 1 v O1 Pc=read,t=acme,d=9000\r\n");
             stalled.await();
             try (Peer departs = rig.client()) {
--- a/node/src/test/java/frostrelay/node/RehearsalTest.java
+++ b/node/src/test/java/frostrelay/node/RehearsalTest.java
@@ -4,7 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The build archives the classes that this loads; one that goes wrong would leave a start slow unseen. */
+/**
+ * The build archives the classes that this loads; one that goes wrong would leave a start slow
+ * unseen.
+ */
 class RehearsalTest {
     @Test
     void everyCommandOfTheRehearsalIsAnswered() throws Exception {
--- a/node/src/test/java/frostrelay/node/Rig.java
+++ b/node/src/test/java/frostrelay/node/Rig.java
@@ -1,9 +1,11 @@
 package frostrelay.node;
 
-import frostrelay.policy.Router;
 import frostrelay.lifecycle.SharedFolder;
+import frostrelay.policy.Router;
+
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -23,7 +25,8 @@
     static final String COPY = "ms 7f3a9c21e0b4d655 5 O2 Pc=copy,t=acme,d=5000\r\nhello";
     static final String PUT = "ms 7f3a9c21e0b4d655 5 O3 Pc=put,t=acme,d=5000,k=5c0f6e1a\r\nhello";
 
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             {"categories":[
               {"name":"read","effect":"retryable","group":"all","goal-time-ns":%6$d000000,
                "deadline-ns":%1$d000000,"late-worth":0.5,"window-ns":5000000000},
@@ -42,8 +45,10 @@
             """;
 
     final List<FakeHost> hosts = new ArrayList<>();
+
     /** Further hosts, as discovery lists them. */
     final List<String> extraTargets = new ArrayList<>();
+
     long deadlineMs = 10_000;
     long aimMs = 5_000;
     long idleMs = 30_000;
@@ -52,15 +57,21 @@
     long graceMs = 1_000;
     int sockets = 1024;
     boolean cancelling = true;
+
     /** Lists are pushed to an agent beside the balancer, in place of being asked for. */
     boolean pushed;
+
     String discovery = "127.0.0.1:1";
+
     /** Where operators call; nowhere if null. */
     String console;
+
     Balancer.Module module = Router::new;
     Seams seams = Seams.NONE;
+
     /** What is done to the text of the settings. */
     UnaryOperator<String> rewrite = UnaryOperator.identity();
+
     Node node;
     EventLoop loop;
     private NioEventLoopGroup group;
@@ -73,14 +84,31 @@
     }
 
     static String target(String uid, String endpoint, String state) {
-        return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + endpoint + "\",\"az\":\"a\",\"model\":\"m1\","
-                + "\"pod_group\":1,\"state\":\"" + state + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
+        return "{\"uid\":\""
+                + uid
+                + "\",\"endpoint\":\""
+                + endpoint
+                + "\",\"az\":\"a\",\"model\":\"m1\","
+                + "\"pod_group\":1,\"state\":\""
+                + state
+                + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
     String settings() {
-        String text = String.format(Locale.ROOT, SETTINGS, deadlineMs, idleMs, connectMs, maxOpen,
-                graceMs * Clock.MILLISECOND, aimMs).replace("\"cancelling\":true", "\"cancelling\":" + cancelling)
-                .replace("\"discovery\":\"subscribe\"", "\"discovery\":\"" + (pushed ? "automatic" : "subscribe") + "\"");
+        String text =
+                String.format(
+                                Locale.ROOT,
+                                SETTINGS,
+                                deadlineMs,
+                                idleMs,
+                                connectMs,
+                                maxOpen,
+                                graceMs * Clock.MILLISECOND,
+                                aimMs)
+                        .replace("\"cancelling\":true", "\"cancelling\":" + cancelling)
+                        .replace(
+                                "\"discovery\":\"subscribe\"",
+                                "\"discovery\":\"" + (pushed ? "automatic" : "subscribe") + "\"");
         return rewrite.apply(text);
     }
 
@@ -89,10 +117,19 @@
         for (FakeHost host : hosts) {
             targets.add(target("s-" + targets.size(), host.endpoint(), "Ready"));
         }
-        return "{\"name\":\"n1\",\"listen\":\"" + listen + "\"," + (console == null ? "" : "\"console\":\"" + console + "\",") + "\"discovery\":\"" + discovery
+        return "{\"name\":\"n1\",\"listen\":\""
+                + listen
+                + "\","
+                + (console == null ? "" : "\"console\":\"" + console + "\",")
+                + "\"discovery\":\""
+                + discovery
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":"
-                + sockets + "},\"known\":{\"rev\":7,\"all\":true,\"targets\":[" + String.join(",", targets)
-                + "]},\"settings\":" + settings() + "}";
+                + sockets
+                + "},\"known\":{\"rev\":7,\"all\":true,\"targets\":["
+                + String.join(",", targets)
+                + "]},\"settings\":"
+                + settings()
+                + "}";
     }
 
     Site site() {
@@ -102,12 +139,26 @@
     Rig start() throws Exception {
         group = new NioEventLoopGroup(1);
         loop = group.next();
-        Config config = Config.parse(Json.parse(config("127.0.0.1:0").getBytes(StandardCharsets.UTF_8)));
+        Config config =
+                Config.parse(Json.parse(config("127.0.0.1:0").getBytes(StandardCharsets.UTF_8)));
         temporary = Files.createTempDirectory("rig");
         folder = new SharedFolder(temporary, "rig");
         SharedFolder.Look look = folder.look();
-        node = loop.submit(() -> new Node(config, loop, module, folder, look, Options.STANDARD, seams)).get();
-        address = (InetSocketAddress) loop.submit(node::start).get().sync().getNow().channel().localAddress();
+        node =
+                loop.submit(
+                                () ->
+                                        new Node(
+                                                config,
+                                                loop,
+                                                module,
+                                                folder,
+                                                look,
+                                                Options.STANDARD,
+                                                seams))
+                        .get();
+        address =
+                (InetSocketAddress)
+                        loop.submit(node::start).get().sync().getNow().channel().localAddress();
         return this;
     }
 
@@ -129,7 +180,8 @@
             folder.close();
         }
         if (group != null) {
-            group.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.SECONDS).syncUninterruptibly();
+            group.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.SECONDS)
+                    .syncUninterruptibly();
         }
         for (FakeHost host : hosts) {
             host.close();
--- a/node/src/test/java/frostrelay/node/Scripted.java
+++ b/node/src/test/java/frostrelay/node/Scripted.java
@@ -1,6 +1,7 @@
 package frostrelay.node;
 
 import frostrelay.policy.Api;
+
 import java.util.List;
 import java.util.Set;
 
@@ -18,38 +19,29 @@
     }
 
     @Override
-    public void onList(long now, Api.ListMode mode, List<Api.Server> servers) {
-    }
+    public void onList(long now, Api.ListMode mode, List<Api.Server> servers) {}
 
     @Override
-    public void onRequest(long now, Api.Request request) {
-    }
+    public void onRequest(long now, Api.Request request) {}
 
     @Override
-    public void onOutcome(long now, Api.Outcome outcome) {
-    }
+    public void onOutcome(long now, Api.Outcome outcome) {}
 
     @Override
-    public void onFirstByte(long now, long request, int attempt) {
-    }
+    public void onFirstByte(long now, long request, int attempt) {}
 
     @Override
-    public void onClientGone(long now, long request) {
-    }
+    public void onClientGone(long now, long request) {}
 
     @Override
-    public void onTimer(long now, int token) {
-    }
+    public void onTimer(long now, int token) {}
 
     @Override
-    public void onHolds(long now, Set<Long> servers) {
-    }
+    public void onHolds(long now, Set<Long> servers) {}
 
     @Override
-    public void onSettings(long now, Api.Settings settings) {
-    }
+    public void onSettings(long now, Api.Settings settings) {}
 
     @Override
-    public void onOthers(long now, int others) {
-    }
+    public void onOthers(long now, int others) {}
 }
--- a/node/src/test/java/frostrelay/node/StopTest.java
+++ b/node/src/test/java/frostrelay/node/StopTest.java
@@ -6,6 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.util.concurrent.Future;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -20,37 +24,40 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 
 /** An orderly stop loses nothing that was taken. */
 class StopTest {
     private static final String SERVES = "\"event\":\"serves\"";
+
     /** SIGKILL may follow SIGTERM so long after the longest deadline. */
     private static final int KILL_AFTER_LONGEST_MS = 700;
+
     private static final int[] LATE_MS = {50, 300, 500, 650, 750, 840, 1_000, 1_200, 1_350};
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void aStopServesOnForAWhileThenFinishesWhatIsOpen() throws Exception {
         String value = "v".repeat(MetaFrame.MOST_GATHERED);
         FakeHost[] host = new FakeHost[1];
-        host[0] = new FakeHost(peer -> {
-            String command = host[0].next(peer);
-            while (command != null) {
-                if (command.contains(" Olong ")) {
-                    try {
-                        Thread.sleep(1_500);
-                    } catch (InterruptedException e) {
-                        return;
-                    }
-                }
-                peer.write(FakeHost.value(command, value));
-                command = host[0].next(peer);
-            }
-        });
-        try (Rig rig = new Rig(host).start(); Peer idle = rig.client(); Peer busy = rig.slowClient()) {
+        host[0] =
+                new FakeHost(
+                        peer -> {
+                            String command = host[0].next(peer);
+                            while (command != null) {
+                                if (command.contains(" Olong ")) {
+                                    try {
+                                        Thread.sleep(1_500);
+                                    } catch (InterruptedException e) {
+                                        return;
+                                    }
+                                }
+                                peer.write(FakeHost.value(command, value));
+                                command = host[0].next(peer);
+                            }
+                        });
+        try (Rig rig = new Rig(host).start();
+                Peer idle = rig.client();
+                Peer busy = rig.slowClient()) {
             assertEquals("MN", idle.ask("mn"));
             busy.write("mg 1 v Olong Pc=read,t=acme,d=9000\r\n");
             host[0].command();
@@ -63,30 +70,40 @@
             assertEquals(null, idle.line());
             assertFalse(stopped.isDone(), "a request is open");
             assertEquals("VA 65536 Olong", busy.line());
-            assertEquals(value, busy.data(value.length()), "whole, though the connection closes behind it");
+            assertEquals(
+                    value,
+                    busy.data(value.length()),
+                    "whole, though the connection closes behind it");
             assertEquals(null, busy.line());
             assertTrue(stopped.await(Peer.LIMIT_MS));
             assertThrows(IOException.class, rig::client);
         }
     }
 
-    /** Past the time in which all can still be answered, of commands that came together the first alone was told so. */
+    /**
+     * Past the time in which all can still be answered, of commands that came together the first
+     * alone was told so.
+     */
     @Test
     void allThatIsReadTooLateBeforeAnEndIsRefused() throws Exception {
         BlockingQueue<String> gate = new LinkedBlockingQueue<>();
-        FakeHost host = FakeHost.answering(command -> {
-            try {
-                gate.take();
-                return FakeHost.served(command);
-            } catch (InterruptedException e) {
-                return null;
-            }
-        });
-        try (Rig rig = new Rig(host).start(); Peer client = rig.client()) {
+        FakeHost host =
+                FakeHost.answering(
+                        command -> {
+                            try {
+                                gate.take();
+                                return FakeHost.served(command);
+                            } catch (InterruptedException e) {
+                                return null;
+                            }
+                        });
+        try (Rig rig = new Rig(host).start();
+                Peer client = rig.client()) {
             client.write(Rig.COPY.replace("O2", "Oheld") + "\r\n");
             assertTrue(host.command() != null);
             rig.loop.submit(() -> rig.node.stop(false, Clock.now())).get();
-            // With deadlines of 10 s what comes more than 600 ms behind the call could not be answered in time.
+            // With deadlines of 10 s what comes more than 600 ms behind the call could not be
+            // answered in time.
             Thread.sleep(800);
             client.write(Rig.COPY + "\r\n" + Rig.PUT + "\r\n");
             gate.add("go on");
@@ -103,9 +120,14 @@
     }
 
     static Process start(String config, Path shared) throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-cp", System.getProperty("java.class.path"),
-                "frostrelay.node.Main");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xshare:auto",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "frostrelay.node.Main");
         builder.environment().remove("GW_CONFIG");
         builder.environment().put("TMPDIR", shared.toString());
         if (config != null) {
@@ -115,7 +137,8 @@
     }
 
     private static BufferedReader log(Process process) {
-        return new BufferedReader(new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8));
+        return new BufferedReader(
+                new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8));
     }
 
     private static int exit(Process process) throws InterruptedException {
@@ -137,7 +160,9 @@
     void theProgramServesAndEndsWithZeroOnSigterm() throws Exception {
         try (Rig rig = new Rig(FakeHost.serving())) {
             int port = freePort();
-            Path config = Files.writeString(folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
+            Path config =
+                    Files.writeString(
+                            folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
             Process process = start(config.toString());
             try {
                 awaitLine(log(process), SERVES);
@@ -154,7 +179,10 @@
         }
     }
 
-    /** Beside caches that hang, at whatever moment of the shutdown a request comes, its answer must be there before SIGKILL may be. */
+    /**
+     * Beside caches that hang, at whatever moment of the shutdown a request comes, its answer must
+     * be there before SIGKILL may be.
+     */
     @Test
     void everyRequestThatComesDuringAShutdownIsAnsweredBeforeTheKill() throws Exception {
         FakeHost hung = FakeHost.answering(command -> null);
@@ -162,7 +190,9 @@
             rig.deadlineMs = 1_500;
             rig.aimMs = 1_500;
             int port = freePort();
-            Path config = Files.writeString(folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
+            Path config =
+                    Files.writeString(
+                            folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
             Process process = start(config.toString());
             List<Peer> clients = new ArrayList<>();
             try {
@@ -185,8 +215,11 @@
                 sleepUntil(told, rig.deadlineMs + KILL_AFTER_LONGEST_MS);
                 process.destroyForcibly();
                 for (int i = 0; i < LATE_MS.length; i++) {
-                    assertTrue(isFinal(clients.get(i).line()), "the early request on connection " + i);
-                    assertTrue(isFinal(clients.get(i).line()), "a request " + LATE_MS[i] + " ms after SIGTERM");
+                    assertTrue(
+                            isFinal(clients.get(i).line()), "the early request on connection " + i);
+                    assertTrue(
+                            isFinal(clients.get(i).line()),
+                            "a request " + LATE_MS[i] + " ms after SIGTERM");
                 }
             } finally {
                 process.destroyForcibly();
@@ -210,8 +243,8 @@
     }
 
     /**
-     * A burst of connections was accepted whole before any of it was looked at: it ran out of descriptors, and
-     * the fault ended the event loop and with it the program.
+     * A burst of connections was accepted whole before any of it was looked at: it ran out of
+     * descriptors, and the fault ended the event loop and with it the program.
      */
     @Test
     void aFloodOfConnectionsDoesNotRunOutOfDescriptors() throws Exception {
@@ -219,10 +252,19 @@
         try (Rig rig = new Rig(FakeHost.serving())) {
             rig.sockets = 96;
             int port = freePort();
-            Path config = Files.writeString(folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
-            ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n 96; exec \"$0\" \"$@\"",
-                    Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                    "-cp", System.getProperty("java.class.path"), "frostrelay.node.Main");
+            Path config =
+                    Files.writeString(
+                            folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
+            ProcessBuilder builder =
+                    new ProcessBuilder(
+                            "sh",
+                            "-c",
+                            "ulimit -n 96; exec \"$0\" \"$@\"",
+                            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                            "-XX:TieredStopAtLevel=1",
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            "frostrelay.node.Main");
             builder.environment().put("GW_CONFIG", config.toString());
             Process process = builder.start();
             try {
@@ -233,7 +275,8 @@
                 String answer = null;
                 long end = System.nanoTime() + Peer.LIMIT_MS * 1_000_000L;
                 while (!"HD O2 c77".equals(answer) && System.nanoTime() < end) {
-                    try (Peer client = new Peer(new Socket(InetAddress.getLoopbackAddress(), port))) {
+                    try (Peer client =
+                            new Peer(new Socket(InetAddress.getLoopbackAddress(), port))) {
                         answer = client.ask(Rig.COPY);
                     } catch (IOException e) {
                         answer = null;
@@ -255,7 +298,9 @@
     void theProgramReadsItsConfigurationAgainOnSighup() throws Exception {
         try (Rig rig = new Rig(FakeHost.serving())) {
             int port = freePort();
-            Path config = Files.writeString(folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
+            Path config =
+                    Files.writeString(
+                            folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
             Process process = start(config.toString());
             try {
                 BufferedReader log = log(process);
@@ -281,17 +326,26 @@
     }
 
     /**
-     * Under nohup and some supervisors SIGHUP is ignored, the JVM leaves it so without a word, and replaced
-     * configurations were passed over for ever.
+     * Under nohup and some supervisors SIGHUP is ignored, the JVM leaves it so without a word, and
+     * replaced configurations were passed over for ever.
      */
     @Test
     void whereSighupIsIgnoredTheFileIsLookedAtInstead() throws Exception {
         try (Rig rig = new Rig(FakeHost.serving())) {
             int port = freePort();
-            Path config = Files.writeString(folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
-            ProcessBuilder builder = new ProcessBuilder("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"",
-                    Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                    "-cp", System.getProperty("java.class.path"), "frostrelay.node.Main");
+            Path config =
+                    Files.writeString(
+                            folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
+            ProcessBuilder builder =
+                    new ProcessBuilder(
+                            "sh",
+                            "-c",
+                            "trap '' HUP; exec \"$0\" \"$@\"",
+                            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                            "-XX:TieredStopAtLevel=1",
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            "frostrelay.node.Main");
             builder.environment().put("GW_CONFIG", config.toString());
             builder.environment().put("TMPDIR", folder.toString());
             Process process = builder.start();
@@ -311,12 +365,17 @@
         }
     }
 
-    /** The new process serves at the same address before the old one ends, and nobody is turned away meanwhile. */
+    /**
+     * The new process serves at the same address before the old one ends, and nobody is turned away
+     * meanwhile.
+     */
     @Test
     void aSecondProcessTakesOverWithoutALoss() throws Exception {
         try (Rig rig = new Rig(FakeHost.serving())) {
             int port = freePort();
-            Path config = Files.writeString(folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
+            Path config =
+                    Files.writeString(
+                            folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
             Path shared = Files.createDirectory(folder.resolve("shared"));
             Process old = start(config.toString(), shared);
             try {
@@ -350,7 +409,9 @@
     }
 
     private static void hangUp(Process process) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
     }
 
     private static void awaitLine(BufferedReader log, String text) throws IOException {
@@ -364,7 +425,8 @@
     @Test
     void withoutConfigurationTheProgramSaysWhyInOneLineAndFails() throws Exception {
         Path broken = Files.writeString(folder.resolve("broken.json"), "{\"listen\":");
-        for (String config : new String[] {null, folder.resolve("missing.json").toString(), broken.toString()}) {
+        for (String config :
+                new String[] {null, folder.resolve("missing.json").toString(), broken.toString()}) {
             Process process = start(config);
             assertEquals(1, log(process).lines().count());
             assertEquals(1, exit(process));
@@ -373,11 +435,19 @@
 
     @Test
     void anAddressThatIsTakenEndsTheProgram() throws Exception {
-        try (Rig rig = new Rig(); ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Path config = Files.writeString(folder.resolve("config.json"),
-                    rig.config("127.0.0.1:" + taken.getLocalPort()));
+        try (Rig rig = new Rig();
+                ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            Path config =
+                    Files.writeString(
+                            folder.resolve("config.json"),
+                            rig.config("127.0.0.1:" + taken.getLocalPort()));
             Process process = start(config.toString());
-            assertEquals(1, log(process).lines().filter(line -> line.contains("\"event\":\"cannot-start\"")).count());
+            assertEquals(
+                    1,
+                    log(process)
+                            .lines()
+                            .filter(line -> line.contains("\"event\":\"cannot-start\""))
+                            .count());
             assertEquals(1, exit(process));
         }
     }
--- a/peers/src/main/java/frostrelay/peers/Ceiling.java
+++ b/peers/src/main/java/frostrelay/peers/Ceiling.java
@@ -1,8 +1,9 @@
 package frostrelay.peers;
 
 /**
- * Bytes sent in the last second, kept to a most. Exact: no second whatever, wherever it begins, holds more than the
- * ceiling; a bucket of tokens would let twice as much through in the second behind a pause. For one thread.
+ * Bytes sent in the last second, kept to a most. Exact: no second whatever, wherever it begins,
+ * holds more than the ceiling; a bucket of tokens would let twice as much through in the second
+ * behind a pause. For one thread.
  */
 final class Ceiling {
     private static final long SECOND = 1_000_000_000L;
--- a/peers/src/main/java/frostrelay/peers/Datagram.java
+++ b/peers/src/main/java/frostrelay/peers/Datagram.java
@@ -12,12 +12,14 @@
  * 14 u32 nonce      18 u16 subject                20 sections: u8 type, u8 length, bytes; last: u32 CRC-32C
  * </pre>
  *
- * Sections of unknown types are passed over, and so are bytes behind what a known type holds: builds of other ages read
- * each other as long as the least form allows it. What is read costs time that its 256 bytes bound.
+ * Sections of unknown types are passed over, and so are bytes behind what a known type holds:
+ * builds of other ages read each other as long as the least form allows it. What is read costs time
+ * that its 256 bytes bound.
  */
 final class Datagram {
     /** A longer one voids the run on the platform. */
     static final int MOST = 256;
+
     static final int HEAD = 20;
     static final int SUM = Integer.BYTES;
     static final int SECTION = 2;
@@ -26,40 +28,58 @@
     private static final int U16 = 0xffff;
 
     /** What it is for. */
-    enum Kind { NONE, PING, PONG, ASK_OTHER, TELL }
+    enum Kind {
+        NONE,
+        PING,
+        PONG,
+        ASK_OTHER,
+        TELL
+    }
 
     /** What a section holds. */
     static final int ROWS = 1;
+
     static final int STAMP = 2;
     static final int SUSPECT = 3;
     static final int GONE = 4;
     static final int LEFT = 5;
     static final int WANT = 6;
     static final int CLOCK = 7;
+
     /** With its head. */
     static final int CLOCK_BYTES = 6;
+
     static final int AWAY = 8;
     static final int BACK = 9;
+
     /** No section of its own: news that other modules' sections have changed. */
     static final int CARGO = 10;
 
     static final int ROW = 11;
     static final int CLAIM = 10;
+
     /** A list's version and a cache. */
     static final int AWAY_BYTES = 2 * Long.BYTES;
 
     /** Why a datagram is passed over. */
-    enum Flaw { DAMAGED, FOREIGN, OVERSIZED, NEWER }
+    enum Flaw {
+        DAMAGED,
+        FOREIGN,
+        OVERSIZED,
+        NEWER
+    }
 
     final Kind kind;
     final int sender;
     final long incarnation;
     final int nonce;
     final int subject;
+
     /** Set to the first section; its limit is the end of the last. */
     final ByteBuffer sections;
 
-    private Datagram(Kind kind, int sender, long incarnation, int nonce, int subject, ByteBuffer sections) {
+    private Datagram(
+            Kind kind, int sender, long incarnation, int nonce, int subject, ByteBuffer sections) {
         this.kind = kind;
         this.sender = sender;
         this.incarnation = incarnation;
@@ -88,17 +108,26 @@
         return (in.get(3) & 0xff) > FORM ? Flaw.NEWER : null;
     }
 
-    /** Reads what has no {@link #flaw}. A kind that this build does not know reads as {@link Kind#NONE}. */
+    /**
+     * Reads what has no {@link #flaw}. A kind that this build does not know reads as {@link
+     * Kind#NONE}.
+     */
     static Datagram read(byte[] data, int length) {
         ByteBuffer in = ByteBuffer.wrap(data, 0, length - SUM);
         int kind = in.get(4) & 0xff;
         in.position(HEAD);
-        return new Datagram(kind < Kind.values().length ? Kind.values()[kind] : Kind.NONE, in.getShort(6) & U16,
-                u48(in, 8), in.getInt(14), in.getShort(18) & U16, in);
+        return new Datagram(
+                kind < Kind.values().length ? Kind.values()[kind] : Kind.NONE,
+                in.getShort(6) & U16,
+                u48(in, 8),
+                in.getInt(14),
+                in.getShort(18) & U16,
+                in);
     }
 
     static long u48(ByteBuffer in, int at) {
-        return (in.getShort(at) & (long) U16) << Integer.SIZE | in.getInt(at + Short.BYTES) & 0xffffffffL;
+        return (in.getShort(at) & (long) U16) << Integer.SIZE
+                | in.getInt(at + Short.BYTES) & 0xffffffffL;
     }
 
     static long u48(ByteBuffer in) {
@@ -109,10 +138,24 @@
         out.putShort((short) (value >>> Integer.SIZE)).putInt((int) value);
     }
 
-    /** Begins one, in a writer's form that readers of {@link #FORM} understand: what follows are sections, then {@link #finish}. */
-    static void begin(ByteBuffer out, int form, Kind kind, int sender, long incarnation, int nonce, int subject) {
+    /**
+     * Begins one, in a writer's form that readers of {@link #FORM} understand: what follows are
+     * sections, then {@link #finish}.
+     */
+    static void begin(
+            ByteBuffer out,
+            int form,
+            Kind kind,
+            int sender,
+            long incarnation,
+            int nonce,
+            int subject) {
         out.clear();
-        out.putShort(MAGIC).put((byte) form).put((byte) FORM).put((byte) kind.ordinal()).put((byte) 0)
+        out.putShort(MAGIC)
+                .put((byte) form)
+                .put((byte) FORM)
+                .put((byte) kind.ordinal())
+                .put((byte) 0)
                 .putShort((short) sender);
         putU48(out, incarnation);
         out.putInt(nonce).putShort((short) subject);
--- a/peers/src/main/java/frostrelay/peers/Peers.java
+++ b/peers/src/main/java/frostrelay/peers/Peers.java
@@ -8,56 +8,64 @@
 import java.util.SplittableRandom;
 
 /**
- * One balancer among its peers: who is there and what each acts on. Probes as SWIM does (straight, then through others),
- * doubts itself as Lifeguard does, and tells news to a few at a time. Decides by events alone: it starts no thread, reads
- * no clock and sends through {@link Actions}. For one thread; moments are nanoseconds of one clock that never falls.
+ * One balancer among its peers: who is there and what each acts on. Probes as SWIM does (straight,
+ * then through others), doubts itself as Lifeguard does, and tells news to a few at a time. Decides
+ * by events alone: it starts no thread, reads no clock and sends through {@link Actions}. For one
+ * thread; moments are nanoseconds of one clock that never falls.
  *
- * <p>What a peer says is believed of itself only, by its incarnation and the number of its stamp; of others it is passed
- * on, and the one concerned may object. {@code docs/design/peers.md} has the ways weighed.
+ * <p>What a peer says is believed of itself only, by its incarnation and the number of its stamp;
+ * of others it is passed on, and the one concerned may object. {@code docs/design/peers.md} has the
+ * ways weighed.
  */
 public final class Peers {
     /** Where datagrams go. */
     public interface Actions {
-        /** Sends one to a balancer, by its number. The bytes are the caller's again when this returns. */
+        /**
+         * Sends one to a balancer, by its number. The bytes are the caller's again when this
+         * returns.
+         */
         void send(int to, byte[] data, int length);
     }
 
     /** Hears what changed in the knowledge of others; each method may be left out. */
     public interface Listener {
         /** {@code by}: who said so, by its number; itself for what it said itself. */
-        default void onState(long now, int rank, long incarnation, State state, int by) {
-        }
+        default void onState(long now, int rank, long incarnation, State state, int by) {}
 
-        /** This balancer goes by another incarnation: it objected, or overtook an earlier life of its name. */
-        default void onOwn(long now, long incarnation) {
-        }
+        /**
+         * This balancer goes by another incarnation: it objected, or overtook an earlier life of
+         * its name.
+         */
+        default void onOwn(long now, long incarnation) {}
 
-        /** A balancer acts on something else. {@code ref}: of the stamp, whose content may come later. */
-        default void onRow(long now, int rank, long incarnation, int sequence, int ref, long age) {
-        }
+        /**
+         * A balancer acts on something else. {@code ref}: of the stamp, whose content may come
+         * later.
+         */
+        default void onRow(long now, int rank, long incarnation, int sequence, int ref, long age) {}
 
         /** The content of a stamp is known now. */
-        default void onContent(long now, int ref, Stamp stamp) {
-        }
+        default void onContent(long now, int ref, Stamp stamp) {}
 
         /** A peer says, by its own list of that version, that a cache is not to be used. */
-        default void onAway(long now, int from, long rev, long cache) {
-        }
+        default void onAway(long now, int from, long rev, long cache) {}
 
         /** Likewise that it may be used again, having been ruled out lately. */
-        default void onBack(long now, int from, long rev, long cache) {
-        }
+        default void onBack(long now, int from, long rev, long cache) {}
 
         /**
-         * A section of another module came, of a type from {@link Cargo#FIRST_TYPE} on; whatever it holds is unchecked. {@code held}:
-         * so many nanoseconds it was held up on its way, over the fastest way lately.
+         * A section of another module came, of a type from {@link Cargo#FIRST_TYPE} on; whatever it
+         * holds is unchecked. {@code held}: so many nanoseconds it was held up on its way, over the
+         * fastest way lately.
          */
-        default void onCargo(long now, long held, int from, long incarnation, int type, ByteBuffer content) {
-        }
+        default void onCargo(
+                long now, long held, int from, long incarnation, int type, ByteBuffer content) {}
 
-        /** A peer answered a probe: its life was {@code theirMs} old at some moment between {@code sent} and now. */
-        default void onClock(long now, int rank, long incarnation, long sent, long theirMs) {
-        }
+        /**
+         * A peer answered a probe: its life was {@code theirMs} old at some moment between {@code
+         * sent} and now.
+         */
+        default void onClock(long now, int rank, long incarnation, long sent, long theirMs) {}
     }
 
     /** Counts since the start, for whoever prints them. */
@@ -79,41 +87,74 @@
 
     private static final long MILLISECOND = 1_000_000L;
     private static final int NOBODY = 0xffff;
+
     /** News goes to so many at once when it is new, then to {@link #NEXT} every {@link #ROUND}. */
     private static final int FIRST = 3;
+
     private static final int NEXT = 2;
-    /** In tiers of so few others all are told at once, and once more: targets drawn by chance miss one in five of four. */
+
+    /**
+     * In tiers of so few others all are told at once, and once more: targets drawn by chance miss
+     * one in five of four.
+     */
     private static final int FEW = 8;
+
     private static final int COPIES = 2;
+
     /** Five times the slowest way: what came back from the first round is taken into the second. */
     private static final long ROUND = 150 * MILLISECOND;
+
     /** What comes within this is told together: half of a usual way. */
     private static final long GATHER = 10 * MILLISECOND;
-    /** Sends of each item are this times the logarithm of the fleet, to base 2: enough at 30% loss for 99 of 100. */
+
+    /**
+     * Sends of each item are this times the logarithm of the fleet, to base 2: enough at 30% loss
+     * for 99 of 100.
+     */
     private static final double SENDS = 1.5;
+
     /** A probe is filled up to this with rows in turn, so that what rumours missed comes round. */
     private static final int FILLED = 102;
-    /** Probes and answers carry others' cargo up to this: two of them a second cost an eighth of the ceiling. */
+
+    /**
+     * Probes and answers carry others' cargo up to this: two of them a second cost an eighth of the
+     * ceiling.
+     */
     private static final int LADEN = 134;
+
     private static final int HELPERS = 3;
-    /** Straight tries in a period; at the third, others are asked as well. At 30% loss all fail in 15 of 1,000 periods. */
+
+    /**
+     * Straight tries in a period; at the third, others are asked as well. At 30% loss all fail in
+     * 15 of 1,000 periods.
+     */
     private static final int TRIES = 5;
+
     private static final int OTHERS_AT = 2;
-    /** One probe in so many looks whether one that is gone is back: a healed partition is found so. */
+
+    /**
+     * One probe in so many looks whether one that is gone is back: a healed partition is found so.
+     */
     private static final int LOOK_BACK = 5;
+
     /** Suspicions by so many others cut the time to object to its least. */
     private static final int CONFIRMED = 3;
+
     private static final int UNCONFIRMED_FACTOR = 3;
     private static final int MOST_SELF_DOUBT = 4;
+
     /** A timer that comes so late tells of a pause of this process, not of its peers' silence. */
     private static final long PAUSE = 500 * MILLISECOND;
+
     private static final int MOST_STAMPS = 256;
     private static final int MOST_RELAYS = 64;
     private static final long AGE_UNIT = 100 * MILLISECOND;
     private static final int MOST_AGE = 255;
     private static final long NEVER = Long.MAX_VALUE;
+
     /** Of the ceiling; two probes and two answers in a second have the rest. */
     private static final double NEWS_PART = 5 / 8.0;
+
     /** Head, sum, a row and a stamp: with less room it is better to wait. */
     private static final int LEAST_NEWS = 106;
 
@@ -131,11 +172,9 @@
     }
 
     /** What the own list of a version said of a cache. */
-    private record Away(long rev, boolean back) {
-    }
+    private record Away(long rev, boolean back) {}
 
-    private record Relay(int asker, int nonce, long until) {
-    }
+    private record Relay(int asker, int nonce, long until) {}
 
     private final PeerSettings settings;
     private final int me;
@@ -144,8 +183,10 @@
     private final Actions actions;
     private final Listener listener;
     private final Ceiling ceiling;
+
     /** Of news alone: if it took the whole ceiling, the living would look dead. */
     private final Ceiling newsCeiling;
+
     private final Rumours rumours = new Rumours();
     private final Counts counts = new Counts();
     private final ByteBuffer out = ByteBuffer.allocate(Datagram.MOST);
@@ -154,11 +195,15 @@
     private final long bornAt;
     private final long bornIncarnation;
     private final List<Suspicion> suspicions = new ArrayList<>();
+
     /** Those asked for others, by the nonce of the probe that went out for it. */
     private final Map<Integer, Relay> relays = new LinkedHashMap<>();
+
     private final Map<Integer, Stamp> stamps;
+
     /** Caches that the own list ruled out lately, and by which version. */
     private final Map<Long, Away> aways = new LinkedHashMap<>();
+
     private final int[] order;
     private int orderAt;
     private int rowAt;
@@ -178,11 +223,20 @@
 
     /**
      * {@code me}: this balancer's number among {@code count}; {@code incarnation}: of this life, by
-     * {@link Incarnation#of}; {@code stamp}: what it acts on from the first; {@code sequence}: how often that had changed
-     * before in this life.
+     * {@link Incarnation#of}; {@code stamp}: what it acts on from the first; {@code sequence}: how
+     * often that had changed before in this life.
      */
-    public Peers(PeerSettings settings, int me, int count, long now, long incarnation, long seed, Stamp stamp,
-                 int sequence, Actions actions, Listener listener) {
+    public Peers(
+            PeerSettings settings,
+            int me,
+            int count,
+            long now,
+            long incarnation,
+            long seed,
+            Stamp stamp,
+            int sequence,
+            Actions actions,
+            Listener listener) {
         if (me < 0 || me >= count || count > NOBODY) {
             throw new IllegalArgumentException("balancer " + me + " of " + count);
         }
@@ -225,7 +279,10 @@
 
     // What comes in.
 
-    /** This balancer acts on something else from now on; {@code sequence}: how often that has changed in this life. */
+    /**
+     * This balancer acts on something else from now on; {@code sequence}: how often that has
+     * changed in this life.
+     */
     public void onStamp(long now, Stamp stamp, int sequence) {
         int ref = stamp.ref();
         members.refs[me] = ref;
@@ -239,15 +296,27 @@
         cargo = fresh;
     }
 
-    /** The cargo holds something that others are to hear soon: it goes round as news does, each time as it is then. */
+    /**
+     * The cargo holds something that others are to hear soon: it goes round as news does, each time
+     * as it is then.
+     */
     public void cargoChanged(long now) {
         rumour(now, Datagram.CARGO, NOBODY, 0, NOBODY, 0);
     }
 
-    /** Sends one section to one peer now; false where the ceiling does not let it through: it may be tried again later. */
+    /**
+     * Sends one section to one peer now; false where the ceiling does not let it through: it may be
+     * tried again later.
+     */
     public boolean post(long now, int to, int type, ByteBuffer content) {
-        if (left || to == me || Math.min(ceiling.room(now), newsCeiling.room(now)) < Datagram.HEAD + Datagram.SUM
-                + Datagram.CLOCK_BYTES + Datagram.SECTION + content.remaining()) {
+        if (left
+                || to == me
+                || Math.min(ceiling.room(now), newsCeiling.room(now))
+                        < Datagram.HEAD
+                                + Datagram.SUM
+                                + Datagram.CLOCK_BYTES
+                                + Datagram.SECTION
+                                + content.remaining()) {
             return false;
         }
         begin(now, Datagram.Kind.TELL, ++lastNonce, NOBODY);
@@ -261,7 +330,9 @@
     /** Each datagram says when it was written, by the clock of this life. */
     private void begin(long now, Datagram.Kind kind, int nonce, int subject) {
         Datagram.begin(out, settings.form(), kind, me, members.incarnations[me], nonce, subject);
-        out.put((byte) Datagram.CLOCK).put((byte) Integer.BYTES).putInt((int) ((now - bornAt) / MILLISECOND));
+        out.put((byte) Datagram.CLOCK)
+                .put((byte) Integer.BYTES)
+                .putInt((int) ((now - bornAt) / MILLISECOND));
     }
 
     private void tellOwn(long now) {
@@ -269,7 +340,10 @@
         rumour(now, Datagram.ROWS, me, members.incarnations[me], me, 0);
     }
 
-    /** A datagram came from the address of the balancer {@code from}. Whatever it holds costs bounded work. */
+    /**
+     * A datagram came from the address of the balancer {@code from}. Whatever it holds costs
+     * bounded work.
+     */
     public void onDatagram(long now, int from, byte[] data, int length) {
         counts.received++;
         if (left) {
@@ -317,8 +391,9 @@
     private void heard(long now, int from, long incarnation) {
         heardAt = now;
         members.heardAt[from] = now;
-        if (incarnation > members.incarnations[from] || members.state(from) == State.UNKNOWN
-                && incarnation == members.incarnations[from]) {
+        if (incarnation > members.incarnations[from]
+                || members.state(from) == State.UNKNOWN
+                        && incarnation == members.incarnations[from]) {
             revive(now, from, incarnation, from);
         }
         if (incarnation == members.incarnations[from] && members.state(from).takesPart()) {
@@ -352,7 +427,9 @@
         rumour(now, Datagram.ROWS, rank, incarnation, by, 0, greeting);
     }
 
-    /** Reads all sections; returns whether the sender wants a stamp's content that is known here. */
+    /**
+     * Reads all sections; returns whether the sender wants a stamp's content that is known here.
+     */
     private boolean sections(long now, Datagram in) {
         boolean wanted = false;
         long held = 0;
@@ -380,7 +457,8 @@
                         }
                     }
                 }
-                case Datagram.SUSPECT, Datagram.GONE, Datagram.LEFT -> claim(now, in, type, section);
+                case Datagram.SUSPECT, Datagram.GONE, Datagram.LEFT ->
+                        claim(now, in, type, section);
                 case Datagram.WANT -> {
                     if (length >= Integer.BYTES) {
                         int ref = section.getInt();
@@ -406,7 +484,10 @@
                     }
                     long lived = section.getInt() & 0xffffffffL;
                     held = members.held(now, in.sender, Incarnation.unixMs(in.incarnation), lived);
-                    if (in.kind == Datagram.Kind.PONG && in.nonce == probeNonce && in.sender == target && in.subject == NOBODY) {
+                    if (in.kind == Datagram.Kind.PONG
+                            && in.nonce == probeNonce
+                            && in.sender == target
+                            && in.subject == NOBODY) {
                         listener.onClock(now, in.sender, in.incarnation, probeSent, lived);
                     }
                 }
@@ -444,7 +525,8 @@
         }
     }
 
-    private void row(long now, int by, int rank, long incarnation, int sequence, int ref, long age) {
+    private void row(
+            long now, int by, int rank, long incarnation, int sequence, int ref, long age) {
         if (incarnation < members.incarnations[rank]) {
             return;
         }
@@ -500,8 +582,10 @@
             return;
         }
         counts.objections++;
-        members.incarnations[me] = Incarnation.unixMs(incarnation) == Incarnation.unixMs(members.incarnations[me])
-                ? Incarnation.next(incarnation) : Incarnation.overtaking(incarnation);
+        members.incarnations[me] =
+                Incarnation.unixMs(incarnation) == Incarnation.unixMs(members.incarnations[me])
+                        ? Incarnation.next(incarnation)
+                        : Incarnation.overtaking(incarnation);
         // Being suspected is a sign that this process is slow.
         selfDoubt = Math.min(MOST_SELF_DOUBT, selfDoubt + 1);
         listener.onOwn(now, members.incarnations[me]);
@@ -509,8 +593,9 @@
     }
 
     /**
-     * By this balancer's own list of a version, a cache is not to be used any more, or may be used again ({@code back}).
-     * Others that act on an older list care. One that was never ruled out is news to nobody.
+     * By this balancer's own list of a version, a cache is not to be used any more, or may be used
+     * again ({@code back}). Others that act on an older list care. One that was never ruled out is
+     * news to nobody.
      */
     public void tellCache(long now, long rev, long cache, boolean back) {
         if (back && !aways.containsKey(cache)) {
@@ -552,7 +637,10 @@
         }
     }
 
-    /** Others' suspicions shorten the wait: many that cannot reach it are unlikely to be all at fault. */
+    /**
+     * Others' suspicions shorten the wait: many that cannot reach it are unlikely to be all at
+     * fault.
+     */
     private long ends(Suspicion suspicion) {
         double scale = Math.max(1, Math.log10(members.count));
         double least = settings.object() * scale;
@@ -569,7 +657,13 @@
         suspicions.removeIf(one -> one.rank == rank);
         members.state(rank, state);
         listener.onState(now, rank, members.incarnations[rank], state, by);
-        rumour(now, state == State.LEFT ? Datagram.LEFT : Datagram.GONE, rank, members.incarnations[rank], by, 0);
+        rumour(
+                now,
+                state == State.LEFT ? Datagram.LEFT : Datagram.GONE,
+                rank,
+                members.incarnations[rank],
+                by,
+                0);
     }
 
     // Probes.
@@ -663,7 +757,10 @@
         step(now);
     }
 
-    /** One in doubt is asked again at once; then in turn, in an order drawn anew each time round, as SWIM does. */
+    /**
+     * One in doubt is asked again at once; then in turn, in an order drawn anew each time round, as
+     * SWIM does.
+     */
     private int choose() {
         boolean back = periods % LOOK_BACK == 0;
         for (int rank : order) {
@@ -679,7 +776,9 @@
             int rank = order[orderAt++];
             State state = members.state(rank);
             // Those that never came and those that went are asked now and then, the others in turn.
-            if (state.takesPart() || back || state == State.UNKNOWN && periods <= 2 * order.length) {
+            if (state.takesPart()
+                    || back
+                    || state == State.UNKNOWN && periods <= 2 * order.length) {
                 return rank;
             }
         }
@@ -704,7 +803,11 @@
         State state = members.state(to);
         if (state == State.SUSPECTED || state == State.GONE || state == State.LEFT) {
             // So that it can object.
-            putClaim(state == State.SUSPECTED ? Datagram.SUSPECT : Datagram.GONE, to, members.incarnations[to], me);
+            putClaim(
+                    state == State.SUSPECTED ? Datagram.SUSPECT : Datagram.GONE,
+                    to,
+                    members.incarnations[to],
+                    me);
         }
         putRows(now, List.of(me), Datagram.MOST);
         want(to);
@@ -719,7 +822,9 @@
     /** Asks for the content of the stamp that the peer acts on, where it is not known. */
     private void want(int to) {
         int ref = members.refs[to];
-        if (ref != Stamp.NO_REF && !stamps.containsKey(ref) && Datagram.room(out, Datagram.MOST) >= Integer.BYTES) {
+        if (ref != Stamp.NO_REF
+                && !stamps.containsKey(ref)
+                && Datagram.room(out, Datagram.MOST) >= Integer.BYTES) {
             out.put((byte) Datagram.WANT).put((byte) Integer.BYTES).putInt(ref);
         }
     }
@@ -731,18 +836,24 @@
             return;
         }
         for (Map.Entry<Long, Away> away : aways.entrySet()) {
-            if (away.getValue().rev > theirs.listRev() && Datagram.room(out, Datagram.MOST) >= Datagram.AWAY_BYTES) {
+            if (away.getValue().rev > theirs.listRev()
+                    && Datagram.room(out, Datagram.MOST) >= Datagram.AWAY_BYTES) {
                 putAway(away.getKey(), away.getValue());
             }
         }
     }
 
     private void putAway(long cache, Away away) {
-        out.put((byte) (away.back ? Datagram.BACK : Datagram.AWAY)).put((byte) Datagram.AWAY_BYTES).putLong(away.rev)
+        out.put((byte) (away.back ? Datagram.BACK : Datagram.AWAY))
+                .put((byte) Datagram.AWAY_BYTES)
+                .putLong(away.rev)
                 .putLong(cache);
     }
 
-    /** Rows in turn, up to a size at which a probe is still cheap; none while there is more urgent talk. */
+    /**
+     * Rows in turn, up to a size at which a probe is still cheap; none while there is more urgent
+     * talk.
+     */
     private void fill(long now) {
         if (ceiling.room(now) < settings.ceiling() / 2) {
             return;
@@ -751,7 +862,8 @@
         int first = rowAt;
         while (room >= Datagram.ROW) {
             int ref = members.refs[rowAt];
-            boolean told = rowAt != me && ref != Stamp.NO_REF && members.state(rowAt) == State.ALIVE;
+            boolean told =
+                    rowAt != me && ref != Stamp.NO_REF && members.state(rowAt) == State.ALIVE;
             if (told) {
                 putRows(now, List.of(rowAt), FILLED);
                 room = Datagram.room(out, FILLED) - Integer.BYTES;
@@ -766,10 +878,15 @@
     private void answer(long now, Datagram in) {
         begin(now, Datagram.Kind.PONG, in.nonce, NOBODY);
         State state = members.state(in.sender);
-        if (in.incarnation < members.incarnations[in.sender] || state == State.GONE || state == State.SUSPECTED
+        if (in.incarnation < members.incarnations[in.sender]
+                || state == State.GONE
+                || state == State.SUSPECTED
                 || state == State.LEFT) {
-            putClaim(state == State.SUSPECTED ? Datagram.SUSPECT : Datagram.GONE, in.sender,
-                    members.incarnations[in.sender], me);
+            putClaim(
+                    state == State.SUSPECTED ? Datagram.SUSPECT : Datagram.GONE,
+                    in.sender,
+                    members.incarnations[in.sender],
+                    me);
         }
         putRows(now, List.of(me), Datagram.MOST);
         want(in.sender);
@@ -817,8 +934,13 @@
         rumour(now, type, rank, incarnation, by, ref, false);
     }
 
-    private void rumour(long now, int type, int rank, long incarnation, int by, int ref, boolean greeting) {
-        int sends = (int) Math.ceil((greeting ? SENDS / 2 : SENDS) * (Math.log(members.count + 1.0) / Math.log(2)));
+    private void rumour(
+            long now, int type, int rank, long incarnation, int by, int ref, boolean greeting) {
+        int sends =
+                (int)
+                        Math.ceil(
+                                (greeting ? SENDS / 2 : SENDS)
+                                        * (Math.log(members.count + 1.0) / Math.log(2)));
         sends = isFew() && !greeting ? Math.max(sends, COPIES * order.length) : sends;
         rumours.add(new Rumours.Item(type, rank, incarnation, by, ref, greeting, sends));
         firstRound = true;
@@ -837,7 +959,8 @@
             full |= !rumours.isEmpty() && !tell(now, to);
         }
         // With nobody to tell, it is kept for whoever comes: a probe finds them.
-        rumourAt = rumours.isEmpty() ? NEVER : now + (targets.isEmpty() ? settings.period() : ROUND);
+        rumourAt =
+                rumours.isEmpty() ? NEVER : now + (targets.isEmpty() ? settings.period() : ROUND);
     }
 
     /** Tells one peer what is new; false where the ceiling does not let it through. */
@@ -845,7 +968,8 @@
         List<Rumours.Item> hottest = rumours.hottest();
         // A flood of greetings leaves half of the room to changes, which are not to wait for it.
         int kept = !hottest.isEmpty() && hottest.get(0).greeting ? newsCeiling.most() / 2 : 0;
-        int most = Math.min(Datagram.MOST, Math.min(ceiling.room(now), newsCeiling.room(now) - kept));
+        int most =
+                Math.min(Datagram.MOST, Math.min(ceiling.room(now), newsCeiling.room(now) - kept));
         if (most < LEAST_NEWS) {
             counts.overCeiling++;
             return false;
@@ -856,13 +980,15 @@
         int rowRoom = 0;
         boolean laden = false;
         for (Rumours.Item item : hottest) {
-            int need = Datagram.SECTION + switch (item.type) {
-                case Datagram.STAMP -> Stamp.BYTES;
-                case Datagram.ROWS -> Datagram.ROW + Integer.BYTES;
-                case Datagram.AWAY -> Datagram.AWAY_BYTES;
-                case Datagram.CARGO -> 0;
-                default -> Datagram.CLAIM;
-            };
+            int need =
+                    Datagram.SECTION
+                            + switch (item.type) {
+                                case Datagram.STAMP -> Stamp.BYTES;
+                                case Datagram.ROWS -> Datagram.ROW + Integer.BYTES;
+                                case Datagram.AWAY -> Datagram.AWAY_BYTES;
+                                case Datagram.CARGO -> 0;
+                                default -> Datagram.CLAIM;
+                            };
             if (Datagram.room(out, most) - rowRoom < need - Datagram.SECTION) {
                 continue;
             }
@@ -877,7 +1003,8 @@
                 case Datagram.ROWS -> {
                     if (members.refs[item.rank] != Stamp.NO_REF) {
                         rows.add(item.rank);
-                        // Rows of one stamp share a section: what that spares is used by the next datagram.
+                        // Rows of one stamp share a section: what that spares is used by the next
+                        // datagram.
                         rowRoom += need;
                     }
                 }
@@ -918,7 +1045,9 @@
             if (end == at) {
                 return;
             }
-            out.put((byte) Datagram.ROWS).put((byte) (Integer.BYTES + Datagram.ROW * (end - at))).putInt(ref);
+            out.put((byte) Datagram.ROWS)
+                    .put((byte) (Integer.BYTES + Datagram.ROW * (end - at)))
+                    .putInt(ref);
             for (; at < end; at++) {
                 int rank = ranks.get(at);
                 out.putShort((short) rank);
@@ -977,8 +1106,11 @@
     private void keep(long now, int ref, Stamp stamp) {
         if (stamps.size() >= MOST_STAMPS) {
             // Those that nobody acts on go first; one that is asked for again is told again.
-            int unused = stamps.keySet().stream().filter(one -> !used(one)).findFirst()
-                    .orElse(stamps.keySet().iterator().next());
+            int unused =
+                    stamps.keySet().stream()
+                            .filter(one -> !used(one))
+                            .findFirst()
+                            .orElse(stamps.keySet().iterator().next());
             stamps.remove(unused);
         }
         stamps.put(ref, stamp);
@@ -1015,7 +1147,14 @@
         State state = rank != me && deaf(now) ? State.UNKNOWN : members.state(rank);
         int ref = members.refs[rank];
         long age = rank == me ? 0 : never ? -1 : now - members.saidAt[rank];
-        return new Known(rank, state, members.incarnations[rank], members.sequences[rank], ref, stamps.get(ref), age);
+        return new Known(
+                rank,
+                state,
+                members.incarnations[rank],
+                members.sequences[rank],
+                ref,
+                stamps.get(ref),
+                age);
     }
 
     /** How many balancers the tier has. */
--- a/peers/src/main/java/frostrelay/peers/Rumours.java
+++ b/peers/src/main/java/frostrelay/peers/Rumours.java
@@ -8,27 +8,34 @@
 import java.util.PriorityQueue;
 
 /**
- * News on its way round. Each item is sent so many times, the newest first: a change overtakes what is left of an older
- * flood. Hearing a greeting again from others counts as a send, since whoever told it tells others too (Demers and
- * others 1987: losing interest by feedback and a counter). Bounded; the coldest item makes room, as the rows that fill probes
- * bring it round all the same.
+ * News on its way round. Each item is sent so many times, the newest first: a change overtakes what
+ * is left of an older flood. Hearing a greeting again from others counts as a send, since whoever
+ * told it tells others too (Demers and others 1987: losing interest by feedback and a counter).
+ * Bounded; the coldest item makes room, as the rows that fill probes bring it round all the same.
  */
 final class Rumours {
     private static final int MOST = 512;
+
     /** Rows of one stamp that a datagram has room for, and some more. */
     private static final int TOLD = 24;
+
     private static final int TYPE_SHIFT = 40;
 
-    /** One item. For stamps only {@code ref} counts, for caches that is the lower half
-     * of the number and {@code incarnation} the whole; for rows the table has the values at the moment of sending. */
+    /**
+     * One item. For stamps only {@code ref} counts, for caches that is the lower half of the number
+     * and {@code incarnation} the whole; for rows the table has the values at the moment of
+     * sending.
+     */
     static final class Item {
         final int type;
         final int rank;
         final long incarnation;
         final int by;
         final int ref;
+
         /** Of a balancer that was not known before: less urgent than a change at one that was. */
         final boolean greeting;
+
         int left;
         private long order;
 
@@ -46,22 +53,29 @@
             return key(type, rank, by, ref);
         }
 
-        /** A life's later word stands for its earlier one; a suspicion stands beside that of another balancer. */
+        /**
+         * A life's later word stands for its earlier one; a suspicion stands beside that of another
+         * balancer.
+         */
         private static long key(int type, int rank, int by, int ref) {
             return switch (type) {
                 case Datagram.STAMP -> (long) type << TYPE_SHIFT | ref & 0xffffffffL;
                 case Datagram.SUSPECT -> (long) type << TYPE_SHIFT | (long) rank << Short.SIZE | by;
                 case Datagram.ROWS -> (long) type << TYPE_SHIFT | rank;
                 case Datagram.CARGO -> (long) type << TYPE_SHIFT;
-                // By the lower half of the cache's number: two that share it would be told one after the other.
+                // By the lower half of the cache's number: two that share it would be told one
+                // after the other.
                 case Datagram.AWAY -> (long) type << TYPE_SHIFT | ref & 0xffffffffL;
                 default -> (long) Datagram.GONE << TYPE_SHIFT | rank;
             };
         }
     }
 
-    private static final Comparator<Item> HOTTEST = (a, b) -> a.greeting != b.greeting ? a.greeting ? 1 : -1
-            : a.left != b.left ? b.left - a.left : Long.compare(b.order, a.order);
+    private static final Comparator<Item> HOTTEST =
+            (a, b) ->
+                    a.greeting != b.greeting
+                            ? a.greeting ? 1 : -1
+                            : a.left != b.left ? b.left - a.left : Long.compare(b.order, a.order);
 
     private final Map<Long, Item> items = new LinkedHashMap<>();
     private int claims;
@@ -70,10 +84,15 @@
     /** Adds an item in place of what it makes old. */
     void add(Item item) {
         if (item.type == Datagram.ROWS && claims > 0) {
-            items.values().removeIf(other -> isClaim(other) && other.rank == item.rank
-                    && other.incarnation < item.incarnation);
+            items.values()
+                    .removeIf(
+                            other ->
+                                    isClaim(other)
+                                            && other.rank == item.rank
+                                            && other.incarnation < item.incarnation);
         } else if (isClaim(item) && item.type != Datagram.SUSPECT) {
-            items.values().removeIf(other -> other.type == Datagram.SUSPECT && other.rank == item.rank);
+            items.values()
+                    .removeIf(other -> other.type == Datagram.SUSPECT && other.rank == item.rank);
         }
         item.order = added++;
         items.put(item.key(), item);
@@ -86,7 +105,9 @@
     }
 
     private static boolean isClaim(Item item) {
-        return item.type == Datagram.SUSPECT || item.type == Datagram.GONE || item.type == Datagram.LEFT;
+        return item.type == Datagram.SUSPECT
+                || item.type == Datagram.GONE
+                || item.type == Datagram.LEFT;
     }
 
     /** Another told it as well. */
@@ -102,7 +123,10 @@
         }
     }
 
-    /** Those to be told first, as many as a datagram may hold, in their order. To be told of sends by {@link #sent}. */
+    /**
+     * Those to be told first, as many as a datagram may hold, in their order. To be told of sends
+     * by {@link #sent}.
+     */
     List<Item> hottest() {
         PriorityQueue<Item> best = new PriorityQueue<>(TOLD + 1, HOTTEST.reversed());
         for (Item item : items.values()) {
--- a/peers/src/main/java/frostrelay/peers/State.java
+++ b/peers/src/main/java/frostrelay/peers/State.java
@@ -1,6 +1,8 @@
 package frostrelay.peers;
 
-/** What is believed of a balancer. {@link #UNKNOWN} is a state of its own: neither fine nor dead. */
+/**
+ * What is believed of a balancer. {@link #UNKNOWN} is a state of its own: neither fine nor dead.
+ */
 public enum State {
     /** Never heard of since this process began. */
     UNKNOWN,
--- a/peers/src/test/java/frostrelay/peers/Net.java
+++ b/peers/src/test/java/frostrelay/peers/Net.java
@@ -16,8 +16,7 @@
     static final int LOADED = 200;
     private static final long WALL_MS = 1_790_000_000_000L;
 
-    private record Event(long at, long order, Runnable action) {
-    }
+    private record Event(long at, long order, Runnable action) {}
 
     /** One of them, with what it heard. */
     final class Node implements Peers.Actions, Peers.Listener {
@@ -26,8 +25,13 @@
         boolean frozen;
         boolean dead;
         final List<String> states = new ArrayList<>();
-        /** Of cargo that says when it was loaded: for how long it was on its way, and for how long it is said to have been held up. */
+
+        /**
+         * Of cargo that says when it was loaded: for how long it was on its way, and for how long
+         * it is said to have been held up.
+         */
         final List<long[]> cargo = new ArrayList<>();
+
         int life;
 
         Node(int rank) {
@@ -37,26 +41,40 @@
         void start(long wallMs, int list) {
             dead = false;
             int mine = ++life;
-            peers = new Peers(PeerSettings.STANDARD, rank, nodes.length, now, Incarnation.of(wallMs), rank + 7L * life,
-                    stamp(list), 0, this, this);
+            peers =
+                    new Peers(
+                            PeerSettings.STANDARD,
+                            rank,
+                            nodes.length,
+                            now,
+                            Incarnation.of(wallMs),
+                            rank + 7L * life,
+                            stamp(list),
+                            0,
+                            this,
+                            this);
             wake(mine);
         }
 
         private void wake(int mine) {
-            at(Math.max(now, peers.next()), () -> {
-                if (mine != life || dead) {
-                    return;
-                }
-                if (!frozen && now >= peers.next()) {
-                    peers.onWake(now);
-                }
-                // A frozen process misses its timers and finds them due when it wakes.
-                at(now + 1_000_000, () -> {
-                    if (mine == life && !dead) {
-                        wake(mine);
-                    }
-                });
-            });
+            at(
+                    Math.max(now, peers.next()),
+                    () -> {
+                        if (mine != life || dead) {
+                            return;
+                        }
+                        if (!frozen && now >= peers.next()) {
+                            peers.onWake(now);
+                        }
+                        // A frozen process misses its timers and finds them due when it wakes.
+                        at(
+                                now + 1_000_000,
+                                () -> {
+                                    if (mine == life && !dead) {
+                                        wake(mine);
+                                    }
+                                });
+                    });
         }
 
         @Override
@@ -81,7 +99,8 @@
         }
 
         @Override
-        public void onCargo(long moment, long held, int from, long incarnation, int type, ByteBuffer content) {
+        public void onCargo(
+                long moment, long held, int from, long incarnation, int type, ByteBuffer content) {
             if (type == LOADED && content.remaining() == Long.BYTES) {
                 cargo.add(new long[] {moment - content.getLong(), held});
             }
@@ -106,8 +125,9 @@
     int longest;
     int clocks;
     private long orders;
-    private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::at)
-            .thenComparingLong(Event::order));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
 
     Net(int count) {
         nodes = new Node[count];
--- a/peers/src/test/java/frostrelay/peers/PeersTest.java
+++ b/peers/src/test/java/frostrelay/peers/PeersTest.java
@@ -5,17 +5,22 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.nio.ByteBuffer;
-import java.util.Arrays;
-import java.util.List;
-import java.util.zip.CRC32C;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
+
 import org.junit.jupiter.api.Test;
 
-/** Who is there and what each acts on, when datagrams are lost, forged and late and processes die, freeze and come back. */
+import java.nio.ByteBuffer;
+import java.util.Arrays;
+import java.util.List;
+import java.util.zip.CRC32C;
+
+/**
+ * Who is there and what each acts on, when datagrams are lost, forged and late and processes die,
+ * freeze and come back.
+ */
 class PeersTest {
     private final Net net = new Net(5);
 
@@ -30,7 +35,10 @@
         }
     }
 
-    /** Of 24,000 such looks none came too early; 314 did while those who are told were drawn by chance. */
+    /**
+     * Of 24,000 such looks none came too early; 314 did while those who are told were drawn by
+     * chance.
+     */
     @Test
     void aChangeIsKnownEverywhereWithinTwoSecondsAtThirtyPercentLoss() {
         int late = 0;
@@ -70,7 +78,8 @@
         for (Net.Node node : net.nodes) {
             if (node.rank != 3) {
                 assertEquals(State.GONE, node.of(3).state());
-                assertEquals(1, node.of(3).stamp().listRev(), "what it last acted on is still known");
+                assertEquals(
+                        1, node.of(3).stamp().listRev(), "what it last acted on is still known");
             }
         }
         net.nodes[3].start(1_790_000_100_000L, 8);
@@ -98,7 +107,9 @@
         for (int other = 0; other < 4; other++) {
             assertEquals(State.UNKNOWN, net.nodes[4].of(other).state());
         }
-        assertFalse(net.nodes[4].states.stream().anyMatch(state -> state.contains("GONE")), net.nodes[4].states.toString());
+        assertFalse(
+                net.nodes[4].states.stream().anyMatch(state -> state.contains("GONE")),
+                net.nodes[4].states.toString());
         assertEquals(State.ALIVE, net.nodes[0].of(1).state());
     }
 
@@ -123,7 +134,9 @@
         net.nodes[1].frozen = false;
         net.nodes[1].states.clear();
         net.run(1);
-        assertFalse(net.nodes[1].states.stream().anyMatch(state -> state.contains("GONE") || state.contains("SUSPECTED")),
+        assertFalse(
+                net.nodes[1].states.stream()
+                        .anyMatch(state -> state.contains("GONE") || state.contains("SUSPECTED")),
                 net.nodes[1].states.toString());
         net.run(20);
         everybodyKnows(1, 1);
@@ -137,7 +150,14 @@
             for (int to = 0; to < 4; to++) {
                 for (int dead = 0; dead < 4; dead++) {
                     ByteBuffer out = ByteBuffer.allocate(Datagram.MOST);
-                    Datagram.begin(out, Datagram.FORM, Datagram.Kind.TELL, 4, net.nodes[4].peers.incarnation(), i, 0xffff);
+                    Datagram.begin(
+                            out,
+                            Datagram.FORM,
+                            Datagram.Kind.TELL,
+                            4,
+                            net.nodes[4].peers.incarnation(),
+                            i,
+                            0xffff);
                     out.put((byte) Datagram.GONE).put((byte) Datagram.CLAIM).putShort((short) dead);
                     Datagram.putU48(out, net.nodes[dead].peers.incarnation());
                     out.putShort((short) 4);
@@ -160,14 +180,28 @@
         Datagram.begin(out, Datagram.FORM, Datagram.Kind.TELL, 1, 0xffff_ffff_ffffL, 1, 0xffff);
         peers.onDatagram(net.now, 1, out.array(), Datagram.finish(out));
         assertEquals(1, peers.counts().implausible, "an incarnation of the far future");
-        Datagram.begin(out, Datagram.FORM, Datagram.Kind.TELL, 1, net.nodes[1].peers.incarnation(), 1, 0xffff);
+        Datagram.begin(
+                out,
+                Datagram.FORM,
+                Datagram.Kind.TELL,
+                1,
+                net.nodes[1].peers.incarnation(),
+                1,
+                0xffff);
         peers.onDatagram(net.now, 2, out.array(), Datagram.finish(out));
         assertEquals(1, peers.counts().wrongSender, "from another's address");
         peers.onDatagram(net.now, 1, new byte[257], 257);
         assertEquals(1, peers.counts().oversized);
         peers.onDatagram(net.now, 1, new byte[40], 40);
         assertEquals(1, peers.counts().foreign);
-        Datagram.begin(out, Datagram.FORM, Datagram.Kind.TELL, 1, net.nodes[1].peers.incarnation(), 1, 0xffff);
+        Datagram.begin(
+                out,
+                Datagram.FORM,
+                Datagram.Kind.TELL,
+                1,
+                net.nodes[1].peers.incarnation(),
+                1,
+                0xffff);
         out.put(3, (byte) (Datagram.FORM + 1));
         peers.onDatagram(net.now, 1, out.array(), Datagram.finish(out));
         assertEquals(1, peers.counts().newer, "a build that this one is too old for");
@@ -179,12 +213,21 @@
     void whatALaterBuildAddsIsPassedOver() {
         net.run(5);
         ByteBuffer out = ByteBuffer.allocate(Datagram.MOST);
-        Datagram.begin(out, Datagram.FORM, Datagram.Kind.TELL, 1, net.nodes[1].peers.incarnation(), 1, 0xffff);
+        Datagram.begin(
+                out,
+                Datagram.FORM,
+                Datagram.Kind.TELL,
+                1,
+                net.nodes[1].peers.incarnation(),
+                1,
+                0xffff);
         out.put((byte) 99).put((byte) 5).put(new byte[5]);
         out.put((byte) Datagram.STAMP).put((byte) (Stamp.BYTES + 4));
         Net.stamp(55).write(out);
         out.putInt(123);
-        out.put((byte) Datagram.ROWS).put((byte) (Integer.BYTES + Datagram.ROW)).putInt(Net.stamp(55).ref())
+        out.put((byte) Datagram.ROWS)
+                .put((byte) (Integer.BYTES + Datagram.ROW))
+                .putInt(Net.stamp(55).ref())
                 .putShort((short) 1);
         Datagram.putU48(out, net.nodes[1].peers.incarnation());
         out.putShort((short) 9).put((byte) 0);
@@ -195,16 +238,34 @@
 
     /** Whatever bytes come, also under a right checksum, none is more than counted. */
     @Property(tries = 2_000)
-    void noiseDoesNoHarm(@ForAll @Size(max = 232) byte[] body, @ForAll @IntRange(max = 6) int kind) {
+    void noiseDoesNoHarm(
+            @ForAll @Size(max = 232) byte[] body, @ForAll @IntRange(max = 6) int kind) {
         ByteBuffer out = ByteBuffer.allocate(Datagram.MOST);
-        Datagram.begin(out, Datagram.FORM, Datagram.Kind.NONE, 1, Incarnation.of(1_790_000_000_000L), 1, 0xffff);
+        Datagram.begin(
+                out,
+                Datagram.FORM,
+                Datagram.Kind.NONE,
+                1,
+                Incarnation.of(1_790_000_000_000L),
+                1,
+                0xffff);
         out.put(4, (byte) kind);
         out.put(body, 0, Math.min(body.length, 232));
         CRC32C crc = new CRC32C();
         crc.update(out.array(), 0, out.position());
         out.putInt((int) crc.getValue());
-        Peers peers = new Peers(PeerSettings.STANDARD, 0, 5, 0, Incarnation.of(1_790_000_000_000L), 1, Net.stamp(1), 0,
-                (to, data, length) -> assertTrue(length <= Datagram.MOST), new Net(2).nodes[0]);
+        Peers peers =
+                new Peers(
+                        PeerSettings.STANDARD,
+                        0,
+                        5,
+                        0,
+                        Incarnation.of(1_790_000_000_000L),
+                        1,
+                        Net.stamp(1),
+                        0,
+                        (to, data, length) -> assertTrue(length <= Datagram.MOST),
+                        new Net(2).nodes[0]);
         peers.onDatagram(1, 1, out.array(), out.position());
         peers.onWake(Net.SECOND);
         assertEquals(State.ALIVE, peers.known(Net.SECOND, 0).state());
@@ -223,8 +284,10 @@
 
     /** In no second, wherever it begins, is more sent than the ceiling allows. */
     @Property(tries = 300)
-    void theCeilingHoldsAtEveryMoment(@ForAll @Size(max = 200) List<@IntRange(min = 1, max = 256) Integer> sizes,
-                                      @ForAll @IntRange(min = 256, max = 4_096) int most, @ForAll long seed) {
+    void theCeilingHoldsAtEveryMoment(
+            @ForAll @Size(max = 200) List<@IntRange(min = 1, max = 256) Integer> sizes,
+            @ForAll @IntRange(min = 256, max = 4_096) int most,
+            @ForAll long seed) {
         Ceiling ceiling = new Ceiling(most);
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
         long[] moments = new long[sizes.size()];
@@ -244,12 +307,19 @@
         }
     }
 
-    /** What waits in the socket of a process that is stopped is as old as its writer's clock says, not new when it is read. */
+    /**
+     * What waits in the socket of a process that is stopped is as old as its writer's clock says,
+     * not new when it is read.
+     */
     @Test
     void wordThatWaitedInTheSocketOfAStoppedProcessIsDated() {
         Net net = new Net(4);
         for (Net.Node node : net.nodes) {
-            node.peers.carry((moment, to, hold) -> hold.add(Net.LOADED, ByteBuffer.allocate(Long.BYTES).putLong(moment).flip()));
+            node.peers.carry(
+                    (moment, to, hold) ->
+                            hold.add(
+                                    Net.LOADED,
+                                    ByteBuffer.allocate(Long.BYTES).putLong(moment).flip()));
         }
         net.run(10);
         Net.Node slow = net.nodes[0];
@@ -258,7 +328,10 @@
         slow.cargo.clear();
         slow.frozen = false;
         net.run(0.05);
-        assertTrue(slow.cargo.size() > 10 && slow.cargo.stream().anyMatch(one -> one[0] > 15 * Net.SECOND), "some waited long");
+        assertTrue(
+                slow.cargo.size() > 10
+                        && slow.cargo.stream().anyMatch(one -> one[0] > 15 * Net.SECOND),
+                "some waited long");
         for (long[] one : slow.cargo) {
             // The clocks may part by a hundredth, 0.2 s in all that time.
             assertEquals(one[0] - Net.WAY, one[1], 0.25 * Net.SECOND);
--- a/policy/src/main/java/frostrelay/policy/Api.java
+++ b/policy/src/main/java/frostrelay/policy/Api.java
@@ -4,16 +4,17 @@
 import java.util.Set;
 
 /**
- * The interface of the decision module: what goes in (settings and events), what comes out (actions).
+ * The interface of the decision module: what goes in (settings and events), what comes out
+ * (actions).
  *
- * <p>Threading: a {@link Router} belongs to one thread at a time; it starts none and takes no locks.
- * Clock: every event carries the time in nanoseconds from any fixed origin, never falling; the module
- * reads no clock of its own. Ownership: values handed in are immutable and may be kept by the module;
- * actions are called back during an event, in the order in which they must be carried out.
+ * <p>Threading: a {@link Router} belongs to one thread at a time; it starts none and takes no
+ * locks. Clock: every event carries the time in nanoseconds from any fixed origin, never falling;
+ * the module reads no clock of its own. Ownership: values handed in are immutable and may be kept
+ * by the module; actions are called back during an event, in the order in which they must be
+ * carried out.
  */
 public final class Api {
-    private Api() {
-    }
+    private Api() {}
 
     /** How often a request of a class may take effect. */
     public enum Effect {
@@ -26,18 +27,41 @@
     }
 
     /** The servers that drop repeats of a {@link Effect#DEDUP} request for one another. */
-    public enum Group { ALL, ZONE, CELL }
+    public enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** What the list says of a server. */
-    public enum State { READY, DRAINING, GONE }
+    public enum State {
+        READY,
+        DRAINING,
+        GONE
+    }
 
-    /** How a list is to be applied: changed entries, all entries, the last held list, or a failed call. */
-    public enum ListMode { DELTA, FULL, CACHED, FAILED }
+    /**
+     * How a list is to be applied: changed entries, all entries, the last held list, or a failed
+     * call.
+     */
+    public enum ListMode {
+        DELTA,
+        FULL,
+        CACHED,
+        FAILED
+    }
 
     /** How an attempt ended. */
     public enum Reason {
-        OK(false), ERROR(false), REJECTED(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
-        CANCELLED(false), MOOT(true), MISS(true);
+        OK(false),
+        ERROR(false),
+        REJECTED(true),
+        TIMEOUT(false),
+        CONNECT_FAILED(true),
+        RESET(false),
+        CANCELLED(false),
+        MOOT(true),
+        MISS(true);
 
         /** True if the attempt provably never ran. */
         public final boolean neverRan;
@@ -57,52 +81,98 @@
         }
     }
 
-    /** A request class; times in nanoseconds. {@code inOrder}: requests with one key run one at a time. */
-    public record RequestClass(long aim, double aimStretch, long deadline, double worth, double lateWorth,
-                               Effect effect, Group group, long window, boolean stream, boolean inOrder) {
-    }
+    /**
+     * A request class; times in nanoseconds. {@code inOrder}: requests with one key run one at a
+     * time.
+     */
+    public record RequestClass(
+            long aim,
+            double aimStretch,
+            long deadline,
+            double worth,
+            double lateWorth,
+            Effect effect,
+            Group group,
+            long window,
+            boolean stream,
+            boolean inOrder) {}
 
-    /** A tenant: requests a second within its share over all balancers, and its fraction of service. */
-    public record Tenant(double allowancePerSecond, double fraction) {
-    }
+    /**
+     * A tenant: requests a second within its share over all balancers, and its fraction of service.
+     */
+    public record Tenant(double allowancePerSecond, double fraction) {}
 
     /** Where the values of a load report stand, -1 if absent. */
-    public record ReportLayout(int inFlight, int queue, int busy) {
-    }
+    public record ReportLayout(int inFlight, int queue, int busy) {}
 
-    /** Further attempts allowed within any span: {@code free} and {@code share} of the requests taken. */
-    public record Budget(double free, double share, long span) {
-    }
+    /**
+     * Further attempts allowed within any span: {@code free} and {@code share} of the requests
+     * taken.
+     */
+    public record Budget(double free, double share, long span) {}
 
     /**
-     * What a balancer is told at its start; times in nanoseconds. {@code keyQuiet}: how long a key in order
-     * rests after an attempt that may still be running. {@code budget}: null where there is none.
+     * What a balancer is told at its start; times in nanoseconds. {@code keyQuiet}: how long a key
+     * in order rests after an attempt that may still be running. {@code budget}: null where there
+     * is none.
      */
-    public record Settings(List<RequestClass> classes, List<Tenant> tenants, int zone, int rank,
-                           int instances, boolean aside, int originKind, boolean subscribe, int maxAttempts,
-                           boolean mayDuplicate, boolean mayCancel, long connectTimeout, boolean retryAfter,
-                           long maxRetryAfter, long drainGrace, long askWithin, double coldFrom,
-                           long warmWithin, double tipMultiple, long fallTime, double overShareWorth,
-                           long keyQuiet, Budget budget, ReportLayout report) {
-    }
+    public record Settings(
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            int zone,
+            int rank,
+            int instances,
+            boolean aside,
+            int originKind,
+            boolean subscribe,
+            int maxAttempts,
+            boolean mayDuplicate,
+            boolean mayCancel,
+            long connectTimeout,
+            boolean retryAfter,
+            long maxRetryAfter,
+            long drainGrace,
+            long askWithin,
+            double coldFrom,
+            long warmWithin,
+            double tipMultiple,
+            long fallTime,
+            double overShareWorth,
+            long keyQuiet,
+            Budget budget,
+            ReportLayout report) {}
 
     /** An entry of the server list. */
-    public record Server(long id, int zone, int kind, int cell, State state, double weight,
-                         long startedAt) {
-    }
+    public record Server(
+            long id, int zone, int kind, int cell, State state, double weight, long startedAt) {}
 
     /** A client request. A {@code work} of 0 means no hint; a {@code key} of 0 means none. */
-    public record Request(long id, int requestClass, int tenant, long key, long deadline, long work,
-                          boolean repeat, boolean write) {
-    }
+    public record Request(
+            long id,
+            int requestClass,
+            int tenant,
+            long key,
+            long deadline,
+            long work,
+            boolean repeat,
+            boolean write) {}
 
     /** Where a read's answer came from, for caches that tell. */
-    public enum Source { UNKNOWN, CACHE, FETCH }
+    public enum Source {
+        UNKNOWN,
+        CACHE,
+        FETCH
+    }
 
     /** The end of an attempt. {@code closed}: the request has its final answer. */
-    public record Outcome(long request, int attempt, Reason reason, long took, boolean closed, Source source,
-                          float[] report) {
-    }
+    public record Outcome(
+            long request,
+            int attempt,
+            Reason reason,
+            long took,
+            boolean closed,
+            Source source,
+            float[] report) {}
 
     /** Events in. All times are nanoseconds of the caller's clock. */
     public interface Events {
@@ -125,24 +195,27 @@
         void onTimer(long now, int token);
 
         /**
-         * Operators hold these servers out of use, all of them and no others, whatever the list says. One
-         * that is let go may have been restarted meanwhile.
+         * Operators hold these servers out of use, all of them and no others, whatever the list
+         * says. One that is let go may have been restarted meanwhile.
          */
         void onHolds(long now, Set<Long> servers);
 
         /**
-         * What the fleet knows of its servers: exactly these are found bad by others, as far as that is to be
-         * gone by. Advice: their traffic is lowered, not ended.
+         * What the fleet knows of its servers: exactly these are found bad by others, as far as
+         * that is to be gone by. Advice: their traffic is lowered, not ended.
          */
         void onFleet(long now, Set<Long> lowered);
 
         /**
-         * New settings hold from now on. A class or tenant keeps its number for the life of the module, also
-         * one that is no longer named: its open requests go on.
+         * New settings hold from now on. A class or tenant keeps its number for the life of the
+         * module, also one that is no longer named: its open requests go on.
          */
         void onSettings(long now, Settings settings);
 
-        /** So many further processes of this balancer serve beside this one: an upgrade is under way. */
+        /**
+         * So many further processes of this balancer serve beside this one: an upgrade is under
+         * way.
+         */
         void onOthers(long now, int others);
     }
 
--- a/policy/src/main/java/frostrelay/policy/Candidates.java
+++ b/policy/src/main/java/frostrelay/policy/Candidates.java
@@ -7,20 +7,30 @@
 final class Candidates {
     /** Candidates of a key on the ordinary path. */
     private static final int ORDINARY = 2;
+
     /** Most candidates of a hot key, and further hosts kept for when all candidates are spent. */
     private static final int MOST = 32;
+
     private static final int SPARE = 2;
+
     /** Hosts of capacity given to a hot key, for each host's worth of traffic that it draws. */
     private static final double ROOM = 3;
+
     private static final double SLOWER = 2;
-    /** Reads of a lowered host that go to it all the same, one in so many: so it is seen to be back. */
+
+    /**
+     * Reads of a lowered host that go to it all the same, one in so many: so it is seen to be back.
+     */
     private static final int STILL = 8;
+
     private static final double UNIT = 1.0 / (1L << 53);
 
     final Host[] top = new Host[MOST + SPARE];
     int count;
+
     /** How many of {@link #top} are candidates; the rest are spare. */
     int width;
+
     private final double[] distance = new double[MOST + SPARE];
     private final HotKeys hot = new HotKeys();
     private final HostHealth health;
@@ -29,7 +39,10 @@
         this.health = health;
     }
 
-    /** Fills {@link #top} with the usable hosts of least -ln(1 - hash) / weight, near ones made heavier. */
+    /**
+     * Fills {@link #top} with the usable hosts of least -ln(1 - hash) / weight, near ones made
+     * heavier.
+     */
     void find(long now, long key, double nearness) {
         width = width(key);
         int depth = width + SPARE;
@@ -70,15 +83,19 @@
         hot.count(now, key, mix(key));
     }
 
-    /** Guards against a hot key swamping two hosts: candidates grow with its share of our traffic. */
+    /**
+     * Guards against a hot key swamping two hosts: candidates grow with its share of our traffic.
+     */
     private int width(long key) {
         double share = hot.share(key, mix(key));
-        return (int) Math.max(ORDINARY, Math.min(MOST, Math.ceil(share * health.cacheCount * ROOM)));
+        return (int)
+                Math.max(ORDINARY, Math.min(MOST, Math.ceil(share * health.cacheCount * ROOM)));
     }
 
     /**
-     * The candidate with the fewest of our requests in flight; among equals the nearest if not slow. One that
-     * the fleet finds bad counts as the busiest, but for every eighth read that it is a candidate of.
+     * The candidate with the fewest of our requests in flight; among equals the nearest if not
+     * slow. One that the fleet finds bad counts as the busiest, but for every eighth read that it
+     * is a candidate of.
      */
     Host leastInFlight() {
         // With many balancers most counts are 0 and tell nothing: then latency does.
@@ -87,9 +104,12 @@
         for (int i = 0; i < count && i < width; i++) {
             Host host = top[i];
             boolean passed = host.lowered && ++host.passed % STILL != 0;
-            if (best == null || bestPassed && !passed
-                    || passed == bestPassed && (host.inFlight < best.inFlight
-                    || host.inFlight == best.inFlight && best.latency > SLOWER * host.latency)) {
+            if (best == null
+                    || bestPassed && !passed
+                    || passed == bestPassed
+                            && (host.inFlight < best.inFlight
+                                    || host.inFlight == best.inFlight
+                                            && best.latency > SLOWER * host.latency)) {
                 best = host;
                 bestPassed = passed;
             }
--- a/policy/src/main/java/frostrelay/policy/Hedging.java
+++ b/policy/src/main/java/frostrelay/policy/Hedging.java
@@ -2,18 +2,26 @@
 
 import com.tdunning.math.stats.MergingDigest;
 import com.tdunning.math.stats.TDigest;
+
 import frostrelay.policy.Api.Budget;
+
 import java.util.*;
 
-/** When a copy of a slow read goes out, a quantile of recent served latencies, and what may be repeated. */
+/**
+ * When a copy of a slow read goes out, a quantile of recent served latencies, and what may be
+ * repeated.
+ */
 final class Hedging {
     private static final double QUANTILE = 0.95;
     private static final double COMPRESSION = 50;
+
     /** A digest begins anew after so many samples, or so long once it holds the minimum sample. */
     private static final int AGE_SAMPLES = 512;
+
     private static final long AGE_NS = 10_000_000_000L;
     private static final int MIN_SAMPLES = 32;
     private static final int REFRESH_SAMPLES = 16;
+
     /** The budget of further attempts where none is stated. */
     private static final Budget OWN_BUDGET = new Budget(10, 0.2, 5_000_000_000L);
 
@@ -21,8 +29,10 @@
     private long begun;
     private int samples;
     private long quantile;
+
     /** The sixth rule, with the times of requests taken and of further attempts. */
     private Budget budget;
+
     private final Deque<Long> taken = new ArrayDeque<>();
     private final Deque<Long> further = new ArrayDeque<>();
 
@@ -47,8 +57,8 @@
     }
 
     /**
-     * Takes a copy or a retry from the budget, a window that slides. Guards against copies that pile up when
-     * every cache slows at once, and retries that keep a full fleet full.
+     * Takes a copy or a retry from the budget, a window that slides. Guards against copies that
+     * pile up when every cache slows at once, and retries that keep a full fleet full.
      */
     boolean spend(long now) {
         expire(taken, now - budget.span());
--- a/policy/src/main/java/frostrelay/policy/KeyOrder.java
+++ b/policy/src/main/java/frostrelay/policy/KeyOrder.java
@@ -2,12 +2,17 @@
 
 import java.util.*;
 
-/** The fifth rule: requests of ordered classes with one key run one at a time, in the order taken. */
+/**
+ * The fifth rule: requests of ordered classes with one key run one at a time, in the order taken.
+ */
 final class KeyOrder<T> {
     /** Requests between two looks for keys that nobody waits for any more. */
     private static final int SWEEP = 256;
 
-    /** The requests of one key that are not over, the running one first, and when the key's rest ends. */
+    /**
+     * The requests of one key that are not over, the running one first, and when the key's rest
+     * ends.
+     */
     private static final class Line<T> {
         final Deque<T> requests = new ArrayDeque<>();
         long restUntil = Long.MIN_VALUE;
@@ -35,7 +40,9 @@
         return line.requests.size() - 1;
     }
 
-    /** When the request may go: at the end of the key's rest, or not yet if another is before it. */
+    /**
+     * When the request may go: at the end of the key's rest, or not yet if another is before it.
+     */
     long turn(long key, T request) {
         Line<T> line = lines.get(key);
         return line.requests.peek() == request ? line.restUntil : Long.MAX_VALUE;
@@ -46,7 +53,10 @@
         lines.get(key).restUntil = now + quiet;
     }
 
-    /** The request is over and none of its attempts is out; returns the first of those left, or null. */
+    /**
+     * The request is over and none of its attempts is out; returns the first of those left, or
+     * null.
+     */
     T leave(long key, T request) {
         Line<T> line = lines.get(key);
         line.requests.remove(request);
--- a/policy/src/main/java/frostrelay/policy/Router.java
+++ b/policy/src/main/java/frostrelay/policy/Router.java
@@ -2,26 +2,40 @@
 
 import frostrelay.policy.Api.*;
 import frostrelay.policy.HostHealth.Host;
+
 import java.util.*;
 
 /** The decision module: the life of each request and the rules. Its interface is Api.java. */
 public final class Router implements Api.Events {
     /** UpTo: attempts of one request, the first included. */
     private static final int UP_TO = 6;
+
     private static final long NEVER = Long.MAX_VALUE;
     private static final int TIMER_ALARM = 1;
     private static final int TIMER_LIST = 2;
-    /** Instances call discovery so far apart, all within the longest: news binds 6 s after a failed call. */
+
+    /**
+     * Instances call discovery so far apart, all within the longest: news binds 6 s after a failed
+     * call.
+     */
     private static final long TURN_NS = 250_000_000L;
+
     private static final long LONGEST_NS = 4_000_000_000L;
     private static final long PAUSE_NS = 200_000_000L;
+
     /** Part of the aim within which the origin answers while it has room. */
     private static final double QUICK = 0.5;
+
     /** A host less busy than this that turns work away does so for another cause than load. */
     private static final double IDLE = 0.5;
+
     /** Part of the wait for an answer by which timers may be late. */
     private static final double LATE = 0.125;
-    /** Part of the window for repeats that is used, less a new connection's time; the rest is for ways. */
+
+    /**
+     * Part of the window for repeats that is used, less a new connection's time; the rest is for
+     * ways.
+     */
     private static final double WINDOW_SAFETY = 0.9;
 
     /** One send and how it ended. */
@@ -30,6 +44,7 @@
         final long sentAt;
         boolean pending = true;
         boolean neverRan;
+
         /** A copy sent later was answered first. */
         boolean overtaken;
 
@@ -48,13 +63,21 @@
         int sent;
         int pending;
         boolean ended;
+
         /** Missed at a cache, or sent to the origin: no copy runs beside that. */
         boolean missed;
+
         boolean streaming;
+
         /** Waits for its turn: earlier requests of its key are not over. */
         boolean held;
-        /** When its copy is due, when it tells of overload, and the earlier of the two or end of its wait. */
+
+        /**
+         * When its copy is due, when it tells of overload, and the earlier of the two or end of its
+         * wait.
+         */
         long hedgeAt = NEVER;
+
         long slowAt = NEVER;
         long alarmAt;
 
@@ -62,14 +85,19 @@
             this.request = request;
             this.requestClass = requestClass;
             long aim = requestClass.aim() + (long) (requestClass.aimStretch() * request.work());
-            this.usefulUntil = requestClass.lateWorth() > 0 || requestClass.stream()
-                    ? request.deadline() : Math.min(request.deadline(), now + aim);
+            this.usefulUntil =
+                    requestClass.lateWorth() > 0 || requestClass.stream()
+                            ? request.deadline()
+                            : Math.min(request.deadline(), now + aim);
             this.attempts = new Attempt[mostAttempts];
         }
 
         /** The earliest attempt that is not known never to have run. */
         Attempt mayHaveRun() {
-            return Arrays.stream(attempts, 0, sent).filter(a -> !a.neverRan).findFirst().orElse(null);
+            return Arrays.stream(attempts, 0, sent)
+                    .filter(a -> !a.neverRan)
+                    .findFirst()
+                    .orElse(null);
         }
 
         boolean ordered() {
@@ -93,16 +121,25 @@
     private final Fills fills = new Fills();
     private final Map<Long, Flight> flights = new HashMap<>();
     private final KeyOrder<Flight> order;
-    private final PriorityQueue<Alarm> alarms = new PriorityQueue<>(
-            Comparator.comparingLong(Alarm::at).thenComparingLong(alarm -> alarm.flight.request.id()));
+    private final PriorityQueue<Alarm> alarms =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Alarm::at)
+                            .thenComparingLong(alarm -> alarm.flight.request.id()));
     private int mostAttempts;
     private long timer;
+
     /** Further processes of this balancer. */
     private int others;
+
     /** Some answer brought a load report. */
     private boolean reportsCome;
-    /** Before that a missing answer tells nothing: it may have come while this balancer did not look. */
+
+    /**
+     * Before that a missing answer tells nothing: it may have come while this balancer did not
+     * look.
+     */
     private long awareAt;
+
     /** A timer that is later than this is a sign of own lateness. */
     private long mostLate;
 
@@ -119,13 +156,19 @@
 
     private void take(Settings fresh) {
         settings = fresh;
-        mostLate = (long) (LATE * fresh.classes().stream().mapToLong(admission::slowAfter).min().orElse(0));
+        mostLate =
+                (long)
+                        (LATE
+                                * fresh.classes().stream()
+                                        .mapToLong(admission::slowAfter)
+                                        .min()
+                                        .orElse(0));
         mostAttempts = Math.max(1, Math.min(UP_TO, fresh.maxAttempts()));
     }
 
     /**
-     * What is open goes on under the class it came with, but repeats and refusals must be allowed by what its
-     * class has become as well: clients and hosts may already go by either.
+     * What is open goes on under the class it came with, but repeats and refusals must be allowed
+     * by what its class has become as well: clients and hosts may already go by either.
      */
     @Override
     public void onSettings(long now, Settings fresh) {
@@ -161,8 +204,9 @@
     }
 
     /**
-     * Subscribes in this instance's turn: its rank and chance keep the instances out of step. One that takes
-     * over from another process starts alone and is held to the list's news at once, so it asks at once.
+     * Subscribes in this instance's turn: its rank and chance keep the instances out of step. One
+     * that takes over from another process starts alone and is held to the list's news at once, so
+     * it asks at once.
      */
     private void askLater(long now, boolean failed) {
         if (others > 0 && !failed) {
@@ -182,12 +226,17 @@
         Flight flight = new Flight(request, requestClass, now, mostAttempts);
         boolean over = admission.overShare(now, request.tenant());
         boolean worthless = flight.usefulUntil <= now;
-        boolean fill = request.write()
-                || !settings.aside() && fills.failing() && !fills.kept(now, request.key());
-        if (worthless || fill && !fills.admits(request.write(), health.nextUnit())
+        boolean fill =
+                request.write()
+                        || !settings.aside() && fills.failing() && !fills.kept(now, request.key());
+        if (worthless
+                || fill && !fills.admits(request.write(), health.nextUnit())
                 || admission.shed(over, request.write(), health.nextUnit())) {
-            actions.refuse(request.id(), over || worthless ? settings.maxRetryAfter()
-                    : admission.retryAfter(requestClass, health.nextUnit()));
+            actions.refuse(
+                    request.id(),
+                    over || worthless
+                            ? settings.maxRetryAfter()
+                            : admission.retryAfter(requestClass, health.nextUnit()));
             return;
         }
         admission.take(request.tenant());
@@ -197,9 +246,11 @@
             begin(now, flight);
             return;
         }
-        // What would wait past its use is refused at once: guards against lines that grow without bound.
+        // What would wait past its use is refused at once: guards against lines that grow without
+        // bound.
         flight.held = true;
-        if (now + order.enter(now, request.key(), flight) * admission.writeTime < flight.usefulUntil) {
+        if (now + order.enter(now, request.key(), flight) * admission.writeTime
+                < flight.usefulUntil) {
             takeTurn(now, flight);
         } else {
             finish(now, flight);
@@ -233,7 +284,10 @@
         }
         send(now, flight, host);
         long delay = hedging.delay();
-        if (delay >= 0 && now + delay < flight.usefulUntil && !flight.request.write() && !flight.missed) {
+        if (delay >= 0
+                && now + delay < flight.usefulUntil
+                && !flight.request.write()
+                && !flight.missed) {
             flight.hedgeAt = now + Math.max(1, delay);
         }
         flight.slowAt = now + admission.slowAfter(flight.requestClass);
@@ -242,7 +296,10 @@
 
     private void search(long now, Flight flight) {
         // Requests without a key spread over all hosts.
-        long key = flight.request.key() != 0 ? flight.request.key() : Candidates.mix(flight.request.id());
+        long key =
+                flight.request.key() != 0
+                        ? flight.request.key()
+                        : Candidates.mix(flight.request.id());
         health.panic = false;
         double nearness = originQuick(flight) ? health.crowd : 1;
         candidates.find(now, key, nearness);
@@ -312,10 +369,11 @@
     }
 
     /**
-     * A timer that comes late shows that nothing else was looked at meanwhile either: answers may wait
-     * unread, so this balancer allows them as long again as it was away. Guards against taking own lateness
-     * (a cold start, a long collection, a used-up share) for slow hosts: one stall had all copied. Harm:
-     * while this balancer is late all the time, a slow fleet shows in rejections alone.
+     * A timer that comes late shows that nothing else was looked at meanwhile either: answers may
+     * wait unread, so this balancer allows them as long again as it was away. Guards against taking
+     * own lateness (a cold start, a long collection, a used-up share) for slow hosts: one stall had
+     * all copied. Harm: while this balancer is late all the time, a slow fleet shows in rejections
+     * alone.
      */
     private void noticeLateness(long now) {
         long late = alarms.isEmpty() ? 0 : now - alarms.peek().at;
@@ -324,7 +382,10 @@
         }
     }
 
-    /** A flight is still out: its copy may be due, and an answer that is late already tells of overload. */
+    /**
+     * A flight is still out: its copy may be due, and an answer that is late already tells of
+     * overload.
+     */
     private void lookAgain(long now, Flight flight) {
         if (now < awareAt) {
             flight.slowAt = flight.slowAt == NEVER ? NEVER : Math.max(flight.slowAt, awareAt);
@@ -342,14 +403,19 @@
     }
 
     private void hedge(long now, Flight flight) {
-        if (flight.streaming || flight.missed || flight.pending != 1
+        if (flight.streaming
+                || flight.missed
+                || flight.pending != 1
                 || flight.sent >= mostAttempts(flight)) {
             return;
         }
         search(now, flight);
         Host host = untried(flight, candidates.width);
-        if (host != null && maySend(now, flight, host)
-                && !admission.overloaded() && !fills.failing() && hedging.spend(now)) {
+        if (host != null
+                && maySend(now, flight, host)
+                && !admission.overloaded()
+                && !fills.failing()
+                && hedging.spend(now)) {
             send(now, flight, host);
         }
     }
@@ -389,7 +455,8 @@
     @Override
     public void onOutcome(long now, Outcome outcome) {
         Flight flight = flights.get(outcome.request());
-        if (flight == null || outcome.attempt() >= flight.sent
+        if (flight == null
+                || outcome.attempt() >= flight.sent
                 || !flight.attempts[outcome.attempt()].pending) {
             return;
         }
@@ -410,7 +477,9 @@
         if (flight.ended) {
             end(now, flight);
         } else if (outcome.closed()) {
-            if (outcome.reason() == Reason.OK && !flight.request.write() && !health.isOrigin(attempt.host)) {
+            if (outcome.reason() == Reason.OK
+                    && !flight.request.write()
+                    && !health.isOrigin(attempt.host)) {
                 hedging.served(now, now - flight.attempts[0].sentAt);
             }
             for (int i = 0; i < outcome.attempt(); i++) {
@@ -424,8 +493,9 @@
     }
 
     /**
-     * Whether a host says that it has time to spare. Guards against a few hosts that turn work away for
-     * reasons of their own: taken for a sign of load, that has most requests shed while others stand idle.
+     * Whether a host says that it has time to spare. Guards against a few hosts that turn work away
+     * for reasons of their own: taken for a sign of load, that has most requests shed while others
+     * stand idle.
      */
     private boolean isIdle(float[] report) {
         int busy = settings.report().busy();
@@ -433,9 +503,10 @@
     }
 
     /**
-     * Whether an answer lacks the load report that others bring: a rejection then has another cause than a
-     * full queue. Guards against a balancer that is late itself, whose clients gave up meanwhile, and sheds
-     * nearly all. Harm: where hosts report only in spare time, overload shows in slow answers alone.
+     * Whether an answer lacks the load report that others bring: a rejection then has another cause
+     * than a full queue. Guards against a balancer that is late itself, whose clients gave up
+     * meanwhile, and sheds nearly all. Harm: where hosts report only in spare time, overload shows
+     * in slow answers alone.
      */
     private boolean isUnexplained(float[] report) {
         reportsCome |= report.length > 0;
@@ -456,12 +527,14 @@
             admission.load(now, reason.answered() ? 1 : sign);
         }
         boolean failed = reason != Reason.OK;
-        boolean late = took > flight.requestClass.aim() || outcome.source() == Source.CACHE && !quick;
+        boolean late =
+                took > flight.requestClass.aim() || outcome.source() == Source.CACHE && !quick;
         long key = flight.request.key();
         if (health.isOrigin(attempt.host) && reason != Reason.CANCELLED) {
             // Late counts as failed: guards against a queue that makes every fetch late.
             fills.ended(failed || late ? Fills.FAILED : Fills.DONE);
-        } else if (!settings.aside() && (reason == Reason.ERROR || !failed)) { // a time-out tells nothing
+        } else if (!settings.aside()
+                && (reason == Reason.ERROR || !failed)) { // a time-out tells nothing
             if (flight.request.write()) {
                 fills.writeEnded(key, failed);
             } else {
@@ -470,18 +543,28 @@
         }
     }
 
-    /** An attempt ended without an answer: wait for another one, try again, or give the final answer. */
+    /**
+     * An attempt ended without an answer: wait for another one, try again, or give the final
+     * answer.
+     */
     private void goOn(long now, Flight flight, Reason reason, boolean broken) {
         flight.missed |= reason == Reason.MISS;
         if (flight.pending > 0) {
             return;
         }
-        if (now < flight.usefulUntil && flight.sent < mostAttempts(flight) && reason != Reason.MOOT) {
+        if (now < flight.usefulUntil
+                && flight.sent < mostAttempts(flight)
+                && reason != Reason.MOOT) {
             Host host = next(now, flight, reason);
-            // The first send after one that reached nobody is no further load, unless there is too much.
-            boolean unmet = reason == Reason.CONNECT_FAILED && flight.sent == 1 && !admission.overloaded();
-            if (host != null && maySend(now, flight, host) && (reason == Reason.MISS
-                    || (broken || unmet) && settings.budget() == null || hedging.spend(now))) {
+            // The first send after one that reached nobody is no further load, unless there is too
+            // much.
+            boolean unmet =
+                    reason == Reason.CONNECT_FAILED && flight.sent == 1 && !admission.overloaded();
+            if (host != null
+                    && maySend(now, flight, host)
+                    && (reason == Reason.MISS
+                            || (broken || unmet) && settings.budget() == null
+                            || hedging.spend(now))) {
                 send(now, flight, host);
                 return;
             }
@@ -490,10 +573,13 @@
     }
 
     private Host next(long now, Flight flight, Reason reason) {
-        // Guards against a hot key's hosts passing it round among them, full, while the origin has room.
+        // Guards against a hot key's hosts passing it round among them, full, while the origin has
+        // room.
         boolean full = reason == Reason.REJECTED && originQuick(flight);
         if (settings.aside() && (flight.missed || flight.request.write() || full)) {
-            return flight.request.write() || fills.admits(false, health.nextUnit()) ? origin() : null;
+            return flight.request.write() || fills.admits(false, health.nextUnit())
+                    ? origin()
+                    : null;
         }
         search(now, flight);
         Host host = untried(flight, candidates.count);
@@ -506,8 +592,9 @@
             return false;
         }
         Attempt first = flight.mayHaveRun();
-        return first == null || mayRepeat(now, flight.requestClass, first, host)
-                && mayRepeat(now, classNow(flight), first, host);
+        return first == null
+                || mayRepeat(now, flight.requestClass, first, host)
+                        && mayRepeat(now, classNow(flight), first, host);
     }
 
     private RequestClass classNow(Flight flight) {
@@ -517,9 +604,10 @@
     private boolean mayRepeat(long now, RequestClass c, Attempt first, Host host) {
         return c.effect() == Effect.RETRYABLE
                 || c.effect() == Effect.DEDUP
-                && now + settings.connectTimeout() - first.sentAt <= c.window() * WINDOW_SAFETY
-                && (c.group() != Group.ZONE || first.host.zone == host.zone)
-                && (c.group() != Group.CELL || first.host.cell == host.cell);
+                        && now + settings.connectTimeout() - first.sentAt
+                                <= c.window() * WINDOW_SAFETY
+                        && (c.group() != Group.ZONE || first.host.zone == host.zone)
+                        && (c.group() != Group.CELL || first.host.cell == host.cell);
     }
 
     /** The second rule: a refusal promises that a client's retry does no harm. */
@@ -529,12 +617,14 @@
     }
 
     private static boolean isRepeatable(RequestClass c) {
-        return c.effect() == Effect.RETRYABLE || c.effect() == Effect.DEDUP && c.group() == Group.ALL;
+        return c.effect() == Effect.RETRYABLE
+                || c.effect() == Effect.DEDUP && c.group() == Group.ALL;
     }
 
     private void finish(long now, Flight flight) {
         if (mayRefuse(flight)) {
-            actions.refuse(flight.request.id(), now >= flight.usefulUntil ? settings.maxRetryAfter() : 0);
+            actions.refuse(
+                    flight.request.id(), now >= flight.usefulUntil ? settings.maxRetryAfter() : 0);
         } else {
             actions.fail(flight.request.id());
         }
--- a/policy/src/test/java/frostrelay/policy/Bed.java
+++ b/policy/src/test/java/frostrelay/policy/Bed.java
@@ -12,14 +12,11 @@
     static final int UNSAFE = 2;
     static final long NO_LIMIT = 0;
 
-    record Sent(long request, int attempt, long server, long cutAt, long at) {
-    }
+    record Sent(long request, int attempt, long server, long cutAt, long at) {}
 
-    record Refused(long request, long retryAfter) {
-    }
+    record Refused(long request, long retryAfter) {}
 
-    record Wake(long moment, int token) {
-    }
+    record Wake(long moment, int token) {}
 
     final List<Sent> sends = new ArrayList<>();
     final List<String> cancels = new ArrayList<>();
@@ -130,16 +127,26 @@
     Sent request(long id, int requestClass, long key, int tenant, boolean repeat) {
         int before = sends.size();
         long deadline = now + settings.classes().get(requestClass).deadline() / 2;
-        router.onRequest(now, new Api.Request(id, requestClass, tenant, key, deadline, 0, repeat,
-                requestClass != READ));
+        router.onRequest(
+                now,
+                new Api.Request(
+                        id, requestClass, tenant, key, deadline, 0, repeat, requestClass != READ));
         return sends.size() > before ? sends.get(before) : null;
     }
 
     /** Reports an end; returns the send that it caused, if any. */
     Sent outcome(long id, int attempt, Api.Reason reason) {
         int before = sends.size();
-        router.onOutcome(now, new Api.Outcome(id, attempt, reason, 0, reason == Api.Reason.OK,
-                Api.Source.UNKNOWN, new float[0]));
+        router.onOutcome(
+                now,
+                new Api.Outcome(
+                        id,
+                        attempt,
+                        reason,
+                        0,
+                        reason == Api.Reason.OK,
+                        Api.Source.UNKNOWN,
+                        new float[0]));
         return sends.size() > before ? sends.get(before) : null;
     }
 
@@ -202,7 +209,9 @@
         cancels.clear();
     }
 
-    /** Settings for tests: three classes (read, keyed write, unsafe write), changed field by field. */
+    /**
+     * Settings for tests: three classes (read, keyed write, unsafe write), changed field by field.
+     */
     static final class SettingsBuilder {
         boolean aside;
         boolean subscribe;
@@ -223,17 +232,66 @@
         Api.ReportLayout report = new Api.ReportLayout(-1, -1, -1);
 
         Api.Settings build() {
-            List<Api.RequestClass> classes = List.of(
-                    new Api.RequestClass(1000 * MS, 0, 4000 * MS, 3, lateWorth, readEffect,
-                            Api.Group.ALL, 0, false, false),
-                    new Api.RequestClass(1000 * MS, 0, 4000 * MS, 9, lateWorth, Api.Effect.DEDUP, group,
-                            500 * MS, false, ordered),
-                    new Api.RequestClass(1000 * MS, 0, 4000 * MS, 5, lateWorth, unsafeEffect,
-                            Api.Group.CELL, 0, false, false));
-            return new Api.Settings(classes, tenants, 0, rank, instances, aside, aside ? 2 : -1, subscribe,
-                    maxAttempts, mayDuplicate, true, connectTimeout, true, 2000 * MS, 250 * MS, 10_000 * MS,
-                    0.2, 10_000 * MS, tip, 1000 * MS, overShareWorth,
-                    50 * MS, budget, report);
+            List<Api.RequestClass> classes =
+                    List.of(
+                            new Api.RequestClass(
+                                    1000 * MS,
+                                    0,
+                                    4000 * MS,
+                                    3,
+                                    lateWorth,
+                                    readEffect,
+                                    Api.Group.ALL,
+                                    0,
+                                    false,
+                                    false),
+                            new Api.RequestClass(
+                                    1000 * MS,
+                                    0,
+                                    4000 * MS,
+                                    9,
+                                    lateWorth,
+                                    Api.Effect.DEDUP,
+                                    group,
+                                    500 * MS,
+                                    false,
+                                    ordered),
+                            new Api.RequestClass(
+                                    1000 * MS,
+                                    0,
+                                    4000 * MS,
+                                    5,
+                                    lateWorth,
+                                    unsafeEffect,
+                                    Api.Group.CELL,
+                                    0,
+                                    false,
+                                    false));
+            return new Api.Settings(
+                    classes,
+                    tenants,
+                    0,
+                    rank,
+                    instances,
+                    aside,
+                    aside ? 2 : -1,
+                    subscribe,
+                    maxAttempts,
+                    mayDuplicate,
+                    true,
+                    connectTimeout,
+                    true,
+                    2000 * MS,
+                    250 * MS,
+                    10_000 * MS,
+                    0.2,
+                    10_000 * MS,
+                    tip,
+                    1000 * MS,
+                    overShareWorth,
+                    50 * MS,
+                    budget,
+                    report);
         }
     }
 }
--- a/policy/src/test/java/frostrelay/policy/ColdSumTest.java
+++ b/policy/src/test/java/frostrelay/policy/ColdSumTest.java
@@ -2,6 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import org.junit.jupiter.api.Test;
+
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,24 +11,26 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.Random;
-import org.junit.jupiter.api.Test;
 
 /**
- * A cold host bears only so much of all balancers together, and they share nothing: the sum over many of them, each with little
- * traffic, with bursts, and with some that start anew and know nothing of what they sent.
+ * A cold host bears only so much of all balancers together, and they share nothing: the sum over
+ * many of them, each with little traffic, with bursts, and with some that start anew and know
+ * nothing of what they sent.
  */
 class ColdSumTest {
     private static final int HOSTS = 16;
     private static final long COLD = 99;
+
     /** Requests a second that one warm host can do. */
     private static final double FULL_RATE = 14;
+
     private static final double COLD_FROM = 0.2;
     private static final long WARM_MS = 10_000;
 
-    private record Ending(long at, Bed bed, long request, int attempt) {
-    }
+    private record Ending(long at, Bed bed, long request, int attempt) {}
 
-    private static Bed balancer(double tip, int rank, int instances, long seed, long now, long bootedAt) {
+    private static Bed balancer(
+            double tip, int rank, int instances, long seed, long now, long bootedAt) {
         Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
         builder.instances = instances;
         builder.rank = rank;
@@ -44,7 +48,8 @@
     }
 
     /** The most by which the sum of any second went over what is borne, as a part of that. */
-    private static double worst(double tip, int instances, double load, boolean restarts, long seed) {
+    private static double worst(
+            double tip, int instances, double load, boolean restarts, long seed) {
         Random random = new Random(seed);
         long start = 1_000_000 * Bed.MS;
         List<Bed> beds = new ArrayList<>();
@@ -76,23 +81,38 @@
                 }
             }
             if (restarts && told && sinceBoot > 0.3 * (restarted + 1)) {
-                beds.set(restarted % instances, balancer(tip, restarted % instances, instances, random.nextLong(), now, booted));
+                beds.set(
+                        restarted % instances,
+                        balancer(
+                                tip,
+                                restarted % instances,
+                                instances,
+                                random.nextLong(),
+                                now,
+                                booted));
                 restarted++;
             }
             // Some see several times the mean.
-            Bed bed = beds.get(Math.min(instances - 1, (int) (instances * Math.pow(random.nextDouble(), 1.5))));
+            Bed bed =
+                    beds.get(
+                            Math.min(
+                                    instances - 1,
+                                    (int) (instances * Math.pow(random.nextDouble(), 1.5))));
             bed.now = now;
             Bed.Sent sent = bed.request(++id, Bed.READ, key(random));
             if (sent == null) {
                 continue;
             }
-            endings.add(new Ending(now + (long) (70 * Bed.MS * (0.5 + random.nextDouble())), bed, id, 0));
+            endings.add(
+                    new Ending(
+                            now + (long) (70 * Bed.MS * (0.5 + random.nextDouble())), bed, id, 0));
             if (sent.server() == COLD) {
                 window.add(now);
                 while (window.peek() <= now - 1_000 * Bed.MS) {
                     window.poll();
                 }
-                double share = COLD_FROM + (1 - COLD_FROM) * Math.min(1, sinceBoot * 1_000 / WARM_MS);
+                double share =
+                        COLD_FROM + (1 - COLD_FROM) * Math.min(1, sinceBoot * 1_000 / WARM_MS);
                 double allowed = tip * share * FULL_RATE;
                 worst = Math.max(worst, window.size() / (allowed + 2 * Math.sqrt(allowed) + 2));
             }
@@ -120,7 +140,17 @@
         for (long seed = 1; seed <= 5; seed++) {
             double worst = worst(tip, instances, 0.8, restarts, seed);
             assertTrue(worst > 0, "it gets its part");
-            assertTrue(worst <= 1, tip + " times, " + instances + " balancers, restarts " + restarts + ", seed " + seed + ": " + worst);
+            assertTrue(
+                    worst <= 1,
+                    tip
+                            + " times, "
+                            + instances
+                            + " balancers, restarts "
+                            + restarts
+                            + ", seed "
+                            + seed
+                            + ": "
+                            + worst);
         }
     }
 }
--- a/policy/src/test/java/frostrelay/policy/FailuresFoundTest.java
+++ b/policy/src/test/java/frostrelay/policy/FailuresFoundTest.java
@@ -1,30 +1,34 @@
 package frostrelay.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import frostrelay.policy.Api.Reason;
+
+import org.junit.jupiter.api.Test;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.junit.jupiter.api.Test;
 
-/** One test for each failure that the bench has shown, written to fail without the change that mended it. */
+/**
+ * One test for each failure that the bench has shown, written to fail without the change that
+ * mended it.
+ */
 class FailuresFoundTest {
     private static Bed bed() {
         return new Bed(new Bed.SettingsBuilder());
     }
 
     /**
-     * Reads on a host that is cut off are all saved by their copies, so none times out: the breaker once stayed
-     * closed for good, and each trial ended without a verdict and let every read in again.
+     * Reads on a host that is cut off are all saved by their copies, so none times out: the breaker
+     * once stayed closed for good, and each trial ended without a verdict and let every read in
+     * again.
      */
     @Test
     void aHostWhoseReadsAreAllOvertakenIsLeftAlone() {
@@ -43,7 +47,10 @@
         assertNotEquals(dead, overtaken(bed, ++id), "that failed");
     }
 
-    /** A read whose first attempt is silent and whose copy is served; returns where the first one went. */
+    /**
+     * A read whose first attempt is silent and whose copy is served; returns where the first one
+     * went.
+     */
     private static long overtaken(Bed bed, long id) {
         Bed.Sent first = bed.request(id, Bed.READ, 5);
         bed.pass(20);
@@ -53,7 +60,10 @@
         return first.server();
     }
 
-    /** A hundred balancers meet a bad cache once in some seconds each: others' word lowers it, and reads go on looking. */
+    /**
+     * A hundred balancers meet a bad cache once in some seconds each: others' word lowers it, and
+     * reads go on looking.
+     */
     @Test
     void aHostThatTheFleetFindsBadGetsOneReadInEightUntilThatIsOver() {
         Bed bed = new Bed(new Bed.SettingsBuilder()).servers(4);
@@ -73,8 +83,9 @@
     }
 
     /**
-     * A few hosts that turned work away though they had time to spare had most requests shed, also those for the
-     * hosts that stood idle: what an idle host says of work tells nothing of the fleet's load.
+     * A few hosts that turned work away though they had time to spare had most requests shed, also
+     * those for the hosts that stood idle: what an idle host says of work tells nothing of the
+     * fleet's load.
      */
     @Test
     void rejectionsByIdleHostsShedNothing() {
@@ -87,8 +98,16 @@
                 sent += bed.request(id, Bed.READ, id) != null ? 1 : 0;
                 bed.pass(5);
                 for (int attempt = 0; attempt < bed.settings.maxAttempts(); attempt++) {
-                    bed.router.onOutcome(bed.now, new Api.Outcome(id, attempt, Reason.REJECTED, 0, false, Api.Source.UNKNOWN,
-                            new float[] {busy}));
+                    bed.router.onOutcome(
+                            bed.now,
+                            new Api.Outcome(
+                                    id,
+                                    attempt,
+                                    Reason.REJECTED,
+                                    0,
+                                    false,
+                                    Api.Source.UNKNOWN,
+                                    new float[] {busy}));
                 }
             }
             assertEquals(busy < 0.5f, sent == 400, "busy " + busy + " sent " + sent);
@@ -124,7 +143,10 @@
         assertNotEquals(nearest, other);
     }
 
-    /** A slow origin failed every miss, breakers opened everywhere and keys moved to hosts that lacked them. */
+    /**
+     * A slow origin failed every miss, breakers opened everywhere and keys moved to hosts that
+     * lacked them.
+     */
     @Test
     void breakersStayClosedWhenHostsFailAlike() {
         Bed bed = bed().servers(6);
@@ -141,10 +163,14 @@
             boolean served = sent.merge(host, 1, Integer::sum) % 6 == 0 && host != 7;
             bed.outcome(i, 0, served ? Reason.OK : Reason.ERROR);
         }
-        assertTrue(sent.get(7L) > 40, "the last host failed like all others and got " + sent.get(7L));
+        assertTrue(
+                sent.get(7L) > 40, "the last host failed like all others and got " + sent.get(7L));
     }
 
-    /** Each refusal sent the request round all hosts: seven attempts a request, nine in ten turned away. */
+    /**
+     * Each refusal sent the request round all hosts: seven attempts a request, nine in ten turned
+     * away.
+     */
     @Test
     void retriesKeepToTheirBudget() {
         Bed bed = bed().servers(10);
@@ -157,8 +183,9 @@
     }
 
     /**
-     * With a third of the hosts dead and the list late by seconds one request in seven was given up after one send: the budget
-     * was spent. A send that reached nobody cost nobody anything: it is made again once without it, and not more often.
+     * With a third of the hosts dead and the list late by seconds one request in seven was given up
+     * after one send: the budget was spent. A send that reached nobody cost nobody anything: it is
+     * made again once without it, and not more often.
      */
     @Test
     void aSendThatReachedNobodyIsMadeAgainOnceWithoutBudget() {
@@ -199,7 +226,9 @@
         assertNotNull(bed.outcome(900, 0, Reason.MISS));
     }
 
-    /** Writes and clients' retries of them kept a failing origin's queue full to the end of the day. */
+    /**
+     * Writes and clients' retries of them kept a failing origin's queue full to the end of the day.
+     */
     @Test
     void writesToAFailingOriginAreThinnedButLast() {
         Bed bed = Bed.aside(4);
@@ -232,7 +261,10 @@
         assertEquals(dead, bed.request(4, Bed.READ, 5).server());
     }
 
-    /** Under lasting overload every queue was full and every answer late: nothing was shed within shares. */
+    /**
+     * Under lasting overload every queue was full and every answer late: nothing was shed within
+     * shares.
+     */
     @Test
     void lastingOverloadIsShedAndEndsWithItsCause() {
         Bed bed = bed().servers(6);
@@ -282,7 +314,10 @@
         assertEquals(2, bed.sends.size());
     }
 
-    /** A key hot over a thousand balancers, each of which saw it once in ten seconds, choked its two hosts. */
+    /**
+     * A key hot over a thousand balancers, each of which saw it once in ten seconds, choked its two
+     * hosts.
+     */
     @Test
     void manyBalancersWithFewReadsEachPreferTheirZone() {
         assertTrue(nearSends(100, false) > 120, "many balancers: " + nearSends(100, false));
@@ -290,7 +325,10 @@
         assertTrue(nearSends(100, true) < 80, "slow origin: " + nearSends(100, true));
     }
 
-    /** Of 200 keys, how many a balancer in zone 0 sends to its own zone, which has a quarter of 12 hosts. */
+    /**
+     * Of 200 keys, how many a balancer in zone 0 sends to its own zone, which has a quarter of 12
+     * hosts.
+     */
     private static int nearSends(int instances, boolean slowOrigin) {
         Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
         builder.aside = true;
@@ -311,7 +349,9 @@
         return near;
     }
 
-    /** Among many balancers a part of a share is one request a second: chance was shed as excess. */
+    /**
+     * Among many balancers a part of a share is one request a second: chance was shed as excess.
+     */
     @Test
     void aFewRequestsAtOnceAreNotTakenForTrafficOverAShare() {
         Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
@@ -331,7 +371,10 @@
         assertEquals(0, bed.refusals.size());
     }
 
-    /** A thousand balancers each sent a hot key's one request to the same cold host and pushed it over. */
+    /**
+     * A thousand balancers each sent a hot key's one request to the same cold host and pushed it
+     * over.
+     */
     @Test
     void firstSendsOfManyBalancersToAColdHostAreThinned() {
         int most = 0;
@@ -351,7 +394,10 @@
         assertTrue(most > 10 && most < 60, "of 100 balancers " + most);
     }
 
-    /** Clients' retries of refused requests used up their tenant's share, so that all its traffic was shed. */
+    /**
+     * Clients' retries of refused requests used up their tenant's share, so that all its traffic
+     * was shed.
+     */
     @Test
     void refusedRequestsDoNotUseUpAShare() {
         Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
@@ -419,7 +465,9 @@
         assertTrue(bed.refusals.size() > 15, "refused within 1.5 s: " + bed.refusals.size());
     }
 
-    /** A third of the answers lost looked like overload, and two thirds of the traffic was refused. */
+    /**
+     * A third of the answers lost looked like overload, and two thirds of the traffic was refused.
+     */
     @Test
     void lostAnswersAloneShedNothing() {
         Bed bed = bed().servers(8);
@@ -433,7 +481,10 @@
         assertEquals(0, bed.refusals.stream().filter(r -> r.request() % 2 != 0).count());
     }
 
-    /** Idle connections of nine hundred balancers filled every cache's table: seven in ten attempts got none. */
+    /**
+     * Idle connections of nine hundred balancers filled every cache's table: seven in ten attempts
+     * got none.
+     */
     @Test
     void idleConnectionsAreGivenUpWhileManyAttemptsGetNone() {
         Bed bed = bed().servers(20);
@@ -459,7 +510,10 @@
         assertTrue(bed.closed.isEmpty(), "they are kept again");
     }
 
-    /** While links were cut, retries multiplied what fed the slow start, and cold hosts were pushed over. */
+    /**
+     * While links were cut, retries multiplied what fed the slow start, and cold hosts were pushed
+     * over.
+     */
     @Test
     void retriesDoNotFeedTheSlowStart() {
         assertEquals(coldSends(Reason.OK), coldSends(Reason.RESET), 12);
@@ -480,7 +534,10 @@
         return (int) bed.sends.stream().filter(s -> s.server() == 10).count();
     }
 
-    /** A few full caches of hot keys made hundreds of balancers shed reads that idle caches could serve. */
+    /**
+     * A few full caches of hot keys made hundreds of balancers shed reads that idle caches could
+     * serve.
+     */
     @Test
     void fullCachesAreNoOverloadWhileTheOriginIsQuick() {
         Bed quick = Bed.aside(8);
--- a/policy/src/test/java/frostrelay/policy/FillsTest.java
+++ b/policy/src/test/java/frostrelay/policy/FillsTest.java
@@ -39,7 +39,11 @@
             fills.readEnded(i, i, host(i), true, Api.Source.UNKNOWN, false);
         }
         assertTrue(fills.failing());
-        assertEquals(0.1, share(fills), 0.002, "never shut: else nothing would tell that it is well again");
+        assertEquals(
+                0.1,
+                share(fills),
+                0.002,
+                "never shut: else nothing would tell that it is well again");
         assertTrue(fills.admits(true, 0.3), "writes go last");
         for (int key = 100; key < 125; key++) {
             fills.readEnded(key, key, host(key), false, Api.Source.UNKNOWN, false);
@@ -63,7 +67,8 @@
         HostHealth.Host broken = host(1);
         for (int i = 0; i < 2_000; i++) {
             fills.readEnded(i * SECOND / 50, 7 + i, broken, true, Api.Source.UNKNOWN, false);
-            fills.readEnded(i * SECOND / 50 + 1, 10_000 + i, host(2), false, Api.Source.UNKNOWN, false);
+            fills.readEnded(
+                    i * SECOND / 50 + 1, 10_000 + i, host(2), false, Api.Source.UNKNOWN, false);
             assertTrue(fills.admits(false, 0.999), "at " + i);
         }
     }
@@ -99,7 +104,10 @@
         return fills;
     }
 
-    /** With 200 caches nothing failed, and every fetch came too late: the queue at the origin never went. */
+    /**
+     * With 200 caches nothing failed, and every fetch came too late: the queue at the origin never
+     * went.
+     */
     @Test
     void lateFillsTellOfTheOriginWhereHitsAreInTimeAndCachesTellWhichIsWhich() {
         Fills fills = afterFills(Api.Source.FETCH, false);
@@ -108,12 +116,18 @@
             fills.readEnded(2_000 + key, 60_000 + key, host(1), false, Api.Source.FETCH, false);
         }
         assertEquals(1, share(fills), "fills in time open it");
-        assertEquals(1, share(afterFills(Api.Source.FETCH, true)), "a cache that is slow with hits as well");
+        assertEquals(
+                1,
+                share(afterFills(Api.Source.FETCH, true)),
+                "a cache that is slow with hits as well");
         assertEquals(1, share(afterFills(Api.Source.CACHE, false)), "late hits are no fills");
         assertEquals(1, share(afterFills(Api.Source.UNKNOWN, false)), "caches that do not tell");
     }
 
-    /** With the whole module: while fills fail, a read of a kept key is sent on and others are refused for the most part. */
+    /**
+     * With the whole module: while fills fail, a read of a kept key is sent on and others are
+     * refused for the most part.
+     */
     @Test
     void whileFillsFailKeptKeysAreServedAndOthersMostlyTurnedAway() {
         Bed bed = new Bed(new Bed.SettingsBuilder()).servers(8);
@@ -138,7 +152,10 @@
             bed.request(++id, Bed.READ, 5_000 + key);
             others += bed.sends.size() - before;
         }
-        assertTrue(kept >= 38, "keys that some cache holds, but for a place in the table taken by another: " + kept);
+        assertTrue(
+                kept >= 38,
+                "keys that some cache holds, but for a place in the table taken by another: "
+                        + kept);
         assertTrue(others < 20, "sent " + others + " of 40");
     }
 }
