--- a/policy/src/test/java/frostrelay/policy/FurtherRulesTest.java
+++ b/policy/src/test/java/frostrelay/policy/FurtherRulesTest.java
@@ -6,9 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import frostrelay.policy.Api.Reason;
+
 import org.junit.jupiter.api.Test;
 
-/** The rules that hold only where settings state them: order for each key, and a budget of further attempts. */
+/**
+ * The rules that hold only where settings state them: order for each key, and a budget of further
+ * attempts.
+ */
 class FurtherRulesTest {
     private static Bed ordered() {
         Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
@@ -115,7 +119,9 @@
         assertEquals(3, further, "1 + 5% of 40");
         bed.pass(2000);
         bed.request(50, Bed.READ, 5);
-        assertNull(bed.outcome(50, 0, Reason.CONNECT_FAILED), "the attempts of 2 s ago still count, the requests do not");
+        assertNull(
+                bed.outcome(50, 0, Reason.CONNECT_FAILED),
+                "the attempts of 2 s ago still count, the requests do not");
         bed.pass(1);
         bed.request(51, Bed.READ, 5);
         assertNotNull(bed.outcome(51, 0, Reason.CONNECT_FAILED));
@@ -138,7 +144,9 @@
         Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
         builder.aside = true;
         builder.budget = new Api.Budget(0, 0, 2000 * Bed.MS);
-        Bed bed = new Bed(builder).list(java.util.List.of(Bed.server(1), Bed.server(2), Bed.origin(99)));
+        Bed bed =
+                new Bed(builder)
+                        .list(java.util.List.of(Bed.server(1), Bed.server(2), Bed.origin(99)));
         bed.request(1, Bed.READ, 5);
         assertEquals(99, bed.outcome(1, 0, Reason.MISS).server());
         assertNull(bed.outcome(1, 1, Reason.CONNECT_FAILED));
--- a/policy/src/test/java/frostrelay/policy/RouterTest.java
+++ b/policy/src/test/java/frostrelay/policy/RouterTest.java
@@ -8,11 +8,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import frostrelay.policy.Api.Reason;
+
+import org.junit.jupiter.api.Test;
+
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Set;
-import org.junit.jupiter.api.Test;
 
 class RouterTest {
     private static Bed bed() {
@@ -127,8 +127,10 @@
         Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
         builder.group = Api.Group.CELL;
         Bed bed = new Bed(builder);
-        bed.list(List.of(new Api.Server(1, 0, 0, 1, Api.State.READY, 1, 0),
-                new Api.Server(2, 0, 0, 2, Api.State.READY, 1, 0)));
+        bed.list(
+                List.of(
+                        new Api.Server(1, 0, 0, 1, Api.State.READY, 1, 0),
+                        new Api.Server(2, 0, 0, 2, Api.State.READY, 1, 0)));
         bed.request(1, Bed.KEYED, 5);
         assertNull(bed.outcome(1, 0, Reason.RESET));
         assertEquals(List.of(1L), bed.failures);
@@ -351,7 +353,10 @@
         }
     }
 
-    /** News binds 6 s after discovery had it, whatever calls failed: a pause that grew to 20 s had drains broken. */
+    /**
+     * News binds 6 s after discovery had it, whatever calls failed: a pause that grew to 20 s had
+     * drains broken.
+     */
     @Test
     void thePauseBehindFailedCallsDoesNotGrowPastWhatNewsAllows() {
         for (int instances : new int[] {1, 6, 100}) {
@@ -366,14 +371,18 @@
                 bed.router.onList(bed.now, Api.ListMode.FAILED, List.of());
                 long pause = bed.wakes.get(0).moment() - bed.now;
                 long most = Math.min(4_300, 210 + 250 * instances);
-                assertTrue(pause >= 200 * Bed.MS && pause <= most * Bed.MS, instances + ": " + pause);
+                assertTrue(
+                        pause >= 200 * Bed.MS && pause <= most * Bed.MS, instances + ": " + pause);
                 bed.pass(5_000);
             }
             assertEquals(13, bed.subscriptions);
         }
     }
 
-    /** The list's news binds one that takes over at once; it once waited its turn and sent to hosts that drained. */
+    /**
+     * The list's news binds one that takes over at once; it once waited its turn and sent to hosts
+     * that drained.
+     */
     @Test
     void oneThatTakesOverSubscribesAtOnce() {
         Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
@@ -385,10 +394,15 @@
         bed.router.onList(bed.now, Api.ListMode.CACHED, List.of(Bed.server(1)));
         assertTrue(bed.wakes.get(0).moment() - bed.now <= Bed.MS);
         bed.router.onList(bed.now, Api.ListMode.FAILED, List.of());
-        assertTrue(bed.wakes.get(1).moment() - bed.now > Bed.MS, "a failed call is not repeated at once");
+        assertTrue(
+                bed.wakes.get(1).moment() - bed.now > Bed.MS,
+                "a failed call is not repeated at once");
     }
 
-    /** A repeat may begin as late as its connection comes up: by then servers must still know the first one. */
+    /**
+     * A repeat may begin as late as its connection comes up: by then servers must still know the
+     * first one.
+     */
     @Test
     void aKeyedRepeatBeginsWithinTheWindowAlsoOnANewConnection() {
         for (int after : new int[] {190, 210}) {
@@ -397,8 +411,12 @@
             Bed bed = new Bed(builder).servers(4);
             bed.request(1, Bed.KEYED, 5);
             bed.pass(after);
-            // Of the window of 500 ms 450 are used, and 250 of these may pass before the repeat begins.
-            assertEquals(after < 200, bed.outcome(1, 0, Api.Reason.RESET) != null, "after " + after + " ms");
+            // Of the window of 500 ms 450 are used, and 250 of these may pass before the repeat
+            // begins.
+            assertEquals(
+                    after < 200,
+                    bed.outcome(1, 0, Api.Reason.RESET) != null,
+                    "after " + after + " ms");
         }
     }
 
--- a/policy/src/test/java/frostrelay/policy/RulesTest.java
+++ b/policy/src/test/java/frostrelay/policy/RulesTest.java
@@ -5,6 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import frostrelay.policy.Api.Reason;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,14 +17,20 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 
 /** Random event sequences against all six rules, judged by a ledger of its own. */
 class RulesTest {
-    private static final Reason[] ENDS = {Reason.ERROR, Reason.REJECTED, Reason.TIMEOUT, Reason.CONNECT_FAILED,
-        Reason.RESET, Reason.MISS, Reason.OK, Reason.OK, Reason.OK};
+    private static final Reason[] ENDS = {
+        Reason.ERROR,
+        Reason.REJECTED,
+        Reason.TIMEOUT,
+        Reason.CONNECT_FAILED,
+        Reason.RESET,
+        Reason.MISS,
+        Reason.OK,
+        Reason.OK,
+        Reason.OK
+    };
 
     /** What the ledger knows of a request. */
     private static final class Entry {
@@ -41,8 +52,12 @@
     }
 
     private final Map<Long, Entry> ledger = new HashMap<>();
-    /** Keys in order: the requests taken and not over, oldest first, and when the key's rest ends. */
+
+    /**
+     * Keys in order: the requests taken and not over, oldest first, and when the key's rest ends.
+     */
     private final Map<Long, List<Long>> lines = new HashMap<>();
+
     private final Map<Long, Long> rests = new HashMap<>();
     private final List<Long> taken = new ArrayList<>();
     private final List<Long> further = new ArrayList<>();
@@ -76,8 +91,17 @@
             if (requestClass == Bed.KEYED) {
                 lines.computeIfAbsent(key, k -> new ArrayList<>()).add(id);
             }
-            bed.router.onRequest(bed.now, new Api.Request(id, requestClass, 0, key,
-                    deadline, 0, false, requestClass != Bed.READ));
+            bed.router.onRequest(
+                    bed.now,
+                    new Api.Request(
+                            id,
+                            requestClass,
+                            0,
+                            key,
+                            deadline,
+                            0,
+                            false,
+                            requestClass != Bed.READ));
             check(bed);
             endSome(bed, random);
             if (random.nextInt(100) == 0) {
@@ -88,7 +112,8 @@
         for (Map.Entry<Long, Entry> entry : ledger.entrySet()) {
             assertTrue(entry.getValue().done, "unanswered: " + entry.getKey());
         }
-        assertTrue(coldSends <= allSends / 4 + 4, "cold hosts got " + coldSends + " of " + allSends);
+        assertTrue(
+                coldSends <= allSends / 4 + 4, "cold hosts got " + coldSends + " of " + allSends);
     }
 
     /** A new full list: some hosts drain, some are missing, some have just started. */
@@ -127,7 +152,11 @@
                 }
             } else if (random != null && !entry.open.isEmpty() && random.nextInt(12) == 0) {
                 int attempt = entry.open.get(random.nextInt(entry.open.size()));
-                end(bed, id, attempt, entry.done ? Reason.CANCELLED : ENDS[random.nextInt(ENDS.length)]);
+                end(
+                        bed,
+                        id,
+                        attempt,
+                        entry.done ? Reason.CANCELLED : ENDS[random.nextInt(ENDS.length)]);
             } else if (random != null && !entry.done && random.nextInt(400) == 0) {
                 entry.done = true;
                 leaveLine(id, entry);
@@ -162,7 +191,10 @@
         if (entry.open.isEmpty() && !entry.ran) {
             entry.firstMayHaveRun = -1;
         }
-        bed.router.onOutcome(bed.now, new Api.Outcome(id, attempt, reason, 0, entry.done, Api.Source.UNKNOWN, new float[0]));
+        bed.router.onOutcome(
+                bed.now,
+                new Api.Outcome(
+                        id, attempt, reason, 0, entry.done, Api.Source.UNKNOWN, new float[0]));
         check(bed);
     }
 
@@ -188,9 +220,11 @@
         } else {
             further.add(sent.at());
             long from = sent.at() - budget.span();
-            double allowed = budget.free() + budget.share() * taken.stream().filter(t -> t > from).count();
+            double allowed =
+                    budget.free() + budget.share() * taken.stream().filter(t -> t > from).count();
             long made = further.stream().filter(t -> t >= from).count();
-            assertTrue(made <= allowed, "beyond the budget: " + sent + ", " + made + " of " + allowed);
+            assertTrue(
+                    made <= allowed, "beyond the budget: " + sent + ", " + made + " of " + allowed);
         }
     }
 
@@ -198,7 +232,9 @@
     private void check(Bed bed) {
         for (; refusalsSeen < bed.refusals.size(); refusalsSeen++) {
             Entry entry = ledger.get(bed.refusals.get(refusalsSeen).request());
-            assertTrue(entry.requestClass != Bed.UNSAFE || entry.firstMayHaveRun < 0, "an unsafe refusal");
+            assertTrue(
+                    entry.requestClass != Bed.UNSAFE || entry.firstMayHaveRun < 0,
+                    "an unsafe refusal");
             finish(bed, entry);
             leaveLine(bed.refusals.get(refusalsSeen).request(), entry);
         }
@@ -210,13 +246,17 @@
             Bed.Sent sent = bed.sends.get(sendsSeen);
             Entry entry = ledger.get(sent.request());
             assertTrue(entry != null && !entry.done, "sent after the end: " + sent);
-            assertTrue(listed.contains(sent.server()), "sent to a host that drains or is gone: " + sent);
+            assertTrue(
+                    listed.contains(sent.server()),
+                    "sent to a host that drains or is gone: " + sent);
             assertTrue(bed.settings.mayDuplicate() || entry.open.isEmpty(), "two at once: " + sent);
             assertTrue(sent.cutAt() <= entry.deadline, "runs past the deadline: " + sent);
             assertTrue(sent.attempt() < bed.settings.maxAttempts(), "too many attempts: " + sent);
             if (entry.firstMayHaveRun >= 0 && entry.requestClass != Bed.READ) {
                 assertFalse(entry.requestClass == Bed.UNSAFE, "an unsafe repeat: " + sent);
-                assertTrue(bed.now - entry.firstMayHaveRun <= 500 * Bed.MS, "past the window: " + sent);
+                assertTrue(
+                        bed.now - entry.firstMayHaveRun <= 500 * Bed.MS,
+                        "past the window: " + sent);
             }
             entry.firstMayHaveRun = entry.firstMayHaveRun < 0 ? bed.now : entry.firstMayHaveRun;
             checkFurtherRules(bed, sent, entry);
@@ -245,18 +285,22 @@
         for (int id = 0; id < 2000; id++) {
             bed.request(id, random.nextInt(3), random.nextInt(100));
             bed.pass(random.nextInt(5));
-            bed.outcome(random.nextInt(id + 1), random.nextInt(2), ENDS[random.nextInt(ENDS.length)]);
+            bed.outcome(
+                    random.nextInt(id + 1), random.nextInt(2), ENDS[random.nextInt(ENDS.length)]);
         }
         return bed.sends;
     }
 
-    /** The third rule: a host that operators hold counts as draining, whatever the list says of it. */
+    /**
+     * The third rule: a host that operators hold counts as draining, whatever the list says of it.
+     */
     @Test
     void aHeldHostGetsNothingNew() {
         Bed bed = new Bed(new Bed.SettingsBuilder()).servers(3);
         bed.router.onHolds(bed.now, Set.of(1L, 77L));
         bed.router.onList(bed.now, Api.ListMode.FULL, List.of(Bed.server(2), Bed.server(3)));
-        bed.router.onList(bed.now, Api.ListMode.FULL, List.of(Bed.server(1), Bed.server(2), Bed.server(3)));
+        bed.router.onList(
+                bed.now, Api.ListMode.FULL, List.of(Bed.server(1), Bed.server(2), Bed.server(3)));
         for (int i = 0; i < 60; i++) {
             bed.request(i, Bed.READ, i);
             bed.pass(2);
@@ -271,7 +315,10 @@
         assertTrue(bed.sends.stream().anyMatch(sent -> sent.server() == 1));
     }
 
-    /** The fourth rule: operators restart what they hold, and the list tells of that late or not at all. */
+    /**
+     * The fourth rule: operators restart what they hold, and the list tells of that late or not at
+     * all.
+     */
     @Test
     void aHostThatIsLetGoCountsAsCold() {
         Bed bed = new Bed(new Bed.SettingsBuilder()).servers(3);
@@ -286,7 +333,10 @@
         assertTrue(cold > 0 && cold < 40, "a third of 200 would be a warm host's part: " + cold);
     }
 
-    /** The second rule under new settings: what is open is repeated and refused only as both of them allow. */
+    /**
+     * The second rule under new settings: what is open is repeated and refused only as both of them
+     * allow.
+     */
     @Test
     void anOpenRequestGoesByTheStricterOfItsClasses() {
         Bed bed = new Bed(new Bed.SettingsBuilder()).servers(3);
@@ -323,14 +373,20 @@
         assertEquals(4, bed.sends.size());
     }
 
-    /** Others are seldom so full that a host half warm could not take every key: what it gets is paced alone. */
+    /**
+     * Others are seldom so full that a host half warm could not take every key: what it gets is
+     * paced alone.
+     */
     @Test
     void aHalfWarmHostTakesEveryKeyAndAColdOneFew() {
         Api.Settings settings = new Bed.SettingsBuilder().build();
         long now = 1_000_000 * Bed.MS;
         for (long age : new long[] {0, 5_000}) {
             HostHealth health = new HostHealth(settings, 7);
-            health.onList(now, Api.ListMode.FULL, List.of(Bed.server(1, Api.State.READY, now - age * Bed.MS)));
+            health.onList(
+                    now,
+                    Api.ListMode.FULL,
+                    List.of(Bed.server(1, Api.State.READY, now - age * Bed.MS)));
             long admitted = 0;
             for (int i = 1; i <= 100; i++) {
                 health.wanted(now + i * 20 * Bed.MS);
@@ -340,13 +396,19 @@
         }
     }
 
-    /** While most is shed a balancer's own sends are few; what warm hosts serve shows what a cold one can take. */
+    /**
+     * While most is shed a balancer's own sends are few; what warm hosts serve shows what a cold
+     * one can take.
+     */
     @Test
     void aColdHostIsPacedByWhatWarmOnesServe() {
         Api.Settings settings = new Bed.SettingsBuilder().build();
         HostHealth health = new HostHealth(settings, 7);
         long now = 1_000_000 * Bed.MS;
-        health.onList(now, Api.ListMode.FULL, List.of(Bed.server(1), Bed.server(2, Api.State.READY, now)));
+        health.onList(
+                now,
+                Api.ListMode.FULL,
+                List.of(Bed.server(1), Bed.server(2, Api.State.READY, now)));
         HostHealth.Host warm = health.caches[0];
         HostHealth.Host cold = health.caches[1];
         int sent = 0;
@@ -359,7 +421,8 @@
                 sent++;
             }
         }
-        // 100 a second are served, the cold one can do a fifth at first: 4 s at 20 or somewhat more.
+        // 100 a second are served, the cold one can do a fifth at first: 4 s at 20 or somewhat
+        // more.
         assertTrue(sent > 60 && sent < 4 * 100, "sent " + sent);
     }
 
@@ -368,8 +431,10 @@
     void aNewBalancersFirstCountsStandForAWholeMean() {
         HostHealth health = new HostHealth(new Bed.SettingsBuilder().build(), 7);
         long now = 1_000_000 * Bed.MS;
-        health.onList(now, Api.ListMode.FULL, List.of(Bed.server(1),
-                Bed.server(2, Api.State.READY, now - 5_000 * Bed.MS)));
+        health.onList(
+                now,
+                Api.ListMode.FULL,
+                List.of(Bed.server(1), Bed.server(2, Api.State.READY, now - 5_000 * Bed.MS)));
         int sent = 0;
         for (int i = 0; i < 100; i++) {
             now += 10 * Bed.MS;
@@ -379,6 +444,8 @@
                 sent++;
             }
         }
-        assertTrue(sent > 20 && sent < 100, "of 100, half of which are the half warm one's part: " + sent);
+        assertTrue(
+                sent > 20 && sent < 100,
+                "of 100, half of which are the half warm one's part: " + sent);
     }
 }
--- a/policy/src/test/java/frostrelay/policy/SizeLimitsTest.java
+++ b/policy/src/test/java/frostrelay/policy/SizeLimitsTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import org.junit.jupiter.api.Test;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -11,7 +13,6 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.junit.jupiter.api.Test;
 
 /** The module stays small enough to be read aloud after an outage. */
 class SizeLimitsTest {
@@ -41,8 +42,10 @@
     @Test
     void everyFileOfTheModuleIsCounted() throws IOException {
         try (var files = Files.list(SOURCES)) {
-            List<Path> module = files.filter(f -> f.toString().endsWith(".java")
-                    && !f.endsWith("Api.java")).sorted().toList();
+            List<Path> module =
+                    files.filter(f -> f.toString().endsWith(".java") && !f.endsWith("Api.java"))
+                            .sorted()
+                            .toList();
             assertEquals(module, policyFiles().stream().sorted().toList());
         }
     }
--- a/policy/src/test/java/frostrelay/settings/SettingsParserTest.java
+++ b/policy/src/test/java/frostrelay/settings/SettingsParserTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import frostrelay.policy.Api;
+
 import org.junit.jupiter.api.Test;
 
 /** What settings mean where they say too little, or nothing that can be meant. */
@@ -19,17 +20,28 @@
 
     @Test
     void settingsThatAreNoNumbersAreErrors() {
-        for (String line : new String[] {"categories.count=x", "rank=NaN", "guarantees.tip-multiple=Infinity",
-            "categories.count=-1", "guarantees.resend-span-ns=soon"}) {
-            assertThrows(SettingsException.class, () -> SettingsParser.parse("n-instances=1\n" + line + "\n"), line);
+        for (String line :
+                new String[] {
+                    "categories.count=x",
+                    "rank=NaN",
+                    "guarantees.tip-multiple=Infinity",
+                    "categories.count=-1",
+                    "guarantees.resend-span-ns=soon"
+                }) {
+            assertThrows(
+                    SettingsException.class,
+                    () -> SettingsParser.parse("n-instances=1\n" + line + "\n"),
+                    line);
         }
     }
 
     @Test
     void anEmptyBudgetAllowsNothingAndAnAbsentOneIsNone() {
         assertEquals(null, SettingsParser.parse("categories.count=1\n").budget());
-        Api.Budget empty = SettingsParser.parse("categories.count=1\nguarantees.repeat-ratio=\n").budget();
+        Api.Budget empty =
+                SettingsParser.parse("categories.count=1\nguarantees.repeat-ratio=\n").budget();
         assertEquals(0, empty.free() + empty.share());
-        assertTrue(SettingsParser.parse("guarantees.key-quiet-ns=\n").keyQuiet() > 0, "a key rests");
+        assertTrue(
+                SettingsParser.parse("guarantees.key-quiet-ns=\n").keyQuiet() > 0, "a key rests");
     }
 }
--- a/report/src/main/java/frostrelay/report/AuditPicture.java
+++ b/report/src/main/java/frostrelay/report/AuditPicture.java
@@ -1,23 +1,32 @@
 package frostrelay.report;
 
+import org.apache.commons.text.StringEscapeUtils;
+
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import org.apache.commons.text.StringEscapeUtils;
 
 /**
- * Who acted on which version, as a picture: lives of balancers down, time across, a colour a version, gaps hatched, and a
- * lighter edge where a moment is only known to lie within a span. One page that needs nothing beside it.
+ * Who acted on which version, as a picture: lives of balancers down, time across, a colour a
+ * version, gaps hatched, and a lighter edge where a moment is only known to lie within a span. One
+ * page that needs nothing beside it.
  */
 public final class AuditPicture {
     private static final int LEFT = 190;
     private static final int WIDTH = 860;
     private static final int ROW = 22;
     private static final int TOP = 34;
-    /** Told apart by people who see few colours (Okabe and Ito); they come again where there are more versions. */
-    private static final List<String> COLORS = List.of("#0072b2", "#e69f00", "#009e73", "#cc79a7", "#56b4e9", "#d55e00",
-            "#f0e442", "#3c3c3c");
+
+    /**
+     * Told apart by people who see few colours (Okabe and Ito); they come again where there are
+     * more versions.
+     */
+    private static final List<String> COLORS =
+            List.of(
+                    "#0072b2", "#e69f00", "#009e73", "#cc79a7", "#56b4e9", "#d55e00", "#f0e442",
+                    "#3c3c3c");
+
     private static final int TICKS = 10;
 
     private final String title;
@@ -26,14 +35,19 @@
     private long first = Long.MAX_VALUE;
     private long last = Long.MIN_VALUE;
 
-    /** {@code rows}: as the audit's statement gives spans of one kind; moments are milliseconds, [earliest, latest]. */
+    /**
+     * {@code rows}: as the audit's statement gives spans of one kind; moments are milliseconds,
+     * [earliest, latest].
+     */
     public AuditPicture(String title, List<Map<String, Object>> rows) {
         this.title = title;
         this.rows = rows;
         for (Map<String, Object> row : rows) {
             for (Object one : (List<?>) row.get("spans")) {
                 Map<?, ?> span = (Map<?, ?>) one;
-                colors.computeIfAbsent(String.valueOf(span.get("version")), v -> COLORS.get(colors.size() % COLORS.size()));
+                colors.computeIfAbsent(
+                        String.valueOf(span.get("version")),
+                        v -> COLORS.get(colors.size() % COLORS.size()));
                 first = Math.min(first, at(span, "from", 0));
                 last = Math.max(last, at(span, "to", 1));
             }
@@ -51,52 +65,118 @@
     /** The page. */
     public String html() {
         int height = TOP + ROW * rows.size() + 30;
-        StringBuilder svg = new StringBuilder(String.format(Locale.ROOT,
-                "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%d\" height=\"%d\" font-family=\"sans-serif\" font-size=\"11\">"
-                + "<defs><pattern id=\"gap\" width=\"6\" height=\"6\" patternUnits=\"userSpaceOnUse\" patternTransform=\"rotate(45)\">"
-                + "<rect width=\"6\" height=\"6\" fill=\"white\"/><rect width=\"3\" height=\"6\" fill=\"#999\"/></pattern></defs>%n",
-                LEFT + WIDTH + 20, height));
+        StringBuilder svg =
+                new StringBuilder(
+                        String.format(
+                                Locale.ROOT,
+                                "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%d\" height=\"%d\" font-family=\"sans-serif\" font-size=\"11\">"
+                                        + "<defs><pattern id=\"gap\" width=\"6\" height=\"6\" patternUnits=\"userSpaceOnUse\" patternTransform=\"rotate(45)\">"
+                                        + "<rect width=\"6\" height=\"6\" fill=\"white\"/><rect width=\"3\" height=\"6\" fill=\"#999\"/></pattern></defs>%n",
+                                LEFT + WIDTH + 20,
+                                height));
         for (int i = 0; i <= TICKS && !rows.isEmpty(); i++) {
             long ms = first + (last - first) * i / TICKS;
-            svg.append(String.format(Locale.ROOT, "<line x1=\"%.1f\" y1=\"%d\" x2=\"%.1f\" y2=\"%d\" stroke=\"#e1e1e1\"/>"
-                    + "<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\">%.1f s</text>%n", x(ms), TOP - 6, x(ms),
-                    TOP + ROW * rows.size(), x(ms), TOP - 12, ms / 1e3));
+            svg.append(
+                    String.format(
+                            Locale.ROOT,
+                            "<line x1=\"%.1f\" y1=\"%d\" x2=\"%.1f\" y2=\"%d\" stroke=\"#e1e1e1\"/>"
+                                    + "<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\">%.1f s</text>%n",
+                            x(ms),
+                            TOP - 6,
+                            x(ms),
+                            TOP + ROW * rows.size(),
+                            x(ms),
+                            TOP - 12,
+                            ms / 1e3));
         }
         for (int i = 0; i < rows.size(); i++) {
             row(svg, rows.get(i), TOP + i * ROW);
         }
         svg.append("</svg>");
         StringBuilder legend = new StringBuilder();
-        colors.forEach((version, color) -> legend.append("<span style=\"margin-right:18px\"><span style=\"background:")
-                .append(color).append(";display:inline-block;width:14px;height:10px\"></span> ").append(escape(version))
-                .append("</span>"));
-        return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>" + escape(title)
-                + "</title><style>body{font:14px sans-serif;margin:2em;color:#222}</style></head><body><h1>" + escape(title)
+        colors.forEach(
+                (version, color) ->
+                        legend.append("<span style=\"margin-right:18px\"><span style=\"background:")
+                                .append(color)
+                                .append(";display:inline-block;width:14px;height:10px\"></span> ")
+                                .append(escape(version))
+                                .append("</span>"));
+        return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>"
+                + escape(title)
+                + "</title><style>body{font:14px sans-serif;margin:2em;color:#222}</style></head><body><h1>"
+                + escape(title)
                 + "</h1>\n<p>Each row is one life of a balancer. Hatched: its record names a gap. A pale edge: the moment lies"
-                + " somewhere within it. Nothing drawn: nothing known.</p>\n<p>" + legend + "</p>\n" + svg
+                + " somewhere within it. Nothing drawn: nothing known.</p>\n<p>"
+                + legend
+                + "</p>\n"
+                + svg
                 + "\n</body></html>\n";
     }
 
     private void row(StringBuilder svg, Map<String, Object> row, int y) {
-        svg.append(String.format(Locale.ROOT, "<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s</text>%n", LEFT - 8, y + 14,
-                escape(String.valueOf(row.get("life")))));
+        svg.append(
+                String.format(
+                        Locale.ROOT,
+                        "<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s</text>%n",
+                        LEFT - 8,
+                        y + 14,
+                        escape(String.valueOf(row.get("life")))));
         for (Object one : (List<?>) row.get("spans")) {
             Map<?, ?> span = (Map<?, ?>) one;
             String color = colors.get(String.valueOf(span.get("version")));
-            rect(svg, at(span, "from", 0), at(span, "to", 1), y, color, 0.35, String.valueOf(span.get("version")));
-            rect(svg, at(span, "from", 1), at(span, "to", 0), y, color, 1, String.valueOf(span.get("version")));
+            rect(
+                    svg,
+                    at(span, "from", 0),
+                    at(span, "to", 1),
+                    y,
+                    color,
+                    0.35,
+                    String.valueOf(span.get("version")));
+            rect(
+                    svg,
+                    at(span, "from", 1),
+                    at(span, "to", 0),
+                    y,
+                    color,
+                    1,
+                    String.valueOf(span.get("version")));
         }
         for (Object one : (List<?>) row.get("gaps")) {
             List<?> gap = (List<?>) one;
-            rect(svg, ((Number) gap.get(0)).longValue(), ((Number) gap.get(1)).longValue(), y, "url(#gap)", 1, "gap");
+            rect(
+                    svg,
+                    ((Number) gap.get(0)).longValue(),
+                    ((Number) gap.get(1)).longValue(),
+                    y,
+                    "url(#gap)",
+                    1,
+                    "gap");
         }
     }
 
-    private void rect(StringBuilder svg, long from, long to, int y, String fill, double opacity, String what) {
+    private void rect(
+            StringBuilder svg,
+            long from,
+            long to,
+            int y,
+            String fill,
+            double opacity,
+            String what) {
         if (to > from) {
-            svg.append(String.format(Locale.ROOT, "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\""
-                    + " fill-opacity=\"%.2f\"><title>%s, %.3f to %.3f s</title></rect>%n", x(from), y + 3,
-                    Math.max(0.5, x(to) - x(from)), ROW - 6, fill, opacity, escape(what), from / 1e3, to / 1e3));
+            svg.append(
+                    String.format(
+                            Locale.ROOT,
+                            "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\""
+                                    + " fill-opacity=\"%.2f\"><title>%s, %.3f to %.3f s</title></rect>%n",
+                            x(from),
+                            y + 3,
+                            Math.max(0.5, x(to) - x(from)),
+                            ROW - 6,
+                            fill,
+                            opacity,
+                            escape(what),
+                            from / 1e3,
+                            to / 1e3));
         }
     }
 
--- a/report/src/main/java/frostrelay/report/Charts.java
+++ b/report/src/main/java/frostrelay/report/Charts.java
@@ -3,17 +3,7 @@
 import de.erichseifert.vectorgraphics2d.VectorGraphics2D;
 import de.erichseifert.vectorgraphics2d.svg.SVGProcessor;
 import de.erichseifert.vectorgraphics2d.util.PageSize;
-import java.awt.BasicStroke;
-import java.awt.Color;
-import java.awt.Font;
-import java.awt.geom.Rectangle2D;
-import java.io.ByteArrayOutputStream;
-import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.text.DecimalFormat;
-import java.util.List;
-import java.util.Map;
-import java.util.stream.IntStream;
+
 import org.jfree.chart.JFreeChart;
 import org.jfree.chart.axis.LogAxis;
 import org.jfree.chart.axis.NumberAxis;
@@ -35,41 +25,70 @@
 import org.jfree.data.xy.YIntervalSeries;
 import org.jfree.data.xy.YIntervalSeriesCollection;
 
+import java.awt.BasicStroke;
+import java.awt.Color;
+import java.awt.Font;
+import java.awt.geom.Rectangle2D;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.text.DecimalFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.IntStream;
+
 /** Plots by JFreeChart, as SVG. */
 final class Charts {
     static final int WIDTH = 760;
     static final int HEIGHT = 260;
     private static final int MOST_LABELS = 20;
     private static final Color FAULT = new Color(214, 69, 65, 45);
+
     /** Told apart by people who see few colours (Okabe and Ito). */
-    private static final List<Color> COLORS = List.of(new Color(0, 114, 178), new Color(213, 94, 0),
-            new Color(0, 158, 115), new Color(204, 121, 167), new Color(86, 180, 233), new Color(230, 159, 0),
-            new Color(60, 60, 60));
+    private static final List<Color> COLORS =
+            List.of(
+                    new Color(0, 114, 178),
+                    new Color(213, 94, 0),
+                    new Color(0, 158, 115),
+                    new Color(204, 121, 167),
+                    new Color(86, 180, 233),
+                    new Color(230, 159, 0),
+                    new Color(60, 60, 60));
 
     /** One point of a curve with its 95% interval. */
-    record Mark(double x, double mean, double half) {
-    }
+    record Mark(double x, double mean, double half) {}
 
-    private Charts() {
-    }
+    private Charts() {}
 
-    /** Lines over seconds, with bands where faults were. {@code log}: the upright axis goes by powers of ten. */
-    static String lines(String title, String unit, Map<String, List<Double>> series, List<double[]> bands, boolean log) {
+    /**
+     * Lines over seconds, with bands where faults were. {@code log}: the upright axis goes by
+     * powers of ten.
+     */
+    static String lines(
+            String title,
+            String unit,
+            Map<String, List<Double>> series,
+            List<double[]> bands,
+            boolean log) {
         XYSeriesCollection data = new XYSeriesCollection();
-        series.forEach((name, values) -> {
-            XYSeries one = new XYSeries(name);
-            for (int second = 0; second < values.size(); second++) {
-                // A logarithm has no zero: a second without answers is a gap.
-                one.add(second, log && values.get(second) <= 0 ? null : values.get(second));
-            }
-            data.addSeries(one);
-        });
-        XYPlot plot = plot(data, new NumberAxis("seconds"), log ? decades(unit) : new NumberAxis(unit));
+        series.forEach(
+                (name, values) -> {
+                    XYSeries one = new XYSeries(name);
+                    for (int second = 0; second < values.size(); second++) {
+                        // A logarithm has no zero: a second without answers is a gap.
+                        one.add(second, log && values.get(second) <= 0 ? null : values.get(second));
+                    }
+                    data.addSeries(one);
+                });
+        XYPlot plot =
+                plot(data, new NumberAxis("seconds"), log ? decades(unit) : new NumberAxis(unit));
         XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, false);
         paint(renderer, data.getSeriesCount());
         plot.setRenderer(renderer);
         for (double[] band : bands) {
-            plot.addDomainMarker(new IntervalMarker(band[0], Math.max(band[1], band[0] + 0.5), FAULT), Layer.BACKGROUND);
+            plot.addDomainMarker(
+                    new IntervalMarker(band[0], Math.max(band[1], band[0] + 0.5), FAULT),
+                    Layer.BACKGROUND);
         }
         return svg(title, plot, series.size() > 1, null, HEIGHT);
     }
@@ -84,11 +103,18 @@
     /** Curves with their intervals as bands; points that were played are marked. */
     static String curves(String title, String across, String unit, Map<String, List<Mark>> curves) {
         YIntervalSeriesCollection data = new YIntervalSeriesCollection();
-        curves.forEach((name, marks) -> {
-            YIntervalSeries one = new YIntervalSeries(name);
-            marks.forEach(mark -> one.add(mark.x, mark.mean, mark.mean - mark.half, mark.mean + mark.half));
-            data.addSeries(one);
-        });
+        curves.forEach(
+                (name, marks) -> {
+                    YIntervalSeries one = new YIntervalSeries(name);
+                    marks.forEach(
+                            mark ->
+                                    one.add(
+                                            mark.x,
+                                            mark.mean,
+                                            mark.mean - mark.half,
+                                            mark.mean + mark.half));
+                    data.addSeries(one);
+                });
         NumberAxis up = new NumberAxis(unit);
         up.setAutoRangeIncludesZero(false);
         NumberAxis along = new NumberAxis(across);
@@ -104,9 +130,18 @@
         return svg(title, plot, curves.size() > 1, null, HEIGHT);
     }
 
-    /** A map of values: a row of {@code cells} for each of {@code rows}, bright for the greatest. */
-    static String heat(String title, String across, String up, List<String> columns, List<String> rows,
-                       double[][] cells, double least, double most) {
+    /**
+     * A map of values: a row of {@code cells} for each of {@code rows}, bright for the greatest.
+     */
+    static String heat(
+            String title,
+            String across,
+            String up,
+            List<String> columns,
+            List<String> rows,
+            double[][] cells,
+            double least,
+            double most) {
         int all = columns.size() * rows.size();
         double[][] xyz = new double[3][all];
         for (int row = 0, at = 0; row < rows.size(); row++) {
@@ -140,12 +175,19 @@
     /** Some of many labels: all of them would lie over one another. */
     private static String[] thinned(List<String> labels) {
         int step = (labels.size() + MOST_LABELS - 1) / MOST_LABELS;
-        return IntStream.range(0, labels.size()).mapToObj(i -> i % step == 0 ? labels.get(i) : "").toArray(String[]::new);
+        return IntStream.range(0, labels.size())
+                .mapToObj(i -> i % step == 0 ? labels.get(i) : "")
+                .toArray(String[]::new);
     }
 
-    /** From dark blue over green to yellow: even steps look even, also in grey. Sampled from viridis. */
+    /**
+     * From dark blue over green to yellow: even steps look even, also in grey. Sampled from
+     * viridis.
+     */
     private record Scale(double least, double most) implements PaintScale {
-        private static final int[][] STOPS = {{68, 1, 84}, {59, 82, 139}, {33, 145, 140}, {94, 201, 98}, {253, 231, 37}};
+        private static final int[][] STOPS = {
+            {68, 1, 84}, {59, 82, 139}, {33, 145, 140}, {94, 201, 98}, {253, 231, 37}
+        };
 
         @Override
         public double getLowerBound() {
@@ -162,12 +204,17 @@
             if (Double.isNaN(value)) {
                 return Color.LIGHT_GRAY;
             }
-            double at = Math.max(0, Math.min(1, (value - least) / (most - least))) * (STOPS.length - 1);
+            double at =
+                    Math.max(0, Math.min(1, (value - least) / (most - least))) * (STOPS.length - 1);
             int stop = (int) Math.min(STOPS.length - 2, Math.floor(at));
             double part = at - stop;
             int[] rgb = new int[3];
             for (int i = 0; i < 3; i++) {
-                rgb[i] = (int) Math.round(STOPS[stop][i] + part * (STOPS[stop + 1][i] - STOPS[stop][i]));
+                rgb[i] =
+                        (int)
+                                Math.round(
+                                        STOPS[stop][i]
+                                                + part * (STOPS[stop + 1][i] - STOPS[stop][i]));
             }
             return new Color(rgb[0], rgb[1], rgb[2]);
         }
@@ -195,8 +242,10 @@
         }
     }
 
-    private static String svg(String title, XYPlot plot, boolean legend, PaintScaleLegend scale, int height) {
-        JFreeChart chart = new JFreeChart(title, new Font(Font.SANS_SERIF, Font.BOLD, 13), plot, legend);
+    private static String svg(
+            String title, XYPlot plot, boolean legend, PaintScaleLegend scale, int height) {
+        JFreeChart chart =
+                new JFreeChart(title, new Font(Font.SANS_SERIF, Font.BOLD, 13), plot, legend);
         chart.setBackgroundPaint(Color.WHITE);
         if (chart.getLegend() != null) {
             chart.getLegend().setItemFont(new Font(Font.SANS_SERIF, Font.PLAIN, 11));
@@ -207,7 +256,9 @@
         VectorGraphics2D graphics = new VectorGraphics2D();
         chart.draw(graphics, new Rectangle2D.Double(0, 0, WIDTH, height));
         try (ByteArrayOutputStream out = new ByteArrayOutputStream()) {
-            new SVGProcessor().getDocument(graphics.getCommands(), new PageSize(0, 0, WIDTH, height)).writeTo(out);
+            new SVGProcessor()
+                    .getDocument(graphics.getCommands(), new PageSize(0, 0, WIDTH, height))
+                    .writeTo(out);
             return out.toString(java.nio.charset.StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/report/src/main/java/frostrelay/report/JudgementsPage.java
+++ b/report/src/main/java/frostrelay/report/JudgementsPage.java
@@ -1,13 +1,17 @@
 package frostrelay.report;
 
 import frostrelay.report.Charts.Mark;
+
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 
-/** How soon tiers of many sizes lower dead caches, and how well each balancer knows what all do: by seconds from the death on. */
+/**
+ * How soon tiers of many sizes lower dead caches, and how well each balancer knows what all do: by
+ * seconds from the death on.
+ */
 public final class JudgementsPage {
     private final List<Map<String, Object>> days;
 
@@ -21,9 +25,18 @@
         return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Judgements</title>"
                 + "<style>body{font:14px sans-serif;margin:2em;color:#222}</style></head><body>\n<h1>Judgements and counts</h1>\n"
                 + "<p>Seconds from the moment at which some caches fall silent.</p>\n"
-                + Charts.curves("dead caches that are lowered, of a hundred, over all balancers", "seconds", "", curves("loweredBy"))
-                + '\n' + Charts.curves("error of each balancer's count of the tier's requests, mean, of a hundred", "seconds", "",
-                curves("errorBy")) + "\n</body></html>\n";
+                + Charts.curves(
+                        "dead caches that are lowered, of a hundred, over all balancers",
+                        "seconds",
+                        "",
+                        curves("loweredBy"))
+                + '\n'
+                + Charts.curves(
+                        "error of each balancer's count of the tier's requests, mean, of a hundred",
+                        "seconds",
+                        "",
+                        curves("errorBy"))
+                + "\n</body></html>\n";
     }
 
     private Map<String, List<Mark>> curves(String name) {
@@ -35,8 +48,14 @@
             for (Object value : (List<?>) day.get(name)) {
                 marks.add(new Mark(second++, ((Number) value).doubleValue(), 0));
             }
-            curves.put(String.format(Locale.ROOT, "%s balancers, %.0f%% lost, day %d", day.get("balancers"),
-                    100 * ((Number) day.get("loss")).doubleValue(), ++number), marks);
+            curves.put(
+                    String.format(
+                            Locale.ROOT,
+                            "%s balancers, %.0f%% lost, day %d",
+                            day.get("balancers"),
+                            100 * ((Number) day.get("loss")).doubleValue(),
+                            ++number),
+                    marks);
         }
         return curves;
     }
--- a/report/src/main/java/frostrelay/report/PeersPage.java
+++ b/report/src/main/java/frostrelay/report/PeersPage.java
@@ -1,6 +1,7 @@
 package frostrelay.report;
 
 import frostrelay.report.Charts.Mark;
+
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -8,7 +9,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How talk between balancers fares at many sizes, as one page with plots: a curve for each part of datagrams lost. */
+/**
+ * How talk between balancers fares at many sizes, as one page with plots: a curve for each part of
+ * datagrams lost.
+ */
 public final class PeersPage {
     private static final Map<String, String> PLOTS = new LinkedHashMap<>();
 
@@ -29,11 +33,15 @@
 
     /** The page. */
     public String html() {
-        StringBuilder body = new StringBuilder("<h1>Talk between balancers</h1>\n<p>Means over seeds with half of their range as a"
-                + " band; across: balancers, as powers of two.</p>\n");
+        StringBuilder body =
+                new StringBuilder(
+                        "<h1>Talk between balancers</h1>\n<p>Means over seeds with half of their range as a"
+                                + " band; across: balancers, as powers of two.</p>\n");
         PLOTS.forEach((name, title) -> body.append(plot(name, title)).append('\n'));
         return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Talk between balancers</title>"
-                + "<style>body{font:14px sans-serif;margin:2em;color:#222}</style></head><body>\n" + body + "</body></html>\n";
+                + "<style>body{font:14px sans-serif;margin:2em;color:#222}</style></head><body>\n"
+                + body
+                + "</body></html>\n";
     }
 
     private String plot(String name, String title) {
@@ -41,21 +49,42 @@
         Map<Double, TreeMap<Integer, List<Double>>> all = new TreeMap<>();
         for (Map<String, Object> day : days) {
             if (day.get(name) != null) {
-                all.computeIfAbsent(((Number) day.get("loss")).doubleValue(), loss -> new TreeMap<>())
-                        .computeIfAbsent(((Number) day.get("balancers")).intValue(), size -> new ArrayList<>())
+                all.computeIfAbsent(
+                                ((Number) day.get("loss")).doubleValue(), loss -> new TreeMap<>())
+                        .computeIfAbsent(
+                                ((Number) day.get("balancers")).intValue(),
+                                size -> new ArrayList<>())
                         .add(((Number) day.get(name)).doubleValue());
             }
         }
-        all.forEach((loss, sizes) -> {
-            List<Mark> marks = new ArrayList<>();
-            sizes.forEach((size, values) -> {
-                double least = values.stream().mapToDouble(Double::doubleValue).min().orElse(0);
-                double most = values.stream().mapToDouble(Double::doubleValue).max().orElse(0);
-                double mean = values.stream().mapToDouble(Double::doubleValue).average().orElse(0);
-                marks.add(new Mark(Math.log(size) / Math.log(2), mean, (most - least) / 2));
-            });
-            curves.put(String.format(Locale.ROOT, "%.0f%% lost", loss * 100), marks);
-        });
+        all.forEach(
+                (loss, sizes) -> {
+                    List<Mark> marks = new ArrayList<>();
+                    sizes.forEach(
+                            (size, values) -> {
+                                double least =
+                                        values.stream()
+                                                .mapToDouble(Double::doubleValue)
+                                                .min()
+                                                .orElse(0);
+                                double most =
+                                        values.stream()
+                                                .mapToDouble(Double::doubleValue)
+                                                .max()
+                                                .orElse(0);
+                                double mean =
+                                        values.stream()
+                                                .mapToDouble(Double::doubleValue)
+                                                .average()
+                                                .orElse(0);
+                                marks.add(
+                                        new Mark(
+                                                Math.log(size) / Math.log(2),
+                                                mean,
+                                                (most - least) / 2));
+                            });
+                    curves.put(String.format(Locale.ROOT, "%.0f%% lost", loss * 100), marks);
+                });
         return Charts.curves(title, "log2 of balancers", "", curves);
     }
 }
--- a/report/src/main/java/frostrelay/report/StragglersPage.java
+++ b/report/src/main/java/frostrelay/report/StragglersPage.java
@@ -1,6 +1,7 @@
 package frostrelay.report;
 
 import frostrelay.report.Charts.Mark;
+
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -25,13 +26,24 @@
 
     /** The page. */
     public String html() {
-        StringBuilder body = new StringBuilder("<h1>Stragglers</h1>\n<p>Seconds from the moment at which the list changes. Calls are"
-                + " those out of turn, over what the watches of all make in calm: 2 is the bound.</p>\n");
-        PLOTS.forEach((name, title) -> body.append(Charts.curves(title, "seconds", "", curves(name, false))).append('\n'));
-        body.append(Charts.curves("calls of discovery out of turn in a second, over the calm rate", "seconds", "", curves("asked",
-                true)));
+        StringBuilder body =
+                new StringBuilder(
+                        "<h1>Stragglers</h1>\n<p>Seconds from the moment at which the list changes. Calls are"
+                                + " those out of turn, over what the watches of all make in calm: 2 is the bound.</p>\n");
+        PLOTS.forEach(
+                (name, title) ->
+                        body.append(Charts.curves(title, "seconds", "", curves(name, false)))
+                                .append('\n'));
+        body.append(
+                Charts.curves(
+                        "calls of discovery out of turn in a second, over the calm rate",
+                        "seconds",
+                        "",
+                        curves("asked", true)));
         return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Stragglers</title>"
-                + "<style>body{font:14px sans-serif;margin:2em;color:#222}</style></head><body>\n" + body + "</body></html>\n";
+                + "<style>body{font:14px sans-serif;margin:2em;color:#222}</style></head><body>\n"
+                + body
+                + "</body></html>\n";
     }
 
     private Map<String, List<Mark>> curves(String name, boolean calls) {
@@ -46,11 +58,21 @@
             int second = 0;
             for (Object value : (List<?>) day.get(name)) {
                 double now = ((Number) value).doubleValue();
-                marks.add(new Mark(second++, calls ? (now - before) / calm : 100 * now / balancers, 0));
+                marks.add(
+                        new Mark(
+                                second++,
+                                calls ? (now - before) / calm : 100 * now / balancers,
+                                0));
                 before = now;
             }
-            curves.put(String.format(Locale.ROOT, "%.0f balancers, %.0f%% lost, day %d", balancers,
-                    100 * ((Number) day.get("loss")).doubleValue(), number), marks);
+            curves.put(
+                    String.format(
+                            Locale.ROOT,
+                            "%.0f balancers, %.0f%% lost, day %d",
+                            balancers,
+                            100 * ((Number) day.get("loss")).doubleValue(),
+                            number),
+                    marks);
         }
         return curves;
     }
--- a/report/src/test/java/frostrelay/report/PageTest.java
+++ b/report/src/test/java/frostrelay/report/PageTest.java
@@ -8,6 +8,11 @@
 import frostrelay.lab.ExperimentFile;
 import frostrelay.lab.Lab;
 import frostrelay.lab.ResultsFile;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.w3c.dom.Document;
+
 import java.io.ByteArrayInputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,20 +21,23 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+
 import javax.xml.parsers.DocumentBuilderFactory;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-import org.w3c.dom.Document;
 
-/** Pages from days that were played: everything in them, well formed, and nothing fetched from elsewhere. */
+/**
+ * Pages from days that were played: everything in them, well formed, and nothing fetched from
+ * elsewhere.
+ */
 class PageTest {
-    private static final Pattern IMAGE = Pattern.compile("<img alt=\"([^\"]*)\" src=\"data:image/svg\\+xml;base64,([^\"]+)\">");
+    private static final Pattern IMAGE =
+            Pattern.compile("<img alt=\"([^\"]*)\" src=\"data:image/svg\\+xml;base64,([^\"]+)\">");
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private ResultsFile.Held held(String plantName, String sweeps) throws Exception {
-        Files.writeString(folder.resolve(plantName), """
+        Files.writeString(
+                folder.resolve(plantName),
+                """
                 length = "10s"
                 [plant]
                 caches = 4
@@ -42,13 +50,20 @@
                 kind = "origin-outage"
                 for = "2s"
                 """);
-        Experiment experiment = sweeps == null ? ExperimentFile.ofPlants(List.of(folder.resolve(plantName)), 2)
-                : ExperimentFile.read(Files.writeString(folder.resolve("sweep.toml"),
-                "[experiment]\nplant = \"" + plantName + "\"\nseeds = 2\n" + sweeps));
+        Experiment experiment =
+                sweeps == null
+                        ? ExperimentFile.ofPlants(List.of(folder.resolve(plantName)), 2)
+                        : ExperimentFile.read(
+                                Files.writeString(
+                                        folder.resolve("sweep.toml"),
+                                        "[experiment]\nplant = \""
+                                                + plantName
+                                                + "\"\nseeds = 2\n"
+                                                + sweeps));
         Path results = folder.resolve("results.jsonl");
         Files.deleteIfExists(results);
         try (ResultsFile file = ResultsFile.open(results, experiment)) {
-            Lab.play(experiment, file, 4, (done, most) -> { });
+            Lab.play(experiment, file, 4, (done, most) -> {});
         }
         return ResultsFile.read(results);
     }
@@ -58,9 +73,13 @@
         Matcher images = IMAGE.matcher(html);
         while (images.find()) {
             DocumentBuilderFactory factory = DocumentBuilderFactory.newInstance();
-            factory.setFeature("http://apache.org/xml/features/nonvalidating/load-external-dtd", false);
-            Document svg = factory.newDocumentBuilder().parse(new ByteArrayInputStream(
-                    Base64.getDecoder().decode(images.group(2))));
+            factory.setFeature(
+                    "http://apache.org/xml/features/nonvalidating/load-external-dtd", false);
+            Document svg =
+                    factory.newDocumentBuilder()
+                            .parse(
+                                    new ByteArrayInputStream(
+                                            Base64.getDecoder().decode(images.group(2))));
             assertEquals("svg", svg.getDocumentElement().getTagName());
             assertTrue(svg.getElementsByTagName("text").getLength() > 5, "axes have words");
             names.add(images.group(1));
@@ -71,13 +90,21 @@
     @Test
     void aPlantsDayIsDrawnWithItsFaultsAndNothingIsFetched() throws Exception {
         String html = new Page(held("a<b>&c.toml", null)).html();
-        assertEquals(List.of("ends", "latency", "hit share", "copies and fetches", "load", "unserved"), images(html));
-        assertTrue(html.contains("a&lt;b&gt;&amp;c") && !html.contains("a<b>"), "names are text, not markup");
+        assertEquals(
+                List.of("ends", "latency", "hit share", "copies and fetches", "load", "unserved"),
+                images(html));
+        assertTrue(
+                html.contains("a&lt;b&gt;&amp;c") && !html.contains("a<b>"),
+                "names are text, not markup");
         assertTrue(html.contains("at 4.0 s the origin carries nothing out, for 2.0 s"));
-        assertFalse(html.replaceAll("base64,[^\"]+", "").matches("(?s).*(https?:|<script|<link).*"));
+        assertFalse(
+                html.replaceAll("base64,[^\"]+", "").matches("(?s).*(https?:|<script|<link).*"));
         Matcher first = IMAGE.matcher(html);
         assertTrue(first.find());
-        String svg = new String(Base64.getDecoder().decode(first.group(2)), java.nio.charset.StandardCharsets.UTF_8);
+        String svg =
+                new String(
+                        Base64.getDecoder().decode(first.group(2)),
+                        java.nio.charset.StandardCharsets.UTF_8);
         assertTrue(svg.contains("214,69,65"), "the fault's band is there");
     }
 
@@ -86,9 +113,18 @@
         String one = "[[sweep]]\nkey = \"clients.rate\"\nvalues = \"30/s, 60/s\"\n";
         ResultsFile.Held curves = held("p.toml", one);
         assertEquals("service", images(new Page(curves).html()).get(0));
-        ResultsFile.Held maps = held("p.toml", one + "[[sweep]]\nkey = \"cache.eviction\"\nvalues = \"lru, fifo\"\n");
+        ResultsFile.Held maps =
+                held(
+                        "p.toml",
+                        one + "[[sweep]]\nkey = \"cache.eviction\"\nvalues = \"lru, fifo\"\n");
         String html = new Page(maps).html();
         assertTrue(images(html).size() >= 6 + 4 * 5);
-        assertEquals(4, new Page(maps).markdown().lines().filter(line -> line.startsWith("| clients.rate=")).count());
+        assertEquals(
+                4,
+                new Page(maps)
+                        .markdown()
+                        .lines()
+                        .filter(line -> line.startsWith("| clients.rate="))
+                        .count());
     }
 }
--- a/rig/src/main/java/frostrelay/rig/archive/ArchiveServer.java
+++ b/rig/src/main/java/frostrelay/rig/archive/ArchiveServer.java
@@ -3,6 +3,7 @@
 import frostrelay.rig.wire.Loopback;
 import frostrelay.rig.wire.MetaCodec;
 import frostrelay.rig.wire.MetaMessage;
+
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -12,6 +13,10 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
+
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
+
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -21,16 +26,14 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A stand-in for the one archive behind all caches: slow, with few places, and it falls over when it is overdriven.
- * Values name their key and version. Runs on one event loop; the public calls may come from any thread.
+ * A stand-in for the one archive behind all caches: slow, with few places, and it falls over when
+ * it is overdriven. Values name their key and version. Runs on one event loop; the public calls may
+ * come from any thread.
  */
 public final class ArchiveServer {
-    private record Job(Channel channel, MetaMessage command) {
-    }
+    private record Job(Channel channel, MetaMessage command) {}
 
     private final ArchiveSpec spec;
     private final EventLoop loop;
@@ -53,14 +56,24 @@
 
     /** Listens; returns where. */
     public InetSocketAddress start() throws InterruptedException {
-        address = (InetSocketAddress) new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline().addLast(new MetaCodec(), new Caller());
-                    }
-                }).bind(Loopback.port(0)).sync().channel().localAddress();
+        address =
+                (InetSocketAddress)
+                        new ServerBootstrap()
+                                .group(loop, loop)
+                                .channel(NioServerSocketChannel.class)
+                                .childOption(ChannelOption.TCP_NODELAY, true)
+                                .childHandler(
+                                        new ChannelInitializer<SocketChannel>() {
+                                            @Override
+                                            protected void initChannel(SocketChannel fresh) {
+                                                fresh.pipeline()
+                                                        .addLast(new MetaCodec(), new Caller());
+                                            }
+                                        })
+                                .bind(Loopback.port(0))
+                                .sync()
+                                .channel()
+                                .localAddress();
         return address;
     }
 
@@ -97,7 +110,8 @@
         }
         if (now < downUntil) {
             refuse(job);
-        } else if (arrivals.size() > spec.fallMultiple() * spec.capacity() * spec.fallWindow() / 1e9) {
+        } else if (arrivals.size()
+                > spec.fallMultiple() * spec.capacity() * spec.fallWindow() / 1e9) {
             fall(now, spec.fallTime());
             refuse(job);
         } else if (busy < spec.places()) {
@@ -115,7 +129,8 @@
 
     private void begin(Job job) {
         busy++;
-        // Half of a fetch is the same for all, the other half varies: neither a clock nor without memory.
+        // Half of a fetch is the same for all, the other half varies: neither a clock nor without
+        // memory.
         double part = 0.5 - 0.5 * Math.log(1 - random.nextDouble());
         loop.schedule(() -> end(job), (long) (spec.time() * slow * part), TimeUnit.NANOSECONDS);
     }
@@ -138,8 +153,13 @@
 
     /** The same key and version are always the same bytes. */
     private byte[] value(String key) {
-        byte[] head = (key + '|' + versions.getOrDefault(key, 0) + '|').getBytes(StandardCharsets.ISO_8859_1);
-        int size = head.length + spec.value() / 2 + Math.floorMod(key.hashCode(), Math.max(1, spec.value()));
+        byte[] head =
+                (key + '|' + versions.getOrDefault(key, 0) + '|')
+                        .getBytes(StandardCharsets.ISO_8859_1);
+        int size =
+                head.length
+                        + spec.value() / 2
+                        + Math.floorMod(key.hashCode(), Math.max(1, spec.value()));
         byte[] value = Arrays.copyOf(head, size);
         Arrays.fill(value, head.length, size, (byte) ('a' + Math.floorMod(key.hashCode(), 26)));
         return value;
--- a/rig/src/main/java/frostrelay/rig/bench/Bench.java
+++ b/rig/src/main/java/frostrelay/rig/bench/Bench.java
@@ -12,9 +12,13 @@
 import frostrelay.rig.fleet.Program;
 import frostrelay.rig.referee.Referee;
 import frostrelay.rig.wire.Loopback;
+
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.DefaultThreadFactory;
+
+import org.HdrHistogram.Histogram;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.spi.SelectorProvider;
@@ -29,11 +33,11 @@
 import java.util.function.DoubleBinaryOperator;
 import java.util.function.Supplier;
 import java.util.function.ToDoubleFunction;
-import org.HdrHistogram.Histogram;
 
 /**
- * What the balancer costs, in one run against the least that anything between two sockets can cost here: straight to a
- * cache, through a relay that only copies bytes, and through the balancer, each in a closed loop and at a steady rate.
+ * What the balancer costs, in one run against the least that anything between two sockets can cost
+ * here: straight to a cache, through a relay that only copies bytes, and through the balancer, each
+ * in a closed loop and at a steady rate.
  */
 public final class Bench implements AutoCloseable {
     private static final int CACHES = 4;
@@ -48,11 +52,17 @@
     }
 
     /**
-     * Over one way. {@code cpuMicros}: of what stands between, a request, and {@code residentKb}: its memory behind that; 0 for
-     * nothing.
+     * Over one way. {@code cpuMicros}: of what stands between, a request, and {@code residentKb}:
+     * its memory behind that; 0 for nothing.
      */
-    public record Figures(String way, double rate, double cpuMicros, double p50Micros, double p99Micros, long bad,
-                          long residentKb) {
+    public record Figures(
+            String way,
+            double rate,
+            double cpuMicros,
+            double p50Micros,
+            double p99Micros,
+            long bad,
+            long residentKb) {
         /** For machines. */
         public Map<String, Object> json() {
             Map<String, Object> all = new LinkedHashMap<>();
@@ -67,15 +77,24 @@
         }
     }
 
-    private record Between(String way, InetSocketAddress address, Supplier<Duration> cpu, Supplier<Long> resident) {
-    }
+    private record Between(
+            String way,
+            InetSocketAddress address,
+            Supplier<Duration> cpu,
+            Supplier<Long> resident) {}
 
     private final int connections;
     private final long seconds;
     private final int loops;
-    private final NioEventLoopGroup cacheGroup = new NioEventLoopGroup(2, new DefaultThreadFactory("cache", true));
-    /** These never sleep: a sleeping selector wakes by the millisecond, and latencies would be those of the load. */
+    private final NioEventLoopGroup cacheGroup =
+            new NioEventLoopGroup(2, new DefaultThreadFactory("cache", true));
+
+    /**
+     * These never sleep: a sleeping selector wakes by the millisecond, and latencies would be those
+     * of the load.
+     */
     private final NioEventLoopGroup loadGroup;
+
     private final List<EchoCache> caches = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final List<AutoCloseable> children = new ArrayList<>();
@@ -85,8 +104,12 @@
         this.connections = connections;
         this.seconds = seconds;
         this.loops = loops;
-        this.loadGroup = new NioEventLoopGroup(loops, new DefaultThreadFactory("load", true),
-                SelectorProvider.provider(), () -> (select, hasTasks) -> select.get());
+        this.loadGroup =
+                new NioEventLoopGroup(
+                        loops,
+                        new DefaultThreadFactory("load", true),
+                        SelectorProvider.provider(),
+                        () -> (select, hasTasks) -> select.get());
         for (int i = 0; i < CACHES; i++) {
             EchoCache cache = new EchoCache(VALUE);
             caches.add(cache);
@@ -99,18 +122,31 @@
         /** The middle one of each figure over a way's rounds. */
         public Figures middle(int way) {
             List<Figures> rounds = ways.get(way);
-            return new Figures(rounds.get(0).way, median(rounds, Figures::rate), median(rounds, Figures::cpuMicros),
-                    median(rounds, Figures::p50Micros), median(rounds, Figures::p99Micros),
+            return new Figures(
+                    rounds.get(0).way,
+                    median(rounds, Figures::rate),
+                    median(rounds, Figures::cpuMicros),
+                    median(rounds, Figures::p50Micros),
+                    median(rounds, Figures::p99Micros),
                     rounds.stream().mapToLong(Figures::bad).sum(),
                     (long) median(rounds, Figures::residentKb));
         }
 
-        /** Least, middle and most over the rounds of a figure of two ways taken together, each in its own round. */
-        public double[] compare(int way, int against, DoubleBinaryOperator operator, ToDoubleFunction<Figures> figure) {
+        /**
+         * Least, middle and most over the rounds of a figure of two ways taken together, each in
+         * its own round.
+         */
+        public double[] compare(
+                int way,
+                int against,
+                DoubleBinaryOperator operator,
+                ToDoubleFunction<Figures> figure) {
             double[] all = new double[ways.get(way).size()];
             for (int i = 0; i < all.length; i++) {
-                all[i] = operator.applyAsDouble(figure.applyAsDouble(ways.get(way).get(i)),
-                        figure.applyAsDouble(ways.get(against).get(i)));
+                all[i] =
+                        operator.applyAsDouble(
+                                figure.applyAsDouble(ways.get(way).get(i)),
+                                figure.applyAsDouble(ways.get(against).get(i)));
             }
             Arrays.sort(all);
             return new double[] {all[0], all[all.length / 2], all[all.length - 1]};
@@ -123,13 +159,25 @@
     }
 
     /**
-     * Measures all ways in turn, some rounds over: what else the machine does then meets all of them. {@code relay}: the
-     * command of a relay, which gets a port and an address appended; {@code further}: another form of the balancer, or null.
+     * Measures all ways in turn, some rounds over: what else the machine does then meets all of
+     * them. {@code relay}: the command of a relay, which gets a port and an address appended;
+     * {@code further}: another form of the balancer, or null.
      */
-    public List<Phase> run(Program program, Program further, List<String> relay, Path folder, int rounds, Consumer<String> told)
+    public List<Phase> run(
+            Program program,
+            Program further,
+            List<String> relay,
+            Path folder,
+            int rounds,
+            Consumer<String> told)
             throws IOException, InterruptedException {
-        List<Between> ways = new ArrayList<>(List.of(new Between("cache", addresses.get(0), () -> Duration.ZERO, () -> 0L),
-                relay(relay), balancer("balancer", program, folder.resolve("balancer-1"))));
+        List<Between> ways =
+                new ArrayList<>(
+                        List.of(
+                                new Between(
+                                        "cache", addresses.get(0), () -> Duration.ZERO, () -> 0L),
+                                relay(relay),
+                                balancer("balancer", program, folder.resolve("balancer-1"))));
         if (further != null) {
             ways.add(balancer("further", further, folder.resolve("balancer-2")));
         }
@@ -140,10 +188,12 @@
             }
         }
         Phase closed = phase("closed loop", ways, 0, rounds, told);
-        return List.of(closed, phase("half load", ways, closed.middle(BALANCER).rate / 2, rounds, told));
+        return List.of(
+                closed, phase("half load", ways, closed.middle(BALANCER).rate / 2, rounds, told));
     }
 
-    private Phase phase(String name, List<Between> ways, double rate, int rounds, Consumer<String> told)
+    private Phase phase(
+            String name, List<Between> ways, double rate, int rounds, Consumer<String> told)
             throws InterruptedException {
         List<List<Figures>> all = new ArrayList<>();
         ways.forEach(way -> all.add(new ArrayList<>()));
@@ -180,24 +230,35 @@
         readers.stream().skip(1).forEach(reader -> latency.add(reader.latency()));
         long served = readers.stream().mapToLong(ReadLoop::served).sum();
         long bad = readers.stream().mapToLong(ReadLoop::bad).sum();
-        return new Figures(way.way, served * 1e9 / time, used / 1e3 / Math.max(1, served),
-                latency.getValueAtPercentile(50) / 1e3, latency.getValueAtPercentile(99) / 1e3, bad, way.resident.get());
+        return new Figures(
+                way.way,
+                served * 1e9 / time,
+                used / 1e3 / Math.max(1, served),
+                latency.getValueAtPercentile(50) / 1e3,
+                latency.getValueAtPercentile(99) / 1e3,
+                bad,
+                way.resident.get());
     }
 
-
     private Between relay(List<String> relay) throws IOException, InterruptedException {
         int port = Loopback.freePort();
         List<String> command = new ArrayList<>(relay);
         command.add(Integer.toString(port));
         command.add(Loopback.text(addresses.get(0)));
-        Process process = Children.start(new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.DISCARD));
+        Process process =
+                Children.start(
+                        new ProcessBuilder(command)
+                                .redirectErrorStream(true)
+                                .redirectOutput(ProcessBuilder.Redirect.DISCARD));
         children.add(process::destroyForcibly);
         InetSocketAddress address = Loopback.port(port);
         for (int i = 0; i < 200 && !answers(address); i++) {
             Thread.sleep(50);
         }
-        return new Between("relay", address, () -> process.info().totalCpuDuration().orElse(Duration.ZERO),
+        return new Between(
+                "relay",
+                address,
+                () -> process.info().totalCpuDuration().orElse(Duration.ZERO),
                 () -> 0L);
     }
 
@@ -210,15 +271,40 @@
         }
     }
 
-    private Between balancer(String way, Program program, Path folder) throws IOException, InterruptedException {
+    private Between balancer(String way, Program program, Path folder)
+            throws IOException, InterruptedException {
         Day demo = DayFile.demo().quiet();
-        Day day = new Day(1, demo.length(), CACHES, 1, 0, demo.drainGrace(), demo.repeatWindow(),
-                demo.cache(), demo.archive(), demo.load(),
-                List.of(new ClassSpec("read", 1, 100_000, 100_000, SECOND_MS * 1_000_000, 2 * SECOND_MS * 1_000_000, 1,
-                        Referee.Effect.REPEATABLE)), List.of(new TenantSpec("bench", 1)), List.of());
+        Day day =
+                new Day(
+                        1,
+                        demo.length(),
+                        CACHES,
+                        1,
+                        0,
+                        demo.drainGrace(),
+                        demo.repeatWindow(),
+                        demo.cache(),
+                        demo.archive(),
+                        demo.load(),
+                        List.of(
+                                new ClassSpec(
+                                        "read",
+                                        1,
+                                        100_000,
+                                        100_000,
+                                        SECOND_MS * 1_000_000,
+                                        2 * SECOND_MS * 1_000_000,
+                                        1,
+                                        Referee.Effect.REPEATABLE)),
+                        List.of(new TenantSpec("bench", 1)),
+                        List.of());
         EventLoop loop = cacheGroup.next();
-        DiscoveryServer discovery = new DiscoveryServer(loop, new Referee(new Referee.Bounds(Long.MAX_VALUE / 2, 1,
-                day.cache().warmth(), 1)), 0);
+        DiscoveryServer discovery =
+                new DiscoveryServer(
+                        loop,
+                        new Referee(
+                                new Referee.Bounds(Long.MAX_VALUE / 2, 1, day.cache().warmth(), 1)),
+                        0);
         Map<String, String> endpoints = new LinkedHashMap<>();
         for (int i = 0; i < CACHES; i++) {
             endpoints.put("cache-" + (i + 1), Loopback.text(addresses.get(i)));
@@ -226,12 +312,28 @@
         }
         InetSocketAddress listen = Loopback.port(Loopback.freePort());
         int talk = Loopback.freePort();
-        BalancerProcess process = new BalancerProcess("balancer-1", program, folder, listen,
-                BalancerConfig.json(day, 0, Loopback.text(listen), Loopback.text(Loopback.port(Loopback.freePort())),
-                        Loopback.text(discovery.listen("balancer-1", endpoints)), discovery.list(endpoints),
-                        // It may talk; the other one of two is not there.
-                        Map.of("peer_listen", Loopback.text(Loopback.port(talk)), "peers", List.of(
-                                Loopback.text(Loopback.port(talk)), Loopback.text(Loopback.port(Loopback.freePort()))))));
+        BalancerProcess process =
+                new BalancerProcess(
+                        "balancer-1",
+                        program,
+                        folder,
+                        listen,
+                        BalancerConfig.json(
+                                day,
+                                0,
+                                Loopback.text(listen),
+                                Loopback.text(Loopback.port(Loopback.freePort())),
+                                Loopback.text(discovery.listen("balancer-1", endpoints)),
+                                discovery.list(endpoints),
+                                // It may talk; the other one of two is not there.
+                                Map.of(
+                                        "peer_listen",
+                                        Loopback.text(Loopback.port(talk)),
+                                        "peers",
+                                        List.of(
+                                                Loopback.text(Loopback.port(talk)),
+                                                Loopback.text(
+                                                        Loopback.port(Loopback.freePort()))))));
         children.add(process);
         process.start();
         process.awaitReady();
--- a/rig/src/main/java/frostrelay/rig/bench/EchoCache.java
+++ b/rig/src/main/java/frostrelay/rig/bench/EchoCache.java
@@ -3,6 +3,7 @@
 import frostrelay.rig.wire.Loopback;
 import frostrelay.rig.wire.MetaCodec;
 import frostrelay.rig.wire.MetaMessage;
+
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
@@ -11,10 +12,14 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
+
 import java.net.InetSocketAddress;
 import java.util.concurrent.atomic.LongAdder;
 
-/** A cache that answers each read at once with one value: what is measured then is what stands before it. */
+/**
+ * A cache that answers each read at once with one value: what is measured then is what stands
+ * before it.
+ */
 final class EchoCache {
     private final byte[] value;
     private final LongAdder connections = new LongAdder();
@@ -27,15 +32,24 @@
 
     /** Listens; returns where. */
     InetSocketAddress start(EventLoop loop) throws InterruptedException {
-        return (InetSocketAddress) new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 1024).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        connections.increment();
-                        fresh.pipeline().addLast(new MetaCodec(), new Answers());
-                    }
-                }).bind(Loopback.port(0)).sync().channel().localAddress();
+        return (InetSocketAddress)
+                new ServerBootstrap()
+                        .group(loop, loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, 1024)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel fresh) {
+                                        connections.increment();
+                                        fresh.pipeline().addLast(new MetaCodec(), new Answers());
+                                    }
+                                })
+                        .bind(Loopback.port(0))
+                        .sync()
+                        .channel()
+                        .localAddress();
     }
 
     /** Connections that were ever opened. */
@@ -46,8 +60,13 @@
     private final class Answers extends SimpleChannelInboundHandler<MetaMessage> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaMessage message) {
-            String line = message.word(0).equals("mg") ? "VA " + value.length + " O" + message.flag('O') + " h1" : "MN";
-            ctx.write(MetaCodec.encode(ctx.alloc(), line, message.word(0).equals("mg") ? value : null));
+            String line =
+                    message.word(0).equals("mg")
+                            ? "VA " + value.length + " O" + message.flag('O') + " h1"
+                            : "MN";
+            ctx.write(
+                    MetaCodec.encode(
+                            ctx.alloc(), line, message.word(0).equals("mg") ? value : null));
         }
 
         @Override
--- a/rig/src/main/java/frostrelay/rig/bench/ReadLoop.java
+++ b/rig/src/main/java/frostrelay/rig/bench/ReadLoop.java
@@ -2,6 +2,7 @@
 
 import frostrelay.rig.wire.MetaCodec;
 import frostrelay.rig.wire.MetaMessage;
+
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -11,6 +12,12 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
+
+import org.HdrHistogram.Histogram;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
+import org.apache.commons.rng.simple.RandomSource;
+
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -19,14 +26,10 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import org.HdrHistogram.Histogram;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Reads over some connections on one event loop: in a closed loop, each connection asking again as soon as it is
- * answered, or at a given rate with latencies from the intended time on.
+ * Reads over some connections on one event loop: in a closed loop, each connection asking again as
+ * soon as it is answered, or at a given rate with latencies from the intended time on.
  */
 final class ReadLoop {
     private static final long MOST_NANOS = 10_000_000_000L;
@@ -46,7 +49,9 @@
     private boolean stopped;
     private double nextAt;
 
-    /** {@code rate}: a second, 0 for a closed loop; the same {@code seed} asks for the same keys. */
+    /**
+     * {@code rate}: a second, 0 for a closed loop; the same {@code seed} asks for the same keys.
+     */
     ReadLoop(EventLoop loop, double rate, long seed) {
         this.loop = loop;
         this.rate = rate;
@@ -56,19 +61,28 @@
 
     void start(InetSocketAddress to, int connections) throws InterruptedException {
         for (int i = 0; i < connections; i++) {
-            channels.add(new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                    .option(ChannelOption.TCP_NODELAY, true).handler(new ChannelInitializer<SocketChannel>() {
-                        @Override
-                        protected void initChannel(SocketChannel fresh) {
-                            fresh.pipeline().addLast(new MetaCodec(), new Reader());
-                        }
-                    }).connect(to).sync().channel());
+            channels.add(
+                    new Bootstrap()
+                            .group(loop)
+                            .channel(NioSocketChannel.class)
+                            .option(ChannelOption.TCP_NODELAY, true)
+                            .handler(
+                                    new ChannelInitializer<SocketChannel>() {
+                                        @Override
+                                        protected void initChannel(SocketChannel fresh) {
+                                            fresh.pipeline().addLast(new MetaCodec(), new Reader());
+                                        }
+                                    })
+                            .connect(to)
+                            .sync()
+                            .channel());
         }
         if (rate > 0) {
-            loop.execute(() -> {
-                nextAt = System.nanoTime();
-                pace();
-            });
+            loop.execute(
+                    () -> {
+                        nextAt = System.nanoTime();
+                        pace();
+                    });
         }
     }
 
@@ -82,7 +96,10 @@
             free.poll().ask(due.poll());
         }
         if (!stopped) {
-            loop.schedule(this::pace, (long) Math.max(0, nextAt - System.nanoTime()), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    this::pace,
+                    (long) Math.max(0, nextAt - System.nanoTime()),
+                    TimeUnit.NANOSECONDS);
         }
     }
 
@@ -93,10 +110,12 @@
 
     /** Ends; what was counted is final then. */
     void stop() {
-        loop.submit(() -> {
-            counting = false;
-            stopped = true;
-        }).syncUninterruptibly();
+        loop.submit(
+                        () -> {
+                            counting = false;
+                            stopped = true;
+                        })
+                .syncUninterruptibly();
         channels.forEach(channel -> channel.close().syncUninterruptibly());
     }
 
@@ -131,8 +150,11 @@
             intended = at;
             id = Long.toHexString(IDS.incrementAndGet());
             String key = String.format(Locale.ROOT, "%04x", random.nextInt(1 << 12));
-            ctx.writeAndFlush(MetaCodec.encode(ctx.alloc(), "mg " + key + " v O" + id + " Pc=read,t=bench,d=2000,h=100",
-                    null));
+            ctx.writeAndFlush(
+                    MetaCodec.encode(
+                            ctx.alloc(),
+                            "mg " + key + " v O" + id + " Pc=read,t=bench,d=2000,h=100",
+                            null));
         }
 
         @Override
--- a/rig/src/main/java/frostrelay/rig/cache/CacheServer.java
+++ b/rig/src/main/java/frostrelay/rig/cache/CacheServer.java
@@ -1,11 +1,12 @@
 package frostrelay.rig.cache;
 
-import frostrelay.rig.referee.ColdMeter;
 import frostrelay.rig.archive.ArchiveClient;
+import frostrelay.rig.referee.ColdMeter;
 import frostrelay.rig.referee.Referee;
 import frostrelay.rig.wire.Loopback;
 import frostrelay.rig.wire.MetaCodec;
 import frostrelay.rig.wire.MetaMessage;
+
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -17,6 +18,7 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.util.concurrent.Future;
+
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -32,15 +34,18 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * A stand-in for a cache machine on loopback: memcache meta commands, read-through from the archive, bounded memory,
- * slots and queue, a cold start, and the faults that operators meet. It listens once for each balancer, so that it can
- * tell who sent what. All of it runs on one event loop; the public calls may come from any thread.
+ * A stand-in for a cache machine on loopback: memcache meta commands, read-through from the
+ * archive, bounded memory, slots and queue, a cold start, and the faults that operators meet. It
+ * listens once for each balancer, so that it can tell who sent what. All of it runs on one event
+ * loop; the public calls may come from any thread.
  */
 public final class CacheServer {
     private static final String FAILED = "SERVER_ERROR failed";
     private static final double COLD_TICK = 20e6;
+
     /** Work differs from what the command's hint says by at most this part, by the request's id. */
     private static final double HINT_ERROR = 0.15;
+
     private static final long MICROSECOND = 1_000L;
     private static final long MILLISECOND = 1_000_000L;
     private static final long DEFAULT_WORK_US = 1_000;
@@ -94,9 +99,17 @@
     private long tickAt = Long.MAX_VALUE;
     private int held;
 
-    /** {@code fleet}: all caches, this one included, whose copies a write voids; read at each write. */
-    public CacheServer(String name, CacheSpec spec, EventLoop loop, ArchiveClient archive, RepeatFilter repeats,
-                       Referee referee, List<CacheServer> fleet) {
+    /**
+     * {@code fleet}: all caches, this one included, whose copies a write voids; read at each write.
+     */
+    public CacheServer(
+            String name,
+            CacheSpec spec,
+            EventLoop loop,
+            ArchiveClient archive,
+            RepeatFilter repeats,
+            Referee referee,
+            List<CacheServer> fleet) {
         this.name = name;
         this.spec = spec;
         this.loop = loop;
@@ -111,23 +124,30 @@
     public InetSocketAddress listen(String balancer) throws InterruptedException {
         Channel server = bootstrap(balancer).bind(Loopback.port(0)).sync().channel();
         InetSocketAddress address = (InetSocketAddress) server.localAddress();
-        loop.submit(() -> {
-            listens.put(balancer, address);
-            servers.add(server);
-        }).sync();
+        loop.submit(
+                        () -> {
+                            listens.put(balancer, address);
+                            servers.add(server);
+                        })
+                .sync();
         return address;
     }
 
     private ServerBootstrap bootstrap(String balancer) {
-        return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 1024)
+        return new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 1024)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline().addLast(new MetaCodec(), new Connection(fresh, balancer));
-                    }
-                });
+                .childHandler(
+                        new ChannelInitializer<SocketChannel>() {
+                            @Override
+                            protected void initChannel(SocketChannel fresh) {
+                                fresh.pipeline()
+                                        .addLast(new MetaCodec(), new Connection(fresh, balancer));
+                            }
+                        });
     }
 
     private static long now() {
@@ -170,14 +190,15 @@
     }
 
     /**
-     * The process starts again, empty and cold, at its old addresses; it is killed first if it runs. {@code started}
-     * runs once it does, on the cache's loop.
+     * The process starts again, empty and cold, at its old addresses; it is killed first if it
+     * runs. {@code started} runs once it does, on the cache's loop.
      */
     public void restart(Runnable started) {
-        loop.execute(() -> {
-            die();
-            loop.schedule(() -> revive(started), START_MS, TimeUnit.MILLISECONDS);
-        });
+        loop.execute(
+                () -> {
+                    die();
+                    loop.schedule(() -> revive(started), START_MS, TimeUnit.MILLISECONDS);
+                });
     }
 
     private void revive(Runnable started) {
@@ -189,38 +210,52 @@
         listens.forEach(this::listenAgain);
     }
 
-    /** Another socket of this machine may have been given the port meanwhile: then it is tried until it is free. */
+    /**
+     * Another socket of this machine may have been given the port meanwhile: then it is tried until
+     * it is free.
+     */
     private void listenAgain(String balancer, InetSocketAddress address) {
         long start = startedAt;
-        bootstrap(balancer).bind(address).addListener((ChannelFuture bound) -> {
-            if (bound.isSuccess()) {
-                servers.add(bound.channel());
-            } else {
-                loop.schedule(() -> {
-                    if (!down && startedAt == start) {
-                        listenAgain(balancer, address);
-                    }
-                }, START_MS, TimeUnit.MILLISECONDS);
-            }
-        });
+        bootstrap(balancer)
+                .bind(address)
+                .addListener(
+                        (ChannelFuture bound) -> {
+                            if (bound.isSuccess()) {
+                                servers.add(bound.channel());
+                            } else {
+                                loop.schedule(
+                                        () -> {
+                                            if (!down && startedAt == start) {
+                                                listenAgain(balancer, address);
+                                            }
+                                        },
+                                        START_MS,
+                                        TimeUnit.MILLISECONDS);
+                            }
+                        });
     }
 
-    /** Another program takes part of the machine: work takes {@code factor} times as long, 1 or more. */
+    /**
+     * Another program takes part of the machine: work takes {@code factor} times as long, 1 or
+     * more.
+     */
     public void slow(double factor) {
-        loop.execute(() -> {
-            slow = factor;
-            engine.speed(now(), speed(now()));
-            schedule();
-        });
+        loop.execute(
+                () -> {
+                    slow = factor;
+                    engine.speed(now(), speed(now()));
+                    schedule();
+                });
     }
 
     /** The machine says nothing and reads nothing; its connections stay open. */
     public void silence(boolean on) {
-        loop.execute(() -> {
-            silent = on;
-            connections.forEach(connection -> connection.channel.config().setAutoRead(!on));
-            schedule();
-        });
+        loop.execute(
+                () -> {
+                    silent = on;
+                    connections.forEach(connection -> connection.channel.config().setAutoRead(!on));
+                    schedule();
+                });
     }
 
     /** Each write is answered as failed, before anything of it ran. */
@@ -257,7 +292,12 @@
             referee.received(now, name, job.connection.balancer, job.id, work);
             String waited = job.command.figure("d");
             if (waited != null) {
-                referee.told(now, name, job.connection.balancer, job.id, now + Long.parseLong(waited) * MILLISECOND);
+                referee.told(
+                        now,
+                        name,
+                        job.connection.balancer,
+                        job.id,
+                        now + Long.parseLong(waited) * MILLISECOND);
             }
             referee.watcher().command(now, name, job.connection.balancer, job.id);
         }
@@ -281,7 +321,10 @@
     }
 
     private void schedule() {
-        long next = cold && engine.running() > 0 ? Math.min(engine.next(), now() + (long) COLD_TICK) : engine.next();
+        long next =
+                cold && engine.running() > 0
+                        ? Math.min(engine.next(), now() + (long) COLD_TICK)
+                        : engine.next();
         if (silent || down || next == Long.MAX_VALUE) {
             return;
         }
@@ -334,7 +377,10 @@
         List<Job> all = new ArrayList<>(List.of(job));
         fetching.put(job.key(), all);
         Store into = store;
-        archive.fetch(job.key(), spec.fetchTimeout(), value -> loop.execute(() -> fetched(job.key(), all, into, value)));
+        archive.fetch(
+                job.key(),
+                spec.fetchTimeout(),
+                value -> loop.execute(() -> fetched(job.key(), all, into, value)));
     }
 
     private void fetched(String key, List<Job> waiting, Store into, byte[] value) {
@@ -378,14 +424,20 @@
         }
         // From here on it may have run, whatever the archive's answer.
         referee.ran(now(), job.id, key);
-        archive.write(job.key(), job.command.data(), spec.fetchTimeout(), done -> loop.execute(() -> {
-            fleet.forEach(cache -> cache.invalidate(job.key()));
-            if (done) {
-                receipted(job, receipt);
-            } else {
-                job.connection.answer(job, FAILED, null);
-            }
-        }));
+        archive.write(
+                job.key(),
+                job.command.data(),
+                spec.fetchTimeout(),
+                done ->
+                        loop.execute(
+                                () -> {
+                                    fleet.forEach(cache -> cache.invalidate(job.key()));
+                                    if (done) {
+                                        receipted(job, receipt);
+                                    } else {
+                                        job.connection.answer(job, FAILED, null);
+                                    }
+                                }));
     }
 
     private void receipted(Job job, String receipt) {
@@ -394,11 +446,18 @@
     }
 
     private String report() {
-        return String.format(Locale.ROOT, "inflight=%d,queue=%d,util=%.2f", engine.running(), engine.waiting(),
+        return String.format(
+                Locale.ROOT,
+                "inflight=%d,queue=%d,util=%.2f",
+                engine.running(),
+                engine.waiting(),
                 Math.min(1.0, engine.running() / (double) spec.cores()));
     }
 
-    /** One balancer's connection: commands in order, one at a time, the others wait unread or unanswered. */
+    /**
+     * One balancer's connection: commands in order, one at a time, the others wait unread or
+     * unanswered.
+     */
     private final class Connection extends SimpleChannelInboundHandler<MetaMessage> {
         final SocketChannel channel;
         final String balancer;
@@ -430,9 +489,19 @@
                     }
                 }
                 case "mn" -> channel.writeAndFlush(MetaCodec.encode(ctx.alloc(), "MN", null));
-                case "stats" -> channel.writeAndFlush(MetaCodec.encode(ctx.alloc(),
-                        "STAT " + report().replace("=", " ").replace(",", "\r\nSTAT ") + "\r\nEND", null));
-                default -> channel.writeAndFlush(MetaCodec.encode(ctx.alloc(), "CLIENT_ERROR unknown command", null));
+                case "stats" ->
+                        channel.writeAndFlush(
+                                MetaCodec.encode(
+                                        ctx.alloc(),
+                                        "STAT "
+                                                + report().replace("=", " ")
+                                                        .replace(",", "\r\nSTAT ")
+                                                + "\r\nEND",
+                                        null));
+                default ->
+                        channel.writeAndFlush(
+                                MetaCodec.encode(
+                                        ctx.alloc(), "CLIENT_ERROR unknown command", null));
             }
         }
 
@@ -441,7 +510,8 @@
                 return;
             }
             jobs.poll();
-            String told = line.startsWith("VA") || line.startsWith("HD") ? line + " L" + report() : line;
+            String told =
+                    line.startsWith("VA") || line.startsWith("HD") ? line + " L" + report() : line;
             channel.writeAndFlush(MetaCodec.encode(channel.alloc(), told, data));
             if (!jobs.isEmpty()) {
                 accept(jobs.peek());
--- a/rig/src/main/java/frostrelay/rig/cache/Store.java
+++ b/rig/src/main/java/frostrelay/rig/cache/Store.java
@@ -4,7 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What a cache keeps, bounded by bytes; what was used longest ago goes first. Not safe for threads. */
+/**
+ * What a cache keeps, bounded by bytes; what was used longest ago goes first. Not safe for threads.
+ */
 final class Store {
     private final long mostBytes;
     private final Map<String, byte[]> values = new LinkedHashMap<>(16, 0.75f, true);
--- a/rig/src/main/java/frostrelay/rig/cache/WorkEngine.java
+++ b/rig/src/main/java/frostrelay/rig/cache/WorkEngine.java
@@ -7,12 +7,17 @@
 import java.util.List;
 
 /**
- * How a machine gets through its work: some cores share what runs in the slots evenly, the rest waits in a bounded
- * queue. No I/O and no clock: every call carries the time in nanoseconds, which never falls. Not safe for threads.
+ * How a machine gets through its work: some cores share what runs in the slots evenly, the rest
+ * waits in a bounded queue. No I/O and no clock: every call carries the time in nanoseconds, which
+ * never falls. Not safe for threads.
  */
 public final class WorkEngine<J> {
     /** What became of a job that was offered. */
-    public enum Offer { RUNS, WAITS, FULL }
+    public enum Offer {
+        RUNS,
+        WAITS,
+        FULL
+    }
 
     private static final class Task<J> {
         final J job;
@@ -32,7 +37,9 @@
     private double speed = 1;
     private long at;
 
-    /** {@code cores} and {@code slots} of at least 1; {@code queue} places to wait beyond the slots. */
+    /**
+     * {@code cores} and {@code slots} of at least 1; {@code queue} places to wait beyond the slots.
+     */
     public WorkEngine(int cores, int slots, int queue) {
         this.cores = cores;
         this.slots = slots;
@@ -53,7 +60,10 @@
         return Offer.FULL;
     }
 
-    /** Takes a job out, done or not; false if it is not here. {@code running} jobs go only if {@code stop}. */
+    /**
+     * Takes a job out, done or not; false if it is not here. {@code running} jobs go only if {@code
+     * stop}.
+     */
     public boolean remove(long now, J job, boolean stop) {
         advance(now);
         if (waiting.removeIf(task -> task.job == job)) {
@@ -74,7 +84,7 @@
     public List<J> finished(long now) {
         advance(now);
         List<J> done = new ArrayList<>();
-        for (Iterator<Task<J>> tasks = running.iterator(); tasks.hasNext();) {
+        for (Iterator<Task<J>> tasks = running.iterator(); tasks.hasNext(); ) {
             Task<J> task = tasks.next();
             if (task.left <= 0.5) {
                 done.add(task.job);
@@ -91,7 +101,9 @@
         for (Task<J> task : running) {
             least = Math.min(least, task.left);
         }
-        return running.isEmpty() ? Long.MAX_VALUE : at + (long) Math.ceil(Math.max(0, least) / rate());
+        return running.isEmpty()
+                ? Long.MAX_VALUE
+                : at + (long) Math.ceil(Math.max(0, least) / rate());
     }
 
     /** Work that a job gets done in a nanosecond. */
--- a/rig/src/main/java/frostrelay/rig/campaign/AuditRecord.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/AuditRecord.java
@@ -16,25 +16,29 @@
 import java.util.zip.CRC32C;
 
 /**
- * One life's record, read by the form in docs/audit.md and apart from the balancer's own reader: a fault that both shared
- * would not be seen.
+ * One life's record, read by the form in docs/audit.md and apart from the balancer's own reader: a
+ * fault that both shared would not be seen.
  */
 final class AuditRecord {
     /** A stamp that it says it acted on. */
-    record Acts(long at, int sequence, long confNumber, long confDigest, long listRev, long listDigest, long holds, int ref) {
-    }
+    record Acts(
+            long at,
+            int sequence,
+            long confNumber,
+            long confDigest,
+            long listRev,
+            long listDigest,
+            long holds,
+            int ref) {}
 
     /** A send that it says it made. */
-    record Sent(long at, int sequence, String cache, String id) {
-    }
+    record Sent(long at, int sequence, String cache, String id) {}
 
     /** A stamp that it says another acted on. */
-    record Heard(long at, int rank, long incarnation, int sequence, int ref) {
-    }
+    record Heard(long at, int rank, long incarnation, int sequence, int ref) {}
 
     /** Entries that it says are missing. */
-    record Gap(long from, long to, long entries) {
-    }
+    record Gap(long from, long to, long entries) {}
 
     private static final long MAGIC = 0x4652_4155_4449_5401L;
 
@@ -68,7 +72,10 @@
             try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*.rec")) {
                 for (Path file : files) {
                     String name = file.getFileName().toString();
-                    lives.computeIfAbsent(name.substring(0, name.lastIndexOf('-')), life -> new TreeMap<>()).put(name, file);
+                    lives.computeIfAbsent(
+                                    name.substring(0, name.lastIndexOf('-')),
+                                    life -> new TreeMap<>())
+                            .put(name, file);
                 }
             }
         }
@@ -116,10 +123,14 @@
         beginningLost |= first && resumes >= 0;
         for (int i = 0; i < entries.size(); i++) {
             int type = types.get(i);
-            // Of what a part repeats, names and a later stamp count: the parts before it may have lost them.
+            // Of what a part repeats, names and a later stamp count: the parts before it may have
+            // lost them.
             boolean repeated = !first && i <= resumes;
-            boolean later = type == 2 && (acts.isEmpty()
-                    || entries.get(i).getInt(Long.BYTES) > acts.get(acts.size() - 1).sequence());
+            boolean later =
+                    type == 2
+                            && (acts.isEmpty()
+                                    || entries.get(i).getInt(Long.BYTES)
+                                            > acts.get(acts.size() - 1).sequence());
             if (!repeated || type == 3 || later) {
                 entry(type, entries.get(i));
             }
@@ -146,8 +157,16 @@
                 CRC32C crc = new CRC32C();
                 crc.update(in.duplicate().limit(in.position() + 48));
                 in.getInt();
-                acts.add(new Acts(at, sequence, in.getLong(), in.getLong(), in.getLong(), in.getLong(), in.getLong(),
-                        crc.getValue() == 0 ? 1 : (int) crc.getValue()));
+                acts.add(
+                        new Acts(
+                                at,
+                                sequence,
+                                in.getLong(),
+                                in.getLong(),
+                                in.getLong(),
+                                in.getLong(),
+                                in.getLong(),
+                                crc.getValue() == 0 ? 1 : (int) crc.getValue()));
             }
             case 3 -> caches.put(in.getShort() & 0xffff, text(in));
             case 5 -> {
@@ -166,7 +185,14 @@
                 in.get();
                 sent.add(new Sent(at, sequence, cache, text(in)));
             }
-            case 7 -> heard.add(new Heard(at, in.getShort() & 0xffff, in.getLong(), in.getInt(), in.getInt()));
+            case 7 ->
+                    heard.add(
+                            new Heard(
+                                    at,
+                                    in.getShort() & 0xffff,
+                                    in.getLong(),
+                                    in.getInt(),
+                                    in.getInt()));
             case 10 -> jumps.add(in.getLong());
             case 11 -> incarnations.add(in.getLong());
             case 13 -> gaps.add(new Gap(in.getLong(), at, in.getLong()));
--- a/rig/src/main/java/frostrelay/rig/campaign/Campaign.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/Campaign.java
@@ -27,8 +27,17 @@
     private final String defect;
     private final Consumer<String> lines;
 
-    /** {@code folder}: of all plays; {@code keep}: also files of plays without violations; {@code defect}: put into one balancer, or null; {@code lines}: progress. */
-    public Campaign(Matter matter, Path folder, boolean keep, CampaignPlay.Launch launch, String defect, Consumer<String> lines) {
+    /**
+     * {@code folder}: of all plays; {@code keep}: also files of plays without violations; {@code
+     * defect}: put into one balancer, or null; {@code lines}: progress.
+     */
+    public Campaign(
+            Matter matter,
+            Path folder,
+            boolean keep,
+            CampaignPlay.Launch launch,
+            String defect,
+            Consumer<String> lines) {
         this.matter = matter;
         this.folder = folder;
         this.keep = keep;
@@ -38,12 +47,14 @@
     }
 
     /** Plays all of them, {@code atOnce} at a time; outcomes in the order of the schedules. */
-    public List<CampaignPlay.Outcome> play(List<Schedule> schedules, int atOnce) throws InterruptedException, IOException {
+    public List<CampaignPlay.Outcome> play(List<Schedule> schedules, int atOnce)
+            throws InterruptedException, IOException {
         ExecutorService pool = Executors.newFixedThreadPool(atOnce);
         try {
             List<Future<CampaignPlay.Outcome>> all = new ArrayList<>();
             for (Schedule schedule : schedules) {
-                Callable<CampaignPlay.Outcome> play = () -> play(schedule, folder.resolve(schedule.name()));
+                Callable<CampaignPlay.Outcome> play =
+                        () -> play(schedule, folder.resolve(schedule.name()));
                 all.add(pool.submit(play));
             }
             List<CampaignPlay.Outcome> outcomes = new ArrayList<>();
@@ -60,10 +71,17 @@
         }
     }
 
-    private CampaignPlay.Outcome play(Schedule schedule, Path into) throws IOException, InterruptedException {
+    private CampaignPlay.Outcome play(Schedule schedule, Path into)
+            throws IOException, InterruptedException {
         CampaignPlay.Outcome outcome = CampaignPlay.play(matter, schedule, into, launch, defect);
-        lines.accept(schedule.name() + ": " + (outcome.violations().isEmpty() ? "kept" : outcome.violations().size()
-                + " violations, the first: " + outcome.violations().get(0).what()));
+        lines.accept(
+                schedule.name()
+                        + ": "
+                        + (outcome.violations().isEmpty()
+                                ? "kept"
+                                : outcome.violations().size()
+                                        + " violations, the first: "
+                                        + outcome.violations().get(0).what()));
         if (outcome.violations().isEmpty() && !keep) {
             remove(into);
         }
@@ -77,11 +95,16 @@
         for (int i = least.happenings().size() - 1; i >= 0 && plays < MOST_SHRINKS; i--) {
             Schedule fewer = least.without(i);
             Path into = folder.resolve(failing.name() + "-shrink-" + plays++);
-            boolean fails = !CampaignPlay.play(matter, fewer, into, launch, defect).violations().isEmpty();
+            boolean fails =
+                    !CampaignPlay.play(matter, fewer, into, launch, defect).violations().isEmpty();
             remove(into);
             if (fails) {
                 least = fewer;
-                lines.accept(failing.name() + ": fails with " + least.happenings().size() + " happenings");
+                lines.accept(
+                        failing.name()
+                                + ": fails with "
+                                + least.happenings().size()
+                                + " happenings");
             }
         }
         return least;
--- a/rig/src/main/java/frostrelay/rig/campaign/CampaignPlay.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/CampaignPlay.java
@@ -1,6 +1,7 @@
 package frostrelay.rig.campaign;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+
 import frostrelay.rig.client.Front;
 import frostrelay.rig.client.OpenLoop;
 import frostrelay.rig.client.Tally;
@@ -13,7 +14,9 @@
 import frostrelay.rig.fleet.Program;
 import frostrelay.rig.referee.Rule;
 import frostrelay.rig.wire.Loopback;
+
 import io.netty.util.concurrent.Future;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URI;
@@ -41,7 +44,10 @@
 import java.util.concurrent.atomic.AtomicIntegerArray;
 import java.util.stream.IntStream;
 
-/** Plays one schedule with real processes: starts them, does what it says, heals, ends them in order and judges. */
+/**
+ * Plays one schedule with real processes: starts them, does what it says, heals, ends them in order
+ * and judges.
+ */
 public final class CampaignPlay {
     /** How a balancer is started, given properties of its JVM. */
     public interface Launch {
@@ -50,15 +56,19 @@
     }
 
     /** What a play came to. {@code folder}: keeps its files where there are violations. */
-    public record Outcome(Schedule schedule, List<Violation> violations, Map<String, Object> figures, Path folder) {
-    }
+    public record Outcome(
+            Schedule schedule,
+            List<Violation> violations,
+            Map<String, Object> figures,
+            Path folder) {}
 
     private static final long MILLISECOND = 1_000_000L;
     private static final Duration CALL = Duration.ofSeconds(2);
     private static final long PENDING = 20_000 * MILLISECOND;
     private static final long STOP_MS = 6_000;
     private static final long STARVE_SLICE_MS = 100;
-    private static final String DAY = """
+    private static final String DAY =
+            """
             seed = %d
             length = "%dms"
             [fleet]
@@ -86,17 +96,26 @@
             name = "t"
             share = 1.0
             """;
+
     /** In place of a defect: the matter's own part stays off, to compare with. */
     public static final String OFF = "off";
+
     private static final long SECOND_MS = 1_000;
     private static final int RATE_EACH = 40;
-    /** So few that no balancer can judge caches by itself soon: each meets one every second or so. */
+
+    /**
+     * So few that no balancer can judge caches by itself soon: each meets one every second or so.
+     */
     private static final int FEW_EACH = 6;
+
     private static final int RETRIERS = 8;
+
     /** One in so many may be late beyond its time and grace on a machine that others share. */
     private static final int LOST_PART = 200;
+
     /** What an upgrade brings goes by this: two builds talk and keep records side by side. */
     private static final int NEXT_BUILD = 77;
+
     private static final int NEXT_FORM = 2;
 
     private final Matter matter;
@@ -111,9 +130,12 @@
     private final BalancerProcess[] running;
     private final String[] configs;
     private final long[] offsets;
-    private final ScheduledExecutorService thread = Executors.newScheduledThreadPool(8, CampaignPlay::daemon);
+    private final ScheduledExecutorService thread =
+            Executors.newScheduledThreadPool(8, CampaignPlay::daemon);
+
     /** Asks consoles, each on a thread of its own: one that is frozen keeps nobody else waiting. */
     private final ScheduledExecutorService asking;
+
     private final HttpClient http = HttpClient.newBuilder().connectTimeout(CALL).build();
     private long began;
     private DatagramRelay relay;
@@ -124,7 +146,8 @@
     private final AtomicInteger pending = new AtomicInteger();
     private final List<Retriers> retriers = new CopyOnWriteArrayList<>();
 
-    private CampaignPlay(Matter matter, Schedule schedule, Path folder, Launch launch, String defect) {
+    private CampaignPlay(
+            Matter matter, Schedule schedule, Path folder, Launch launch, String defect) {
         this.matter = matter;
         this.schedule = schedule;
         this.folder = folder;
@@ -146,7 +169,8 @@
     }
 
     /** Plays it; {@code defect}: put into the last balancer, or null. */
-    public static Outcome play(Matter matter, Schedule schedule, Path folder, Launch launch, String defect)
+    public static Outcome play(
+            Matter matter, Schedule schedule, Path folder, Launch launch, String defect)
             throws IOException, InterruptedException {
         CampaignPlay play = new CampaignPlay(matter, schedule, folder, launch, defect);
         try {
@@ -158,26 +182,45 @@
     }
 
     private Day day() {
-        return DayFile.parse("campaign", String.format(Locale.ROOT, DAY, schedule.seed() & 0xffff,
-                schedule.length() / MILLISECOND, Schedule.CACHES, names.size(),
-                (schedule.rate() > 0 ? schedule.rate() : matter == Matter.JUDGEMENTS ? FEW_EACH : RATE_EACH) * names.size()));
+        return DayFile.parse(
+                "campaign",
+                String.format(
+                        Locale.ROOT,
+                        DAY,
+                        schedule.seed() & 0xffff,
+                        schedule.length() / MILLISECOND,
+                        Schedule.CACHES,
+                        names.size(),
+                        (schedule.rate() > 0
+                                        ? schedule.rate()
+                                        : matter == Matter.JUDGEMENTS ? FEW_EACH : RATE_EACH)
+                                * names.size()));
     }
 
     /** {@code build}: the number that it goes by, 0 for its own. */
     private Program program(int place, int build, int form) {
         Path own = folder.resolve(names.get(place));
-        List<String> properties = new ArrayList<>(List.of("-Dfrostrelay.peers=on", "-Dfrostrelay.audit=on",
-                "-Dfrostrelay.audit.each=on", "-Dfrostrelay.audit.folder=audit",
-                "-Dfrostrelay.campaign.wall=" + own.resolve("wall"), "-Dfrostrelay.campaign.build=" + build,
-                "-Dfrostrelay.campaign.form=" + form));
+        List<String> properties =
+                new ArrayList<>(
+                        List.of(
+                                "-Dfrostrelay.peers=on",
+                                "-Dfrostrelay.audit=on",
+                                "-Dfrostrelay.audit.each=on",
+                                "-Dfrostrelay.audit.folder=audit",
+                                "-Dfrostrelay.campaign.wall=" + own.resolve("wall"),
+                                "-Dfrostrelay.campaign.build=" + build,
+                                "-Dfrostrelay.campaign.form=" + form));
         if (matter == Matter.JUDGEMENTS) {
             properties.add("-Dfrostrelay.stragglers=on");
             properties.add("-Dfrostrelay.judgements=" + (OFF.equals(defect) ? "off" : "on"));
             properties.add("-Dfrostrelay.counts=on");
         }
         if (matter == Matter.STRAGGLERS && !OFF.equals(defect)) {
-            properties.addAll(List.of("-Dfrostrelay.stragglers=on", "-Dfrostrelay.stragglers.holds=on",
-                    "-Dfrostrelay.stragglers.hand-over=on"));
+            properties.addAll(
+                    List.of(
+                            "-Dfrostrelay.stragglers=on",
+                            "-Dfrostrelay.stragglers.holds=on",
+                            "-Dfrostrelay.stragglers.hand-over=on"));
         }
         if (defect != null && !OFF.equals(defect) && place == names.size() - 1) {
             properties.add("-Dfrostrelay.campaign.defect=" + defect);
@@ -185,9 +228,17 @@
         List<String> command = launch.command(properties);
         for (Happening one : schedule.happenings()) {
             if (one.kind() == Happening.Kind.DISK_SMALL && one.who().contains(place)) {
-                // The system's own limit on files, in blocks of 512 bytes: a write beyond fails as on a full disk.
-                List<String> limited = new ArrayList<>(List.of("/bin/sh", "-c", "ulimit -f " + Math.round(one.amount() * 2)
-                        + " && exec \"$@\"", "sh"));
+                // The system's own limit on files, in blocks of 512 bytes: a write beyond fails as
+                // on a full disk.
+                List<String> limited =
+                        new ArrayList<>(
+                                List.of(
+                                        "/bin/sh",
+                                        "-c",
+                                        "ulimit -f "
+                                                + Math.round(one.amount() * 2)
+                                                + " && exec \"$@\"",
+                                        "sh"));
                 limited.addAll(command);
                 return new Program(limited);
             }
@@ -202,24 +253,29 @@
             Files.createDirectories(folder.resolve(names.get(i)));
             Files.writeString(folder.resolve(names.get(i)).resolve("wall"), "0");
         }
-        io.netty.channel.nio.NioEventLoopGroup group = new io.netty.channel.nio.NioEventLoopGroup(1);
+        io.netty.channel.nio.NioEventLoopGroup group =
+                new io.netty.channel.nio.NioEventLoopGroup(1);
         try {
             relay = new DatagramRelay(group.next(), talks, schedule.seed());
-            fleet = new Fleet(day(), folder, new Fleet.Each() {
-                @Override
-                public Program program(int place) {
-                    return CampaignPlay.this.program(place, 0, 1);
-                }
+            fleet =
+                    new Fleet(
+                            day(),
+                            folder,
+                            new Fleet.Each() {
+                                @Override
+                                public Program program(int place) {
+                                    return CampaignPlay.this.program(place, 0, 1);
+                                }
 
-                @Override
-                public Map<String, Object> further(int place) {
-                    Map<String, Object> further = new LinkedHashMap<>();
-                    further.put("version", 0);
-                    further.put("peer_listen", Loopback.text(talks.get(place)));
-                    further.put("peers", relay.peers(place));
-                    return further;
-                }
-            });
+                                @Override
+                                public Map<String, Object> further(int place) {
+                                    Map<String, Object> further = new LinkedHashMap<>();
+                                    further.put("version", 0);
+                                    further.put("peer_listen", Loopback.text(talks.get(place)));
+                                    further.put("peers", relay.peers(place));
+                                    return further;
+                                }
+                            });
             try {
                 return run();
             } finally {
@@ -258,7 +314,10 @@
         if (matter == Matter.JUDGEMENTS) {
             for (int i = 0; i < names.size(); i++) {
                 int place = i;
-                asking.scheduleAtFixedRate(() -> count(place), SECOND_MS + i * SECOND_MS / names.size(), SECOND_MS,
+                asking.scheduleAtFixedRate(
+                        () -> count(place),
+                        SECOND_MS + i * SECOND_MS / names.size(),
+                        SECOND_MS,
                         TimeUnit.MILLISECONDS);
             }
         }
@@ -266,10 +325,12 @@
         try {
             done.get(schedule.length() + 30_000 * MILLISECOND, TimeUnit.NANOSECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            violations.add(new Violation("play", "requests are still open long after the last: " + e));
+            violations.add(
+                    new Violation("play", "requests are still open long after the last: " + e));
         }
         // A process that took long to end is started later than planned; all of it is to be over.
-        for (long limit = history.moment() + PENDING; pending.get() > 0 && history.moment() < limit;) {
+        for (long limit = history.moment() + PENDING;
+                pending.get() > 0 && history.moment() < limit; ) {
             Thread.sleep(50);
         }
         long left = begin + schedule.length() - history.moment();
@@ -281,12 +342,14 @@
         long end = history.moment();
         List<java.util.concurrent.Future<?>> ending = new ArrayList<>();
         for (BalancerProcess process : running) {
-            ending.add(thread.submit(() -> {
-                if (process.isAlive()) {
-                    process.terminate(STOP_MS);
-                }
-                return null;
-            }));
+            ending.add(
+                    thread.submit(
+                            () -> {
+                                if (process.isAlive()) {
+                                    process.terminate(STOP_MS);
+                                }
+                                return null;
+                            }));
         }
         for (java.util.concurrent.Future<?> one : ending) {
             try {
@@ -309,16 +372,19 @@
         }
         history.write(folder.resolve("history.jsonl"));
         Files.writeString(folder.resolve("schedule.toml"), schedule.toml());
-        AuditCheck check = new AuditCheck(history, records, names, matter == Matter.STRAGGLERS, end);
+        AuditCheck check =
+                new AuditCheck(history, records, names, matter == Matter.STRAGGLERS, end);
         violations.addAll(check.run());
-        for (Rule rule : List.of(Rule.RAN_TWICE, Rule.KEYED_TWICE, Rule.FOREIGN_ANSWER, Rule.TWO_ANSWERS)) {
+        for (Rule rule :
+                List.of(Rule.RAN_TWICE, Rule.KEYED_TWICE, Rule.FOREIGN_ANSWER, Rule.TWO_ANSWERS)) {
             if (fleet.referee().count(rule) > 0) {
                 violations.add(new Violation("rules", rule + ": " + fleet.referee().breaches()));
             }
         }
         Map<String, Object> figures = new LinkedHashMap<>(check.figures());
         if (matter == Matter.STRAGGLERS) {
-            StragglerCheck further = new StragglerCheck(history, records, names, asides(), check::moment, end);
+            StragglerCheck further =
+                    new StragglerCheck(history, records, names, asides(), check::moment, end);
             List<Violation> others = further.run();
             // Without the part that is looked at, its figures are wanted, not its promises.
             violations.addAll(OFF.equals(defect) ? List.of() : others);
@@ -336,8 +402,13 @@
         for (Retriers clients : retriers) {
             figures.merge("retried", clients.answered.get(), (a, b) -> (int) a + (int) b);
             if (clients.silent.get() + clients.foreign.get() > 0) {
-                violations.add(new Violation("retriers", clients.silent + " requests got neither answer nor close, "
-                        + clients.foreign + " another's answer"));
+                violations.add(
+                        new Violation(
+                                "retriers",
+                                clients.silent
+                                        + " requests got neither answer nor close, "
+                                        + clients.foreign
+                                        + " another's answer"));
             }
         }
         lost(tally);
@@ -354,35 +425,68 @@
         return new Outcome(schedule, List.copyOf(violations), figures, folder);
     }
 
-    /** A balancer that was frozen owes nobody, nor do all that were killed at once. A late answer may be this machine's fault, a closed connection is not. */
+    /**
+     * A balancer that was frozen owes nobody, nor do all that were killed at once. A late answer
+     * may be this machine's fault, a closed connection is not.
+     */
     private void lost(Tally tally) {
-        boolean stood = schedule.happenings().stream().anyMatch(one -> one.kind() == Happening.Kind.FREEZE
-                || one.kind() == Happening.Kind.STARVE || one.who().size() == names.size()
-                && (one.kind() == Happening.Kind.KILL || one.kind() == Happening.Kind.KILL_EMPTY));
-        long closed = fleet.referee().breaches().stream().filter(one -> one.rule() == Rule.NO_ANSWER
-                && one.what().contains("connection ended")).count();
+        boolean stood =
+                schedule.happenings().stream()
+                        .anyMatch(
+                                one ->
+                                        one.kind() == Happening.Kind.FREEZE
+                                                || one.kind() == Happening.Kind.STARVE
+                                                || one.who().size() == names.size()
+                                                        && (one.kind() == Happening.Kind.KILL
+                                                                || one.kind()
+                                                                        == Happening.Kind
+                                                                                .KILL_EMPTY));
+        long closed =
+                fleet.referee().breaches().stream()
+                        .filter(
+                                one ->
+                                        one.rule() == Rule.NO_ANSWER
+                                                && one.what().contains("connection ended"))
+                        .count();
         if (closed > 0) {
-            violations.add(new Violation("lost", closed + " requests were neither answered nor excused when their connections ended"));
+            violations.add(
+                    new Violation(
+                            "lost",
+                            closed
+                                    + " requests were neither answered nor excused when their connections ended"));
         }
         if (!stood && tally.count(Tally.End.LOST) * LOST_PART > tally.asked()) {
-            violations.add(new Violation("lost", tally.count(Tally.End.LOST) + " of " + tally.asked() + " requests got no answer"));
+            violations.add(
+                    new Violation(
+                            "lost",
+                            tally.count(Tally.End.LOST)
+                                    + " of "
+                                    + tally.asked()
+                                    + " requests got no answer"));
         }
     }
 
     /** A line of a balancer's log, and when it was written by the rig's clock. */
-    private record Logged(long at, int balancer, String event, Map<String, Object> fields) {
-    }
+    private record Logged(long at, int balancer, String event, Map<String, Object> fields) {}
 
     /** Lines of all balancers' logs with one of these events, in the order of their moments. */
     private List<Logged> logged(String... events) throws IOException {
         List<Logged> all = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
-            for (String line : Files.readAllLines(folder.resolve(names.get(i)).resolve("balancer.log"))) {
+            for (String line :
+                    Files.readAllLines(folder.resolve(names.get(i)).resolve("balancer.log"))) {
                 for (String event : events) {
                     if (line.contains("\"event\":\"" + event + "\"")) {
                         Map<String, Object> fields = JSON.std.mapFrom(line);
-                        all.add(new Logged(history.ofWall(Instant.parse(String.valueOf(fields.get("time"))).toEpochMilli(), 0), i,
-                                event, fields));
+                        all.add(
+                                new Logged(
+                                        history.ofWall(
+                                                Instant.parse(String.valueOf(fields.get("time")))
+                                                        .toEpochMilli(),
+                                                0),
+                                        i,
+                                        event,
+                                        fields));
                     }
                 }
             }
@@ -393,8 +497,13 @@
 
     /** When balancers stepped aside and came back, by what they logged. */
     private List<long[]> asides() throws IOException {
-        return logged("steps-aside", "comes-back").stream().map(one -> new long[] {one.at, one.balancer,
-            one.event.equals("steps-aside") ? 1 : -1}).toList();
+        return logged("steps-aside", "comes-back").stream()
+                .map(
+                        one ->
+                                new long[] {
+                                    one.at, one.balancer, one.event.equals("steps-aside") ? 1 : -1
+                                })
+                .toList();
     }
 
     private List<JudgementCheck.Line> judgements() throws IOException {
@@ -405,8 +514,12 @@
                 caches.forEach(cache -> lowered.add(String.valueOf(cache)));
             }
             boolean found = one.event.equals("finds-bad");
-            all.add(new JudgementCheck.Line(one.at, one.balancer, found ? String.valueOf(one.fields.get("cache")) : null,
-                    found ? null : lowered));
+            all.add(
+                    new JudgementCheck.Line(
+                            one.at,
+                            one.balancer,
+                            found ? String.valueOf(one.fields.get("cache")) : null,
+                            found ? null : lowered));
         }
         return all;
     }
@@ -426,13 +539,25 @@
 
     /** What a console says; null where it says nothing that can be used. */
     private Map<String, Object> said(int place) throws IOException, InterruptedException {
-        HttpResponse<String> answer = http.send(HttpRequest.newBuilder(URI.create("http://"
-                + JSON.std.mapFrom(configs[place]).get("console") + "/ops/audit")).timeout(CALL).build(),
-                HttpResponse.BodyHandlers.ofString());
+        HttpResponse<String> answer =
+                http.send(
+                        HttpRequest.newBuilder(
+                                        URI.create(
+                                                "http://"
+                                                        + JSON.std
+                                                                .mapFrom(configs[place])
+                                                                .get("console")
+                                                        + "/ops/audit"))
+                                .timeout(CALL)
+                                .build(),
+                        HttpResponse.BodyHandlers.ofString());
         return answer.statusCode() == 200 ? JSON.std.mapFrom(answer.body()) : null;
     }
 
-    /** What a balancer counts now; one that is away or frozen says nothing, and another second it will. */
+    /**
+     * What a balancer counts now; one that is away or frozen says nothing, and another second it
+     * will.
+     */
     private void count(int place) {
         long at = history.moment();
         try {
@@ -458,7 +583,10 @@
                 }
             } catch (IOException e) {
                 if (history.up(i) && starting.get(i) == 0) {
-                    violations.add(new Violation("play", names.get(i) + " runs and its console says nothing: " + e));
+                    violations.add(
+                            new Violation(
+                                    "play",
+                                    names.get(i) + " runs and its console says nothing: " + e));
                 }
             }
         }
@@ -488,16 +616,21 @@
     private void later(Happening one, long from, Step undo) {
         pending.incrementAndGet();
         // From its beginning on: what took its time to begin is not longer for it.
-        thread.schedule(() -> {
-            try {
-                undo.run();
-                history.span(from, one);
-            } catch (IOException | InterruptedException | RuntimeException e) {
-                violations.add(new Violation("play", "the end of " + one.text() + " failed: " + e));
-            } finally {
-                pending.decrementAndGet();
-            }
-        }, Math.max(0, from + one.length() - history.moment()), TimeUnit.NANOSECONDS);
+        thread.schedule(
+                () -> {
+                    try {
+                        undo.run();
+                        history.span(from, one);
+                    } catch (IOException | InterruptedException | RuntimeException e) {
+                        violations.add(
+                                new Violation(
+                                        "play", "the end of " + one.text() + " failed: " + e));
+                    } finally {
+                        pending.decrementAndGet();
+                    }
+                },
+                Math.max(0, from + one.length() - history.moment()),
+                TimeUnit.NANOSECONDS);
     }
 
     private void ways(Happening one, java.util.function.UnaryOperator<DatagramRelay.Way> change) {
@@ -510,8 +643,10 @@
         }
     }
 
-    private void hurt(Happening one, java.util.function.UnaryOperator<DatagramRelay.Way> on,
-                      java.util.function.UnaryOperator<DatagramRelay.Way> off) {
+    private void hurt(
+            Happening one,
+            java.util.function.UnaryOperator<DatagramRelay.Way> on,
+            java.util.function.UnaryOperator<DatagramRelay.Way> off) {
         long from = history.moment();
         ways(one, on);
         later(one, from, () -> ways(one, off));
@@ -521,61 +656,156 @@
         long from = history.moment();
         switch (one.kind()) {
             case LOSS -> hurt(one, way -> way.lossy(one.amount()), way -> way.lossy(0));
-            case DELAY -> hurt(one, way -> way.delaying(MILLISECOND, (long) (one.amount() * MILLISECOND)),
-                    way -> way.delaying(0, 0));
+            case DELAY ->
+                    hurt(
+                            one,
+                            way -> way.delaying(MILLISECOND, (long) (one.amount() * MILLISECOND)),
+                            way -> way.delaying(0, 0));
             case DOUBLE -> hurt(one, way -> way.doubling(one.amount()), way -> way.doubling(0));
             case DAMAGE -> hurt(one, way -> way.damaging(one.amount()), way -> way.damaging(0));
             case SILENCE -> hurt(one, way -> way.cutting(true), way -> way.cutting(false));
             case PARTITION -> {
-                List<Integer> others = IntStream.range(0, names.size()).boxed().filter(i -> !one.who().contains(i)).toList();
-                Happening there = new Happening(one.at(), one.kind(), one.who(), others, 0, one.length());
-                Happening back = new Happening(one.at(), one.kind(), others, one.who(), 0, one.length());
+                List<Integer> others =
+                        IntStream.range(0, names.size())
+                                .boxed()
+                                .filter(i -> !one.who().contains(i))
+                                .toList();
+                Happening there =
+                        new Happening(one.at(), one.kind(), one.who(), others, 0, one.length());
+                Happening back =
+                        new Happening(one.at(), one.kind(), others, one.who(), 0, one.length());
                 ways(there, way -> way.cutting(true));
                 ways(back, way -> way.cutting(true));
-                later(one, from, () -> {
-                    ways(there, way -> way.cutting(false));
-                    ways(back, way -> way.cutting(false));
-                });
+                later(
+                        one,
+                        from,
+                        () -> {
+                            ways(there, way -> way.cutting(false));
+                            ways(back, way -> way.cutting(false));
+                        });
             }
             case FORGE -> {
-                Forgeries.all(one.who().get(0), schedule.seed() + one.at()).forEach(bytes -> one.whom().forEach(to -> {
-                    if (to.intValue() != one.who().get(0)) {
-                        relay.forge(one.who().get(0), to, bytes);
-                    }
-                }));
+                Forgeries.all(one.who().get(0), schedule.seed() + one.at())
+                        .forEach(
+                                bytes ->
+                                        one.whom()
+                                                .forEach(
+                                                        to -> {
+                                                            if (to.intValue() != one.who().get(0)) {
+                                                                relay.forge(
+                                                                        one.who().get(0),
+                                                                        to,
+                                                                        bytes);
+                                                            }
+                                                        }));
                 history.span(from, one);
             }
             case DISCOVERY_CUT -> {
                 one.who().forEach(i -> fleet.discovery().cut(names.get(i), true));
-                later(one, from, () -> one.who().forEach(i -> fleet.discovery().cut(names.get(i), false)));
+                later(
+                        one,
+                        from,
+                        () -> one.who().forEach(i -> fleet.discovery().cut(names.get(i), false)));
             }
             case DISCOVERY_LATE -> {
-                one.who().forEach(i -> fleet.discovery().late(names.get(i), (long) (one.amount() * MILLISECOND)));
-                later(one, from, () -> one.who().forEach(i -> fleet.discovery().late(names.get(i), 0)));
+                one.who()
+                        .forEach(
+                                i ->
+                                        fleet.discovery()
+                                                .late(
+                                                        names.get(i),
+                                                        (long) (one.amount() * MILLISECOND)));
+                later(
+                        one,
+                        from,
+                        () -> one.who().forEach(i -> fleet.discovery().late(names.get(i), 0)));
             }
             case DISCOVERY_OLD -> {
                 one.who().forEach(i -> fleet.discovery().pin(names.get(i), true));
-                later(one, from, () -> one.who().forEach(i -> fleet.discovery().pin(names.get(i), false)));
+                later(
+                        one,
+                        from,
+                        () -> one.who().forEach(i -> fleet.discovery().pin(names.get(i), false)));
             }
             case CACHE_CUT -> {
-                one.whom().forEach(cache -> one.who().forEach(i -> fleet.caches().get(cache).links().get(i).cut(true)));
-                later(one, from, () -> one.whom().forEach(cache -> one.who()
-                        .forEach(i -> fleet.caches().get(cache).links().get(i).cut(false))));
+                one.whom()
+                        .forEach(
+                                cache ->
+                                        one.who()
+                                                .forEach(
+                                                        i ->
+                                                                fleet.caches()
+                                                                        .get(cache)
+                                                                        .links()
+                                                                        .get(i)
+                                                                        .cut(true)));
+                later(
+                        one,
+                        from,
+                        () ->
+                                one.whom()
+                                        .forEach(
+                                                cache ->
+                                                        one.who()
+                                                                .forEach(
+                                                                        i ->
+                                                                                fleet.caches()
+                                                                                        .get(cache)
+                                                                                        .links()
+                                                                                        .get(i)
+                                                                                        .cut(
+                                                                                                false))));
             }
             case DRAIN -> {
                 for (int cache : one.whom()) {
-                    fleet.discovery().change(new Member("cache-" + (cache + 1), Member.State.TERMINATING, 0));
+                    fleet.discovery()
+                            .change(
+                                    new Member(
+                                            "cache-" + (cache + 1), Member.State.TERMINATING, 0));
                 }
-                later(one, from, () -> one.whom().forEach(cache -> fleet.discovery().change(
-                        new Member("cache-" + (cache + 1), Member.State.READY, 0))));
+                later(
+                        one,
+                        from,
+                        () ->
+                                one.whom()
+                                        .forEach(
+                                                cache ->
+                                                        fleet.discovery()
+                                                                .change(
+                                                                        new Member(
+                                                                                "cache-"
+                                                                                        + (cache
+                                                                                                + 1),
+                                                                                Member.State.READY,
+                                                                                0))));
             }
             case CACHE_SILENT -> {
                 one.whom().forEach(cache -> fleet.caches().get(cache).server().silence(true));
-                later(one, from, () -> one.whom().forEach(cache -> fleet.caches().get(cache).server().silence(false)));
+                later(
+                        one,
+                        from,
+                        () ->
+                                one.whom()
+                                        .forEach(
+                                                cache ->
+                                                        fleet.caches()
+                                                                .get(cache)
+                                                                .server()
+                                                                .silence(false)));
             }
             case CACHE_FAILS_WRITES -> {
                 one.whom().forEach(cache -> fleet.caches().get(cache).server().failWrites(true));
-                later(one, from, () -> one.whom().forEach(cache -> fleet.caches().get(cache).server().failWrites(false)));
+                later(
+                        one,
+                        from,
+                        () ->
+                                one.whom()
+                                        .forEach(
+                                                cache ->
+                                                        fleet.caches()
+                                                                .get(cache)
+                                                                .server()
+                                                                .failWrites(false)));
             }
             case ARCHIVE_SLOW -> {
                 fleet.archiveTakes(one.amount());
@@ -584,18 +814,29 @@
             case CACHE_RESTART -> {
                 for (int cache : one.whom()) {
                     Fleet.Cache met = fleet.caches().get(cache);
-                    met.server().restart(() -> fleet.discovery().change(new Member(met.server().name(),
-                            Member.State.READY, System.currentTimeMillis())));
+                    met.server()
+                            .restart(
+                                    () ->
+                                            fleet.discovery()
+                                                    .change(
+                                                            new Member(
+                                                                    met.server().name(),
+                                                                    Member.State.READY,
+                                                                    System.currentTimeMillis())));
                 }
                 history.span(from, one);
             }
             case FLAP -> flap(one, from);
-            case RETRY -> one.who().forEach(i -> {
-                Retriers clients = new Retriers(fleet.balancers().get(i).listen());
-                retriers.add(clients);
-                clients.start(RETRIERS);
-                later(one, from, clients::stop);
-            });
+            case RETRY ->
+                    one.who()
+                            .forEach(
+                                    i -> {
+                                        Retriers clients =
+                                                new Retriers(fleet.balancers().get(i).listen());
+                                        retriers.add(clients);
+                                        clients.start(RETRIERS);
+                                        later(one, from, clients::stop);
+                                    });
             case KEEP_IN, SHUT_OUT -> {
                 decide(one, one.kind().word());
                 later(one, from, () -> decide(one, "let-go"));
@@ -614,7 +855,9 @@
             }
             case WALL_CLOCK -> {
                 for (int i : one.who()) {
-                    Files.writeString(folder.resolve(names.get(i)).resolve("wall"), Long.toString((long) one.amount()));
+                    Files.writeString(
+                            folder.resolve(names.get(i)).resolve("wall"),
+                            Long.toString((long) one.amount()));
                     offsets[i] = (long) one.amount();
                     history.process(i, History.What.WALL, offsets[i]);
                 }
@@ -628,17 +871,37 @@
         long every = Math.max(1, (long) one.amount()) * MILLISECOND;
         int steps = (int) (one.length() / every);
         for (int i = 0; i < steps; i++) {
-            Member.State state = i % 2 == 0 && i < steps - 1 ? Member.State.TERMINATING : Member.State.READY;
-            thread.schedule(() -> one.whom().forEach(cache -> fleet.discovery().change(new Member("cache-" + (cache + 1), state,
-                    0))), i * every, TimeUnit.NANOSECONDS);
+            Member.State state =
+                    i % 2 == 0 && i < steps - 1 ? Member.State.TERMINATING : Member.State.READY;
+            thread.schedule(
+                    () ->
+                            one.whom()
+                                    .forEach(
+                                            cache ->
+                                                    fleet.discovery()
+                                                            .change(
+                                                                    new Member(
+                                                                            "cache-" + (cache + 1),
+                                                                            state,
+                                                                            0))),
+                    i * every,
+                    TimeUnit.NANOSECONDS);
         }
-        later(one, from, () -> { });
+        later(one, from, () -> {});
     }
 
     private void decide(Happening one, String what) throws IOException, InterruptedException {
         for (int i : one.who()) {
-            http.send(HttpRequest.newBuilder(URI.create("http://" + JSON.std.mapFrom(configs[i]).get("console")
-                    + "/ops/stragglers/" + what)).timeout(CALL).POST(HttpRequest.BodyPublishers.noBody()).build(),
+            http.send(
+                    HttpRequest.newBuilder(
+                                    URI.create(
+                                            "http://"
+                                                    + JSON.std.mapFrom(configs[i]).get("console")
+                                                    + "/ops/stragglers/"
+                                                    + what))
+                            .timeout(CALL)
+                            .POST(HttpRequest.BodyPublishers.noBody())
+                            .build(),
                     HttpResponse.BodyHandlers.discarding());
         }
     }
@@ -648,10 +911,23 @@
             for (int cache : one.whom()) {
                 try {
                     Object console = JSON.std.mapFrom(configs[i]).get("console");
-                    int status = http.send(HttpRequest.newBuilder(URI.create("http://" + console + "/ops/template-caches/"
-                            + (on ? "down" : "up"))).timeout(CALL).POST(HttpRequest.BodyPublishers.ofString(
-                            "{\"id\":\"cache-" + (cache + 1) + "\"}")).build(), HttpResponse.BodyHandlers.discarding())
-                            .statusCode();
+                    int status =
+                            http.send(
+                                            HttpRequest.newBuilder(
+                                                            URI.create(
+                                                                    "http://"
+                                                                            + console
+                                                                            + "/ops/template-caches/"
+                                                                            + (on ? "down" : "up")))
+                                                    .timeout(CALL)
+                                                    .POST(
+                                                            HttpRequest.BodyPublishers.ofString(
+                                                                    "{\"id\":\"cache-"
+                                                                            + (cache + 1)
+                                                                            + "\"}"))
+                                                    .build(),
+                                            HttpResponse.BodyHandlers.discarding())
+                                    .statusCode();
                     if (status == 200) {
                         history.held(i, "cache-" + (cache + 1), on);
                     }
@@ -677,22 +953,34 @@
             Map<String, Object> settings = new LinkedHashMap<>(map(config.get("settings")));
             Map<String, Object> ceilings = new LinkedHashMap<>(map(settings.get("ceilings")));
             // The content is the number's, and that of the other one is different.
-            ceilings.put("max-retry-after-ns", 1_000_000_000L + number * 1_000_000
-                    + (one.kind() == Happening.Kind.CONFIG_OTHER ? 500_000 : 0));
+            ceilings.put(
+                    "max-retry-after-ns",
+                    1_000_000_000L
+                            + number * 1_000_000
+                            + (one.kind() == Happening.Kind.CONFIG_OTHER ? 500_000 : 0));
             if (one.kind() == Happening.Kind.CONFIG_UNFIT) {
                 ceilings.put("multiplex", 0);
             }
-            // Where no request may be open, every one is refused. The content is the number's, whoever gets it how.
-            boolean harmful = schedule.happenings().stream().anyMatch(other -> other.kind() == Happening.Kind.CONFIG_HARMFUL
-                    && other.amount() == one.amount());
+            // Where no request may be open, every one is refused. The content is the number's,
+            // whoever gets it how.
+            boolean harmful =
+                    schedule.happenings().stream()
+                            .anyMatch(
+                                    other ->
+                                            other.kind() == Happening.Kind.CONFIG_HARMFUL
+                                                    && other.amount() == one.amount());
             ceilings.put("max-open", harmful ? 0 : 20_000);
             settings.put("ceilings", ceilings);
             config.put("settings", settings);
             configs[i] = JSON.std.asString(config);
             // One that is starting reads it then, or is told once it serves.
-            history.configured(i, number, one.kind() == Happening.Kind.CONFIG_UNFIT ? 0 : digest(configs[i]),
+            history.configured(
+                    i,
+                    number,
+                    one.kind() == Happening.Kind.CONFIG_UNFIT ? 0 : digest(configs[i]),
                     one.kind() != Happening.Kind.CONFIG_QUIET
-                    && one.kind() != Happening.Kind.CONFIG_UNFIT && starting.get(i) == 0);
+                            && one.kind() != Happening.Kind.CONFIG_UNFIT
+                            && starting.get(i) == 0);
             running[i].configure(configs[i]);
             if (one.kind() != Happening.Kind.CONFIG_QUIET) {
                 changes.incrementAndGet(i);
@@ -701,7 +989,10 @@
         }
     }
 
-    /** A process that is starting hears no signal yet, and would die of it: it is told once it serves. */
+    /**
+     * A process that is starting hears no signal yet, and would die of it: it is told once it
+     * serves.
+     */
     private void hangUp(int place) throws IOException {
         if (running[place].isAlive() && starting.get(place) == 0) {
             running[place].hangUp();
@@ -722,13 +1013,18 @@
                     front.stopped(i);
                     history.process(i, History.What.KILLED, 0);
                     process.kill();
-                    later(one, from, () -> {
-                        if (one.kind() == Happening.Kind.KILL_EMPTY) {
-                            Files.move(process.folder().resolve("tmp"), process.folder().resolve("tmp-" + from));
-                            Files.createDirectories(process.folder().resolve("tmp"));
-                        }
-                        start(i, process);
-                    });
+                    later(
+                            one,
+                            from,
+                            () -> {
+                                if (one.kind() == Happening.Kind.KILL_EMPTY) {
+                                    Files.move(
+                                            process.folder().resolve("tmp"),
+                                            process.folder().resolve("tmp-" + from));
+                                    Files.createDirectories(process.folder().resolve("tmp"));
+                                }
+                                start(i, process);
+                            });
                 }
                 case TERMINATE -> {
                     front.stopped(i);
@@ -739,10 +1035,13 @@
                 case FREEZE -> {
                     history.process(i, History.What.FROZEN, 0);
                     process.signal("STOP");
-                    later(one, from, () -> {
-                        process.signal("CONT");
-                        history.process(i, History.What.THAWED, 0);
-                    });
+                    later(
+                            one,
+                            from,
+                            () -> {
+                                process.signal("CONT");
+                                history.process(i, History.What.THAWED, 0);
+                            });
                 }
                 case STARVE -> starve(one, i, process, from);
                 case DISK -> {
@@ -752,19 +1051,24 @@
                         Files.move(audit, aside);
                     }
                     Files.writeString(audit, "not a folder");
-                    // Its temporary files may have been taken away meanwhile, and new ones have come.
-                    later(one, from, () -> {
-                        if (Files.isRegularFile(audit)) {
-                            Files.delete(audit);
-                        }
-                    });
+                    // Its temporary files may have been taken away meanwhile, and new ones have
+                    // come.
+                    later(
+                            one,
+                            from,
+                            () -> {
+                                if (Files.isRegularFile(audit)) {
+                                    Files.delete(audit);
+                                }
+                            });
                 }
                 default -> upgrade(one, i, process, from);
             }
         }
     }
 
-    private void start(int place, BalancerProcess process) throws IOException, InterruptedException {
+    private void start(int place, BalancerProcess process)
+            throws IOException, InterruptedException {
         int known = changes.get(place);
         starting.set(place, 1);
         history.process(place, History.What.STARTED, offsets[place]);
@@ -791,15 +1095,25 @@
         history.span(from, one);
     }
 
-    /** Another process of the balancer, with another console; the old one is ended once it serves. */
-    private void upgrade(Happening one, int place, BalancerProcess old, long from) throws IOException, InterruptedException {
+    /**
+     * Another process of the balancer, with another console; the old one is ended once it serves.
+     */
+    private void upgrade(Happening one, int place, BalancerProcess old, long from)
+            throws IOException, InterruptedException {
         Map<String, Object> config = new LinkedHashMap<>(JSON.std.mapFrom(configs[place]));
         config.put("console", Loopback.text(Loopback.port(Loopback.freePort())));
         configs[place] = JSON.std.asString(config);
         Fleet.Place at = fleet.balancers().get(place);
-        BalancerProcess fresh = new BalancerProcess(names.get(place), program(place, NEXT_BUILD, one.kind() == Happening.Kind.UPGRADE_FORM
-                ? NEXT_FORM : 1), old.folder(), at.listen(),
-                configs[place]);
+        BalancerProcess fresh =
+                new BalancerProcess(
+                        names.get(place),
+                        program(
+                                place,
+                                NEXT_BUILD,
+                                one.kind() == Happening.Kind.UPGRADE_FORM ? NEXT_FORM : 1),
+                        old.folder(),
+                        at.listen(),
+                        configs[place]);
         int known = changes.get(place);
         starting.set(place, 1);
         history.process(place, History.What.STARTED, offsets[place]);
@@ -824,8 +1138,15 @@
 
     private boolean ready(String console) throws InterruptedException {
         try {
-            return http.send(HttpRequest.newBuilder(URI.create("http://" + console + "/ops/readiness")).timeout(CALL)
-                    .build(), HttpResponse.BodyHandlers.discarding()).statusCode() == 200;
+            return http.send(
+                                    HttpRequest.newBuilder(
+                                                    URI.create(
+                                                            "http://" + console + "/ops/readiness"))
+                                            .timeout(CALL)
+                                            .build(),
+                                    HttpResponse.BodyHandlers.discarding())
+                            .statusCode()
+                    == 200;
         } catch (IOException e) {
             return false;
         }
--- a/rig/src/main/java/frostrelay/rig/campaign/DatagramRelay.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/DatagramRelay.java
@@ -1,6 +1,7 @@
 package frostrelay.rig.campaign;
 
 import frostrelay.rig.wire.Loopback;
+
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -10,21 +11,32 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DatagramPacket;
 import io.netty.channel.socket.nio.NioDatagramChannel;
+
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
+
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Carries datagrams between balancers, each ordered pair by a way of its own that can be hurt. Every balancer sees each
- * other one at an address of its own: what comes from there was sent by that one. Runs on one event loop; the public
- * calls may come from any thread.
+ * Carries datagrams between balancers, each ordered pair by a way of its own that can be hurt.
+ * Every balancer sees each other one at an address of its own: what comes from there was sent by
+ * that one. Runs on one event loop; the public calls may come from any thread.
  */
 final class DatagramRelay {
-    /** How one way is: parts of 1 for loss, doubles and damage, nanoseconds for the least and most delay. */
-    record Way(double loss, double doubled, double damaged, long delayLeast, long delayMost, boolean cut) {
+    /**
+     * How one way is: parts of 1 for loss, doubles and damage, nanoseconds for the least and most
+     * delay.
+     */
+    record Way(
+            double loss,
+            double doubled,
+            double damaged,
+            long delayLeast,
+            long delayMost,
+            boolean cut) {
         static final Way CLEAR = new Way(0, 0, 0, 0, 0, false);
 
         Way lossy(double part) {
@@ -50,8 +62,10 @@
 
     private final EventLoop loop;
     private final InetSocketAddress[] listens;
+
     /** Where balancer i sees balancer j, by i and j. */
     private final Channel[][] sights;
+
     private final Way[][] ways;
     private final UniformRandomProvider[][] randoms;
     private long carried;
@@ -59,7 +73,8 @@
     private long longest;
 
     /** {@code listens}: where the balancers take datagrams, in their order. */
-    DatagramRelay(EventLoop loop, List<InetSocketAddress> listens, long seed) throws InterruptedException {
+    DatagramRelay(EventLoop loop, List<InetSocketAddress> listens, long seed)
+            throws InterruptedException {
         this.loop = loop;
         this.listens = listens.toArray(InetSocketAddress[]::new);
         int count = listens.size();
@@ -69,10 +84,18 @@
         for (int from = 0; from < count; from++) {
             for (int to = 0; to < count; to++) {
                 ways[from][to] = Way.CLEAR;
-                randoms[from][to] = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 1_000_003 + from * 1_009L + to);
+                randoms[from][to] =
+                        RandomSource.XO_RO_SHI_RO_128_PP.create(
+                                seed * 1_000_003 + from * 1_009L + to);
                 if (from != to) {
-                    sights[from][to] = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                            .handler(new Sight(from, to)).bind(Loopback.port(0)).sync().channel();
+                    sights[from][to] =
+                            new Bootstrap()
+                                    .group(loop)
+                                    .channel(NioDatagramChannel.class)
+                                    .handler(new Sight(from, to))
+                                    .bind(Loopback.port(0))
+                                    .sync()
+                                    .channel();
                 }
             }
         }
@@ -82,7 +105,11 @@
     List<String> peers(int of) {
         List<String> peers = new ArrayList<>();
         for (int to = 0; to < listens.length; to++) {
-            peers.add(Loopback.text(to == of ? listens[of] : (InetSocketAddress) sights[of][to].localAddress()));
+            peers.add(
+                    Loopback.text(
+                            to == of
+                                    ? listens[of]
+                                    : (InetSocketAddress) sights[of][to].localAddress()));
         }
         return peers;
     }
@@ -94,12 +121,17 @@
 
     /** Sends bytes to a balancer as though another had: what a broken or hostile one may send. */
     void forge(int from, int to, byte[] bytes) {
-        loop.execute(() -> sights[to][from].writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), listens[to])));
+        loop.execute(
+                () ->
+                        sights[to][from].writeAndFlush(
+                                new DatagramPacket(Unpooled.wrappedBuffer(bytes), listens[to])));
     }
 
     /** Datagrams and bytes that balancers have sent, and the longest datagram. */
     long[] carried() {
-        return loop.submit(() -> new long[] {carried, carriedBytes, longest}).syncUninterruptibly().getNow();
+        return loop.submit(() -> new long[] {carried, carriedBytes, longest})
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** What a balancer sends to the address at which it sees another. */
@@ -137,8 +169,12 @@
                 int at = random.nextInt(copy.readableBytes());
                 copy.setByte(at, copy.getByte(at) ^ 1 << random.nextInt(8));
             }
-            long delay = way.delayMost <= 0 ? 0 : way.delayLeast + random.nextLong(way.delayMost - way.delayLeast + 1);
-            Runnable send = () -> sights[to][from].writeAndFlush(new DatagramPacket(copy, listens[to]));
+            long delay =
+                    way.delayMost <= 0
+                            ? 0
+                            : way.delayLeast + random.nextLong(way.delayMost - way.delayLeast + 1);
+            Runnable send =
+                    () -> sights[to][from].writeAndFlush(new DatagramPacket(copy, listens[to]));
             if (delay == 0) {
                 send.run();
             } else {
--- a/rig/src/main/java/frostrelay/rig/campaign/Forgeries.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/Forgeries.java
@@ -1,20 +1,25 @@
 package frostrelay.rig.campaign;
 
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
+
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.zip.CRC32C;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.simple.RandomSource;
 
-/** Datagrams that a broken or hostile balancer may send, by the wire form in docs/design/peers.md. */
+/**
+ * Datagrams that a broken or hostile balancer may send, by the wire form in docs/design/peers.md.
+ */
 final class Forgeries {
-    private Forgeries() {
-    }
+    private Forgeries() {}
 
-    /** As from one balancer: whole and lying, damaged, foreign, empty, too long, endless in their own lengths. */
+    /**
+     * As from one balancer: whole and lying, damaged, foreign, empty, too long, endless in their
+     * own lengths.
+     */
     static List<byte[]> all(int sender, long seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         List<byte[]> all = new ArrayList<>();
@@ -25,12 +30,24 @@
         all.add(new byte[400]);
         // A stamp with list and configuration 2^63 - 1, which somebody is said to act on.
         ByteBuffer far = head(sender);
-        far.put((byte) 2).put((byte) 48).putInt(1).putLong(Long.MAX_VALUE).putLong(1).putLong(Long.MAX_VALUE)
-                .putLong(1).putLong(0).putInt(0);
+        far.put((byte) 2)
+                .put((byte) 48)
+                .putInt(1)
+                .putLong(Long.MAX_VALUE)
+                .putLong(1)
+                .putLong(Long.MAX_VALUE)
+                .putLong(1)
+                .putLong(0)
+                .putInt(0);
         all.add(sum(far));
         // An incarnation behind all that can be, of balancer 1, and that it is gone.
         ByteBuffer gone = head(sender);
-        gone.put((byte) 4).put((byte) 10).putShort((short) 0).putShort((short) 0xffff).putInt(-1).putShort((short) sender);
+        gone.put((byte) 4)
+                .put((byte) 10)
+                .putShort((short) 0)
+                .putShort((short) 0xffff)
+                .putInt(-1)
+                .putShort((short) sender);
         all.add(sum(gone));
         // Sections that say they are longer than the datagram.
         ByteBuffer endless = head(sender);
@@ -44,7 +61,10 @@
         for (int section : new int[] {8, 16}) {
             ByteBuffer away = head(sender);
             for (int cache = 1; cache <= Schedule.CACHES; cache++) {
-                away.put((byte) section).put((byte) 16).putLong(Long.MAX_VALUE).putLong(fnv("cache-" + cache));
+                away.put((byte) section)
+                        .put((byte) 16)
+                        .putLong(Long.MAX_VALUE)
+                        .putLong(fnv("cache-" + cache));
             }
             all.add(sum(away));
         }
@@ -53,8 +73,15 @@
             ByteBuffer dead = head(sender);
             dead.putInt(10, Math.abs(random.nextInt()) + life);
             for (int cache = 1; cache <= Schedule.CACHES / 2; cache++) {
-                dead.put((byte) 32).put((byte) 18).putLong(fnv("cache-" + cache)).putShort((short) life).putInt(0).put((byte) 0)
-                        .put((byte) 0).put((byte) 255).put((byte) 63);
+                dead.put((byte) 32)
+                        .put((byte) 18)
+                        .putLong(fnv("cache-" + cache))
+                        .putShort((short) life)
+                        .putInt(0)
+                        .put((byte) 0)
+                        .put((byte) 0)
+                        .put((byte) 255)
+                        .put((byte) 63);
             }
             all.add(sum(dead));
         }
@@ -62,8 +89,16 @@
         ByteBuffer brought = head(sender);
         brought.put((byte) 33).put((byte) (4 * 26));
         for (int writer = 0; writer < 4; writer++) {
-            brought.putShort((short) (writer * 3)).putShort((short) 0).putInt(1).putLong(fnv("cache-" + (1 + writer % 3)))
-                    .putShort((short) 9).putInt(0).put((byte) 0).put((byte) 0).put((byte) 255).put((byte) 63);
+            brought.putShort((short) (writer * 3))
+                    .putShort((short) 0)
+                    .putInt(1)
+                    .putLong(fnv("cache-" + (1 + writer % 3)))
+                    .putShort((short) 9)
+                    .putInt(0)
+                    .put((byte) 0)
+                    .put((byte) 0)
+                    .put((byte) 255)
+                    .put((byte) 63);
         }
         all.add(sum(brought));
         // It did more than anybody can.
@@ -81,7 +116,12 @@
         all.add(sum(fails));
         // A piece of settings that nobody asked for, of a count that none has.
         ByteBuffer piece = head(sender);
-        piece.put((byte) 19).put((byte) 20).putLong(1).putShort((short) -1).putShort((short) 0).putLong(7);
+        piece.put((byte) 19)
+                .put((byte) 20)
+                .putLong(1)
+                .putShort((short) -1)
+                .putShort((short) 0)
+                .putLong(7);
         all.add(sum(piece));
         byte[] torn = sum(head(sender));
         all.add(Arrays.copyOf(torn, torn.length - 3));
@@ -98,8 +138,17 @@
     }
 
     private static ByteBuffer head(int sender) {
-        return ByteBuffer.allocate(256).putShort((short) 0xF05E).put((byte) 1).put((byte) 1).put((byte) 4).put((byte) 0)
-                .putShort((short) sender).putShort((short) 0).putInt(1).putInt(99).putShort((short) 0xffff);
+        return ByteBuffer.allocate(256)
+                .putShort((short) 0xF05E)
+                .put((byte) 1)
+                .put((byte) 1)
+                .put((byte) 4)
+                .put((byte) 0)
+                .putShort((short) sender)
+                .putShort((short) 0)
+                .putInt(1)
+                .putInt(99)
+                .putShort((short) 0xffff);
     }
 
     private static byte[] sum(ByteBuffer out) {
--- a/rig/src/main/java/frostrelay/rig/campaign/Happening.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/Happening.java
@@ -5,14 +5,16 @@
 import java.util.Locale;
 
 /**
- * Something that a campaign does. {@code at} and {@code length}: nanoseconds, from the play's start; {@code who} and
- * {@code whom}: what {@link Kind} says; {@code amount}: likewise.
+ * Something that a campaign does. {@code at} and {@code length}: nanoseconds, from the play's
+ * start; {@code who} and {@code whom}: what {@link Kind} says; {@code amount}: likewise.
  */
-public record Happening(long at, Kind kind, List<Integer> who, List<Integer> whom, double amount, long length) {
+public record Happening(
+        long at, Kind kind, List<Integer> who, List<Integer> whom, double amount, long length) {
     /** What can happen. */
     public enum Kind {
         LOSS("Datagrams from who to whom are lost: amount is the part of 1."),
-        DELAY("Datagrams from who to whom take up to amount milliseconds, and so overtake each other."),
+        DELAY(
+                "Datagrams from who to whom take up to amount milliseconds, and so overtake each other."),
         DOUBLE("Datagrams from who to whom come twice: amount is the part of 1."),
         DAMAGE("Datagrams from who to whom have a bit flipped: amount is the part of 1."),
         SILENCE("Nothing comes from who to whom; the other way is as it was."),
@@ -30,13 +32,16 @@
         STARVE("Processes of who run for a part of the time only: amount of 1."),
         WALL_CLOCK("The wall clocks of who are off by amount milliseconds."),
         DISK("The audit's folder of who cannot be written: a file stands in its place."),
-        DISK_SMALL("No file of who can be longer than amount KiB, from its start on: what goes beyond is refused."),
+        DISK_SMALL(
+                "No file of who can be longer than amount KiB, from its start on: what goes beyond is refused."),
         CONFIG("Who get configuration number amount and are told so."),
         CONFIG_OTHER("Who get other content under number amount, and are told so."),
         CONFIG_QUIET("Who get configuration number amount and are not told."),
         CONFIG_BAD("Who get half of a configuration and are told so."),
-        CONFIG_UNFIT("Who get a configuration under number amount that no balancer can use, and are told so."),
-        CONFIG_HARMFUL("Who get a configuration under number amount by which they refuse nearly all, and are told so."),
+        CONFIG_UNFIT(
+                "Who get a configuration under number amount that no balancer can use, and are told so."),
+        CONFIG_HARMFUL(
+                "Who get a configuration under number amount by which they refuse nearly all, and are told so."),
         DRAIN("Cache whom drains; it is back when it is over."),
         FLAP("Cache whom drains and is back in turn, every amount milliseconds, until it is over."),
         HOLD("Operators hold cache whom at balancers who."),
@@ -44,7 +49,8 @@
         CACHE_RESTART("Cache whom is killed and starts cold."),
         CACHE_FAILS_WRITES("Cache whom answers each write that it failed; reads go on."),
         ARCHIVE_SLOW("The archive behind all caches takes amount times as long."),
-        RETRY("Clients that stay with balancers who send the next read at once, whatever the answer, until it is over."),
+        RETRY(
+                "Clients that stay with balancers who send the next read at once, whatever the answer, until it is over."),
         KEEP_IN("Operators keep balancers who in, however far they lag behind, until it is over."),
         SHUT_OUT("Operators shut balancers who out until it is over."),
         UPGRADE_FORM("As upgrade, to a build that writes another form of datagrams."),
@@ -75,8 +81,14 @@
 
     /** In a few words. */
     public String text() {
-        return String.format(Locale.ROOT, "%.1fs %s%s%s%s%s", at / 1e9, kind.word(),
-                who.isEmpty() ? "" : " who " + who, whom.isEmpty() ? "" : " whom " + whom,
-                amount == 0 ? "" : " amount " + amount, length == 0 ? "" : String.format(Locale.ROOT, " for %.1fs", length / 1e9));
+        return String.format(
+                Locale.ROOT,
+                "%.1fs %s%s%s%s%s",
+                at / 1e9,
+                kind.word(),
+                who.isEmpty() ? "" : " who " + who,
+                whom.isEmpty() ? "" : " whom " + whom,
+                amount == 0 ? "" : " amount " + amount,
+                length == 0 ? "" : String.format(Locale.ROOT, " for %.1fs", length / 1e9));
     }
 }
--- a/rig/src/main/java/frostrelay/rig/campaign/History.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/History.java
@@ -1,6 +1,7 @@
 package frostrelay.rig.campaign;
 
 import frostrelay.rig.referee.Referee;
+
 import java.io.IOException;
 import java.io.Writer;
 import java.nio.file.Files;
@@ -11,38 +12,49 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Who did what to whom, seen from the stand-ins, on the rig's one clock (nanoseconds from the play's start). Safe for threads. */
+/**
+ * Who did what to whom, seen from the stand-ins, on the rig's one clock (nanoseconds from the
+ * play's start). Safe for threads.
+ */
 public final class History implements Referee.Watcher {
     /** A command that came to a cache. */
-    public record Command(long at, String cache, String balancer, String id) {
-    }
+    public record Command(long at, String cache, String balancer, String id) {}
 
     /** A balancer was told the list up to a version; {@code balancer}: its name. */
-    public record Told(long at, String balancer, long rev) {
-    }
+    public record Told(long at, String balancer, long rev) {}
 
-    /** A configuration was put in a balancer's place; {@code told}: and a signal sent; {@code digest}: 0 for one that cannot be used. */
-    public record Configured(long at, int balancer, long number, long digest, boolean told) {
-    }
+    /**
+     * A configuration was put in a balancer's place; {@code told}: and a signal sent; {@code
+     * digest}: 0 for one that cannot be used.
+     */
+    public record Configured(long at, int balancer, long number, long digest, boolean told) {}
 
     /** Operators hold a cache at a balancer from then on, or no longer; it said yes. */
-    public record Held(long at, int balancer, String cache, boolean on) {
-    }
+    public record Held(long at, int balancer, String cache, boolean on) {}
 
     /** A process began or ended; {@code offset}: of its wall clock in milliseconds. */
-    public record Process(long at, int balancer, What what, long offset) {
-    }
+    public record Process(long at, int balancer, What what, long offset) {}
 
     /** What became of a process. */
-    public enum What { STARTED, KILLED, FROZEN, THAWED, TERMINATED, STARVED, FED, WALL }
-
-    /** What a balancer's console said of itself and the others, asked at one moment and answered by the other. */
-    public record Look(long at, long until, int balancer, Map<String, Object> said) {
+    public enum What {
+        STARTED,
+        KILLED,
+        FROZEN,
+        THAWED,
+        TERMINATED,
+        STARVED,
+        FED,
+        WALL
     }
 
+    /**
+     * What a balancer's console said of itself and the others, asked at one moment and answered by
+     * the other.
+     */
+    public record Look(long at, long until, int balancer, Map<String, Object> said) {}
+
     /** A span in which balancers could not hear each other well, or a disk or a cache was away. */
-    public record Span(long from, long to, Happening happening) {
-    }
+    public record Span(long from, long to, Happening happening) {}
 
     private final long start = System.nanoTime();
     private final long startWallMs = System.currentTimeMillis();
@@ -54,6 +66,7 @@
     private final List<Process> processes = new ArrayList<>();
     private final List<Span> spans = new ArrayList<>();
     private final List<Look> looks = new ArrayList<>();
+
     /** Likewise, second by second, for what it counts alone. */
     private final List<Look> counted = new ArrayList<>();
 
@@ -128,7 +141,10 @@
         return now();
     }
 
-    /** When, on this clock, a wall clock that is off by {@code offset} showed a time in Unix milliseconds. */
+    /**
+     * When, on this clock, a wall clock that is off by {@code offset} showed a time in Unix
+     * milliseconds.
+     */
     long ofWall(long wallMs, long offset) {
         return (wallMs - offset - startWallMs) * 1_000_000L;
     }
@@ -161,7 +177,17 @@
     synchronized void write(Path file) throws IOException {
         try (Writer out = Files.newBufferedWriter(file)) {
             for (Command one : commands) {
-                line(out, "command", "at", one.at, "cache", one.cache, "balancer", one.balancer, "id", one.id);
+                line(
+                        out,
+                        "command",
+                        "at",
+                        one.at,
+                        "cache",
+                        one.cache,
+                        "balancer",
+                        one.balancer,
+                        "id",
+                        one.id);
             }
             for (Told one : told) {
                 line(out, "told", "at", one.at, "balancer", one.balancer, "rev", one.rev);
@@ -170,20 +196,57 @@
                 line(out, "version", "rev", one.getKey(), "caches", one.getValue());
             }
             for (Configured one : configured) {
-                line(out, "configured", "at", one.at, "balancer", one.balancer, "number", one.number, "digest",
+                line(
+                        out,
+                        "configured",
+                        "at",
+                        one.at,
+                        "balancer",
+                        one.balancer,
+                        "number",
+                        one.number,
+                        "digest",
                         Long.toHexString(one.digest));
             }
             for (Held one : holds) {
-                line(out, "held", "at", one.at, "balancer", one.balancer, "cache", one.cache, "on", one.on);
+                line(
+                        out,
+                        "held",
+                        "at",
+                        one.at,
+                        "balancer",
+                        one.balancer,
+                        "cache",
+                        one.cache,
+                        "on",
+                        one.on);
             }
             for (Process one : processes) {
-                line(out, "process", "at", one.at, "balancer", one.balancer, "what", one.what.name(), "offset", one.offset);
+                line(
+                        out,
+                        "process",
+                        "at",
+                        one.at,
+                        "balancer",
+                        one.balancer,
+                        "what",
+                        one.what.name(),
+                        "offset",
+                        one.offset);
             }
             for (Look one : looks) {
                 line(out, "look", "at", one.at, "balancer", one.balancer, "said", one.said);
             }
             for (Span one : spans) {
-                line(out, "span", "from", one.from, "to", one.to, "happening", one.happening.text());
+                line(
+                        out,
+                        "span",
+                        "from",
+                        one.from,
+                        "to",
+                        one.to,
+                        "happening",
+                        one.happening.text());
             }
         }
     }
--- a/rig/src/main/java/frostrelay/rig/campaign/Matter.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/Matter.java
@@ -4,11 +4,16 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What a campaign is about: how balancers are started, what is drawn, and which checks come on top of the audit's. */
+/**
+ * What a campaign is about: how balancers are started, what is drawn, and which checks come on top
+ * of the audit's.
+ */
 public enum Matter {
     AUDIT("Who acted on which version: records against what the stand-ins saw."),
-    STRAGGLERS("Balancers that act on old lists are brought up, avoid what others know as gone, and never too many step aside."),
-    JUDGEMENTS("What balancers see of caches is told: a dead one is soon lowered by all, a healthy one hardly ever.");
+    STRAGGLERS(
+            "Balancers that act on old lists are brought up, avoid what others know as gone, and never too many step aside."),
+    JUDGEMENTS(
+            "What balancers see of caches is told: a dead one is soon lowered by all, a healthy one hardly ever.");
 
     /** In a sentence. */
     public final String meaning;
--- a/rig/src/main/java/frostrelay/rig/campaign/Retriers.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/Retriers.java
@@ -14,15 +14,18 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Clients that stay with one balancer whatever it says: each sends a read, and on any answer, or where its connection is closed,
- * the next one at once. They count what was answered, what was closed without an answer behind a whole request on a connection
- * that had answered before, which a client sends once more, and what was neither answered nor closed in its time.
+ * Clients that stay with one balancer whatever it says: each sends a read, and on any answer, or
+ * where its connection is closed, the next one at once. They count what was answered, what was
+ * closed without an answer behind a whole request on a connection that had answered before, which a
+ * client sends once more, and what was neither answered nor closed in its time.
  */
 final class Retriers {
     private static final int WAIT_MS = 2_000;
     private static final int GRACE_MS = 1_000;
+
     /** Requests of one client in a play: the loop is bounded, whatever it meets. */
     private static final int MOST = 20_000;
+
     private static final int BETWEEN_CONNECTS_MS = 5;
 
     private final InetSocketAddress address;
@@ -54,9 +57,16 @@
                 socket.connect(address, GRACE_MS);
                 socket.setSoTimeout(WAIT_MS + GRACE_MS);
                 socket.setTcpNoDelay(true);
-                BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
+                BufferedReader in =
+                        new BufferedReader(
+                                new InputStreamReader(
+                                        socket.getInputStream(), StandardCharsets.ISO_8859_1));
                 for (boolean first = true; !over && number < MOST; first = false) {
-                    if (!one(socket.getOutputStream(), in, String.format(Locale.ROOT, "f%02x%013x", client, ++number), first)) {
+                    if (!one(
+                            socket.getOutputStream(),
+                            in,
+                            String.format(Locale.ROOT, "f%02x%013x", client, ++number),
+                            first)) {
                         break;
                     }
                 }
@@ -72,13 +82,22 @@
     }
 
     /** Whether the connection goes on. */
-    private boolean one(OutputStream out, BufferedReader in, String id, boolean first) throws IOException {
-        out.write(("mg key-" + id.charAt(id.length() - 1) + " v O" + id + " Pc=read,t=t,d=" + WAIT_MS + ",h=1000\r\n")
-                .getBytes(StandardCharsets.ISO_8859_1));
+    private boolean one(OutputStream out, BufferedReader in, String id, boolean first)
+            throws IOException {
+        out.write(
+                ("mg key-"
+                                + id.charAt(id.length() - 1)
+                                + " v O"
+                                + id
+                                + " Pc=read,t=t,d="
+                                + WAIT_MS
+                                + ",h=1000\r\n")
+                        .getBytes(StandardCharsets.ISO_8859_1));
         try {
             String line = in.readLine();
             if (line == null) {
-                // A connection that was just made, or one that went idle a moment ago: closes cross requests.
+                // A connection that was just made, or one that went idle a moment ago: closes cross
+                // requests.
                 closed.addAndGet(first ? 0 : 1);
                 return false;
             }
