--- a/rig/src/main/java/frostrelay/rig/campaign/ScheduleFile.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/ScheduleFile.java
@@ -5,6 +5,7 @@
 import frostrelay.config.Table;
 import frostrelay.config.TomlFile;
 import frostrelay.config.Values;
+
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,8 +13,7 @@
 
 /** The form of a schedule in TOML, and what must hold beyond the form. */
 public final class ScheduleFile {
-    private ScheduleFile() {
-    }
+    private ScheduleFile() {}
 
     /** The form, for checks and for the page that describes it. */
     public static Table form() {
@@ -22,14 +22,25 @@
                 .whole("seed", 1L, 0, Long.MAX_VALUE, "Of requests and of what datagrams meet.")
                 .whole("processes", 5L, 2, 12, "Balancers.")
                 .duration("length", "12s", "4s", "600s", "From when all serve until the judgement.")
-                .whole("rate", 0L, 0, 10_000, "Requests a second for each balancer; 0 for what its matter has.")
-                .list("happening", 1_000, new Table("Something that happens.")
-                        .duration("at", null, "0ms", "600s", "From the start.")
-                        .choice("kind", null, Happening.Kind.words(), "What happens.")
-                        .text("who", "", "Balancers by their numbers from 1, spaces between.")
-                        .text("whom", "", "Balancers or caches, likewise.")
-                        .number("amount", 0.0, -1e9, 1e9, "How much.")
-                        .duration("for", "0ms", "0ms", "600s", "After this it is undone."));
+                .whole(
+                        "rate",
+                        0L,
+                        0,
+                        10_000,
+                        "Requests a second for each balancer; 0 for what its matter has.")
+                .list(
+                        "happening",
+                        1_000,
+                        new Table("Something that happens.")
+                                .duration("at", null, "0ms", "600s", "From the start.")
+                                .choice("kind", null, Happening.Kind.words(), "What happens.")
+                                .text(
+                                        "who",
+                                        "",
+                                        "Balancers by their numbers from 1, spaces between.")
+                                .text("whom", "", "Balancers or caches, likewise.")
+                                .number("amount", 0.0, -1e9, 1e9, "How much.")
+                                .duration("for", "0ms", "0ms", "600s", "After this it is undone."));
     }
 
     /** Reads one; throws {@link BadConfigException} with all that is wrong. */
@@ -48,34 +59,74 @@
         int processes = (int) values.whole("processes");
         List<Happening> all = new ArrayList<>();
         for (Values one : values.list("happening")) {
-            Happening.Kind kind = Happening.Kind.valueOf(one.text("kind").toUpperCase(Locale.ROOT).replace('-', '_'));
-            boolean caches = switch (kind) {
-                case CACHE_CUT, DRAIN, FLAP, HOLD, CACHE_SILENT, CACHE_RESTART, CACHE_FAILS_WRITES -> true;
-                default -> false;
-            };
-            Happening happening = new Happening(one.whole("at"), kind, places(file, one, "who", processes, problems),
-                    places(file, one, "whom", caches ? Schedule.CACHES : processes, problems), one.number("amount"),
-                    one.whole("for"));
+            Happening.Kind kind =
+                    Happening.Kind.valueOf(
+                            one.text("kind").toUpperCase(Locale.ROOT).replace('-', '_'));
+            boolean caches =
+                    switch (kind) {
+                        case CACHE_CUT,
+                                DRAIN,
+                                FLAP,
+                                HOLD,
+                                CACHE_SILENT,
+                                CACHE_RESTART,
+                                CACHE_FAILS_WRITES ->
+                                true;
+                        default -> false;
+                    };
+            Happening happening =
+                    new Happening(
+                            one.whole("at"),
+                            kind,
+                            places(file, one, "who", processes, problems),
+                            places(
+                                    file,
+                                    one,
+                                    "whom",
+                                    caches ? Schedule.CACHES : processes,
+                                    problems),
+                            one.number("amount"),
+                            one.whole("for"));
             if (happening.end() > values.whole("length")) {
-                problems.add(new Problem(file, one.line(), "happening.at", "an end past the length", "at most the length"));
+                problems.add(
+                        new Problem(
+                                file,
+                                one.line(),
+                                "happening.at",
+                                "an end past the length",
+                                "at most the length"));
             }
             all.add(happening);
         }
         if (!problems.isEmpty()) {
             throw new BadConfigException(problems);
         }
-        return new Schedule(values.text("name"), values.whole("seed"), processes, values.whole("length"),
-                (int) values.whole("rate"), all);
+        return new Schedule(
+                values.text("name"),
+                values.whole("seed"),
+                processes,
+                values.whole("length"),
+                (int) values.whole("rate"),
+                all);
     }
 
-    private static List<Integer> places(String file, Values one, String key, int most, List<Problem> problems) {
+    private static List<Integer> places(
+            String file, Values one, String key, int most, List<Problem> problems) {
         List<Integer> places = new ArrayList<>();
         for (String word : one.text(key).split(" ")) {
             if (word.isEmpty()) {
                 continue;
             }
-            if (!word.matches("\\d{1,4}") || Integer.parseInt(word) < 1 || Integer.parseInt(word) > most) {
-                problems.add(new Problem(file, one.line(), "happening." + key, '"' + word + '"', "1 to " + most));
+            if (!word.matches("\\d{1,4}")
+                    || Integer.parseInt(word) < 1
+                    || Integer.parseInt(word) > most) {
+                problems.add(
+                        new Problem(
+                                file,
+                                one.line(),
+                                "happening." + key,
+                                '"' + word + '"',
+                                "1 to " + most));
             } else {
                 places.add(Integer.parseInt(word) - 1);
             }
--- a/rig/src/main/java/frostrelay/rig/campaign/SettingsDigest.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/SettingsDigest.java
@@ -10,20 +10,24 @@
 
 /** The digests that docs/audit.md states, computed apart from the balancer. */
 final class SettingsDigest {
-    private SettingsDigest() {
-    }
+    private SettingsDigest() {}
 
     /** The first 8 bytes of a text's SHA-256. */
     static long of(String text) {
         try {
-            return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8)))
+            return ByteBuffer.wrap(
+                            MessageDigest.getInstance("SHA-256")
+                                    .digest(text.getBytes(StandardCharsets.UTF_8)))
                     .getLong();
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** Of settings: each value on a line PATH=VALUE, sorted, without what differs from balancer to balancer. */
+    /**
+     * Of settings: each value on a line PATH=VALUE, sorted, without what differs from balancer to
+     * balancer.
+     */
     static long settings(Map<?, ?> settings) {
         TreeMap<String, String> lines = new TreeMap<>();
         settings.forEach((name, value) -> walk(String.valueOf(name), value, lines));
@@ -63,7 +67,8 @@
     static long list(Map<String, String> caches) {
         long sum = 0;
         for (Map.Entry<String, String> cache : caches.entrySet()) {
-            String state = cache.getValue().replace("Ready", "READY").replace("Terminating", "DRAINING");
+            String state =
+                    cache.getValue().replace("Ready", "READY").replace("Terminating", "DRAINING");
             sum += of(cache.getKey() + '|' + state);
         }
         return sum;
--- a/rig/src/main/java/frostrelay/rig/campaign/Violation.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/Violation.java
@@ -1,5 +1,4 @@
 package frostrelay.rig.campaign;
 
 /** What a checker found: which check, and the facts. */
-public record Violation(String check, String what) {
-}
+public record Violation(String check, String what) {}
--- a/rig/src/main/java/frostrelay/rig/client/OpenLoop.java
+++ b/rig/src/main/java/frostrelay/rig/client/OpenLoop.java
@@ -8,6 +8,7 @@
 import frostrelay.rig.referee.Referee.Ending;
 import frostrelay.rig.wire.MetaCodec;
 import frostrelay.rig.wire.MetaMessage;
+
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -19,6 +20,10 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.util.concurrent.Future;
 import io.netty.util.concurrent.Promise;
+
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
+
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -26,33 +31,50 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Clients in an open loop: each request goes out at its planned time, whatever became of those before it. A try that
- * was refused or failed is made again where its class allows it, under a new id. Runs on one event loop.
+ * Clients in an open loop: each request goes out at its planned time, whatever became of those
+ * before it. A try that was refused or failed is made again where its class allows it, under a new
+ * id. Runs on one event loop.
  */
 public final class OpenLoop {
-    /** On top of what the client said it waits, for the way and for how late this program itself may be. */
+    /**
+     * On top of what the client said it waits, for the way and for how late this program itself may
+     * be.
+     */
     private static final long GRACE = 250_000_000L;
+
     private static final long MILLISECOND = 1_000_000L;
     private static final int CONNECT_MS = 500;
     private static final int LEAST_PATIENCE_MS = 20;
     private static final int MOST_CATCH_UP = 64;
-    /** A close can cross a request only if that was sent so shortly before: what came earlier was read. */
+
+    /**
+     * A close can cross a request only if that was sent so shortly before: what came earlier was
+     * read.
+     */
     private static final long CROSSING = 300_000_000L;
-    /** A timer that is later than this shows that this program was held up, and what it waits for may be there unread. */
+
+    /**
+     * A timer that is later than this shows that this program was held up, and what it waits for
+     * may be there unread.
+     */
     private static final long MOST_BEHIND = 50_000_000L;
+
     private static final int LOOK_AGAIN_MS = 200;
     private static final int LEAST_LEAVE_MS = 2;
+
     /** Between the two pieces of a request that is written slowly. */
     private static final int MOST_PIECES_APART_MS = 400;
 
     private final Day day;
     private final RequestPlan plan;
-    /** Which clients leave or write slowly; apart from the plan, which stays the same without them. */
+
+    /**
+     * Which clients leave or write slowly; apart from the plan, which stays the same without them.
+     */
     private final UniformRandomProvider manners;
+
     private final Front front;
     private final EventLoop loop;
     private final ClientWatch watch;
@@ -76,16 +98,18 @@
         this.watch = watch;
         this.tally = tally;
         this.done = loop.newPromise();
-        // Ids differ from run to run against one balancer, and are the same in two runs of one seed but for this.
+        // Ids differ from run to run against one balancer, and are the same in two runs of one seed
+        // but for this.
         this.run = String.format(Locale.ROOT, "%05x", day.seed() & 0xfffff);
     }
 
     /** Begins; done when the last request has ended. */
     public Future<Tally> run() {
-        loop.execute(() -> {
-            start = System.nanoTime();
-            next(plan.next(surge));
-        });
+        loop.execute(
+                () -> {
+                    start = System.nanoTime();
+                    next(plan.next(surge));
+                });
         return done;
     }
 
@@ -96,10 +120,11 @@
 
     /** No further first tries. */
     public void stop() {
-        loop.execute(() -> {
-            over = true;
-            finishIfDone();
-        });
+        loop.execute(
+                () -> {
+                    over = true;
+                    finishIfDone();
+                });
     }
 
     private void next(Planned planned) {
@@ -153,6 +178,7 @@
         private Future<?> limit;
         private Future<?> leaving;
         private boolean lookedAgain;
+
         /** When its last byte was written; 0 before. */
         private long writtenAt;
 
@@ -170,7 +196,14 @@
             resent = false;
             sentAt = System.nanoTime();
             ClassSpec requestClass = planned.requestClass();
-            waitMs = (int) Math.max(LEAST_PATIENCE_MS, Math.min(requestClass.deadline() * planned.patience(), giveUp - sentAt) / MILLISECOND);
+            waitMs =
+                    (int)
+                            Math.max(
+                                    LEAST_PATIENCE_MS,
+                                    Math.min(
+                                                    requestClass.deadline() * planned.patience(),
+                                                    giveUp - sentAt)
+                                            / MILLISECOND);
             tally.tried();
             watch.asked(sentAt, id, intent, requestClass.effect());
             limit = null;
@@ -236,30 +269,52 @@
         ByteBuf encode(io.netty.buffer.ByteBufAllocator alloc) {
             ClassSpec requestClass = planned.requestClass();
             long left = Math.max(1, waitMs - (System.nanoTime() - sentAt) / MILLISECOND);
-            String figures = " O" + id + " Pc=" + requestClass.name() + ",t=" + planned.tenant() + ",d=" + left
-                    + ",h=" + planned.work() / 1_000 + (tries > 1 ? ",r=1" : "");
+            String figures =
+                    " O"
+                            + id
+                            + " Pc="
+                            + requestClass.name()
+                            + ",t="
+                            + planned.tenant()
+                            + ",d="
+                            + left
+                            + ",h="
+                            + planned.work() / 1_000
+                            + (tries > 1 ? ",r=1" : "");
             if (!requestClass.write()) {
                 return MetaCodec.encode(alloc, "mg " + planned.key() + " v" + figures, null);
             }
             byte[] value = ("use of " + planned.number()).getBytes(StandardCharsets.ISO_8859_1);
             String keyed = requestClass.effect() == Effect.KEYED ? ",k=" + key : "";
-            return MetaCodec.encode(alloc, "ms " + planned.key() + ' ' + value.length + figures + keyed, value);
+            return MetaCodec.encode(
+                    alloc, "ms " + planned.key() + ' ' + value.length + figures + keyed, value);
         }
 
         void answered(MetaMessage answer) {
             switch (answer.word(0)) {
-                case "VA" -> served(answer.data(), !planned.requestClass().write()
-                        && startsWith(answer.data(), id + '|' + planned.key() + '|'));
+                case "VA" ->
+                        served(
+                                answer.data(),
+                                !planned.requestClass().write()
+                                        && startsWith(
+                                                answer.data(), id + '|' + planned.key() + '|'));
                 case "HD" -> {
                     String receipt = answer.flag('c');
-                    served(String.valueOf(receipt).getBytes(StandardCharsets.ISO_8859_1),
+                    served(
+                            String.valueOf(receipt).getBytes(StandardCharsets.ISO_8859_1),
                             planned.requestClass().write() && receipt != null);
                 }
                 case "SERVER_ERROR" -> {
                     boolean refused = answer.word(1).equals("busy");
                     watch.answered(id, refused ? Ending.REFUSED : Ending.FAILED, 0);
-                    long after = refused && answer.words().size() > 2 ? Long.parseLong(answer.word(2)) : 0;
-                    again(refused ? Tally.End.REFUSED : Tally.End.FAILED, refused, after * MILLISECOND);
+                    long after =
+                            refused && answer.words().size() > 2
+                                    ? Long.parseLong(answer.word(2))
+                                    : 0;
+                    again(
+                            refused ? Tally.End.REFUSED : Tally.End.FAILED,
+                            refused,
+                            after * MILLISECOND);
                 }
                 default -> {
                     tally.wrong();
@@ -271,7 +326,8 @@
 
         private static boolean startsWith(byte[] data, String text) {
             byte[] head = text.getBytes(StandardCharsets.ISO_8859_1);
-            return data != null && data.length >= head.length
+            return data != null
+                    && data.length >= head.length
                     && java.util.Arrays.equals(data, 0, head.length, head, 0, head.length);
         }
 
@@ -280,19 +336,25 @@
             if (!right) {
                 tally.wrong();
             }
-            watch.answered(id, Ending.SERVED, Referee.content(content == null ? new byte[0] : content));
+            watch.answered(
+                    id, Ending.SERVED, Referee.content(content == null ? new byte[0] : content));
             long now = System.nanoTime();
-            end(now - intended <= planned.requestClass().aim() ? Tally.End.IN_TIME : Tally.End.LATE);
+            end(
+                    now - intended <= planned.requestClass().aim()
+                            ? Tally.End.IN_TIME
+                            : Tally.End.LATE);
         }
 
         /** Makes the try again, if its class allows that after this, or ends it. */
         void again(Tally.End otherwise, boolean neverRan, long after) {
             cancelTimers();
             Effect effect = planned.requestClass().effect();
-            // A write that may have run is not made again by any client; a keyed one only within its key's window.
+            // A write that may have run is not made again by any client; a keyed one only within
+            // its key's window.
             boolean may = neverRan || effect != Effect.NEVER_TWICE;
             long wait = Math.max(after, day.load().backoff() << Math.min(tries - 1, 10));
-            if (may && tries <= day.load().retries()
+            if (may
+                    && tries <= day.load().retries()
                     && System.nanoTime() + wait + LEAST_PATIENCE_MS * MILLISECOND < giveUp) {
                 loop.schedule(this::send, wait, TimeUnit.NANOSECONDS);
             } else {
@@ -303,7 +365,8 @@
         /** The connection ended without an answer. */
         void lost(boolean reused, boolean connected) {
             long now = System.nanoTime();
-            if (balancer.stoppedSince(sentAt - MILLISECOND * 1_000) || balancer.excuses(sentAt, now)) {
+            if (balancer.stoppedSince(sentAt - MILLISECOND * 1_000)
+                    || balancer.excuses(sentAt, now)) {
                 watch.excused(id);
                 again(Tally.End.EXCUSED, false, 0);
             } else if (!connected) {
@@ -317,8 +380,12 @@
                 balancer = front.next(now);
                 new Connection(balancer).connect(this);
             } else {
-                watch.unanswered(id, "its connection ended " + (now - writtenAt) / MILLISECOND + " ms after it was sent; "
-                        + balancer.state(now));
+                watch.unanswered(
+                        id,
+                        "its connection ended "
+                                + (now - writtenAt) / MILLISECOND
+                                + " ms after it was sent; "
+                                + balancer.state(now));
                 cancelTimers();
                 end(Tally.End.LOST);
             }
@@ -333,11 +400,17 @@
                 return;
             }
             connection.leave();
-            if (balancer.stoppedSince(sentAt - MILLISECOND * 1_000) || balancer.excuses(sentAt, System.nanoTime())) {
+            if (balancer.stoppedSince(sentAt - MILLISECOND * 1_000)
+                    || balancer.excuses(sentAt, System.nanoTime())) {
                 watch.excused(id);
                 end(Tally.End.EXCUSED);
             } else {
-                watch.unanswered(id, "no answer in " + waitMs + " ms and grace; " + balancer.state(System.nanoTime()));
+                watch.unanswered(
+                        id,
+                        "no answer in "
+                                + waitMs
+                                + " ms and grace; "
+                                + balancer.state(System.nanoTime()));
                 end(Tally.End.LOST);
             }
         }
@@ -364,19 +437,26 @@
         void connect(Try first) {
             current = first;
             first.connection = this;
-            new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
+            new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                    .handler(new ChannelInitializer<SocketChannel>() {
-                        @Override
-                        protected void initChannel(SocketChannel fresh) {
-                            channel = fresh;
-                            fresh.pipeline().addLast(new MetaCodec(), Connection.this);
-                        }
-                    }).connect(balancer.address).addListener(up -> {
-                        if (!up.isSuccess()) {
-                            ended();
-                        }
-                    });
+                    .handler(
+                            new ChannelInitializer<SocketChannel>() {
+                                @Override
+                                protected void initChannel(SocketChannel fresh) {
+                                    channel = fresh;
+                                    fresh.pipeline().addLast(new MetaCodec(), Connection.this);
+                                }
+                            })
+                    .connect(balancer.address)
+                    .addListener(
+                            up -> {
+                                if (!up.isSuccess()) {
+                                    ended();
+                                }
+                            });
         }
 
         @Override
@@ -399,14 +479,17 @@
             }
             channel.writeAndFlush(bytes.readRetainedSlice(bytes.readableBytes() / 2));
             long apart = (long) (manners.nextDouble() * MOST_PIECES_APART_MS);
-            loop.schedule(() -> {
-                if (current == request && channel.isActive()) {
-                    channel.writeAndFlush(bytes);
-                    request.written();
-                } else {
-                    bytes.release();
-                }
-            }, apart, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (current == request && channel.isActive()) {
+                            channel.writeAndFlush(bytes);
+                            request.written();
+                        } else {
+                            bytes.release();
+                        }
+                    },
+                    apart,
+                    TimeUnit.MILLISECONDS);
         }
 
         void carry(Try next) {
--- a/rig/src/main/java/frostrelay/rig/client/Tally.java
+++ b/rig/src/main/java/frostrelay/rig/client/Tally.java
@@ -1,16 +1,26 @@
 package frostrelay.rig.client;
 
+import org.HdrHistogram.Histogram;
+
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.HdrHistogram.Histogram;
 
 /**
- * What clients got, by first tries: a client's retries belong to its first try. Latencies run from the moment a request
- * was meant to be sent, so that waiting for a turn is not hidden. Safe for threads.
+ * What clients got, by first tries: a client's retries belong to its first try. Latencies run from
+ * the moment a request was meant to be sent, so that waiting for a turn is not hidden. Safe for
+ * threads.
  */
 public final class Tally {
     /** How a first try ended, over all its tries. */
-    public enum End { IN_TIME, LATE, REFUSED, FAILED, LOST, EXCUSED, LEFT }
+    public enum End {
+        IN_TIME,
+        LATE,
+        REFUSED,
+        FAILED,
+        LOST,
+        EXCUSED,
+        LEFT
+    }
 
     private static final long MOST_MICROS = 120_000_000L;
     private static final int DIGITS = 3;
@@ -53,8 +63,7 @@
     }
 
     /** What has ended since this was last asked. */
-    public record Recent(long ended, long inTime, double p50Ms, double p99Ms) {
-    }
+    public record Recent(long ended, long inTime, double p50Ms, double p99Ms) {}
 
     /** What has ended since this was last asked. */
     public synchronized Recent recent() {
@@ -62,14 +71,17 @@
         for (long count : recentEnds) {
             all += count;
         }
-        Recent now = new Recent(all, recentEnds[End.IN_TIME.ordinal()], ms(recent, 50), ms(recent, 99));
+        Recent now =
+                new Recent(all, recentEnds[End.IN_TIME.ordinal()], ms(recent, 50), ms(recent, 99));
         recent = new Histogram(MOST_MICROS, DIGITS);
         recentEnds = new long[End.values().length];
         return now;
     }
 
     private static double ms(Histogram histogram, double percentile) {
-        return histogram.getTotalCount() == 0 ? 0 : histogram.getValueAtPercentile(percentile) / 1e3;
+        return histogram.getTotalCount() == 0
+                ? 0
+                : histogram.getValueAtPercentile(percentile) / 1e3;
     }
 
     /** First tries so far. */
@@ -95,13 +107,16 @@
     /** First tries of a class that ended so. */
     public synchronized Map<String, Map<String, Long>> byClass() {
         Map<String, Map<String, Long>> all = new LinkedHashMap<>();
-        ends.forEach((name, counts) -> {
-            Map<String, Long> one = new LinkedHashMap<>();
-            for (End end : End.values()) {
-                one.put(end.name().toLowerCase(java.util.Locale.ROOT), counts[end.ordinal()]);
-            }
-            all.put(name, one);
-        });
+        ends.forEach(
+                (name, counts) -> {
+                    Map<String, Long> one = new LinkedHashMap<>();
+                    for (End end : End.values()) {
+                        one.put(
+                                end.name().toLowerCase(java.util.Locale.ROOT),
+                                counts[end.ordinal()]);
+                    }
+                    all.put(name, one);
+                });
         return all;
     }
 
--- a/rig/src/main/java/frostrelay/rig/discovery/Member.java
+++ b/rig/src/main/java/frostrelay/rig/discovery/Member.java
@@ -3,7 +3,10 @@
 /** A cache in the list. {@code bootMs}: its last start in Unix time, 0 for long ago. */
 public record Member(String uid, State state, long bootMs) {
     /** What the list says of a cache, in discovery's words. */
-    public enum State { READY("Ready"), TERMINATING("Terminating"), GONE("Gone");
+    public enum State {
+        READY("Ready"),
+        TERMINATING("Terminating"),
+        GONE("Gone");
         final String word;
 
         State(String word) {
--- a/rig/src/main/java/frostrelay/rig/fleet/BalancerProcess.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/BalancerProcess.java
@@ -24,8 +24,12 @@
     private final InetSocketAddress listen;
     private Process process;
 
-    /** {@code folder}: holds its configuration, its log and its temporary files; {@code config}: the platform's JSON. */
-    public BalancerProcess(String name, Program program, Path folder, InetSocketAddress listen, String config)
+    /**
+     * {@code folder}: holds its configuration, its log and its temporary files; {@code config}: the
+     * platform's JSON.
+     */
+    public BalancerProcess(
+            String name, Program program, Path folder, InetSocketAddress listen, String config)
             throws IOException {
         this.name = name;
         this.program = program;
@@ -41,7 +45,8 @@
         builder.environment().put("GW_NAME", name);
         builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
         builder.environment().put("TMPDIR", folder.resolve("tmp").toString());
-        builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
+        builder.redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
         process = Children.start(builder);
     }
 
@@ -53,8 +58,12 @@
                 socket.connect(listen, ASK_MS);
                 socket.setSoTimeout(ASK_MS);
                 socket.getOutputStream().write("mn\r\n".getBytes(StandardCharsets.ISO_8859_1));
-                String answer = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                        StandardCharsets.ISO_8859_1)).readLine();
+                String answer =
+                        new BufferedReader(
+                                        new InputStreamReader(
+                                                socket.getInputStream(),
+                                                StandardCharsets.ISO_8859_1))
+                                .readLine();
                 if ("MN".equals(answer)) {
                     return;
                 }
@@ -84,8 +93,11 @@
     /** Memory that it has in use, in KB; 0 where the system does not tell. */
     public synchronized long residentKb() {
         try (Stream<String> lines = Files.lines(Path.of("/proc/" + process.pid() + "/status"))) {
-            return lines.filter(line -> line.startsWith("VmRSS:")).map(line -> line.replaceAll("\\D", ""))
-                    .mapToLong(Long::parseLong).findFirst().orElse(0);
+            return lines.filter(line -> line.startsWith("VmRSS:"))
+                    .map(line -> line.replaceAll("\\D", ""))
+                    .mapToLong(Long::parseLong)
+                    .findFirst()
+                    .orElse(0);
         } catch (IOException e) {
             return 0;
         }
@@ -101,7 +113,9 @@
         process.destroy();
     }
 
-    /** Asks it to end, waits for that up to a limit in milliseconds, and ends it at once past that. */
+    /**
+     * Asks it to end, waits for that up to a limit in milliseconds, and ends it at once past that.
+     */
     public void terminate(long limitMs) throws InterruptedException {
         Process ending;
         synchronized (this) {
@@ -137,7 +151,8 @@
     public void configure(String config) throws IOException {
         Path draft = folder.resolve("config.draft");
         Files.writeString(draft, config);
-        Files.move(draft, folder.resolve("config.json"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+        Files.move(
+                draft, folder.resolve("config.json"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
--- a/rig/src/main/java/frostrelay/rig/fleet/Children.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/Children.java
@@ -4,16 +4,19 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Processes that end with this one, also where it is ended by a signal: nobody else knows of them. */
+/**
+ * Processes that end with this one, also where it is ended by a signal: nobody else knows of them.
+ */
 public final class Children {
     private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
 
     static {
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> RUNNING.forEach(Process::destroyForcibly), "children"));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(() -> RUNNING.forEach(Process::destroyForcibly), "children"));
     }
 
-    private Children() {
-    }
+    private Children() {}
 
     /** Starts a process. */
     public static Process start(ProcessBuilder builder) throws IOException {
--- a/rig/src/main/java/frostrelay/rig/fleet/Control.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/Control.java
@@ -3,9 +3,11 @@
 import com.fasterxml.jackson.jr.ob.JSON;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
+
 import frostrelay.rig.day.FaultKind;
 import frostrelay.rig.day.FaultSpec;
 import frostrelay.rig.wire.Loopback;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -14,34 +16,56 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Where a running fleet takes faults by hand and tells how it is: HTTP on loopback, one call at a time. */
+/**
+ * Where a running fleet takes faults by hand and tells how it is: HTTP on loopback, one call at a
+ * time.
+ */
 public final class Control implements AutoCloseable {
     private static final int MOST_BODY = 64 * 1024;
     private static final long MILLISECOND = 1_000_000L;
 
     private final HttpServer server;
 
-    /** {@code port}: 0 lets the system choose; {@code status}: what it tells; {@code faults}: takes what is called. */
-    public Control(int port, Supplier<Map<String, Object>> status, Consumer<FaultSpec> faults) throws IOException {
+    /**
+     * {@code port}: 0 lets the system choose; {@code status}: what it tells; {@code faults}: takes
+     * what is called.
+     */
+    public Control(int port, Supplier<Map<String, Object>> status, Consumer<FaultSpec> faults)
+            throws IOException {
         server = HttpServer.create(Loopback.port(port), 0);
         server.createContext("/status", exchange -> answer(exchange, 200, status.get()));
-        server.createContext("/fault", exchange -> {
-            try {
-                byte[] body = exchange.getRequestBody().readNBytes(MOST_BODY);
-                FaultSpec fault = fault(JSON.std.mapFrom(new String(body, StandardCharsets.UTF_8)));
-                faults.accept(fault);
-                answer(exchange, 202, Map.of("fault", fault.text()));
-            } catch (IOException | RuntimeException e) {
-                answer(exchange, 400, Map.of("error", String.valueOf(e.getMessage()).lines().findFirst().orElse("")));
-            }
-        });
+        server.createContext(
+                "/fault",
+                exchange -> {
+                    try {
+                        byte[] body = exchange.getRequestBody().readNBytes(MOST_BODY);
+                        FaultSpec fault =
+                                fault(JSON.std.mapFrom(new String(body, StandardCharsets.UTF_8)));
+                        faults.accept(fault);
+                        answer(exchange, 202, Map.of("fault", fault.text()));
+                    } catch (IOException | RuntimeException e) {
+                        answer(
+                                exchange,
+                                400,
+                                Map.of(
+                                        "error",
+                                        String.valueOf(e.getMessage())
+                                                .lines()
+                                                .findFirst()
+                                                .orElse("")));
+                    }
+                });
         server.start();
     }
 
     private static FaultSpec fault(Map<String, Object> body) {
-        return new FaultSpec(0, FaultKind.of(String.valueOf(body.get("kind"))),
-                body.get("target") == null ? "any" : String.valueOf(body.get("target")), number(body, "factor", 1),
-                (long) (number(body, "amountMs", 0) * MILLISECOND), (long) (number(body, "forMs", 0) * MILLISECOND));
+        return new FaultSpec(
+                0,
+                FaultKind.of(String.valueOf(body.get("kind"))),
+                body.get("target") == null ? "any" : String.valueOf(body.get("target")),
+                number(body, "factor", 1),
+                (long) (number(body, "amountMs", 0) * MILLISECOND),
+                (long) (number(body, "forMs", 0) * MILLISECOND));
     }
 
     private static double number(Map<String, Object> body, String name, double otherwise) {
@@ -63,7 +87,8 @@
         return body;
     }
 
-    private static void answer(HttpExchange exchange, int status, Map<String, Object> body) throws IOException {
+    private static void answer(HttpExchange exchange, int status, Map<String, Object> body)
+            throws IOException {
         byte[] bytes = JSON.std.asString(body).getBytes(StandardCharsets.UTF_8);
         exchange.getResponseHeaders().set("Content-Type", "application/json");
         exchange.sendResponseHeaders(status, bytes.length);
--- a/rig/src/main/java/frostrelay/rig/fleet/DayPlay.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/DayPlay.java
@@ -4,7 +4,9 @@
 import frostrelay.rig.client.OpenLoop;
 import frostrelay.rig.client.Tally;
 import frostrelay.rig.day.Day;
+
 import io.netty.util.concurrent.Future;
+
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Locale;
@@ -18,10 +20,11 @@
     private static final long SECOND_MS = 1_000;
     private static final long SPARE_MS = 60_000;
 
-    private DayPlay() {
-    }
+    private DayPlay() {}
 
-    /** Returns what the day came to. {@code lines}: hears a line each second and one for each fault. */
+    /**
+     * Returns what the day came to. {@code lines}: hears a line each second and one for each fault.
+     */
     public static Result play(Day day, Path folder, Program program, Consumer<String> lines)
             throws IOException, InterruptedException {
         try (Fleet fleet = new Fleet(day, folder, program)) {
@@ -36,7 +39,8 @@
         Tally tally = new Tally();
         OpenLoop load = new OpenLoop(fleet.day(), front, fleet.loop(), fleet.referee(), tally);
         long start = System.nanoTime();
-        try (Faults faults = new Faults(fleet, front, load, text -> lines.accept("    >> " + text))) {
+        try (Faults faults =
+                new Faults(fleet, front, load, text -> lines.accept("    >> " + text))) {
             Future<Tally> done = load.run();
             faults.play();
             Watch watch = new Watch(fleet, tally);
@@ -48,7 +52,12 @@
                 }
             }
         }
-        return new Result(tally, fleet.referee(), fleet.hits(), fleet.misses(), fleet.fetches(),
+        return new Result(
+                tally,
+                fleet.referee(),
+                fleet.hits(),
+                fleet.misses(),
+                fleet.fetches(),
                 (System.nanoTime() - start) / 1e9);
     }
 
@@ -84,11 +93,17 @@
             long hitsNow = fleet.hits();
             long missesNow = fleet.misses();
             long reads = hitsNow - hits + missesNow - misses;
-            String line = String.format(Locale.ROOT,
-                    "%5.1f s  %5d/s  in time %5.1f%%  p50 %5.1f ms  p99 %6.1f ms  copies %4.1f%%  hits %4.1f%%", seconds,
-                    recent.ended(), 100.0 * recent.inTime() / Math.max(1, recent.ended()), recent.p50Ms(),
-                    recent.p99Ms(), 100.0 * (copiesNow - copies) / Math.max(1, triesNow - tries),
-                    100.0 * (hitsNow - hits) / Math.max(1, reads));
+            String line =
+                    String.format(
+                            Locale.ROOT,
+                            "%5.1f s  %5d/s  in time %5.1f%%  p50 %5.1f ms  p99 %6.1f ms  copies %4.1f%%  hits %4.1f%%",
+                            seconds,
+                            recent.ended(),
+                            100.0 * recent.inTime() / Math.max(1, recent.ended()),
+                            recent.p50Ms(),
+                            recent.p99Ms(),
+                            100.0 * (copiesNow - copies) / Math.max(1, triesNow - tries),
+                            100.0 * (hitsNow - hits) / Math.max(1, reads));
             tries = triesNow;
             copies = copiesNow;
             hits = hitsNow;
--- a/rig/src/main/java/frostrelay/rig/fleet/Fleet.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/Fleet.java
@@ -10,8 +10,10 @@
 import frostrelay.rig.link.Link;
 import frostrelay.rig.referee.Referee;
 import frostrelay.rig.wire.Loopback;
+
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -23,22 +25,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A whole installation on loopback: an archive, caches, discovery, a link between each balancer and each cache, and real
- * balancers as processes. Where there is no program, balancers are left to be started by hand.
+ * A whole installation on loopback: an archive, caches, discovery, a link between each balancer and
+ * each cache, and real balancers as processes. Where there is no program, balancers are left to be
+ * started by hand.
  */
 public final class Fleet implements AutoCloseable {
     private static final int LOOPS = 4;
-    /** How much later than its bound a send may reach a cache: the way, and how late this program itself may be. */
+
+    /**
+     * How much later than its bound a send may reach a cache: the way, and how late this program
+     * itself may be.
+     */
     private static final long DRAIN_SLACK = 150_000_000L;
 
     /** One cache with its ways, by balancer. */
-    public record Cache(CacheServer server, List<Link> links) {
-    }
-
-    /** Where a balancer is and what it was given. {@code process}: null where it is started by hand. */
-    public record Place(String name, InetSocketAddress listen, InetSocketAddress console, String config,
-                        BalancerProcess process) {
-    }
+    public record Cache(CacheServer server, List<Link> links) {}
+
+    /**
+     * Where a balancer is and what it was given. {@code process}: null where it is started by hand.
+     */
+    public record Place(
+            String name,
+            InetSocketAddress listen,
+            InetSocketAddress console,
+            String config,
+            BalancerProcess process) {}
 
     private final Day day;
     private final NioEventLoopGroup group = new NioEventLoopGroup(LOOPS);
@@ -58,26 +69,36 @@
         Map<String, Object> further(int place);
     }
 
-    /** Builds and starts everything but the balancers. {@code folder}: where these keep their files. */
+    /**
+     * Builds and starts everything but the balancers. {@code folder}: where these keep their files.
+     */
     public Fleet(Day day, Path folder, Program program) throws IOException, InterruptedException {
-        this(day, folder, new Each() {
-            @Override
-            public Program program(int place) {
-                return program;
-            }
-
-            @Override
-            public Map<String, Object> further(int place) {
-                return Map.of();
-            }
-        });
+        this(
+                day,
+                folder,
+                new Each() {
+                    @Override
+                    public Program program(int place) {
+                        return program;
+                    }
+
+                    @Override
+                    public Map<String, Object> further(int place) {
+                        return Map.of();
+                    }
+                });
     }
 
     /** Likewise with balancers that differ. */
     public Fleet(Day day, Path folder, Each each) throws IOException, InterruptedException {
         this.day = day;
-        referee = new Referee(new Referee.Bounds(day.drainGrace() + DRAIN_SLACK, day.cache().warmth().window(),
-                day.cache().warmth(), day.cache().cores()));
+        referee =
+                new Referee(
+                        new Referee.Bounds(
+                                day.drainGrace() + DRAIN_SLACK,
+                                day.cache().warmth().window(),
+                                day.cache().warmth(),
+                                day.cache().cores()));
         monitor = new LoopMonitor(group);
         referee.heldUpWhile(monitor::isBehind);
         archive = new ArchiveServer(day.archive(), group.next(), day.seed());
@@ -91,8 +112,15 @@
         }
         for (int i = 0; i < day.caches(); i++) {
             EventLoop loop = group.next();
-            CacheServer server = new CacheServer("cache-" + (i + 1), day.cache(), loop,
-                    new ArchiveClient(source, loop), repeats, referee, servers);
+            CacheServer server =
+                    new CacheServer(
+                            "cache-" + (i + 1),
+                            day.cache(),
+                            loop,
+                            new ArchiveClient(source, loop),
+                            repeats,
+                            referee,
+                            servers);
             servers.add(server);
             List<Link> links = new ArrayList<>();
             for (int place = 0; place < day.balancers(); place++) {
@@ -114,14 +142,26 @@
         InetSocketAddress listen = Loopback.port(Loopback.freePort());
         InetSocketAddress console = Loopback.port(Loopback.freePort());
         String source = Loopback.text(discovery.listen(name, endpoints));
-        String config = BalancerConfig.json(day, place, Loopback.text(listen), Loopback.text(console), source,
-                discovery.list(endpoints), each.further(place));
+        String config =
+                BalancerConfig.json(
+                        day,
+                        place,
+                        Loopback.text(listen),
+                        Loopback.text(console),
+                        source,
+                        discovery.list(endpoints),
+                        each.further(place));
         Program program = each.program(place);
-        return new Place(name, listen, console, config, program == null ? null
-                : new BalancerProcess(name, program, folder.resolve(name), listen, config));
+        return new Place(
+                name,
+                listen,
+                console,
+                config,
+                program == null
+                        ? null
+                        : new BalancerProcess(name, program, folder.resolve(name), listen, config));
     }
 
-
     /** Starts all balancers and waits until they take requests. */
     public void startBalancers() throws IOException, InterruptedException {
         for (Place place : places) {
@@ -167,7 +207,10 @@
         return caches;
     }
 
-    /** For how long, in milliseconds, a loop of the stand-ins stood still at most; 0 for no time that matters. */
+    /**
+     * For how long, in milliseconds, a loop of the stand-ins stood still at most; 0 for no time
+     * that matters.
+     */
     public long longestStallMs() {
         return TimeUnit.NANOSECONDS.toMillis(monitor.longest());
     }
--- a/rig/src/main/java/frostrelay/rig/fleet/LoopMonitor.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/LoopMonitor.java
@@ -3,18 +3,20 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.util.concurrent.EventExecutor;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Sees when the stand-ins' own event loops stand still, as on a busy machine: what they read then came earlier, and how long it took
- * on its way cannot be told. Safe for threads.
+ * Sees when the stand-ins' own event loops stand still, as on a busy machine: what they read then
+ * came earlier, and how long it took on its way cannot be told. Safe for threads.
  */
 final class LoopMonitor {
     private static final long BEAT_MS = 20;
     private static final long MOST_BEHIND = 80_000_000L;
+
     /** What was held up on one loop may reach another one so much later. */
     private static final long AFTERMATH = 500_000_000L;
 
@@ -26,7 +28,8 @@
         for (EventExecutor executor : group) {
             AtomicLong beat = new AtomicLong(System.nanoTime());
             beats.add(beat);
-            ((EventLoop) executor).scheduleAtFixedRate(() -> beat(beat), BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+            ((EventLoop) executor)
+                    .scheduleAtFixedRate(() -> beat(beat), BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -46,6 +49,7 @@
 
     /** Whether some loop stands still now, or did so shortly before. */
     boolean isBehind(long now) {
-        return now - stalledAt.get() < AFTERMATH || beats.stream().anyMatch(beat -> now - beat.get() > MOST_BEHIND);
+        return now - stalledAt.get() < AFTERMATH
+                || beats.stream().anyMatch(beat -> now - beat.get() > MOST_BEHIND);
     }
 }
--- a/rig/src/main/java/frostrelay/rig/fleet/Program.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/Program.java
@@ -5,17 +5,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How the real balancer is started: the command line without what differs from balancer to balancer. */
+/**
+ * How the real balancer is started: the command line without what differs from balancer to
+ * balancer.
+ */
 public record Program(List<String> command) {
     private static final String MAIN = "frostrelay.node.Main";
 
-    /** As the platform runs it, from the jar below a checkout's root. Throws IllegalStateException if it is not built. */
+    /**
+     * As the platform runs it, from the jar below a checkout's root. Throws IllegalStateException
+     * if it is not built.
+     */
     public static Program ofCheckout(Path root) {
         Path jar = root.resolve("node/target/frostrelay-node.jar");
         if (!Files.isRegularFile(jar)) {
             throw new IllegalStateException("the balancer is not built: " + jar + " is missing");
         }
-        List<String> command = new ArrayList<>(List.of(java(), "@" + root.resolve("deploy/jvm.options")));
+        List<String> command =
+                new ArrayList<>(List.of(java(), "@" + root.resolve("deploy/jvm.options")));
         Path archive = root.resolve("node/target/frostrelay.jsa");
         if (Files.isRegularFile(archive)) {
             command.add("-XX:SharedArchiveFile=" + archive);
@@ -26,8 +33,15 @@
 
     /** From this process's own class path, for tests. */
     public static Program ofClassPath() {
-        return new Program(List.of(java(), "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xshare:auto", "-cp",
-                System.getProperty("java.class.path"), MAIN));
+        return new Program(
+                List.of(
+                        java(),
+                        "-XX:TieredStopAtLevel=1",
+                        "-XX:+UseSerialGC",
+                        "-Xshare:auto",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        MAIN));
     }
 
     /** The java that runs this program. */
--- a/rig/src/main/java/frostrelay/rig/fleet/Result.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/Result.java
@@ -3,6 +3,7 @@
 import frostrelay.rig.client.Tally;
 import frostrelay.rig.referee.Referee;
 import frostrelay.rig.referee.Rule;
+
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -10,10 +11,13 @@
 import java.util.Map;
 
 /** What a day came to. */
-public record Result(Tally tally, Referee referee, long hits, long misses, long fetches, double seconds) {
+public record Result(
+        Tally tally, Referee referee, long hits, long misses, long fetches, double seconds) {
     /** All first tries kept their rules and none got a wrong answer or none at all. */
     public boolean good() {
-        return tally.asked() > 0 && tally.wrongAnswers() == 0 && tally.count(Tally.End.LOST) == 0
+        return tally.asked() > 0
+                && tally.wrongAnswers() == 0
+                && tally.count(Tally.End.LOST) == 0
                 && referee.count() == 0;
     }
 
@@ -67,21 +71,41 @@
 
     /** All figures, for people. */
     public String text() {
-        StringBuilder text = new StringBuilder(String.format(Locale.ROOT,
-                "%,d requests in %.1f s: %.2f%% served in time, %d late, %d refused, %d failed, %d lost, %d wrong%n"
-                + "latency from the intended time: p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, p99.9 %.1f ms%n"
-                + "copies %.1f%% of tries, hits %.1f%% of reads at caches, %,d calls to the archive%n",
-                tally.asked(), seconds, 100.0 * tally.count(Tally.End.IN_TIME) / Math.max(1, tally.asked()),
-                tally.count(Tally.End.LATE), tally.count(Tally.End.REFUSED), tally.count(Tally.End.FAILED),
-                tally.count(Tally.End.LOST), tally.wrongAnswers(), tally.ms(50), tally.ms(90), tally.ms(99),
-                tally.ms(99.9), 100 * copyShare(), 100 * hitShare(), fetches));
+        StringBuilder text =
+                new StringBuilder(
+                        String.format(
+                                Locale.ROOT,
+                                "%,d requests in %.1f s: %.2f%% served in time, %d late, %d refused, %d failed, %d lost, %d wrong%n"
+                                        + "latency from the intended time: p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, p99.9 %.1f ms%n"
+                                        + "copies %.1f%% of tries, hits %.1f%% of reads at caches, %,d calls to the archive%n",
+                                tally.asked(),
+                                seconds,
+                                100.0 * tally.count(Tally.End.IN_TIME) / Math.max(1, tally.asked()),
+                                tally.count(Tally.End.LATE),
+                                tally.count(Tally.End.REFUSED),
+                                tally.count(Tally.End.FAILED),
+                                tally.count(Tally.End.LOST),
+                                tally.wrongAnswers(),
+                                tally.ms(50),
+                                tally.ms(90),
+                                tally.ms(99),
+                                tally.ms(99.9),
+                                100 * copyShare(),
+                                100 * hitShare(),
+                                fetches));
         if (referee.count() == 0) {
             text.append("rules: all kept");
         } else {
             text.append("rules broken ").append(referee.count()).append(" times:");
-            referee.breaches().stream().limit(10)
-                    .forEach(breach -> text.append(System.lineSeparator()).append("  ").append(breach.rule())
-                            .append(": ").append(breach.what()));
+            referee.breaches().stream()
+                    .limit(10)
+                    .forEach(
+                            breach ->
+                                    text.append(System.lineSeparator())
+                                            .append("  ")
+                                            .append(breach.rule())
+                                            .append(": ")
+                                            .append(breach.what()));
         }
         return text.toString();
     }
--- a/rig/src/main/java/frostrelay/rig/link/Link.java
+++ b/rig/src/main/java/frostrelay/rig/link/Link.java
@@ -1,10 +1,10 @@
 package frostrelay.rig.link;
 
 import frostrelay.rig.wire.Loopback;
+
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
-
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
@@ -13,6 +13,7 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
+
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
@@ -22,16 +23,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A relay on loopback that copies bytes between two ends, and on demand delays, stalls, narrows, cuts or resets them.
- * Bytes are never lost, doubled or reordered within a direction, as on TCP. Runs on one event loop; the public calls
- * may come from any thread.
+ * A relay on loopback that copies bytes between two ends, and on demand delays, stalls, narrows,
+ * cuts or resets them. Bytes are never lost, doubled or reordered within a direction, as on TCP.
+ * Runs on one event loop; the public calls may come from any thread.
  */
 public final class Link {
-    /** What the way does to bytes. {@code delay}: nanoseconds; {@code bytesPerSecond}: 0 for no limit. */
-    private record Way(long delay, long bytesPerSecond, boolean stalled, boolean refused) {
-    }
+    /**
+     * What the way does to bytes. {@code delay}: nanoseconds; {@code bytesPerSecond}: 0 for no
+     * limit.
+     */
+    private record Way(long delay, long bytesPerSecond, boolean stalled, boolean refused) {}
 
     private static final Way CLEAR = new Way(0, 0, false, false);
+
     /** A way that holds more than this is read no further. */
     private static final int MOST_HELD = 256 * 1024;
 
@@ -48,15 +52,24 @@
 
     /** Listens; returns where. {@code port}: 0 lets the system choose. */
     public InetSocketAddress listen(int port) throws InterruptedException {
-        return (InetSocketAddress) new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 1024)
-                .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline().addLast(new Half(fresh));
-                    }
-                }).bind(Loopback.port(port)).sync().channel().localAddress();
+        return (InetSocketAddress)
+                new ServerBootstrap()
+                        .group(loop, loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, 1024)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childOption(ChannelOption.AUTO_READ, false)
+                        .childHandler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel fresh) {
+                                        fresh.pipeline().addLast(new Half(fresh));
+                                    }
+                                })
+                        .bind(Loopback.port(port))
+                        .sync()
+                        .channel()
+                        .localAddress();
     }
 
     /** Every byte comes so many nanoseconds later. */
@@ -83,16 +96,16 @@
     }
 
     private void change(Way fresh) {
-        loop.execute(() -> {
-            way = fresh;
-            List.copyOf(halves).forEach(Half::drain);
-        });
+        loop.execute(
+                () -> {
+                    way = fresh;
+                    List.copyOf(halves).forEach(Half::drain);
+                });
     }
 
     /** One end of a connection through the link; what it reads goes to its peer. */
     private final class Half extends ChannelInboundHandlerAdapter {
-        private record Held(ByteBuf bytes, long due) {
-        }
+        private record Held(ByteBuf bytes, long due) {}
 
         private final SocketChannel channel;
         private final Queue<Held> held = new ArrayDeque<>();
@@ -117,20 +130,27 @@
             if (way.refused) {
                 reset();
             } else if (peer == null) {
-                new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-                        .handler(new ChannelInitializer<SocketChannel>() {
-                            @Override
-                            protected void initChannel(SocketChannel fresh) {
-                                peer = new Half(fresh, Half.this);
-                                fresh.pipeline().addLast(peer);
-                            }
-                        }).connect(to).addListener(up -> {
-                            if (up.isSuccess()) {
-                                channel.config().setAutoRead(true);
-                            } else {
-                                reset();
-                            }
-                        });
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .handler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel fresh) {
+                                        peer = new Half(fresh, Half.this);
+                                        fresh.pipeline().addLast(peer);
+                                    }
+                                })
+                        .connect(to)
+                        .addListener(
+                                up -> {
+                                    if (up.isSuccess()) {
+                                        channel.config().setAutoRead(true);
+                                    } else {
+                                        reset();
+                                    }
+                                });
             }
         }
 
@@ -170,24 +190,31 @@
                 Held next = held.poll();
                 int bytes = next.bytes.readableBytes();
                 heldBytes -= bytes;
-                freeAt = way.bytesPerSecond == 0 ? 0 : now + bytes * 1_000_000_000L / way.bytesPerSecond;
+                freeAt =
+                        way.bytesPerSecond == 0
+                                ? 0
+                                : now + bytes * 1_000_000_000L / way.bytesPerSecond;
                 pass(next.bytes);
             }
             if (held.isEmpty() && ended) {
                 finish();
             } else if (!held.isEmpty() && !way.stalled && !waking) {
                 waking = true;
-                loop.schedule(() -> {
-                    waking = false;
-                    drain();
-                }, Math.max(0, Math.max(held.peek().due, freeAt) - now), TimeUnit.NANOSECONDS);
+                loop.schedule(
+                        () -> {
+                            waking = false;
+                            drain();
+                        },
+                        Math.max(0, Math.max(held.peek().due, freeAt) - now),
+                        TimeUnit.NANOSECONDS);
             }
         }
 
         private void finish() {
             if (peer != null) {
                 // Behind what is still being written.
-                peer.channel.writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER)
+                peer.channel
+                        .writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER)
                         .addListener(io.netty.channel.ChannelFutureListener.CLOSE);
             }
         }
--- a/rig/src/main/java/frostrelay/rig/referee/ColdMeter.java
+++ b/rig/src/main/java/frostrelay/rig/referee/ColdMeter.java
@@ -4,8 +4,9 @@
 import java.util.Deque;
 
 /**
- * How much work has reached a machine lately against what it can do while it warms up: the budget of any window is
- * multiple x present capacity x window. No I/O and no clock; times in nanoseconds. Not safe for threads.
+ * How much work has reached a machine lately against what it can do while it warms up: the budget
+ * of any window is multiple x present capacity x window. No I/O and no clock; times in nanoseconds.
+ * Not safe for threads.
  */
 public final class ColdMeter {
     /** A share of the budget that chance may use before it counts as a breach. */
@@ -19,8 +20,7 @@
         }
     }
 
-    private record Arrival(long at, double work) {
-    }
+    private record Arrival(long at, double work) {}
 
     private final Warmth warmth;
     private final double cores;
--- a/rig/src/main/java/frostrelay/rig/referee/Referee.java
+++ b/rig/src/main/java/frostrelay/rig/referee/Referee.java
@@ -12,24 +12,30 @@
 import java.util.function.LongPredicate;
 
 /**
- * Watches both ends and counts what a balancer broke. It hears from clients what they asked and got, from caches what
- * reached them and ran, and from discovery and operators what balancers were told; from balancers it hears nothing.
- * Times are nanoseconds of one clock. Safe for threads.
+ * Watches both ends and counts what a balancer broke. It hears from clients what they asked and
+ * got, from caches what reached them and ran, and from discovery and operators what balancers were
+ * told; from balancers it hears nothing. Times are nanoseconds of one clock. Safe for threads.
  */
 public final class Referee implements ClientWatch {
     /** How often a request may take effect. */
-    public enum Effect { REPEATABLE, KEYED, NEVER_TWICE }
+    public enum Effect {
+        REPEATABLE,
+        KEYED,
+        NEVER_TWICE
+    }
 
     /** How a request ended for its client. */
-    public enum Ending { SERVED, REFUSED, FAILED }
+    public enum Ending {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 
     /** One breach, in words. */
-    public record Breach(Rule rule, String what) {
-    }
+    public record Breach(Rule rule, String what) {}
 
     /** What the rules allow; nanoseconds. */
-    public record Bounds(long drain, long window, ColdMeter.Warmth warmth, double cores) {
-    }
+    public record Bounds(long drain, long window, ColdMeter.Warmth warmth, double cores) {}
 
     /** Hears what the stand-ins see, on their clock; on their threads. */
     public interface Watcher {
@@ -43,30 +49,37 @@
         void version(long now, long rev, Map<String, String> caches);
     }
 
-    private static final Watcher NOBODY = new Watcher() {
-        @Override
-        public void command(long now, String cache, String balancer, String id) {
-            // Nobody asked.
-        }
+    private static final Watcher NOBODY =
+            new Watcher() {
+                @Override
+                public void command(long now, String cache, String balancer, String id) {
+                    // Nobody asked.
+                }
 
-        @Override
-        public void told(long now, String balancer, long rev) {
-            // Nobody asked.
-        }
+                @Override
+                public void told(long now, String balancer, long rev) {
+                    // Nobody asked.
+                }
 
-        @Override
-        public void version(long now, long rev, Map<String, String> caches) {
-            // Nobody asked.
-        }
-    };
+                @Override
+                public void version(long now, long rev, Map<String, String> caches) {
+                    // Nobody asked.
+                }
+            };
 
     private static final int MOST_KEPT_BREACHES = 100;
-    /** Requests this much older than the newest are forgotten: nothing can come for them any more. */
+
+    /**
+     * Requests this much older than the newest are forgotten: nothing can come for them any more.
+     */
     private static final long FORGET = 60_000_000_000L;
+
     /** The operators allow 100 ms; the rest is for how late the stand-ins may be themselves. */
     private static final long BEGUN_AFTER_LEFT = 250_000_000L;
+
     /** The operators allow 150 ms; likewise. */
     private static final long OVERSTATED = 300_000_000L;
+
     private static final long DELAYED_BEHIND = 1_000_000_000L;
     private static final long SLOW_START = 4_000_000_000L;
     private static final long BOTH_SHARES = 2;
@@ -93,14 +106,28 @@
 
     private final Bounds bounds;
     private final Map<String, Request> requests = new LinkedHashMap<>();
-    /** Runs of a never-twice intent over its client's tries, and of a keyed one by its key, with the time of the last. */
+
+    /**
+     * Runs of a never-twice intent over its client's tries, and of a keyed one by its key, with the
+     * time of the last.
+     */
     private final Map<String, long[]> runs = new LinkedHashMap<>();
+
     /** Since when a balancer knows that a cache is not to be used. */
     private final Map<String, Long> drained = new HashMap<>();
-    /** Until when commands may reach a cache later than they were sent, through no fault of a balancer. */
+
+    /**
+     * Until when commands may reach a cache later than they were sent, through no fault of a
+     * balancer.
+     */
     private final Map<String, Long> delayedUntil = new HashMap<>();
-    /** Until when a balancer that has just started may be slow to read: many start on one machine at once. */
+
+    /**
+     * Until when a balancer that has just started may be slow to read: many start on one machine at
+     * once.
+     */
     private final Map<String, Long> slowUntil = new HashMap<>();
+
     private final Map<String, ColdMeter> allWork = new HashMap<>();
     private final Map<String, ColdMeter> knowingWork = new HashMap<>();
     private final Set<String> knowing = new HashSet<>();
@@ -109,7 +136,10 @@
     private long attempts;
     private long firsts;
     private volatile Watcher watcher = NOBODY;
-    /** Whether the stand-ins were held up themselves, so that what they see may have come earlier. */
+
+    /**
+     * Whether the stand-ins were held up themselves, so that what they see may have come earlier.
+     */
     private LongPredicate heldUp = now -> false;
 
     /** {@code bounds}: the figures of the rules. */
@@ -137,13 +167,13 @@
     @Override
     public synchronized void asked(long now, String id, String intent, Effect effect) {
         requests.put(id, new Request(intent, effect, now));
-        for (Iterator<Request> oldest = requests.values().iterator(); oldest.hasNext();) {
+        for (Iterator<Request> oldest = requests.values().iterator(); oldest.hasNext(); ) {
             if (oldest.next().at > now - FORGET) {
                 break;
             }
             oldest.remove();
         }
-        for (Iterator<long[]> oldest = runs.values().iterator(); oldest.hasNext();) {
+        for (Iterator<long[]> oldest = runs.values().iterator(); oldest.hasNext(); ) {
             if (oldest.next()[1] > now - FORGET) {
                 break;
             }
@@ -187,7 +217,9 @@
     }
 
     private void checkRefusal(String id, Request request) {
-        if (request.ending == Ending.REFUSED && request.runs > 0 && request.effect == Effect.NEVER_TWICE) {
+        if (request.ending == Ending.REFUSED
+                && request.runs > 0
+                && request.effect == Effect.NEVER_TWICE) {
             breach(Rule.REFUSED_BUT_RAN, id + " was refused and had run");
         }
     }
@@ -216,8 +248,12 @@
 
     // From caches.
 
-    /** A command came whole from a balancer. {@code work}: what it asks of the cache, in nanoseconds. */
-    public synchronized void received(long now, String cache, String balancer, String id, double work) {
+    /**
+     * A command came whole from a balancer. {@code work}: what it asks of the cache, in
+     * nanoseconds.
+     */
+    public synchronized void received(
+            long now, String cache, String balancer, String id, double work) {
         Request request = requests.get(id);
         attempts++;
         if (request != null && request.received++ == 0) {
@@ -226,31 +262,48 @@
         if (isDelayed(now, cache)) {
             return;
         }
-        if (request != null && !heldUp.test(now) && request.leftAt != Long.MAX_VALUE && now - request.leftAt > BEGUN_AFTER_LEFT) {
-            breach(Rule.BEGUN_AFTER_CLIENT_LEFT, String.format("%s reached %s from %s %d ms after its client left", id, cache, balancer,
-                    (now - request.leftAt) / 1_000_000));
+        if (request != null
+                && !heldUp.test(now)
+                && request.leftAt != Long.MAX_VALUE
+                && now - request.leftAt > BEGUN_AFTER_LEFT) {
+            breach(
+                    Rule.BEGUN_AFTER_CLIENT_LEFT,
+                    String.format(
+                            "%s reached %s from %s %d ms after its client left",
+                            id, cache, balancer, (now - request.leftAt) / 1_000_000));
         }
         Long since = drained.get(balancer + ' ' + cache);
         if (since != null && now - since > bounds.drain) {
-            breach(Rule.DRAIN_IGNORED, String.format("%s reached %s %d ms after %s was told", id, cache,
-                    (now - since) / 1_000_000, balancer));
+            breach(
+                    Rule.DRAIN_IGNORED,
+                    String.format(
+                            "%s reached %s %d ms after %s was told",
+                            id, cache, (now - since) / 1_000_000, balancer));
         }
         ColdMeter all = allWork.get(cache);
         if (all == null) {
             return;
         }
         boolean over = all.reached(now, work);
-        // Two thirds of the work must be of balancers that knew: the second meter has two thirds of the budget.
-        boolean knew = knowing.contains(balancer + ' ' + cache) && knowingWork.get(cache).reached(now, work);
+        // Two thirds of the work must be of balancers that knew: the second meter has two thirds of
+        // the budget.
+        boolean knew =
+                knowing.contains(balancer + ' ' + cache)
+                        && knowingWork.get(cache).reached(now, work);
         if (over && knew) {
-            breach(Rule.COLD_OVERDRIVEN, cache + " was sent more than it bears so soon after its start");
+            breach(
+                    Rule.COLD_OVERDRIVEN,
+                    cache + " was sent more than it bears so soon after its start");
             allWork.remove(cache);
         }
     }
 
     /** From now on commands may reach a cache late, for as long as it is on and a while behind. */
     public synchronized void delayed(long now, String cache, boolean on) {
-        delayedUntil.merge(cache, on ? Long.MAX_VALUE : now + DELAYED_BEHIND, on ? Math::max : (old, fresh) -> fresh);
+        delayedUntil.merge(
+                cache,
+                on ? Long.MAX_VALUE : now + DELAYED_BEHIND,
+                on ? Math::max : (old, fresh) -> fresh);
     }
 
     private boolean isDelayed(long now, String cache) {
@@ -260,12 +313,19 @@
     /** A command came that says for how long it is waited for: until {@code until}. */
     public synchronized void told(long now, String cache, String balancer, String id, long until) {
         Request request = requests.get(id);
-        if (isDelayed(now, cache) || heldUp.test(now) || now < slowUntil.getOrDefault(balancer, Long.MIN_VALUE)) {
+        if (isDelayed(now, cache)
+                || heldUp.test(now)
+                || now < slowUntil.getOrDefault(balancer, Long.MIN_VALUE)) {
             return;
         }
-        if (request != null && request.waitsUntil != Long.MAX_VALUE && until - request.waitsUntil > OVERSTATED) {
-            breach(Rule.WAIT_OVERSTATED, String.format("%s from %s told %s %d ms more than its client waits", id, balancer, cache,
-                    (until - request.waitsUntil) / 1_000_000));
+        if (request != null
+                && request.waitsUntil != Long.MAX_VALUE
+                && until - request.waitsUntil > OVERSTATED) {
+            breach(
+                    Rule.WAIT_OVERSTATED,
+                    String.format(
+                            "%s from %s told %s %d ms more than its client waits",
+                            id, balancer, cache, (until - request.waitsUntil) / 1_000_000));
         }
     }
 
@@ -309,8 +369,16 @@
     public synchronized void started(long now, String cache) {
         allWork.put(cache, new ColdMeter(bounds.warmth, bounds.cores, now));
         ColdMeter.Warmth warmth = bounds.warmth;
-        knowingWork.put(cache, new ColdMeter(new ColdMeter.Warmth(warmth.from(), warmth.within(),
-                warmth.multiple() * BOTH_SHARES / THREE_SHARES, warmth.window()), bounds.cores, now));
+        knowingWork.put(
+                cache,
+                new ColdMeter(
+                        new ColdMeter.Warmth(
+                                warmth.from(),
+                                warmth.within(),
+                                warmth.multiple() * BOTH_SHARES / THREE_SHARES,
+                                warmth.window()),
+                        bounds.cores,
+                        now));
         knowing.removeIf(pair -> pair.endsWith(' ' + cache));
     }
 
--- a/rig/src/main/java/frostrelay/rig/soak/MachineLoad.java
+++ b/rig/src/main/java/frostrelay/rig/soak/MachineLoad.java
@@ -6,13 +6,15 @@
 import java.util.List;
 
 /**
- * How much processor time the machine beneath took away from this one, as its kernel counts it: stolen time makes all processes late
- * together, whatever they do.
+ * How much processor time the machine beneath took away from this one, as its kernel counts it:
+ * stolen time makes all processes late together, whatever they do.
  */
 final class MachineLoad {
     private static final Path STATISTICS = Path.of("/proc/stat");
+
     /** Places in the first line, behind its name. */
     private static final int IDLE = 3;
+
     private static final int IO_WAIT = 4;
     private static final int STOLEN = 7;
 
@@ -30,7 +32,10 @@
         return new MachineLoad(busy(counts), counts[STOLEN]);
     }
 
-    /** The stolen part of the processor time that was wanted since the beginning; 0 where the system does not tell. */
+    /**
+     * The stolen part of the processor time that was wanted since the beginning; 0 where the system
+     * does not tell.
+     */
     double stolenPart() {
         long[] counts = read();
         long stolen = counts[STOLEN] - stolenAtStart;
@@ -48,7 +53,8 @@
     private static long[] read() {
         long[] counts = new long[STOLEN + 1];
         try {
-            List<String> words = List.of(Files.readAllLines(STATISTICS).get(0).trim().split("\\s+"));
+            List<String> words =
+                    List.of(Files.readAllLines(STATISTICS).get(0).trim().split("\\s+"));
             for (int i = 0; i <= STOLEN && i + 1 < words.size(); i++) {
                 counts[i] = Long.parseLong(words.get(i + 1));
             }
--- a/rig/src/main/java/frostrelay/rig/wire/Loopback.java
+++ b/rig/src/main/java/frostrelay/rig/wire/Loopback.java
@@ -11,11 +11,12 @@
 public final class Loopback {
     private static final int FIRST_PORT = 12_000;
     private static final int PORTS = 18_000;
+
     /** Rigs that run side by side begin at different places. */
-    private static final AtomicInteger NEXT = new AtomicInteger((int) (ProcessHandle.current().pid() * 997));
+    private static final AtomicInteger NEXT =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * 997));
 
-    private Loopback() {
-    }
+    private Loopback() {}
 
     /** A port on 127.0.0.1; 0 lets the system choose. */
     public static InetSocketAddress port(int port) {
@@ -23,14 +24,15 @@
     }
 
     /**
-     * A port that is free now and stays so: below those that the system gives to connections, so that one of a balancer
-     * that is away for a while is not taken by somebody's client. Throws IOException if there is none.
+     * A port that is free now and stays so: below those that the system gives to connections, so
+     * that one of a balancer that is away for a while is not taken by somebody's client. Throws
+     * IOException if there is none.
      */
     public static int freePort() throws IOException {
         for (int i = 0; i < PORTS; i++) {
             int port = FIRST_PORT + Math.floorMod(NEXT.getAndIncrement(), PORTS);
             try (ServerSocket tcp = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
-                 DatagramSocket udp = new DatagramSocket(port(port))) {
+                    DatagramSocket udp = new DatagramSocket(port(port))) {
                 if (tcp.getLocalPort() == udp.getLocalPort()) {
                     return port;
                 }
@@ -41,7 +43,10 @@
         throw new IOException("no free port");
     }
 
-    /** Reads ADDRESS:PORT. Throws IllegalArgumentException for any other form, and for what is not loopback. */
+    /**
+     * Reads ADDRESS:PORT. Throws IllegalArgumentException for any other form, and for what is not
+     * loopback.
+     */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
--- a/rig/src/main/java/frostrelay/rig/wire/MetaCodec.java
+++ b/rig/src/main/java/frostrelay/rig/wire/MetaCodec.java
@@ -5,13 +5,14 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.ByteToMessageDecoder;
 import io.netty.handler.codec.TooLongFrameException;
+
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * Reads lines of the meta protocol for stand-ins. It is written apart from the balancer's own decoder on purpose: a
- * fault that both shared would not be seen.
+ * Reads lines of the meta protocol for stand-ins. It is written apart from the balancer's own
+ * decoder on purpose: a fault that both shared would not be seen.
  */
 public final class MetaCodec extends ByteToMessageDecoder {
     private static final int MOST_LINE = 8 * 1024;
--- a/rig/src/main/java/frostrelay/rig/wire/MetaMessage.java
+++ b/rig/src/main/java/frostrelay/rig/wire/MetaMessage.java
@@ -2,14 +2,19 @@
 
 import java.util.List;
 
-/** One line of the memcache meta protocol, in either direction, with its data block if it has one. */
+/**
+ * One line of the memcache meta protocol, in either direction, with its data block if it has one.
+ */
 public record MetaMessage(List<String> words, byte[] data) {
     /** The word at a place, or an empty text behind the last. */
     public String word(int at) {
         return at < words.size() ? words.get(at) : "";
     }
 
-    /** What follows the first word that begins with a letter, from the third word on; null if there is none. */
+    /**
+     * What follows the first word that begins with a letter, from the third word on; null if there
+     * is none.
+     */
     public String flag(char letter) {
         for (int i = 1; i < words.size(); i++) {
             String word = words.get(i);
--- a/rig/src/test/java/frostrelay/rig/cache/WorkEngineTest.java
+++ b/rig/src/test/java/frostrelay/rig/cache/WorkEngineTest.java
@@ -1,27 +1,31 @@
 package frostrelay.rig.cache;
 
-import frostrelay.rig.referee.ColdMeter;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.List;
+import frostrelay.rig.referee.ColdMeter;
+
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
+
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
+import java.util.ArrayList;
+import java.util.List;
+
 /** The stand-in's machine against what queueing theory says of it. */
 class WorkEngineTest {
     /** However the work is cut into jobs, slots and cores, no time is lost and none is won. */
     @Property(tries = 300, seed = "20261201")
-    void workIsConserved(@ForAll @Size(min = 1, max = 40) List<@IntRange(min = 1, max = 1_000_000) Integer> work,
-                         @ForAll @IntRange(min = 1, max = 8) int slots) {
+    void workIsConserved(
+            @ForAll @Size(min = 1, max = 40) List<@IntRange(min = 1, max = 1_000_000) Integer> work,
+            @ForAll @IntRange(min = 1, max = 8) int slots) {
         WorkEngine<Integer> engine = new WorkEngine<>(1, slots, work.size());
         long sum = 0;
         for (int i = 0; i < work.size(); i++) {
@@ -35,10 +39,15 @@
             done.addAll(engine.finished(now));
         }
         assertEquals(work.size(), done.size());
-        assertTrue(Math.abs(now - sum) <= 2L * work.size() + 2, "all done at " + now + ", work " + sum);
+        assertTrue(
+                Math.abs(now - sum) <= 2L * work.size() + 2,
+                "all done at " + now + ", work " + sum);
     }
 
-    /** M/M/1 with shared service: the mean time in the machine is work / (1 - load), whatever the order. */
+    /**
+     * M/M/1 with shared service: the mean time in the machine is work / (1 - load), whatever the
+     * order.
+     */
     @Example
     void theMeanTimeIsThatOfAnMM1Queue() {
         double load = 0.7;
@@ -70,7 +79,9 @@
         assertEquals(WorkEngine.Offer.RUNS, engine.offer(0, "a", 100));
         assertEquals(WorkEngine.Offer.WAITS, engine.offer(0, "b", 100));
         assertEquals(WorkEngine.Offer.FULL, engine.offer(0, "c", 100));
-        assertFalse(engine.remove(10, "a", false), "work that runs goes on where a cancel does not stop it");
+        assertFalse(
+                engine.remove(10, "a", false),
+                "work that runs goes on where a cancel does not stop it");
         assertTrue(engine.remove(10, "a", true));
         assertEquals(110, engine.next(), "the next one began when the place was free");
         engine.speed(60, 0.5);
--- a/rig/src/test/java/frostrelay/rig/client/RequestPlanTest.java
+++ b/rig/src/test/java/frostrelay/rig/client/RequestPlanTest.java
@@ -7,12 +7,14 @@
 import frostrelay.rig.day.Day;
 import frostrelay.rig.day.DayFile;
 import frostrelay.rig.day.Targets;
+
+import org.apache.commons.rng.simple.RandomSource;
+import org.junit.jupiter.api.Test;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.apache.commons.rng.simple.RandomSource;
-import org.junit.jupiter.api.Test;
 
 /** The same seed gives the same day, and the day is what its file says. */
 class RequestPlanTest {
@@ -30,8 +32,11 @@
         Day day = DayFile.demo();
         assertEquals(plan(day, 5_000), plan(day, 5_000));
         assertNotEquals(plan(day, 10), plan(day.seeded(8), 10));
-        List<Integer> met = Targets.choose("any-3", "cache", 10, RandomSource.XO_RO_SHI_RO_128_PP.create(9));
-        assertEquals(met, Targets.choose("any-3", "cache", 10, RandomSource.XO_RO_SHI_RO_128_PP.create(9)));
+        List<Integer> met =
+                Targets.choose("any-3", "cache", 10, RandomSource.XO_RO_SHI_RO_128_PP.create(9));
+        assertEquals(
+                met,
+                Targets.choose("any-3", "cache", 10, RandomSource.XO_RO_SHI_RO_128_PP.create(9)));
         assertEquals(3, met.stream().distinct().count());
     }
 
@@ -39,7 +44,10 @@
     void ratesSharesAndPopularityAreThoseOfTheFile() {
         Day day = DayFile.demo();
         List<Planned> all = plan(day, 100_000);
-        assertEquals(day.load().rate(), all.size() * 1e9 / all.get(all.size() - 1).at(), day.load().rate() * 0.02);
+        assertEquals(
+                day.load().rate(),
+                all.size() * 1e9 / all.get(all.size() - 1).at(),
+                day.load().rate() * 0.02);
         Map<String, Integer> keys = new HashMap<>();
         long reads = all.stream().filter(one -> one.requestClass().name().equals("read")).count();
         assertEquals(0.95, reads / (double) all.size(), 0.005);
@@ -49,7 +57,11 @@
             harmonic += Math.pow(rank, -day.load().zipf());
         }
         int hottest = keys.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-        assertEquals(1 / harmonic, hottest / (double) all.size(), 0.005, "Zipf's share of the first key");
+        assertEquals(
+                1 / harmonic,
+                hottest / (double) all.size(),
+                0.005,
+                "Zipf's share of the first key");
         assertTrue(keys.size() <= day.load().keys());
     }
 }
--- a/rig/src/test/java/frostrelay/rig/fleet/FleetTest.java
+++ b/rig/src/test/java/frostrelay/rig/fleet/FleetTest.java
@@ -6,15 +6,18 @@
 import frostrelay.rig.client.Tally;
 import frostrelay.rig.day.Day;
 import frostrelay.rig.day.DayFile;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 
 /** Real balancers on a fleet that goes wrong in every way that the fleet knows keep every rule. */
 class FleetTest {
-    private static final String DAY = """
+    private static final String DAY =
+            """
             seed = 11
             length = "7s"
             [fleet]
@@ -42,19 +45,25 @@
             share = 1.0
             """;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static String fault(String at, String kind, String rest) {
         return "[[fault]]\nat = \"" + at + "\"\nkind = \"" + kind + "\"\n" + rest;
     }
 
-    /** What four balancers miss on watches that fell silent binds them 6 s later: by then each has asked anew. */
+    /**
+     * What four balancers miss on watches that fell silent binds them 6 s later: by then each has
+     * asked anew.
+     */
     @Test
     void drainsBehindSilentWatchesAreHeededInTime() throws Exception {
-        Day day = DayFile.parse("day.toml", DAY.replace("length = \"7s\"", "length = \"10s\"").replace("balancers = 2", "balancers = 4")
-                + fault("1500ms", "watch-silent", "amount = \"6s\"\n")
-                + fault("1700ms", "drain", "target = \"cache-3\"\nfor = \"9s\"\n"));
+        Day day =
+                DayFile.parse(
+                        "day.toml",
+                        DAY.replace("length = \"7s\"", "length = \"10s\"")
+                                        .replace("balancers = 2", "balancers = 4")
+                                + fault("1500ms", "watch-silent", "amount = \"6s\"\n")
+                                + fault("1700ms", "drain", "target = \"cache-3\"\nfor = \"9s\"\n"));
         List<String> lines = new ArrayList<>();
         Result result = DayPlay.play(day, folder, Program.ofClassPath(), lines::add);
         assertEquals(0, result.referee().count(), result.referee().breaches().toString());
@@ -63,30 +72,54 @@
 
     @Test
     void everyRuleIsKeptThroughEveryFault() throws Exception {
-        Day day = DayFile.parse("day.toml", DAY
-                + fault("500ms", "kill", "target = \"cache-1\"\nfor = \"2s\"\n")
-                + fault("900ms", "slow", "target = \"cache-2\"\nfactor = 20.0\nfor = \"1s\"\n")
-                + fault("1200ms", "drain", "target = \"cache-3\"\nfor = \"2s\"\n")
-                + fault("1500ms", "silence", "target = \"cache-4\"\nfor = \"700ms\"\n")
-                + fault("2s", "link-cut", "target = \"cache-5\"\nfor = \"500ms\"\n")
-                + fault("2300ms", "link-delay", "target = \"cache-6\"\namount = \"80ms\"\nfor = \"1s\"\n")
-                + fault("2600ms", "hold", "target = \"cache-2\"\nfor = \"1s\"\n")
-                + fault("2800ms", "discovery-outage", "for = \"1s\"\n")
-                + fault("3s", "archive-outage", "for = \"400ms\"\n")
-                + fault("3200ms", "surge", "factor = 3.0\nfor = \"500ms\"\n")
-                + fault("3500ms", "link-stall", "target = \"any-2\"\nfor = \"300ms\"\n")
-                + fault("3600ms", "link-narrow", "target = \"cache-6\"\nfactor = 20.0\nfor = \"500ms\"\n")
-                + fault("3800ms", "reload", "target = \"any-2\"\n")
-                + fault("4s", "balancer-kill", "target = \"balancer-1\"\n")
-                + fault("5s", "restart", "target = \"cache-5\"\n"));
+        Day day =
+                DayFile.parse(
+                        "day.toml",
+                        DAY
+                                + fault("500ms", "kill", "target = \"cache-1\"\nfor = \"2s\"\n")
+                                + fault(
+                                        "900ms",
+                                        "slow",
+                                        "target = \"cache-2\"\nfactor = 20.0\nfor = \"1s\"\n")
+                                + fault("1200ms", "drain", "target = \"cache-3\"\nfor = \"2s\"\n")
+                                + fault(
+                                        "1500ms",
+                                        "silence",
+                                        "target = \"cache-4\"\nfor = \"700ms\"\n")
+                                + fault("2s", "link-cut", "target = \"cache-5\"\nfor = \"500ms\"\n")
+                                + fault(
+                                        "2300ms",
+                                        "link-delay",
+                                        "target = \"cache-6\"\namount = \"80ms\"\nfor = \"1s\"\n")
+                                + fault("2600ms", "hold", "target = \"cache-2\"\nfor = \"1s\"\n")
+                                + fault("2800ms", "discovery-outage", "for = \"1s\"\n")
+                                + fault("3s", "archive-outage", "for = \"400ms\"\n")
+                                + fault("3200ms", "surge", "factor = 3.0\nfor = \"500ms\"\n")
+                                + fault(
+                                        "3500ms",
+                                        "link-stall",
+                                        "target = \"any-2\"\nfor = \"300ms\"\n")
+                                + fault(
+                                        "3600ms",
+                                        "link-narrow",
+                                        "target = \"cache-6\"\nfactor = 20.0\nfor = \"500ms\"\n")
+                                + fault("3800ms", "reload", "target = \"any-2\"\n")
+                                + fault("4s", "balancer-kill", "target = \"balancer-1\"\n")
+                                + fault("5s", "restart", "target = \"cache-5\"\n"));
         List<String> lines = new ArrayList<>();
         Result result = DayPlay.play(day, folder, Program.ofClassPath(), lines::add);
         assertEquals(0, result.referee().count(), result.referee().breaches().toString());
         assertEquals(0, result.tally().wrongAnswers());
         assertEquals(0, result.tally().count(Tally.End.LOST), result.text());
         assertTrue(result.tally().asked() > 1_500);
-        assertTrue(result.tally().count(Tally.End.IN_TIME) > result.tally().asked() / 2, result.text());
-        assertTrue(lines.stream().noneMatch(line -> line.contains("failed:")), String.join("\n", lines));
-        assertTrue(lines.stream().filter(line -> line.contains(">>")).count() >= 15, "every fault was played");
+        assertTrue(
+                result.tally().count(Tally.End.IN_TIME) > result.tally().asked() / 2,
+                result.text());
+        assertTrue(
+                lines.stream().noneMatch(line -> line.contains("failed:")),
+                String.join("\n", lines));
+        assertTrue(
+                lines.stream().filter(line -> line.contains(">>")).count() >= 15,
+                "every fault was played");
     }
 }
--- a/rig/src/test/java/frostrelay/rig/link/LinkTest.java
+++ b/rig/src/test/java/frostrelay/rig/link/LinkTest.java
@@ -5,6 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.channel.nio.NioEventLoopGroup;
+
+import org.junit.jupiter.api.AfterAll;
+import org.junit.jupiter.api.Test;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -13,8 +17,6 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterAll;
-import org.junit.jupiter.api.Test;
 
 /** A link may be slow, narrow or still, but it never loses, doubles or swaps a byte. */
 class LinkTest {
@@ -25,7 +27,8 @@
         GROUP.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private record Through(Link link, InetSocketAddress address, ServerSocket far) implements AutoCloseable {
+    private record Through(Link link, InetSocketAddress address, ServerSocket far)
+            implements AutoCloseable {
         static Through open() throws Exception {
             ServerSocket far = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
             Link link = new Link(GROUP.next(), (InetSocketAddress) far.getLocalSocketAddress());
@@ -33,13 +36,14 @@
         }
 
         CompletableFuture<byte[]> received() {
-            return CompletableFuture.supplyAsync(() -> {
-                try (Socket socket = far.accept()) {
-                    return socket.getInputStream().readAllBytes();
-                } catch (IOException e) {
-                    throw new IllegalStateException(e);
-                }
-            });
+            return CompletableFuture.supplyAsync(
+                    () -> {
+                        try (Socket socket = far.accept()) {
+                            return socket.getInputStream().readAllBytes();
+                        } catch (IOException e) {
+                            throw new IllegalStateException(e);
+                        }
+                    });
         }
 
         @Override
@@ -55,7 +59,8 @@
         try (Through through = Through.open()) {
             CompletableFuture<byte[]> received = through.received();
             long start = System.nanoTime();
-            try (Socket socket = new Socket(through.address.getAddress(), through.address.getPort())) {
+            try (Socket socket =
+                    new Socket(through.address.getAddress(), through.address.getPort())) {
                 through.link.delay(60_000_000L);
                 socket.getOutputStream().write(sent, 0, 1_000);
                 Thread.sleep(20);
@@ -74,22 +79,28 @@
     @Test
     void aCutResetsWhatIsOpenAndWhatComes() throws Exception {
         try (Through through = Through.open();
-                Socket socket = new Socket(through.address.getAddress(), through.address.getPort());
+                Socket socket =
+                        new Socket(through.address.getAddress(), through.address.getPort());
                 Socket far = through.far.accept()) {
             socket.getOutputStream().write(1);
             far.getInputStream().read();
             through.link.cut(true);
-            assertThrows(IOException.class, () -> {
-                if (socket.getInputStream().read() < 0) {
-                    throw new IOException("closed");
-                }
-            });
-            try (Socket again = new Socket(through.address.getAddress(), through.address.getPort())) {
-                assertThrows(IOException.class, () -> {
-                    if (again.getInputStream().read() < 0) {
-                        throw new IOException("closed");
-                    }
-                });
+            assertThrows(
+                    IOException.class,
+                    () -> {
+                        if (socket.getInputStream().read() < 0) {
+                            throw new IOException("closed");
+                        }
+                    });
+            try (Socket again =
+                    new Socket(through.address.getAddress(), through.address.getPort())) {
+                assertThrows(
+                        IOException.class,
+                        () -> {
+                            if (again.getInputStream().read() < 0) {
+                                throw new IOException("closed");
+                            }
+                        });
             }
         }
     }
--- a/rig/src/test/java/frostrelay/rig/referee/FaultyBalancer.java
+++ b/rig/src/test/java/frostrelay/rig/referee/FaultyBalancer.java
@@ -1,6 +1,7 @@
 package frostrelay.rig.referee;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -15,18 +16,27 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A balancer that forwards each request to a cache by turns and breaks one rule now and then, on purpose. It shows that
- * the referee would see it.
+ * A balancer that forwards each request to a cache by turns and breaks one rule now and then, on
+ * purpose. It shows that the referee would see it.
  */
 final class FaultyBalancer implements AutoCloseable {
     /** What it does wrong. */
     enum Fault {
-        NONE, SAYS_NOTHING, ENDS_THE_CONNECTION, ANSWERS_TWICE, SENDS_USES_TWICE, SENDS_NOTES_LATE_AGAIN,
-        REFUSES_WHAT_RAN, MIXES_VALUES_UP, MAKES_RECEIPTS_UP, SENDS_TO_THE_FIRST_ONLY
+        NONE,
+        SAYS_NOTHING,
+        ENDS_THE_CONNECTION,
+        ANSWERS_TWICE,
+        SENDS_USES_TWICE,
+        SENDS_NOTES_LATE_AGAIN,
+        REFUSES_WHAT_RAN,
+        MIXES_VALUES_UP,
+        MAKES_RECEIPTS_UP,
+        SENDS_TO_THE_FIRST_ONLY
     }
 
     /** Every so many requests go wrong. */
     private static final int EVERY = 10;
+
     private final Fault fault;
     private final long lateMs;
     private final List<InetSocketAddress> caches = new ArrayList<>();
@@ -35,8 +45,12 @@
     private final AtomicInteger turn = new AtomicInteger();
     private volatile byte[] lastValue;
 
-    /** {@code config}: as a real balancer would get it; {@code lateMs}: how long it waits before it sends late. */
-    FaultyBalancer(String config, InetSocketAddress listen, Fault fault, long lateMs) throws IOException {
+    /**
+     * {@code config}: as a real balancer would get it; {@code lateMs}: how long it waits before it
+     * sends late.
+     */
+    FaultyBalancer(String config, InetSocketAddress listen, Fault fault, long lateMs)
+            throws IOException {
         this.fault = fault;
         this.lateMs = lateMs;
         Map<?, ?> json = JSON.std.mapFrom(config);
@@ -47,33 +61,40 @@
         discovery = address((String) json.get("discovery"));
     }
 
-    /** Takes clients, and asks discovery and hears everything; what it makes of that is its fault. */
+    /**
+     * Takes clients, and asks discovery and hears everything; what it makes of that is its fault.
+     */
     void start() {
-        run(() -> {
-            while (true) {
-                Socket client = server.accept();
-                run(() -> serve(client));
-            }
-        });
-        run(() -> {
-            while (!server.isClosed()) {
-                hear();
-                pause(50);
-            }
-        });
+        run(
+                () -> {
+                    while (true) {
+                        Socket client = server.accept();
+                        run(() -> serve(client));
+                    }
+                });
+        run(
+                () -> {
+                    while (!server.isClosed()) {
+                        hear();
+                        pause(50);
+                    }
+                });
     }
 
     private void hear() throws IOException {
         try (Socket socket = new Socket(discovery.getAddress(), discovery.getPort())) {
-            socket.getOutputStream().write("GET /catalog/members HTTP/1.1\r\nHost: x\r\n\r\n"
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream()
+                    .write(
+                            "GET /catalog/members HTTP/1.1\r\nHost: x\r\n\r\n"
+                                    .getBytes(StandardCharsets.ISO_8859_1));
             socket.getInputStream().readAllBytes();
         }
     }
 
     private static InetSocketAddress address(String text) {
         int colon = text.indexOf(':');
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     private interface Task {
@@ -81,13 +102,15 @@
     }
 
     private static void run(Task task) {
-        Thread thread = new Thread(() -> {
-            try {
-                task.run();
-            } catch (IOException e) {
-                // The test is over, or the far end is.
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                task.run();
+                            } catch (IOException e) {
+                                // The test is over, or the far end is.
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
@@ -101,8 +124,7 @@
     }
 
     /** A line with its data behind it, in one piece. */
-    private record Frame(String line, byte[] bytes) {
-    }
+    private record Frame(String line, byte[] bytes) {}
 
     private static Frame read(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -111,8 +133,10 @@
             if (c == '\n') {
                 String line = bytes.toString(StandardCharsets.ISO_8859_1).strip();
                 String[] words = line.split(" ");
-                int length = words[0].equals("ms") ? Integer.parseInt(words[2])
-                        : words[0].equals("VA") ? Integer.parseInt(words[1]) : -2;
+                int length =
+                        words[0].equals("ms")
+                                ? Integer.parseInt(words[2])
+                                : words[0].equals("VA") ? Integer.parseInt(words[1]) : -2;
                 bytes.write(in.readNBytes(length + 2));
                 return new Frame(line, bytes.toByteArray());
             }
@@ -144,17 +168,20 @@
         int number = turn.incrementAndGet();
         boolean wrong = number % EVERY == 0;
         boolean use = command.line.contains("c=use");
-        InetSocketAddress cache = caches.get(fault == Fault.SENDS_TO_THE_FIRST_ONLY ? 0 : number % caches.size());
+        InetSocketAddress cache =
+                caches.get(fault == Fault.SENDS_TO_THE_FIRST_ONLY ? 0 : number % caches.size());
         if (wrong && fault == Fault.SAYS_NOTHING) {
             return;
         }
         // By its id: a client sends once more what a close may have crossed.
-        if (fault == Fault.ENDS_THE_CONNECTION && command.line.split(" ")[3].hashCode() % EVERY == 0) {
+        if (fault == Fault.ENDS_THE_CONNECTION
+                && command.line.split(" ")[3].hashCode() % EVERY == 0) {
             client.close();
             return;
         }
         if (fault == Fault.SENDS_TO_THE_FIRST_ONLY) {
-            // Knows of the start before it sends: a cold cache may else fall over before any balancer is at fault.
+            // Knows of the start before it sends: a cold cache may else fall over before any
+            // balancer is at fault.
             hear();
         }
         Frame answer = ask(cache, command);
@@ -169,7 +196,9 @@
             bytes = "SERVER_ERROR busy\r\n".getBytes(StandardCharsets.ISO_8859_1);
         }
         if (use && fault == Fault.MAKES_RECEIPTS_UP) {
-            bytes = (answer.line.replaceFirst(" c\\S+", " cffff") + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
+            bytes =
+                    (answer.line.replaceFirst(" c\\S+", " cffff") + "\r\n")
+                            .getBytes(StandardCharsets.ISO_8859_1);
         }
         if (answer.line.startsWith("VA")) {
             byte[] other = lastValue;
--- a/rig/src/test/java/frostrelay/rig/referee/TimeRulesTest.java
+++ b/rig/src/test/java/frostrelay/rig/referee/TimeRulesTest.java
@@ -3,12 +3,19 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import frostrelay.rig.referee.Referee.Effect;
+
 import org.junit.jupiter.api.Test;
 
-/** Work for clients that left, and waits that are overstated, are called; what a fault on the way delayed is not. */
+/**
+ * Work for clients that left, and waits that are overstated, are called; what a fault on the way
+ * delayed is not.
+ */
 class TimeRulesTest {
     private static final long MS = 1_000_000L;
-    private final Referee referee = new Referee(new Referee.Bounds(500 * MS, 1_000 * MS, new ColdMeter.Warmth(0.2, 1, 4, 1), 1));
+    private final Referee referee =
+            new Referee(
+                    new Referee.Bounds(
+                            500 * MS, 1_000 * MS, new ColdMeter.Warmth(0.2, 1, 4, 1), 1));
 
     private void asked(String id) {
         referee.asked(1_000 * MS, id, id, Effect.REPEATABLE);
--- a/rig/src/test/java/frostrelay/rig/soak/SoakPlanTest.java
+++ b/rig/src/test/java/frostrelay/rig/soak/SoakPlanTest.java
@@ -8,12 +8,17 @@
 import frostrelay.rig.day.FaultKind;
 import frostrelay.rig.day.FaultSpec;
 import frostrelay.rig.day.Targets;
+
+import org.junit.jupiter.api.Test;
+
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
-import org.junit.jupiter.api.Test;
 
-/** What is drawn is a soak: many balancers, faults that overlap, all that it knows of within a few seeds. */
+/**
+ * What is drawn is a soak: many balancers, faults that overlap, all that it knows of within a few
+ * seeds.
+ */
 class SoakPlanTest {
     private static final int SEEDS = 60;
 
@@ -33,12 +38,22 @@
             List<FaultSpec> faults = day.faults();
             for (FaultSpec fault : faults) {
                 kinds.add(fault.kind());
-                assertTrue(fault.at() + fault.length() <= day.length() + 1_000_000_000L, fault.text());
-                int most = fault.kind().meets == FaultKind.Meets.CACHE ? day.caches() : day.balancers();
+                assertTrue(
+                        fault.at() + fault.length() <= day.length() + 1_000_000_000L, fault.text());
+                int most =
+                        fault.kind().meets == FaultKind.Meets.CACHE
+                                ? day.caches()
+                                : day.balancers();
                 String name = fault.kind().meets == FaultKind.Meets.CACHE ? "cache" : "balancer";
-                assertTrue(fault.kind().meets == FaultKind.Meets.NOBODY || Targets.count(fault.target(), name, most) > 0, fault.text());
+                assertTrue(
+                        fault.kind().meets == FaultKind.Meets.NOBODY
+                                || Targets.count(fault.target(), name, most) > 0,
+                        fault.text());
             }
-            long stops = faults.stream().filter(fault -> fault.kind() == FaultKind.BALANCER_STOP).count();
+            long stops =
+                    faults.stream()
+                            .filter(fault -> fault.kind() == FaultKind.BALANCER_STOP)
+                            .count();
             assertTrue(stops > day.balancers() / 3, "seed " + seed);
             assertTrue(hangsDuringAStop(faults), "seed " + seed);
         }
@@ -46,8 +61,17 @@
     }
 
     private static boolean hangsDuringAStop(List<FaultSpec> faults) {
-        return faults.stream().filter(fault -> fault.kind() == FaultKind.SILENCE).anyMatch(hang -> faults.stream()
-                .anyMatch(stop -> stop.kind() == FaultKind.BALANCER_STOP && stop.at() >= hang.at()
-                        && stop.at() <= hang.at() + hang.length()));
+        return faults.stream()
+                .filter(fault -> fault.kind() == FaultKind.SILENCE)
+                .anyMatch(
+                        hang ->
+                                faults.stream()
+                                        .anyMatch(
+                                                stop ->
+                                                        stop.kind() == FaultKind.BALANCER_STOP
+                                                                && stop.at() >= hang.at()
+                                                                && stop.at()
+                                                                        <= hang.at()
+                                                                                + hang.length()));
     }
 }
--- a/stragglers/src/main/java/frostrelay/stragglers/Handover.java
+++ b/stragglers/src/main/java/frostrelay/stragglers/Handover.java
@@ -8,9 +8,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Fetches the content of a configuration from one that acts on it, in pieces that fit a datagram, and gives it out only if its
- * digest is that which was asked for. One holder at a time; a holder that is silent or whose content is another's gives way to the
- * next. Bounded in pieces, in what is open at once and in time. Decides by events alone; for one thread.
+ * Fetches the content of a configuration from one that acts on it, in pieces that fit a datagram,
+ * and gives it out only if its digest is that which was asked for. One holder at a time; a holder
+ * that is silent or whose content is another's gives way to the next. Bounded in pieces, in what is
+ * open at once and in time. Decides by events alone; for one thread.
  */
 public final class Handover {
     /** What comes of it. */
@@ -18,18 +19,28 @@
         /** One piece is to be asked for; a lost call is made again. */
         void want(int holder, long digest, int piece);
 
-        /** All pieces are there: {@code packed} is as the holder gave it. True if its digest is the right one and it was taken. */
+        /**
+         * All pieces are there: {@code packed} is as the holder gave it. True if its digest is the
+         * right one and it was taken.
+         */
         boolean take(long digest, byte[] packed);
     }
 
     /** Bytes of a piece: with its head it fits a datagram of 256. */
     public static final int PIECE = 200;
-    /** A configuration of more than 100 KB packed is none of this platform's; the room is bounded by it. */
+
+    /**
+     * A configuration of more than 100 KB packed is none of this platform's; the room is bounded by
+     * it.
+     */
     public static final int MOST_PIECES = 512;
+
     private static final long NEVER = Long.MAX_VALUE;
     private static final int OPEN = 3;
+
     /** Way and back at their slowest, 60 ms, and a giver that waits for room below its ceiling. */
     private static final long AGAIN = 700_000_000L;
+
     private static final int MOST_SILENT = 6;
 
     private final Actions actions;
@@ -110,8 +121,14 @@
 
     /** A piece came; whatever it claims. */
     public void onPiece(long now, int from, long of, int piece, int count, byte[] content) {
-        if (from != holder || of != digest || count < 1 || count > MOST_PIECES || piece < 0 || piece >= count
-                || content.length > PIECE || pieces != null && pieces.length != count) {
+        if (from != holder
+                || of != digest
+                || count < 1
+                || count > MOST_PIECES
+                || piece < 0
+                || piece >= count
+                || content.length > PIECE
+                || pieces != null && pieces.length != count) {
             return;
         }
         if (pieces == null) {
@@ -161,7 +178,8 @@
             return;
         }
         if (++silent >= MOST_SILENT) {
-            // It may be away; another may have it. Once all have been tried it is begun anew when it is wanted again.
+            // It may be away; another may have it. Once all have been tried it is begun anew when
+            // it is wanted again.
             refused.add(holder);
             choose(now);
         } else {
--- a/stragglers/src/main/java/frostrelay/stragglers/Heed.java
+++ b/stragglers/src/main/java/frostrelay/stragglers/Heed.java
@@ -4,7 +4,10 @@
 public enum Heed {
     /** It acts on a list as new as this balancer's, or has not been behind for long. */
     CURRENT,
-    /** It has acted on an older list than this balancer for longer than the bound: a straggler, passed over until it is current. */
+    /**
+     * It has acted on an older list than this balancer for longer than the bound: a straggler,
+     * passed over until it is current.
+     */
     PASSED_OVER,
     /** What it acts on is not known. */
     UNKNOWN
--- a/stragglers/src/main/java/frostrelay/stragglers/Kind.java
+++ b/stragglers/src/main/java/frostrelay/stragglers/Kind.java
@@ -17,7 +17,9 @@
         }
     };
 
-    /** The version of this kind in a stamp; {@link Stamp#NO_NUMBER} where a configuration has none. */
+    /**
+     * The version of this kind in a stamp; {@link Stamp#NO_NUMBER} where a configuration has none.
+     */
     public abstract long number(Stamp stamp);
 
     /** As logs and consoles name it. */
--- a/stragglers/src/main/java/frostrelay/stragglers/Order.java
+++ b/stragglers/src/main/java/frostrelay/stragglers/Order.java
@@ -5,12 +5,16 @@
 /**
  * What orders two versions, kind by kind: how another's stands to one's own. Pure.
  *
- * <p>A list is ordered by discovery's version, a configuration by the operators' number where both have one. One number with
- * two contents is a conflict, which no balancer settles: operators do. Configurations without numbers, holds and builds have
- * no order: they are the same or they differ.
+ * <p>A list is ordered by discovery's version, a configuration by the operators' number where both
+ * have one. One number with two contents is a conflict, which no balancer settles: operators do.
+ * Configurations without numbers, holds and builds have no order: they are the same or they differ.
  */
 public enum Order {
-    SAME, NEWER, OLDER, CONFLICT, UNORDERED;
+    SAME,
+    NEWER,
+    OLDER,
+    CONFLICT,
+    UNORDERED;
 
     /** How the other's list stands to mine. */
     public static Order list(Stamp mine, Stamp other) {
@@ -22,7 +26,8 @@
         if (mine.confNumber() == Stamp.NO_NUMBER || other.confNumber() == Stamp.NO_NUMBER) {
             return mine.confDigest() == other.confDigest() ? SAME : UNORDERED;
         }
-        return numbered(mine.confNumber(), mine.confDigest(), other.confNumber(), other.confDigest());
+        return numbered(
+                mine.confNumber(), mine.confDigest(), other.confNumber(), other.confDigest());
     }
 
     private static Order numbered(long mine, long digest, long other, long otherDigest) {
--- a/stragglers/src/main/java/frostrelay/stragglers/Stragglers.java
+++ b/stragglers/src/main/java/frostrelay/stragglers/Stragglers.java
@@ -2,11 +2,11 @@
 
 import frostrelay.peers.Stamp;
 import frostrelay.peers.State;
+
 import java.util.ArrayList;
-import java.util.EnumMap;
 import java.util.Comparator;
+import java.util.EnumMap;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -15,10 +15,11 @@
 import java.util.TreeSet;
 
 /**
- * Whether this balancer acts on what the rest of the fleet has left behind, and what it does then. What peers say only takes
- * away: a cache that others know as draining or gone is avoided until the own list has caught up or the hearsay is old;
- * nothing is ever sent to a cache that the own list has not named. Decides by events alone; for one thread; moments are
- * nanoseconds of one clock that never falls.
+ * Whether this balancer acts on what the rest of the fleet has left behind, and what it does then.
+ * What peers say only takes away: a cache that others know as draining or gone is avoided until the
+ * own list has caught up or the hearsay is old; nothing is ever sent to a cache that the own list
+ * has not named. Decides by events alone; for one thread; moments are nanoseconds of one clock that
+ * never falls.
  */
 public final class Stragglers {
     /** What comes of it. */
@@ -30,8 +31,8 @@
         void reread();
 
         /**
-         * The file brought nothing: these act on a configuration with this digest, and its content may be asked of them where
-         * operators allow that. None: nothing is wanted any more.
+         * The file brought nothing: these act on a configuration with this digest, and its content
+         * may be asked of them where operators allow that. None: nothing is wanted any more.
          */
         void fetch(long digest, List<Integer> holders);
 
@@ -71,15 +72,22 @@
     }
 
     private static final long NEVER = Long.MAX_VALUE;
+
     /** With so many others alive, one's word alone proves nothing. */
     static final int FEW = 3;
+
     private static final int MOST_CACHES = 4_096;
 
-    /** What others say of a cache: who has it as not to be used, each by the version of its own list. */
+    /**
+     * What others say of a cache: who has it as not to be used, each by the version of its own
+     * list.
+     */
     private static final class Hearsay {
         long since;
+
         /** One alone has been believed for as long as that goes. */
         boolean spent;
+
         final Map<Integer, Long> witnesses = new HashMap<>();
     }
 
@@ -94,8 +102,10 @@
     private final SharedHolds holds;
     private final Map<Kind, Service> service = new EnumMap<>(Kind.class);
     private final Map<Long, Hearsay> hearsay = new LinkedHashMap<>();
+
     /** By which version each peer has a cache back. */
     private final Map<Long, Map<Integer, Long>> backs = new HashMap<>();
+
     private Set<Long> ready = Set.of();
     private Set<Long> ownHolds = Set.of();
     private Set<Long> avoided = Set.of();
@@ -119,7 +129,8 @@
     private long asks;
 
     /** {@code me}: this balancer's number among {@code count}; {@code own}: what it acts on. */
-    public Stragglers(StragglerSettings settings, int me, int count, long seed, Stamp own, Actions actions) {
+    public Stragglers(
+            StragglerSettings settings, int me, int count, long seed, Stamp own, Actions actions) {
         this.settings = settings;
         this.me = me;
         this.count = count;
@@ -139,9 +150,11 @@
 
     // What comes in.
 
-    /** A cache that others call away: by which list several of them do, {@link Long#MIN_VALUE} for none, and how many there are. */
-    private record Proved(long cache, long rev, int witnesses) {
-    }
+    /**
+     * A cache that others call away: by which list several of them do, {@link Long#MIN_VALUE} for
+     * none, and how many there are.
+     */
+    private record Proved(long cache, long rev, int witnesses) {}
 
     /** This balancer's own operators hold these caches. */
     public void onHolds(long now, Set<Long> caches) {
@@ -149,7 +162,10 @@
         judge(now);
     }
 
-    /** This balancer acts on this from now on; {@code usable}: the caches that its list names as ready. */
+    /**
+     * This balancer acts on this from now on; {@code usable}: the caches that its list names as
+     * ready.
+     */
     public void onOwn(long now, Stamp stamp, Set<Long> usable) {
         for (Kind kind : Kind.values()) {
             if (kind.number(stamp) != kind.number(own)) {
@@ -165,17 +181,22 @@
     }
 
     /**
-     * What is known of a peer. {@code stamp}: null where that is nothing; {@code life}: when its life began, in Unix
-     * milliseconds as it saw it; {@code age}: how long ago it said so itself, negative where it never did.
+     * What is known of a peer. {@code stamp}: null where that is nothing; {@code life}: when its
+     * life began, in Unix milliseconds as it saw it; {@code age}: how long ago it said so itself,
+     * negative where it never did.
      */
     public void onPeer(long now, int rank, State state, Stamp stamp, long life, long age) {
         Peer peer = peers[rank];
         boolean anotherLife = life != peer.life && peer.life != 0;
-        if (anotherLife ? peer.state != State.LEFT && peer.state != State.GONE
+        if (anotherLife
+                ? peer.state != State.LEFT && peer.state != State.GONE
                 : state == State.GONE && peer.state != State.GONE && peer.state != State.LEFT) {
             verdicts.onEnded(now, rank, peer);
         }
-        if (stamp != null && (anotherLife || peer.stamp == null || peer.stamp.confNumber() != stamp.confNumber())) {
+        if (stamp != null
+                && (anotherLife
+                        || peer.stamp == null
+                        || peer.stamp.confNumber() != stamp.confNumber())) {
             peer.configSince = now - Math.max(0, age);
         }
         peer.state = state;
@@ -199,7 +220,10 @@
         }
     }
 
-    /** Counts since the start, about once a second: requests that ended, and those that were served among them. */
+    /**
+     * Counts since the start, about once a second: requests that ended, and those that were served
+     * among them.
+     */
     public void onSecond(long now, long ended, long served) {
         boolean changed = false;
         for (Service one : service.values()) {
@@ -212,7 +236,10 @@
         }
     }
 
-    /** A configuration with that number, {@link Stamp#NO_NUMBER} for one that has none, was read and cannot be used. */
+    /**
+     * A configuration with that number, {@link Stamp#NO_NUMBER} for one that has none, was read and
+     * cannot be used.
+     */
     public void onRefused(long now, long number) {
         refusedConfig = number;
         judge(now);
@@ -224,7 +251,10 @@
         judge(now);
     }
 
-    /** A peer says that its own operators hold a cache; {@code digest}: of all that it holds, as in its stamp. */
+    /**
+     * A peer says that its own operators hold a cache; {@code digest}: of all that it holds, as in
+     * its stamp.
+     */
     public void onHeld(long now, int from, long digest, long cache) {
         holds.onHeld(now, from, digest, cache);
         judge(now);
@@ -253,18 +283,24 @@
     }
 
     /**
-     * A peer says, by its own list of that version, that a cache may be used again: what older lists said of it is over, also where
-     * that comes later, as datagrams overtake each other. Believed once that version is proved: one liar ends nobody's word.
+     * A peer says, by its own list of that version, that a cache may be used again: what older
+     * lists said of it is over, also where that comes later, as datagrams overtake each other.
+     * Believed once that version is proved: one liar ends nobody's word.
      */
     public void onBack(long now, int from, long rev, long cache) {
-        if (rev <= own.listRev() || !ready.contains(cache) || backs.size() >= MOST_CACHES && !backs.containsKey(cache)) {
+        if (rev <= own.listRev()
+                || !ready.contains(cache)
+                || backs.size() >= MOST_CACHES && !backs.containsKey(cache)) {
             return;
         }
         backs.computeIfAbsent(cache, id -> new HashMap<>()).merge(from, rev, Math::max);
         judge(now);
     }
 
-    /** The newest proved version by which somebody has the cache back; {@link Long#MIN_VALUE} for none. */
+    /**
+     * The newest proved version by which somebody has the cache back; {@link Long#MIN_VALUE} for
+     * none.
+     */
     private long back(long cache) {
         long back = Long.MIN_VALUE;
         for (long rev : backs.getOrDefault(cache, Map.of()).values()) {
@@ -279,8 +315,16 @@
         for (Hearsay one : hearsay.values()) {
             next = Math.min(next, one.since + (one.spent ? settings.hearsay() : settings.alone()));
         }
-        if (behindSince != NEVER && standing != Standing.STRAGGLER && standing != Standing.STAYS_BEHIND) {
-            next = Math.min(next, behindSince + (standing == Standing.WAITING ? settings.grace() : settings.bound()));
+        if (behindSince != NEVER
+                && standing != Standing.STRAGGLER
+                && standing != Standing.STAYS_BEHIND) {
+            next =
+                    Math.min(
+                            next,
+                            behindSince
+                                    + (standing == Standing.WAITING
+                                            ? settings.grace()
+                                            : settings.bound()));
         }
         if (configSince != NEVER && config == Standing.BEHIND) {
             next = Math.min(next, configSince + settings.bound());
@@ -301,7 +345,8 @@
         }
         if (now >= askAt) {
             asks++;
-            // Until it brings something, ever more seldom: a fleet that is told nothing does not mob discovery.
+            // Until it brings something, ever more seldom: a fleet that is told nothing does not
+            // mob discovery.
             askEvery = Math.min(Math.max(settings.askMost(), wave()), askEvery * 2);
             askAt = now + askEvery / 2 + random.nextLong(askEvery / 2 + 1);
             actions.ask();
@@ -313,17 +358,25 @@
         Map<Long, List<Integer>> holders = new HashMap<>();
         for (int i = 0; i < count; i++) {
             if (i != me && peers[i].alive() && peers[i].stamp.confNumber() == newestConfig) {
-                holders.computeIfAbsent(peers[i].stamp.confDigest(), digest -> new ArrayList<>()).add(i);
+                holders.computeIfAbsent(peers[i].stamp.confDigest(), digest -> new ArrayList<>())
+                        .add(i);
             }
         }
-        holders.entrySet().stream().max((a, b) -> a.getValue().size() != b.getValue().size()
-                ? a.getValue().size() - b.getValue().size() : Long.compare(a.getKey(), b.getKey())).ifPresent(most -> {
-                    // Two contents under one number: whoever has the more must be proved by itself.
-                    if (most.getValue().size() >= needed()) {
-                        fetching = true;
-                        actions.fetch(most.getKey(), List.copyOf(most.getValue()));
-                    }
-                });
+        holders.entrySet().stream()
+                .max(
+                        (a, b) ->
+                                a.getValue().size() != b.getValue().size()
+                                        ? a.getValue().size() - b.getValue().size()
+                                        : Long.compare(a.getKey(), b.getKey()))
+                .ifPresent(
+                        most -> {
+                            // Two contents under one number: whoever has the more must be proved by
+                            // itself.
+                            if (most.getValue().size() >= needed()) {
+                                fetching = true;
+                                actions.fetch(most.getKey(), List.copyOf(most.getValue()));
+                            }
+                        });
     }
 
     // Judging.
@@ -340,9 +393,15 @@
         backs.values().removeIf(Map::isEmpty);
         hearsay.values().forEach(one -> one.spent |= now - one.since >= settings.alone());
         stand(now);
-        // Witness by witness: one that claims a version of the far future keeps nobody else's word alive.
-        hearsay.forEach((cache, one) -> one.witnesses.values().removeIf(rev -> rev <= own.listRev() || rev < back(cache)));
-        hearsay.values().removeIf(one -> one.witnesses.isEmpty() || now - one.since >= settings.hearsay());
+        // Witness by witness: one that claims a version of the far future keeps nobody else's word
+        // alive.
+        hearsay.forEach(
+                (cache, one) ->
+                        one.witnesses
+                                .values()
+                                .removeIf(rev -> rev <= own.listRev() || rev < back(cache)));
+        hearsay.values()
+                .removeIf(one -> one.witnesses.isEmpty() || now - one.since >= settings.hearsay());
         config(now);
         avoid(now);
         leave(now);
@@ -352,7 +411,8 @@
         newest = survey.proved(Kind.LIST);
         Standing before = standing;
         if (deaf || !survey.anybody) {
-            // Hearing nothing is not being behind: what was known before is neither confirmed nor refuted.
+            // Hearing nothing is not being behind: what was known before is neither confirmed nor
+            // refuted.
             standing = Standing.HEARS_NOTHING;
             behindSince = NEVER;
             askAt = NEVER;
@@ -367,15 +427,19 @@
                 askAt = now + settings.grace() + random.nextLong(Math.max(1, wave()));
             }
             long lag = now - behindSince;
-            standing = lag >= settings.bound() ? Standing.STRAGGLER : lag >= settings.grace() ? Standing.BEHIND
-                    : Standing.WAITING;
+            standing =
+                    lag >= settings.bound()
+                            ? Standing.STRAGGLER
+                            : lag >= settings.grace() ? Standing.BEHIND : Standing.WAITING;
         } else {
             standing = survey.listConflict ? Standing.CONFLICT : Standing.CURRENT;
             behindSince = NEVER;
             askAt = NEVER;
         }
-        if (before != standing && (standing == Standing.STRAGGLER || before == Standing.STRAGGLER
-                || standing == Standing.CONFLICT)) {
+        if (before != standing
+                && (standing == Standing.STRAGGLER
+                        || before == Standing.STRAGGLER
+                        || standing == Standing.CONFLICT)) {
             actions.tell(standing + " on list " + own.listRev() + ", others act on " + newest);
         }
         if (before != standing && standing == Standing.STAYS_BEHIND) {
@@ -384,12 +448,14 @@
     }
 
     private boolean unfollowed(long now, Kind kind, long number) {
-        return verdicts.bad(now, kind, number, service.get(kind).fails()) && !overrides.follows(kind, number);
+        return verdicts.bad(now, kind, number, service.get(kind).fails())
+                && !overrides.follows(kind, number);
     }
 
     /**
-     * Others that prove one act on a later configuration: the file may hold it, unread. Lagging behind a configuration is never
-     * a reason to step aside: one that is led through the fleet in steps has most of it behind on purpose.
+     * Others that prove one act on a later configuration: the file may hold it, unread. Lagging
+     * behind a configuration is never a reason to step aside: one that is led through the fleet in
+     * steps has most of it behind on purpose.
      */
     private void config(long now) {
         newestConfig = survey.proved(Kind.CONFIG);
@@ -404,7 +470,10 @@
         } else if (unfollowed(now, Kind.CONFIG, newestConfig)) {
             config = Standing.STAYS_BEHIND;
         } else {
-            config = configSince != NEVER && now - configSince >= settings.bound() ? Standing.STRAGGLER : Standing.BEHIND;
+            config =
+                    configSince != NEVER && now - configSince >= settings.bound()
+                            ? Standing.STRAGGLER
+                            : Standing.BEHIND;
         }
         if (config != Standing.BEHIND && config != Standing.STRAGGLER) {
             configSince = NEVER;
@@ -420,16 +489,27 @@
             rereadAt = now + settings.probation();
             fetchAt = rereadAt + 2 * settings.askLeast();
         }
-        if (before != config && (config == Standing.STRAGGLER || config == Standing.REFUSED || config == Standing.CONFLICT
-                || before == Standing.STRAGGLER)) {
-            actions.tell(config + " on configuration " + own.confNumber() + ", others act on " + newestConfig);
+        if (before != config
+                && (config == Standing.STRAGGLER
+                        || config == Standing.REFUSED
+                        || config == Standing.CONFLICT
+                        || before == Standing.STRAGGLER)) {
+            actions.tell(
+                    config
+                            + " on configuration "
+                            + own.confNumber()
+                            + ", others act on "
+                            + newestConfig);
         }
         if (before != config && config == Standing.STAYS_BEHIND) {
             actions.stays(Kind.CONFIG, newestConfig, "those that took it fail under it");
         }
     }
 
-    /** Over so long the calls of all that are behind are spread, so that they come as often as all watches do in calm. */
+    /**
+     * Over so long the calls of all that are behind are spread, so that they come as often as all
+     * watches do in calm.
+     */
     private long wave() {
         return behind() * Math.min(settings.spread(), settings.watch() / count);
     }
@@ -444,9 +524,10 @@
     }
 
     /**
-     * Operators' holds first, then those that several prove by the newest lists, then those with most witnesses, up to the part that
-     * others' word may take away, whoever says what. What this balancer's own operators hold is out of use anyway and takes no
-     * room: beside such a hold, a drain that three knew was not avoided.
+     * Operators' holds first, then those that several prove by the newest lists, then those with
+     * most witnesses, up to the part that others' word may take away, whoever says what. What this
+     * balancer's own operators hold is out of use anyway and takes no room: beside such a hold, a
+     * drain that three knew was not avoided.
      */
     private void avoid(long now) {
         int most = ready.size() < 2 ? 0 : (int) Math.ceil(ready.size() * settings.away());
@@ -459,13 +540,19 @@
         for (Map.Entry<Long, Hearsay> one : hearsay.entrySet()) {
             List<Long> revs = one.getValue().witnesses.values().stream().sorted().toList();
             long rev = revs.size() >= needed ? revs.get(revs.size() - needed) : Long.MIN_VALUE;
-            boolean counts = rev != Long.MIN_VALUE ? !unfollowed(now, Kind.LIST, rev) : !one.getValue().spent;
+            boolean counts =
+                    rev != Long.MIN_VALUE
+                            ? !unfollowed(now, Kind.LIST, rev)
+                            : !one.getValue().spent;
             if (counts && !ownHolds.contains(one.getKey())) {
                 proved.add(new Proved(one.getKey(), rev, revs.size()));
             }
         }
-        proved.sort(Comparator.comparingLong(Proved::rev).thenComparingInt(Proved::witnesses).reversed()
-                .thenComparingLong(Proved::cache));
+        proved.sort(
+                Comparator.comparingLong(Proved::rev)
+                        .thenComparingInt(Proved::witnesses)
+                        .reversed()
+                        .thenComparingLong(Proved::cache));
         for (Proved one : proved) {
             if (fresh.size() < most) {
                 fresh.add(one.cache);
@@ -478,18 +565,33 @@
     }
 
     /**
-     * Steps aside by what can be proved: a straggler, of whom at least half of the tier is alive and current, and who has one
-     * of the few places that may be empty at once. Places go by number: whoever hears whom, no more than that are ever aside.
-     * Operators who shut one out answer for that themselves.
+     * Steps aside by what can be proved: a straggler, of whom at least half of the tier is alive
+     * and current, and who has one of the few places that may be empty at once. Places go by
+     * number: whoever hears whom, no more than that are ever aside. Operators who shut one out
+     * answer for that themselves.
      */
     private void leave(long now) {
-        boolean lags = standing == Standing.STRAGGLER && !overrides.keepsIn() && (aside || mayLeave(me, count, settings.part())
-                && 2 * current() >= count);
+        boolean lags =
+                standing == Standing.STRAGGLER
+                        && !overrides.keepsIn()
+                        && (aside
+                                || mayLeave(me, count, settings.part()) && 2 * current() >= count);
         boolean out = lags || overrides.shutsOut();
         if (out != aside) {
             aside = out;
-            actions.aside(out, !out ? "no straggler any more" : overrides.shutsOut() ? "operators shut it out"
-                    : "behind list " + newest + " with " + own.listRev() + " for " + (now - behindSince) / 1_000_000 + " ms");
+            actions.aside(
+                    out,
+                    !out
+                            ? "no straggler any more"
+                            : overrides.shutsOut()
+                                    ? "operators shut it out"
+                                    : "behind list "
+                                            + newest
+                                            + " with "
+                                            + own.listRev()
+                                            + " for "
+                                            + (now - behindSince) / 1_000_000
+                                            + " ms");
         }
     }
 
@@ -503,8 +605,9 @@
     }
 
     /**
-     * Whether a balancer has one of the places that may be empty: every fourth number, and never one of a tier of two. At most
-     * a quarter of a tier, rounded up, can be aside at once, whatever hears nothing.
+     * Whether a balancer has one of the places that may be empty: every fourth number, and never
+     * one of a tier of two. At most a quarter of a tier, rounded up, can be aside at once, whatever
+     * hears nothing.
      */
     static boolean mayLeave(int rank, int count, double part) {
         int every = (int) Math.round(1 / part);
@@ -548,18 +651,29 @@
         return held;
     }
 
-    /** The kinds whose version this balancer serves worse under than before it took it, by its own counts. */
+    /**
+     * The kinds whose version this balancer serves worse under than before it took it, by its own
+     * counts.
+     */
     public List<Kind> failing() {
-        return service.entrySet().stream().filter(one -> one.getValue().fails()).map(Map.Entry::getKey).toList();
+        return service.entrySet().stream()
+                .filter(one -> one.getValue().fails())
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
-    /** Whether what another says of shared state, counts, budgets, claims of ownership, is to be gone by. */
+    /**
+     * Whether what another says of shared state, counts, budgets, claims of ownership, is to be
+     * gone by.
+     */
     public Heed heeds(long now, int rank) {
         Peer peer = peers[rank];
         if (deaf || !peer.alive()) {
             return Heed.UNKNOWN;
         }
-        return peer.olderSince != NEVER && now - peer.olderSince >= settings.bound() ? Heed.PASSED_OVER : Heed.CURRENT;
+        return peer.olderSince != NEVER && now - peer.olderSince >= settings.bound()
+                ? Heed.PASSED_OVER
+                : Heed.CURRENT;
     }
 
     /** Whether it has stepped aside. */
--- a/stragglers/src/main/java/frostrelay/stragglers/Survey.java
+++ b/stragglers/src/main/java/frostrelay/stragglers/Survey.java
@@ -3,11 +3,16 @@
 import frostrelay.peers.Stamp;
 import frostrelay.peers.State;
 
-/** What one look over all others shows: in large tiers it is taken for each change of each of them, so there is one pass. */
+/**
+ * What one look over all others shows: in large tiers it is taken for each change of each of them,
+ * so there is one pass.
+ */
 final class Survey {
     private int alive;
+
     /** Somebody is alive of whom it is known what he acts on. */
     boolean anybody;
+
     boolean listConflict;
     boolean configConflict;
     private long firstList = Long.MIN_VALUE;
@@ -52,7 +57,10 @@
         return alive >= Stragglers.FEW ? 2 : 1;
     }
 
-    /** The newest version that so many act on as it takes to prove one; {@link Long#MIN_VALUE} where none is. */
+    /**
+     * The newest version that so many act on as it takes to prove one; {@link Long#MIN_VALUE} where
+     * none is.
+     */
     long proved(Kind kind) {
         boolean two = needed() == 2;
         return kind == Kind.LIST ? two ? secondList : firstList : two ? secondConfig : firstConfig;
--- a/stragglers/src/main/java/frostrelay/stragglers/Words.java
+++ b/stragglers/src/main/java/frostrelay/stragglers/Words.java
@@ -2,6 +2,7 @@
 
 import frostrelay.peers.Cargo;
 import frostrelay.peers.Hold;
+
 import java.nio.ByteBuffer;
 import java.util.EnumMap;
 import java.util.List;
@@ -9,9 +10,11 @@
 import java.util.Set;
 
 /**
- * The wire form of what stragglers say to each other, as sections of the peers' datagrams, big-endian: what this balancer's own
- * operators hold (16: u64 digest of all holds, u64 cache), versions that it fails under (17: u8 kind, u64 number, u8 1 or 0 for no longer), a piece of a
- * configuration that is wanted (18: u64 digest, u16 piece) and that is given (19: u64 digest, u16 piece, u16 pieces, content).
+ * The wire form of what stragglers say to each other, as sections of the peers' datagrams,
+ * big-endian: what this balancer's own operators hold (16: u64 digest of all holds, u64 cache),
+ * versions that it fails under (17: u8 kind, u64 number, u8 1 or 0 for no longer), a piece of a
+ * configuration that is wanted (18: u64 digest, u16 piece) and that is given (19: u64 digest, u16
+ * piece, u16 pieces, content).
  */
 public final class Words implements Cargo {
     private static final int HELD = 16;
@@ -22,8 +25,10 @@
     private static final int FAILS_BYTES = 1 + Long.BYTES + 1;
     private static final int WANT_BYTES = Long.BYTES + Short.BYTES;
     private static final int PIECE_HEAD = WANT_BYTES + Short.BYTES;
+
     /** In a datagram: holds are few, and each is told in turn. */
     private static final int MOST_HELD = 3;
+
     private static final int U16 = 0xffff;
 
     /** Hears what came, unchecked but for its form. */
@@ -61,7 +66,13 @@
 
     /** From now on it says of itself whether it fails under this version. */
     public void fails(Kind kind, long number, boolean on) {
-        fails.put(kind, ByteBuffer.allocate(FAILS_BYTES).put((byte) kind.ordinal()).putLong(number).put((byte) (on ? 1 : 0)).flip());
+        fails.put(
+                kind,
+                ByteBuffer.allocate(FAILS_BYTES)
+                        .put((byte) kind.ordinal())
+                        .putLong(number)
+                        .put((byte) (on ? 1 : 0))
+                        .flip());
     }
 
     /** It says nothing of that kind any more: what it said before is old. */
@@ -76,7 +87,12 @@
             return;
         }
         for (int i = 0; i < Math.min(MOST_HELD, held.size()); i++) {
-            hold.add(HELD, ByteBuffer.allocate(HELD_BYTES).putLong(heldDigest).putLong(held.get(turn++ % held.size())).flip());
+            hold.add(
+                    HELD,
+                    ByteBuffer.allocate(HELD_BYTES)
+                            .putLong(heldDigest)
+                            .putLong(held.get(turn++ % held.size()))
+                            .flip());
         }
         turn %= held.size();
     }
@@ -91,15 +107,22 @@
         return WANT;
     }
 
-    /** The content of the section that gives a piece of all that is packed; null where there is no such piece. */
+    /**
+     * The content of the section that gives a piece of all that is packed; null where there is no
+     * such piece.
+     */
     public static ByteBuffer piece(long digest, int piece, byte[] packed) {
         int count = (packed.length + Handover.PIECE - 1) / Handover.PIECE;
         if (piece >= count || count > Handover.MOST_PIECES) {
             return null;
         }
         int length = Math.min(Handover.PIECE, packed.length - piece * Handover.PIECE);
-        return ByteBuffer.allocate(PIECE_HEAD + length).putLong(digest).putShort((short) piece).putShort((short) count)
-                .put(packed, piece * Handover.PIECE, length).flip();
+        return ByteBuffer.allocate(PIECE_HEAD + length)
+                .putLong(digest)
+                .putShort((short) piece)
+                .putShort((short) count)
+                .put(packed, piece * Handover.PIECE, length)
+                .flip();
     }
 
     /** Its type. */
--- a/stragglers/src/test/java/frostrelay/stragglers/HandoverTest.java
+++ b/stragglers/src/test/java/frostrelay/stragglers/HandoverTest.java
@@ -5,26 +5,31 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import net.jqwik.api.ForAll;
-import net.jqwik.api.Property;
-import net.jqwik.api.constraints.IntRange;
 
 /** A content comes whole or not at all, whatever is lost, doubled, late or somebody else's. */
 class HandoverTest {
     private static final long DIGEST = 77;
 
-    private record Call(int holder, int piece) {
-    }
+    private record Call(int holder, int piece) {}
 
-    /** {@code loss}: of a hundred pieces; holder 0 is silent, holder 1 gives other content, the others give the right one. */
+    /**
+     * {@code loss}: of a hundred pieces; holder 0 is silent, holder 1 gives other content, the
+     * others give the right one.
+     */
     @Property(tries = 200)
-    void theRightContentComesWholeFromWhoHasIt(@ForAll long seed, @ForAll @IntRange(min = 1, max = 5_000) int length,
-                                               @ForAll @IntRange(min = 0, max = 40) int loss) {
+    void theRightContentComesWholeFromWhoHasIt(
+            @ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 5_000) int length,
+            @ForAll @IntRange(min = 0, max = 40) int loss) {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] right = new byte[length];
         random.nextBytes(right);
@@ -32,20 +37,23 @@
         other[random.nextInt(length)] ^= 1;
         List<Call> calls = new ArrayList<>();
         List<byte[]> taken = new ArrayList<>();
-        Handover one = new Handover(seed, new Handover.Actions() {
-            @Override
-            public void want(int holder, long digest, int piece) {
-                calls.add(new Call(holder, piece));
-            }
+        Handover one =
+                new Handover(
+                        seed,
+                        new Handover.Actions() {
+                            @Override
+                            public void want(int holder, long digest, int piece) {
+                                calls.add(new Call(holder, piece));
+                            }
 
-            @Override
-            public boolean take(long digest, byte[] packed) {
-                if (Arrays.equals(packed, right)) {
-                    taken.add(packed);
-                }
-                return Arrays.equals(packed, right);
-            }
-        });
+                            @Override
+                            public boolean take(long digest, byte[] packed) {
+                                if (Arrays.equals(packed, right)) {
+                                    taken.add(packed);
+                                }
+                                return Arrays.equals(packed, right);
+                            }
+                        });
         long now = 0;
         int most = 0;
         for (int round = 0; taken.isEmpty() && round < 60; round++) {
@@ -55,19 +63,30 @@
                 most = Math.max(most, open.size());
                 calls.clear();
                 for (Call call : open) {
-                    ByteBuffer piece = Words.piece(DIGEST, call.piece, call.holder == 1 ? other : right);
+                    ByteBuffer piece =
+                            Words.piece(DIGEST, call.piece, call.holder == 1 ? other : right);
                     boolean lost = call.holder == 0 || random.nextInt(100) < loss;
-                    for (int copies = random.nextInt(2); piece != null && !lost && copies >= 0; copies--) {
+                    for (int copies = random.nextInt(2);
+                            piece != null && !lost && copies >= 0;
+                            copies--) {
                         ByteBuffer in = piece.duplicate();
                         byte[] content = new byte[in.remaining() - 12];
-                        one.onPiece(now, call.holder, in.getLong(), in.getShort(), in.getShort(),
+                        one.onPiece(
+                                now,
+                                call.holder,
+                                in.getLong(),
+                                in.getShort(),
+                                in.getShort(),
                                 in.get(content) == null ? null : content);
                         // Somebody else's piece, and one that cannot be.
                         one.onPiece(now, 3 - call.holder, DIGEST, 0, 9, new byte[3]);
                         one.onPiece(now, call.holder, DIGEST, 600, 700, new byte[3]);
                     }
                 }
-                now = Math.max(now + 1_000_000, calls.isEmpty() ? Math.min(one.next(), now + 10_000_000_000L) : 0);
+                now =
+                        Math.max(
+                                now + 1_000_000,
+                                calls.isEmpty() ? Math.min(one.next(), now + 10_000_000_000L) : 0);
                 one.onWake(now);
             }
         }
--- a/stragglers/src/test/java/frostrelay/stragglers/StragglersTest.java
+++ b/stragglers/src/test/java/frostrelay/stragglers/StragglersTest.java
@@ -6,17 +6,23 @@
 
 import frostrelay.peers.Stamp;
 import frostrelay.peers.State;
+
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+
+import org.junit.jupiter.api.Test;
+
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import net.jqwik.api.ForAll;
-import net.jqwik.api.Property;
-import net.jqwik.api.constraints.IntRange;
-import org.junit.jupiter.api.Test;
 
-/** What a balancer makes of others' word, whoever lies, whoever is silent and whatever comes in whatever order. */
+/**
+ * What a balancer makes of others' word, whoever lies, whoever is silent and whatever comes in
+ * whatever order.
+ */
 class StragglersTest implements Stragglers.Actions {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
@@ -105,7 +111,10 @@
         for (int peer : new int[] {0, 1, 2}) {
             one.onPeer(SECOND, peer, State.ALIVE, list(9), 1, 0);
         }
-        assertEquals(Stragglers.Standing.WAITING, one.standing(), "known at once; it may yet come by itself");
+        assertEquals(
+                Stragglers.Standing.WAITING,
+                one.standing(),
+                "known at once; it may yet come by itself");
         until(one, SECOND + 3 * SECOND);
         assertEquals(Stragglers.Standing.BEHIND, one.standing());
         assertTrue(asked >= 1 && asked <= 4, "asked " + asked + " times in three seconds");
@@ -165,7 +174,10 @@
         assertFalse(aside, "hearing nobody is no reason to be aside");
     }
 
-    /** Found by a campaign: beside a hold and an older drain, 97 commands went to a cache whose drain three others knew. */
+    /**
+     * Found by a campaign: beside a hold and an older drain, 97 commands went to a cache whose
+     * drain three others knew.
+     */
     @Test
     void ownHoldsTakeNoRoomAndTheNewestWordGoesFirst() {
         Stragglers one = of(3, 5);
@@ -240,7 +252,8 @@
         one.onAway(2 * SECOND, 2, 8, 3);
         assertEquals(Set.of(2L), avoided, "a word that was overtaken on its way");
         one.onOwn(3 * SECOND, list(7), CACHES);
-        assertEquals(Set.of(), avoided, "the own list of that version names it as ready: that stands");
+        assertEquals(
+                Set.of(), avoided, "the own list of that version names it as ready: that stands");
         one.onAway(4 * SECOND, 1, 6, 2);
         assertEquals(Set.of(), avoided, "older than the own list");
     }
@@ -283,9 +296,11 @@
         one.onPeer(4 * SECOND, 2, State.GONE, config(2, 0), 1, SECOND);
         one.onPeer(5 * SECOND, 1, State.ALIVE, config(2, 0), 2, 0);
         one.onPeer(5 * SECOND, 2, State.ALIVE, config(2, 0), 2, 0);
-        assertEquals(Stragglers.Standing.BEHIND, one.configStanding(), "one of the two left in order");
+        assertEquals(
+                Stragglers.Standing.BEHIND, one.configStanding(), "one of the two left in order");
         one.onPeer(6 * SECOND, 1, State.ALIVE, config(2, 0), 3, 0);
-        assertEquals(Stragglers.Standing.STAYS_BEHIND, one.configStanding(), "and now it died as well");
+        assertEquals(
+                Stragglers.Standing.STAYS_BEHIND, one.configStanding(), "and now it died as well");
         // A fault that those feel who did not take it says nothing of the version.
         stays.clear();
         Stragglers other = amongFive();
@@ -326,7 +341,8 @@
         for (int second = 111; second < 120; second++) {
             one.onSecond(second * SECOND, ended += 40, served += 15);
         }
-        assertEquals(List.of(), one.failing(), "a list that leaves less room is not at fault for that");
+        assertEquals(
+                List.of(), one.failing(), "a list that leaves less room is not at fault for that");
         for (int second = 120; second < 126; second++) {
             one.onSecond(second * SECOND, ended += 40, served += 1);
         }
@@ -396,9 +412,13 @@
         assertFalse(aside);
     }
 
-    /** Whatever anybody says in whatever order: a third of the caches at most, none that is not the own list's, never too many aside. */
+    /**
+     * Whatever anybody says in whatever order: a third of the caches at most, none that is not the
+     * own list's, never too many aside.
+     */
     @Property(tries = 300)
-    void boundsHoldWhateverIsSaid(@ForAll long seed, @ForAll @IntRange(min = 2, max = 16) int count) {
+    void boundsHoldWhateverIsSaid(
+            @ForAll long seed, @ForAll @IntRange(min = 2, max = 16) int count) {
         // One instance serves all tries.
         avoided = Set.of();
         aside = false;
@@ -413,13 +433,25 @@
             until(one, now);
             int peer = random.nextInt(count);
             switch (peer == me ? 5 : random.nextInt(8)) {
-                case 0 -> one.onPeer(now, peer, State.values()[random.nextInt(5)], random.nextBoolean() ? null
-                        : list(random.nextInt(20)), 1, 0);
+                case 0 ->
+                        one.onPeer(
+                                now,
+                                peer,
+                                State.values()[random.nextInt(5)],
+                                random.nextBoolean() ? null : list(random.nextInt(20)),
+                                1,
+                                0);
                 case 1, 2 -> one.onAway(now, peer, random.nextLong(20), random.nextInt(9));
                 case 3 -> one.onBack(now, peer, random.nextLong(20), random.nextInt(9));
                 case 4 -> one.onDeaf(now, random.nextInt(5) == 0);
                 case 6 -> one.onHeld(now, peer, random.nextInt(3), random.nextInt(9));
-                case 7 -> one.onFails(now, peer, Kind.values()[random.nextInt(2)], random.nextInt(20), true);
+                case 7 ->
+                        one.onFails(
+                                now,
+                                peer,
+                                Kind.values()[random.nextInt(2)],
+                                random.nextInt(20),
+                                true);
                 default -> {
                     if (random.nextInt(10) == 0) {
                         own.remove((long) random.nextInt(7));
