--- a/adapter/src/main/java/frostrelay/adapter/Adapter.java
+++ b/adapter/src/main/java/frostrelay/adapter/Adapter.java
@@ -21,16 +21,16 @@
  * Reads event batches, hands them to one {@link Router} per instance, and replies. Decides nothing.
  */
 final class Adapter {
-    static final int EVENT = 56;
-    private static final int ENTRY = 24;
-    private static final int LISTS = 16;
-    private static final int BODY_HEADER = 12;
+    static final int EVENT_BYTES = 56;
+    private static final int LIST_ENTRY_BYTES = 24;
+    private static final int MAX_LISTS = 16;
+    private static final int BODY_HEADER_BYTES = 12;
 
     /** A frame longer than this is taken for a damaged length. */
-    static final int MOST_BYTES = 1 << 28;
+    static final int MAX_FRAME_BYTES = 1 << 28;
 
-    private static final int ATTR_HINT = 1;
-    private static final int ATTR_REPEAT = 2;
+    private static final int ATTR_WORK_HINT = 1;
+    private static final int ATTR_CLIENT_RETRY = 2;
     private static final int ATTR_WRITE = 4;
     private static final float[] NO_REPORT = new float[0];
 
@@ -38,26 +38,26 @@
      * One balancer hosted here, how many request classes its settings name, and its talk with peers
      * or null.
      */
-    private record Instance(Router router, int classes, PeerTalk talk) {}
+    private record Instance(Router router, int classCount, SimulatedGossip gossip) {}
 
     private final InputStream in;
     private final OutputStream out;
-    private final boolean talk;
+    private final boolean gossipEnabled;
     private final ReplyWriter reply = new ReplyWriter();
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<Api.Server>> lists = new ArrayList<>();
+    private final List<List<Api.Server>> serverLists = new ArrayList<>();
     private ByteBuffer frame;
-    private int tail;
+    private int tailOffset;
 
     /**
-     * {@code talk}: whether hosted balancers talk with their peers where their settings allow it.
+     * {@code gossip}: whether hosted balancers talk with their peers where their settings allow it.
      */
-    Adapter(InputStream in, OutputStream out, boolean talk) {
+    Adapter(InputStream in, OutputStream out, boolean gossipEnabled) {
         this.in = in;
-        this.talk = talk;
+        this.gossipEnabled = gossipEnabled;
         this.out = out;
-        for (int i = 0; i < LISTS; i++) {
-            lists.add(null);
+        for (int i = 0; i < MAX_LISTS; i++) {
+            serverLists.add(null);
         }
     }
 
@@ -65,25 +65,25 @@
     void run() throws IOException {
         while (readFrame()) {
             reply.begin();
-            int records = frame.getInt(0);
+            int recordCount = frame.getInt(0);
             long now = frame.getLong(4);
-            for (int i = 0; i < records; i++) {
-                event(now, BODY_HEADER + i * EVENT);
+            for (int i = 0; i < recordCount; i++) {
+                handleEvent(now, BODY_HEADER_BYTES + i * EVENT_BYTES);
             }
             reply.finish(out);
         }
     }
 
     private boolean readFrame() throws IOException {
-        byte[] head = in.readNBytes(4);
-        if (head.length == 0) {
+        byte[] lengthPrefix = in.readNBytes(4);
+        if (lengthPrefix.length == 0) {
             return false;
         }
-        if (head.length < 4) {
+        if (lengthPrefix.length < 4) {
             throw new WireException("end of input inside a frame's length");
         }
-        int length = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt();
-        if (length < BODY_HEADER || length > MOST_BYTES) {
+        int length = ByteBuffer.wrap(lengthPrefix).order(ByteOrder.LITTLE_ENDIAN).getInt();
+        if (length < BODY_HEADER_BYTES || length > MAX_FRAME_BYTES) {
             throw new WireException("impossible frame length " + Integer.toUnsignedString(length));
         }
         byte[] body = in.readNBytes(length);
@@ -92,29 +92,29 @@
                     "end of input inside a frame: " + body.length + " of " + length + " bytes");
         }
         frame = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
-        int records = frame.getInt(0);
-        long end = BODY_HEADER + (records & 0xffffffffL) * EVENT;
+        int recordCount = frame.getInt(0);
+        long end = BODY_HEADER_BYTES + (recordCount & 0xffffffffL) * EVENT_BYTES;
         if (end > length) {
             throw new WireException(
                     "a frame of "
                             + length
                             + " bytes cannot hold "
-                            + Integer.toUnsignedString(records)
+                            + Integer.toUnsignedString(recordCount)
                             + " records");
         }
-        tail = (int) end;
+        tailOffset = (int) end;
         return true;
     }
 
-    private void event(long now, int at) {
-        int code = frame.get(at) & 0xff;
+    private void handleEvent(long now, int offset) {
+        int code = frame.get(offset) & 0xff;
         if (code == 0) {
-            list(at);
+            readServerList(offset);
             return;
         }
-        int balancer = frame.getInt(at + 1);
+        int balancer = frame.getInt(offset + 1);
         if (code == 7) {
-            start(now, at, balancer);
+            startInstance(now, offset, balancer);
             return;
         }
         if (code > 10) {
@@ -128,37 +128,37 @@
         Router router = instance.router();
         switch (code) {
             case 1 -> {
-                if (instance.talk() != null && frame.getInt(at + 5) == PeerTalk.TOKEN) {
-                    instance.talk().wake(now);
+                if (instance.gossip() != null && frame.getInt(offset + 5) == SimulatedGossip.TIMER_TOKEN) {
+                    instance.gossip().onTimer(now);
                 } else {
-                    router.onTimer(now, frame.getInt(at + 5));
+                    router.onTimer(now, frame.getInt(offset + 5));
                 }
             }
-            case 2 -> router.onOutcome(now, outcome(at));
+            case 2 -> router.onAttemptOutcome(now, readOutcome(offset));
             case 3 -> instances.remove(balancer);
-            case 4 -> message(now, at, instance);
+            case 4 -> handleGossipMessage(now, offset, instance);
             case 6 -> {
-                List<Api.Server> servers = entries(at);
-                router.onList(now, mode(at), servers);
-                if (instance.talk() != null && mode(at) != Api.ListMode.FAILED) {
-                    instance.talk()
-                            .acts(
+                List<Api.Server> servers = serverListOf(offset);
+                router.onEndpointUpdate(now, readListMode(offset), servers);
+                if (instance.gossip() != null && readListMode(offset) != Api.ListMode.FAILED) {
+                    instance.gossip()
+                            .onListApplied(
                                     now,
-                                    frame.getLong(at + 6),
-                                    mode(at) == Api.ListMode.DELTA,
+                                    frame.getLong(offset + 6),
+                                    readListMode(offset) == Api.ListMode.DELTA,
                                     servers);
                 }
             }
-            case 8 -> router.onFirstByte(now, frame.getLong(at + 5), unsignedShort(at + 13));
-            case 9 -> router.onClientGone(now, frame.getLong(at + 5));
-            case 10 -> router.onRequest(now, request(at, instance.classes()));
+            case 8 -> router.onFirstByte(now, frame.getLong(offset + 5), readUnsignedShort(offset + 13));
+            case 9 -> router.onClientDisconnect(now, frame.getLong(offset + 5));
+            case 10 -> router.onRequest(now, readRequest(offset, instance.classCount()));
             default -> {
                 // 5: probe results, which this module never asks for.
             }
         }
     }
 
-    private static Api.Settings settings(String text) {
+    private static Api.Settings parseSettings(String text) {
         try {
             return SettingsParser.parse(text);
         } catch (SettingsException e) {
@@ -166,116 +166,116 @@
         }
     }
 
-    private void message(long now, int at, Instance instance) {
-        int[] range = tailRange(at + 7, 1);
-        if (instance.talk() != null) {
-            instance.talk()
-                    .heard(
+    private void handleGossipMessage(long now, int offset, Instance instance) {
+        int[] range = tailRange(offset + 7, 1);
+        if (instance.gossip() != null) {
+            instance.gossip()
+                    .onDatagram(
                             now,
-                            unsignedShort(at + 5),
+                            readUnsignedShort(offset + 5),
                             Arrays.copyOfRange(frame.array(), range[0], range[0] + range[1]));
         }
     }
 
-    private void start(long now, int at, int balancer) {
-        int[] range = tailRange(at + 13, 1);
+    private void startInstance(long now, int offset, int balancer) {
+        int[] range = tailRange(offset + 13, 1);
         String text = new String(frame.array(), range[0], range[1], StandardCharsets.UTF_8);
-        Api.Settings settings = settings(text);
+        Api.Settings settings = parseSettings(text);
         if (settings.classes().isEmpty()) {
             throw new WireException("settings of balancer " + balancer + " name no request class");
         }
-        Router router = new Router(settings, frame.getLong(at + 5), reply.of(balancer));
+        Router router = new Router(settings, frame.getLong(offset + 5), reply.actionsOf(balancer));
         instances.put(
                 balancer,
                 new Instance(
                         router,
                         settings.classes().size(),
-                        PeerTalk.of(
-                                talk,
+                        SimulatedGossip.createIfEnabled(
+                                gossipEnabled,
                                 reply,
                                 balancer,
                                 now,
-                                frame.getLong(at + 5),
-                                settings.rank(),
-                                settings.instances(),
+                                frame.getLong(offset + 5),
+                                settings.instanceIndex(),
+                                settings.instanceCount(),
                                 text,
                                 router)));
     }
 
-    private void list(int at) {
-        int[] range = tailRange(at + 2, ENTRY);
+    private void readServerList(int offset) {
+        int[] range = tailRange(offset + 2, LIST_ENTRY_BYTES);
         List<Api.Server> servers = new ArrayList<>(range[1]);
         for (int i = 0; i < range[1]; i++) {
-            int entry = range[0] + i * ENTRY;
-            int state = frame.get(entry + 11);
+            int entryOffset = range[0] + i * LIST_ENTRY_BYTES;
+            int state = frame.get(entryOffset + 11);
             if (state < 0 || state > 2) {
                 throw new WireException("unknown server condition " + state);
             }
             servers.add(
                     new Api.Server(
-                            address(entry),
-                            unsignedShort(entry + 6),
-                            frame.get(entry + 8) & 0xff,
-                            unsignedShort(entry + 9),
+                            readServerAddress(entryOffset),
+                            readUnsignedShort(entryOffset + 6),
+                            frame.get(entryOffset + 8) & 0xff,
+                            readUnsignedShort(entryOffset + 9),
                             Api.State.values()[state],
-                            frame.getFloat(entry + 12),
-                            frame.getLong(entry + 16)));
+                            frame.getFloat(entryOffset + 12),
+                            frame.getLong(entryOffset + 16)));
         }
-        lists.set(listNumber(at + 1), List.copyOf(servers));
+        serverLists.set(readListNumber(offset + 1), List.copyOf(servers));
     }
 
-    private int listNumber(int at) {
-        int number = frame.get(at) & 0xff;
-        if (number >= LISTS) {
+    private int readListNumber(int offset) {
+        int number = frame.get(offset) & 0xff;
+        if (number >= MAX_LISTS) {
             throw new WireException("impossible list number " + number);
         }
         return number;
     }
 
-    private Api.ListMode mode(int at) {
-        int mode = frame.get(at + 5) & 0xff;
+    private Api.ListMode readListMode(int offset) {
+        int mode = frame.get(offset + 5) & 0xff;
         if (mode >= Api.ListMode.values().length) {
             throw new WireException("unknown list mode " + mode);
         }
         return Api.ListMode.values()[mode];
     }
 
-    private List<Api.Server> entries(int at) {
-        if (mode(at) == Api.ListMode.FAILED) {
+    private List<Api.Server> serverListOf(int offset) {
+        if (readListMode(offset) == Api.ListMode.FAILED) {
             return List.of();
         }
-        int number = listNumber(at + 14);
-        if (lists.get(number) == null) {
+        int number = readListNumber(offset + 14);
+        if (serverLists.get(number) == null) {
             throw new WireException("list " + number + " was never sent");
         }
-        return lists.get(number);
+        return serverLists.get(number);
     }
 
-    private Api.Request request(int at, int classCount) {
-        int attrs = frame.get(at + 47);
-        int requestClass = unsignedShort(at + 13);
+    private Api.Request readRequest(int offset, int classCount) {
+        int attributes = frame.get(offset + 47);
+        int requestClass = readUnsignedShort(offset + 13);
         if (requestClass >= classCount) {
             throw new WireException("unknown request class " + requestClass);
         }
         return new Api.Request(
-                frame.getLong(at + 5),
+                frame.getLong(offset + 5),
                 requestClass,
-                frame.getInt(at + 15) & Integer.MAX_VALUE,
-                frame.getLong(at + 19),
-                frame.getLong(at + 27),
-                (attrs & ATTR_HINT) != 0 ? frame.getLong(at + 35) : 0,
-                (attrs & ATTR_REPEAT) != 0,
-                (attrs & ATTR_WRITE) != 0);
+                frame.getInt(offset + 15) & Integer.MAX_VALUE,
+                frame.getLong(offset + 19),
+                frame.getLong(offset + 27),
+                (attributes & ATTR_WORK_HINT) != 0 ? frame.getLong(offset + 35) : 0,
+                (attributes & ATTR_CLIENT_RETRY) != 0,
+                (attributes & ATTR_WRITE) != 0);
     }
 
-    private Api.Outcome outcome(int at) {
-        int code = unsignedShort(at + 21);
+    private Api.Outcome readOutcome(int offset) {
+        int code = readUnsignedShort(offset + 21);
         Api.Reason reason =
                 switch (code) {
                     case 200 -> Api.Reason.OK;
                     case 204 -> Api.Reason.MISS;
                     case 408 -> Api.Reason.TIMEOUT;
-                    case 409 -> Api.Reason.MOOT;
+                    case 409 -> Api.Reason.SUPERSEDED;
                     case 429 -> Api.Reason.REJECTED;
                     case 444 -> Api.Reason.CANCELLED;
                     case 502 -> Api.Reason.ERROR;
@@ -283,46 +283,46 @@
                     case 521 -> Api.Reason.CONNECT_FAILED;
                     default -> throw new WireException("unknown outcome " + code);
                 };
-        int n = Math.min(4, frame.get(at + 36) & 0xff);
-        float[] report = n == 0 ? NO_REPORT : new float[n];
-        for (int i = 0; i < n; i++) {
-            report[i] = frame.getFloat(at + 37 + 4 * i);
+        int reportLength = Math.min(4, frame.get(offset + 36) & 0xff);
+        float[] loadReport = reportLength == 0 ? NO_REPORT : new float[reportLength];
+        for (int i = 0; i < reportLength; i++) {
+            loadReport[i] = frame.getFloat(offset + 37 + 4 * i);
         }
         Api.Source source =
-                switch (frame.getInt(at + 32)) {
+                switch (frame.getInt(offset + 32)) {
                     case 1 -> Api.Source.CACHE;
-                    case 2, 3 -> Api.Source.FETCH;
+                    case 2, 3 -> Api.Source.ORIGIN;
                     default -> Api.Source.UNKNOWN;
                 };
         return new Api.Outcome(
-                frame.getLong(at + 5),
-                unsignedShort(at + 13),
+                frame.getLong(offset + 5),
+                readUnsignedShort(offset + 13),
                 reason,
-                frame.getLong(at + 23),
-                frame.get(at + 31) != 0,
+                frame.getLong(offset + 23),
+                frame.get(offset + 31) != 0,
                 source,
-                report);
+                loadReport);
     }
 
     /** Start and count of a piece of the tail, checked against the frame's end. */
-    private int[] tailRange(int at, int size) {
-        long offset = frame.getInt(at) & 0xffffffffL;
-        long count = frame.getInt(at + 4) & 0xffffffffL;
-        if (tail + offset + count * size > frame.capacity()) {
+    private int[] tailRange(int fieldOffset, int itemBytes) {
+        long offset = frame.getInt(fieldOffset) & 0xffffffffL;
+        long count = frame.getInt(fieldOffset + 4) & 0xffffffffL;
+        if (tailOffset + offset + count * itemBytes > frame.capacity()) {
             throw new WireException(
                     "a record points past the end of its frame: offset "
                             + offset
                             + ", length "
                             + count);
         }
-        return new int[] {(int) (tail + offset), (int) count};
+        return new int[] {(int) (tailOffset + offset), (int) count};
     }
 
-    private long address(int at) {
-        return frame.getInt(at) & 0xffffffffL | (long) unsignedShort(at + 4) << 32;
+    private long readServerAddress(int offset) {
+        return frame.getInt(offset) & 0xffffffffL | (long) readUnsignedShort(offset + 4) << 32;
     }
 
-    private int unsignedShort(int at) {
-        return frame.getShort(at) & 0xffff;
+    private int readUnsignedShort(int offset) {
+        return frame.getShort(offset) & 0xffff;
     }
 }
--- a/adapter/src/main/java/frostrelay/adapter/Main.java
+++ b/adapter/src/main/java/frostrelay/adapter/Main.java
@@ -11,7 +11,7 @@
 
 /** Runs the decision module on the simulator's wire: standard input to standard output. */
 public final class Main {
-    private static final int BUFFER = 1 << 16;
+    private static final int BUFFER_BYTES = 1 << 16;
 
     private Main() {}
 
@@ -23,7 +23,7 @@
             System.err.println("frostrelay: usage: java -jar frostrelay-adapter.jar adapter");
             System.exit(1);
         }
-        InputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in), BUFFER);
+        InputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in), BUFFER_BYTES);
         int status = serve(in, new FileOutputStream(FileDescriptor.out), System.err);
         if (status != 0) {
             System.exit(status);
--- /dev/null
+++ b/adapter/src/main/java/frostrelay/adapter/SimulatedGossip.java
@@ -0,0 +1,264 @@
+package frostrelay.adapter;
+
+import frostrelay.peers.Incarnation;
+import frostrelay.peers.MemberSnapshot;
+import frostrelay.peers.GossipSettings;
+import frostrelay.peers.GossipNode;
+import frostrelay.peers.AppliedVersions;
+import frostrelay.peers.MemberState;
+import frostrelay.policy.Api;
+import frostrelay.stragglers.VersionKind;
+import frostrelay.stragglers.StalenessSettings;
+import frostrelay.stragglers.StalenessDetector;
+
+import java.nio.charset.StandardCharsets;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.zip.CRC32C;
+
+/**
+ * One hosted balancer's talk with its peers on the simulator's wire, and what it makes of that: the
+ * same {@link GossipNode} and {@link StalenessDetector} as on sockets. The wire has no call of discovery out of
+ * turn, no file to read again and no readiness: here a straggler leaves alone what others know as
+ * draining, and no more.
+ */
+final class SimulatedGossip implements GossipNode.Actions, GossipNode.Listener, StalenessDetector.Actions {
+    /** No timer of the decision module has it. */
+    static final int TIMER_TOKEN = Integer.MIN_VALUE;
+
+    private static final String ENABLING_SETTING = "ceilings.peer-messages=true";
+
+    /**
+     * The simulator's clock begins at 0; lives are numbered as though that were a day in this
+     * century.
+     */
+    private static final long WALL_CLOCK_START_MILLIS = 1_790_000_000_000L;
+
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+
+    private final ReplyWriter reply;
+    private final int balancer;
+    private final GossipNode gossip;
+    private final StalenessDetector stalenessDetector;
+    private final Api.Events policy;
+    private final Set<Long> readyCaches = new HashSet<>();
+    private final Map<Long, Api.Server> serversById = new HashMap<>();
+    private Set<Long> avoidedCaches = Set.of();
+    private AppliedVersions appliedVersions;
+    private int sequence;
+    private long now;
+    private long timerAtNanos = Long.MAX_VALUE;
+
+    private SimulatedGossip(
+            ReplyWriter reply,
+            int balancer,
+            long now,
+            long seed,
+            int rank,
+            int count,
+            String settings,
+            Api.Events policy) {
+        this.policy = policy;
+        this.reply = reply;
+        this.balancer = balancer;
+        this.now = now;
+        CRC32C digest = new CRC32C();
+        digest.update(settings.getBytes(StandardCharsets.UTF_8));
+        appliedVersions = new AppliedVersions(1, AppliedVersions.NO_NUMBER, digest.getValue(), 0, 0, 0, 0);
+        stalenessDetector = new StalenessDetector(StalenessSettings.STANDARD, rank, count, seed, appliedVersions, this);
+        gossip =
+                new GossipNode(
+                        GossipSettings.STANDARD,
+                        rank,
+                        count,
+                        now,
+                        Incarnation.fromUnixMillis(WALL_CLOCK_START_MILLIS + now / NANOS_PER_MILLI),
+                        seed,
+                        appliedVersions,
+                        0,
+                        this,
+                        this);
+        schedule();
+    }
+
+    /** Begins to talk where it is wanted and the settings allow it; null elsewhere. */
+    static SimulatedGossip createIfEnabled(
+            boolean isRequested,
+            ReplyWriter reply,
+            int balancer,
+            long now,
+            long seed,
+            int rank,
+            int count,
+            String settings,
+            Api.Events policy) {
+        boolean isEnabled = settings.lines().anyMatch(ENABLING_SETTING::equals);
+        return isRequested && isEnabled && count > 1 && rank < count
+                ? new SimulatedGossip(reply, balancer, now, seed, rank, count, settings, policy)
+                : null;
+    }
+
+    /** It has taken this version of the list; {@code isDelta}: these are changes to it. */
+    void onListApplied(long atNanos, long listRevision, boolean isDelta, List<Api.Server> servers) {
+        now = atNanos;
+        Set<Long> previouslyReady = new HashSet<>(readyCaches);
+        if (!isDelta) {
+            readyCaches.clear();
+            serversById.clear();
+        }
+        servers.forEach(server -> serversById.put(server.id(), server));
+        for (Api.Server server : servers) {
+            if (server.state() == Api.State.READY) {
+                readyCaches.add(server.id());
+            } else {
+                readyCaches.remove(server.id());
+            }
+        }
+        Set<Long> changed = new HashSet<>(previouslyReady);
+        changed.addAll(readyCaches);
+        changed.removeIf(id -> previouslyReady.contains(id) == readyCaches.contains(id));
+        changed.stream().sorted().forEach(id -> gossip.announceCacheState(now, listRevision, id, readyCaches.contains(id)));
+        appliedVersions = new AppliedVersions(appliedVersions.buildDigest(), appliedVersions.configNumber(), appliedVersions.configDigest(), listRevision, 0, 0, 0);
+        gossip.updateAppliedVersions(now, appliedVersions, ++sequence);
+        stalenessDetector.onLocalVersions(now, appliedVersions, Set.copyOf(readyCaches));
+        schedule();
+    }
+
+    void onDatagram(long atNanos, int from, byte[] data) {
+        now = atNanos;
+        gossip.onDatagram(now, from, data, data.length);
+        schedule();
+    }
+
+    void onTimer(long atNanos) {
+        now = atNanos;
+        timerAtNanos = Long.MAX_VALUE;
+        if (now >= gossip.nextTimerAtNanos()) {
+            gossip.onTimer(now);
+        }
+        stalenessDetector.onIsolation(now, gossip.isIsolated(now));
+        if (now >= stalenessDetector.nextTimerAtNanos(now)) {
+            stalenessDetector.onTimer(now);
+        }
+        schedule();
+    }
+
+    private void schedule() {
+        long next = Math.min(gossip.nextTimerAtNanos(), stalenessDetector.nextTimerAtNanos(now));
+        if (next < timerAtNanos) {
+            timerAtNanos = next;
+            reply.actionsOf(balancer).scheduleTimer(Math.max(now + 1, next), TIMER_TOKEN);
+        }
+    }
+
+    /** What is known of another. */
+    MemberSnapshot snapshot(long atNanos, int rank) {
+        return gossip.snapshot(atNanos, rank);
+    }
+
+    /** What is known of another may have changed. */
+    private void refreshPeerState(int rank) {
+        // Within the talk's own first words there is nothing to ask yet.
+        if (gossip != null && rank != gossip.rank()) {
+            MemberSnapshot snapshot = gossip.snapshot(now, rank);
+            stalenessDetector.onPeerState(
+                    now,
+                    rank,
+                    snapshot.state(),
+                    snapshot.appliedVersions(),
+                    Incarnation.toUnixMillis(snapshot.incarnation()),
+                    snapshot.ageNanos());
+        }
+    }
+
+    @Override
+    public void onMemberState(long moment, int rank, long incarnation, MemberState state, int by) {
+        refreshPeerState(rank);
+    }
+
+    @Override
+    public void onMemberEntry(long moment, int rank, long incarnation, int row, int ref, long age) {
+        refreshPeerState(rank);
+    }
+
+    @Override
+    public void onCacheUnavailable(long moment, int from, long rev, long cache) {
+        stalenessDetector.onCacheUnavailable(moment, from, rev, cache);
+    }
+
+    @Override
+    public void onCacheRestored(long moment, int from, long rev, long cache) {
+        stalenessDetector.onCacheRestored(moment, from, rev, cache);
+    }
+
+    @Override
+    public void avoidCaches(Set<Long> caches) {
+        Set<Long> changed = new TreeSet<>(avoidedCaches);
+        changed.addAll(caches);
+        changed.removeIf(
+                id -> avoidedCaches.contains(id) == caches.contains(id) || !serversById.containsKey(id));
+        avoidedCaches = caches;
+        policy.onEndpointUpdate(
+                now,
+                Api.ListMode.DELTA,
+                changed.stream()
+                        .map(serversById::get)
+                        .map(
+                                server ->
+                                        !caches.contains(server.id())
+                                                ? server
+                                                : new Api.Server(
+                                                        server.id(),
+                                                        server.zone(),
+                                                        server.kind(),
+                                                        server.cell(),
+                                                        Api.State.DRAINING,
+                                                        server.weight(),
+                                                        server.startedAtNanos()))
+                        .toList());
+    }
+
+    @Override
+    public void pollEndpointList() {
+        // Nothing on this wire does that.
+    }
+
+    @Override
+    public void rereadConfig() {
+        // Likewise.
+    }
+
+    @Override
+    public void fetchConfig(long digest, List<Integer> holders) {
+        // Likewise.
+    }
+
+    @Override
+    public void setSelfDraining(boolean on, String why) {
+        // Likewise.
+    }
+
+    @Override
+    public void announceFailingVersions() {
+        // Nothing is counted here.
+    }
+
+    @Override
+    public void onVersionNotFollowed(VersionKind kind, long number, String why) {
+        // Nobody reads along.
+    }
+
+    @Override
+    public void notifyOperators(String what) {
+        // Likewise.
+    }
+
+    @Override
+    public void send(int to, byte[] data, int length) {
+        reply.sendMessage(balancer, to, data, length);
+    }
+}
--- a/adapter/src/test/java/frostrelay/adapter/AdapterTest.java
+++ b/adapter/src/test/java/frostrelay/adapter/AdapterTest.java
@@ -31,7 +31,7 @@
             some.unknown-key=7
             n-instances=1
             """;
-    private static final long NOW = 5_000_000_000L;
+    private static final long NOW_NANOS = 5_000_000_000L;
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -44,38 +44,38 @@
     }
 
     private static ByteBuffer frame(int records, int tail) {
-        int length = 12 + records * Adapter.EVENT + tail;
+        int length = 12 + records * Adapter.EVENT_BYTES + tail;
         ByteBuffer frame = ByteBuffer.allocate(4 + length).order(ByteOrder.LITTLE_ENDIAN);
-        return frame.putInt(0, length).putInt(4, records).putLong(8, NOW);
+        return frame.putInt(0, length).putInt(4, records).putLong(8, NOW_NANOS);
     }
 
     /** One batch: a start, a list of one server, and a request. */
     private static byte[] session() {
         byte[] settings = SETTINGS.getBytes(StandardCharsets.UTF_8);
         ByteBuffer frame = frame(4, settings.length + 24);
-        int tail = 16 + 4 * Adapter.EVENT;
+        int tail = 16 + 4 * Adapter.EVENT_BYTES;
         frame.position(tail);
         frame.put(settings);
         frame.put(new byte[] {10, 11, 12, 13}).putShort((short) 5003).putShort((short) 0);
-        int at = 16;
-        frame.put(at, (byte) 7)
-                .putInt(at + 1, 3)
-                .putLong(at + 5, 99)
-                .putInt(at + 13, 0)
-                .putInt(at + 17, settings.length);
-        at += Adapter.EVENT;
-        frame.put(at, (byte) 0)
-                .put(at + 1, (byte) 4)
-                .putInt(at + 2, settings.length)
-                .putInt(at + 6, 1);
-        at += Adapter.EVENT;
-        frame.put(at, (byte) 6).putInt(at + 1, 3).put(at + 5, (byte) 2).put(at + 14, (byte) 4);
-        at += Adapter.EVENT;
-        frame.put(at, (byte) 10)
-                .putInt(at + 1, 3)
-                .putLong(at + 5, 4242)
-                .putLong(at + 19, 77)
-                .putLong(at + 27, NOW + 2_000_000_000L);
+        int offset = 16;
+        frame.put(offset, (byte) 7)
+                .putInt(offset + 1, 3)
+                .putLong(offset + 5, 99)
+                .putInt(offset + 13, 0)
+                .putInt(offset + 17, settings.length);
+        offset += Adapter.EVENT_BYTES;
+        frame.put(offset, (byte) 0)
+                .put(offset + 1, (byte) 4)
+                .putInt(offset + 2, settings.length)
+                .putInt(offset + 6, 1);
+        offset += Adapter.EVENT_BYTES;
+        frame.put(offset, (byte) 6).putInt(offset + 1, 3).put(offset + 5, (byte) 2).put(offset + 14, (byte) 4);
+        offset += Adapter.EVENT_BYTES;
+        frame.put(offset, (byte) 10)
+                .putInt(offset + 1, 3)
+                .putLong(offset + 5, 4242)
+                .putLong(offset + 19, 77)
+                .putLong(offset + 27, NOW_NANOS + 2_000_000_000L);
         return frame.array();
     }
 
@@ -94,7 +94,7 @@
         assertEquals(67, reply.get(8));
         assertEquals(3, reply.getInt(9));
         assertEquals(4242, reply.getLong(13));
-        assertEquals(NOW + 1_200_000_000L, reply.getLong(21));
+        assertEquals(NOW_NANOS + 1_200_000_000L, reply.getLong(21));
         assertArrayEquals(
                 new byte[] {10, 11, 12, 13}, Arrays.copyOfRange(out.toByteArray(), 29, 33));
         assertEquals(5003, reply.getShort(33));
@@ -104,7 +104,7 @@
     void outcomesAndTimersOfUnknownRequestsArePassedOver() {
         ByteBuffer frame = frame(2, 0);
         frame.put(16, (byte) 2).putInt(17, 3).putLong(21, 999).putShort(37, (short) 200);
-        frame.put(16 + Adapter.EVENT, (byte) 1).putInt(17 + Adapter.EVENT, 3);
+        frame.put(16 + Adapter.EVENT_BYTES, (byte) 1).putInt(17 + Adapter.EVENT_BYTES, 3);
         byte[] start = session();
         byte[] both = Arrays.copyOf(start, start.length + frame.capacity());
         System.arraycopy(frame.array(), 0, both, start.length, frame.capacity());
@@ -139,13 +139,13 @@
         assertMalformed(
                 ByteBuffer.wrap(session())
                         .order(ByteOrder.LITTLE_ENDIAN)
-                        .put(16 + 2 * Adapter.EVENT + 5, (byte) 9)
+                        .put(16 + 2 * Adapter.EVENT_BYTES + 5, (byte) 9)
                         .array(),
                 "list mode");
         assertMalformed(
                 ByteBuffer.wrap(session())
                         .order(ByteOrder.LITTLE_ENDIAN)
-                        .putShort(16 + 3 * Adapter.EVENT + 13, (short) 40)
+                        .putShort(16 + 3 * Adapter.EVENT_BYTES + 13, (short) 40)
                         .array(),
                 "request class");
     }
@@ -180,7 +180,7 @@
     @Test
     void unknownConditionsAndOutcomesAreErrors() {
         byte[] start = session();
-        start[16 + 4 * Adapter.EVENT + SETTINGS.length() + 11] = 9;
+        start[16 + 4 * Adapter.EVENT_BYTES + SETTINGS.length() + 11] = 9;
         assertMalformed(start, "condition 9");
         ByteBuffer frame = frame(1, 0);
         frame.put(16, (byte) 2).putInt(17, 3).putLong(21, 4242).putShort(37, (short) 299);
@@ -195,12 +195,12 @@
      * unless it is wanted.
      */
     @Test
-    void hostedBalancersTalkOnTheWire() throws Exception {
+    void hostedBalancersGossipOnTheWire() throws Exception {
         for (boolean wanted : new boolean[] {false, true}) {
             PipedRounds rounds = new PipedRounds(wanted);
-            int told = rounds.play(400);
-            assertEquals(wanted, told > 0);
-            assertEquals(wanted, rounds.heardLate > 0, "messages go on for as long as both live");
+            int messageCount = rounds.play(400);
+            assertEquals(wanted, messageCount > 0);
+            assertEquals(wanted, rounds.lateMessageCount > 0, "messages go on for as long as both live");
         }
     }
 
@@ -210,8 +210,8 @@
         private final java.io.PipedInputStream from = new java.io.PipedInputStream(1 << 16);
         private final List<long[]> timers = new ArrayList<>();
         private final List<Object[]> messages = new ArrayList<>();
-        private long now = NOW;
-        int heardLate;
+        private long now = NOW_NANOS;
+        int lateMessageCount;
 
         PipedRounds(boolean wanted) throws Exception {
             java.io.PipedInputStream in = new java.io.PipedInputStream(to, 1 << 16);
@@ -230,7 +230,7 @@
         }
 
         int play(int batches) throws Exception {
-            int told = 0;
+            int messageCount = 0;
             for (int batch = 0; batch < batches; batch++) {
                 now += 10_000_000;
                 List<byte[]> records = new ArrayList<>();
@@ -266,12 +266,12 @@
                                     .array());
                     tail.writeBytes(data);
                 }
-                heardLate += batch > batches / 2 ? messages.size() : 0;
+                lateMessageCount += batch > batches / 2 ? messages.size() : 0;
                 messages.clear();
                 ByteBuffer head =
                         ByteBuffer.allocate(16)
                                 .order(ByteOrder.LITTLE_ENDIAN)
-                                .putInt(12 + records.size() * Adapter.EVENT + tail.size())
+                                .putInt(12 + records.size() * Adapter.EVENT_BYTES + tail.size())
                                 .putInt(records.size())
                                 .putLong(now);
                 to.write(head.array());
@@ -280,13 +280,13 @@
                 }
                 to.write(tail.toByteArray());
                 to.flush();
-                told += reply();
+                messageCount += reply();
             }
-            return told;
+            return messageCount;
         }
 
         private static ByteBuffer record(int code, int balancer) {
-            return ByteBuffer.allocate(Adapter.EVENT)
+            return ByteBuffer.allocate(Adapter.EVENT_BYTES)
                     .order(ByteOrder.LITTLE_ENDIAN)
                     .put(0, (byte) code)
                     .putInt(1, balancer);
@@ -297,21 +297,21 @@
                     ByteBuffer.wrap(from.readNBytes(4)).order(ByteOrder.LITTLE_ENDIAN).getInt();
             ByteBuffer in = ByteBuffer.wrap(from.readNBytes(length)).order(ByteOrder.LITTLE_ENDIAN);
             int count = in.getInt(0);
-            int told = 0;
+            int messageCount = 0;
             for (int i = 0; i < count; i++) {
-                int at = 4 + i * ReplyWriter.ACTION;
-                if (in.get(at) == 68) {
+                int offset = 4 + i * ReplyWriter.ACTION_BYTES;
+                if (in.get(offset) == 68) {
                     timers.add(
-                            new long[] {in.getInt(at + 1), in.getLong(at + 5), in.getInt(at + 13)});
-                } else if (in.get(at) == 69) {
-                    byte[] data = new byte[in.getInt(at + 13)];
-                    in.get(4 + count * ReplyWriter.ACTION + in.getInt(at + 9), data);
+                            new long[] {in.getInt(offset + 1), in.getLong(offset + 5), in.getInt(offset + 13)});
+                } else if (in.get(offset) == 69) {
+                    byte[] data = new byte[in.getInt(offset + 13)];
+                    in.get(4 + count * ReplyWriter.ACTION_BYTES + in.getInt(offset + 9), data);
                     assertTrue(data.length <= 256);
-                    messages.add(new Object[] {in.getInt(at + 1), in.getInt(at + 5), data});
-                    told++;
+                    messages.add(new Object[] {in.getInt(offset + 1), in.getInt(offset + 5), data});
+                    messageCount++;
                 }
             }
-            return told;
+            return messageCount;
         }
     }
 }
--- a/audit/src/main/java/frostrelay/audit/AuditLog.java
+++ b/audit/src/main/java/frostrelay/audit/AuditLog.java
@@ -1,8 +1,8 @@
 package frostrelay.audit;
 
-import frostrelay.peers.Peers;
-import frostrelay.peers.Stamp;
-import frostrelay.peers.State;
+import frostrelay.peers.GossipNode;
+import frostrelay.peers.AppliedVersions;
+import frostrelay.peers.MemberState;
 
 import java.util.Arrays;
 import java.util.HashMap;
@@ -13,80 +13,80 @@
  * additions and no allocation unless sends are wanted one by one. For one thread; moments are
  * nanoseconds of the balancer's monotonic clock.
  */
-public final class AuditLog implements Peers.Listener {
+public final class AuditLog implements GossipNode.Listener {
     /** A wall clock that moved by less against the monotonic one is being slewed, not set. */
-    private static final long JUMP_MS = 250;
+    private static final long CLOCK_JUMP_MILLIS = 250;
 
-    private static final long MILLISECOND = 1_000_000L;
+    private static final long NANOS_PER_MILLISECOND = 1_000_000L;
 
     private final Recorder recorder;
-    private final boolean each;
-    private final long born;
-    private long wallOffset;
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private int[] sends = new int[64];
-    private int copies;
-    private int refused;
-    private int failed;
+    private final boolean recordsEachSend;
+    private final long startNanos;
+    private long wallOffsetMillis;
+    private final Map<String, Integer> cacheNumbers = new HashMap<>();
+    private int[] sendsByCache = new int[64];
+    private int hedgedRequests;
+    private int rejectedRequests;
+    private int failedRequests;
     private int sequence;
-    private Stamp stamp;
-    private long since;
+    private AppliedVersions appliedVersions;
+    private long appliedAtNanos;
     private Cause cause = Cause.START;
 
     /**
-     * {@code each}: whether every send is entered by itself; {@code incarnation}: of this life
+     * {@code recordsEachSend}: whether every send is entered by itself; {@code incarnation}: of this life
      * among its peers.
      */
     public AuditLog(
             Recorder recorder,
-            boolean each,
+            boolean recordsEachSend,
             long now,
-            long wallMs,
+            long wallMillis,
             String name,
             int rank,
             long incarnation,
-            Stamp stamp) {
+            AppliedVersions initialVersions) {
         this.recorder = recorder;
-        this.each = each;
-        this.born = now;
-        this.since = now;
-        this.stamp = stamp;
-        this.wallOffset = wallMs;
-        recorder.append(new Entry.Start(0, name, rank, incarnation, stamp.build(), wallMs));
-        recorder.append(new Entry.Acts(0, 0, Cause.START, wallMs, stamp));
+        this.recordsEachSend = recordsEachSend;
+        this.startNanos = now;
+        this.appliedAtNanos = now;
+        this.appliedVersions = initialVersions;
+        this.wallOffsetMillis = wallMillis;
+        recorder.append(new Entry.Started(0, name, rank, incarnation, initialVersions.buildDigest(), wallMillis));
+        recorder.append(new Entry.VersionsApplied(0, 0, Cause.START, wallMillis, initialVersions));
     }
 
     /** The number that a cache goes by here. */
-    public int number(long now, String uid) {
-        Integer known = numbers.get(uid);
+    public int cacheNumber(long now, String uid) {
+        Integer known = cacheNumbers.get(uid);
         if (known != null) {
             return known;
         }
-        int number = numbers.size();
-        numbers.put(uid, number);
-        if (number == sends.length) {
-            sends = Arrays.copyOf(sends, 2 * number);
+        int number = cacheNumbers.size();
+        cacheNumbers.put(uid, number);
+        if (number == sendsByCache.length) {
+            sendsByCache = Arrays.copyOf(sendsByCache, 2 * number);
         }
-        recorder.append(new Entry.Names(now - born, number, uid));
+        recorder.append(new Entry.CacheNamed(now - startNanos, number, uid));
         return number;
     }
 
-    /** The list says this of a cache; to be told before {@link #acts}. */
-    public void lists(long now, int cache, boolean ready, long bootMs) {
-        recorder.append(new Entry.Lists(now - born, cache, ready, bootMs));
+    /** The list says this of a cache; to be told before {@link #recordVersionsApplied}. */
+    public void recordEndpoint(long now, int cache, boolean ready, long serverStartMillis) {
+        recorder.append(new Entry.EndpointListed(now - startNanos, cache, ready, serverStartMillis));
     }
 
     /** From now on decisions are made under this. */
-    public void acts(long now, long wallMs, Stamp fresh, Cause why) {
-        if (fresh.equals(stamp)) {
+    public void recordVersionsApplied(long now, long wallMillis, AppliedVersions newVersions, Cause newCause) {
+        if (newVersions.equals(appliedVersions)) {
             return;
         }
         flush(now);
-        stamp = fresh;
-        cause = why;
-        since = now;
+        appliedVersions = newVersions;
+        cause = newCause;
+        appliedAtNanos = now;
         sequence++;
-        recorder.append(new Entry.Acts(now - born, sequence, why, wallMs, fresh));
+        recorder.append(new Entry.VersionsApplied(now - startNanos, sequence, newCause, wallMillis, newVersions));
     }
 
     /** The number of the stamp that holds now. */
@@ -95,13 +95,13 @@
     }
 
     /** What holds now. */
-    public Stamp stamp() {
-        return stamp;
+    public AppliedVersions appliedVersions() {
+        return appliedVersions;
     }
 
     /** Since when, on this log's clock. */
-    public long since() {
-        return since;
+    public long appliedAtNanos() {
+        return appliedAtNanos;
     }
 
     /** Why it began to. */
@@ -110,103 +110,103 @@
     }
 
     /**
-     * An attempt that was decided on under the stamp {@code under} was written to a cache. {@code
-     * attempt}: its place among the request's; {@code copy}: another is still out; {@code id}: the
+     * An attempt that was decided on under the stamp {@code decidedSequence} was written to a cache. {@code
+     * attempt}: its place among the request's; {@code hedged}: another is still out; {@code requestId}: the
      * request's.
      */
-    public void sent(long now, int under, int cache, int attempt, boolean copy, String id) {
-        if (each) {
-            recorder.append(new Entry.Sent(now - born, under, cache, attempt, id));
+    public void recordSend(long now, int decidedSequence, int cache, int attempt, boolean hedged, String requestId) {
+        if (recordsEachSend) {
+            recorder.append(new Entry.AttemptSent(now - startNanos, decidedSequence, cache, attempt, requestId));
         }
-        if (under != sequence) {
+        if (decidedSequence != sequence) {
             // Decided on before the change, on its way while it came: under the old stamp.
             recorder.append(
-                    new Entry.Counts(
-                            now - born,
-                            under,
-                            copy ? 1 : 0,
+                    new Entry.SendCounts(
+                            now - startNanos,
+                            decidedSequence,
+                            hedged ? 1 : 0,
                             0,
                             0,
                             new int[] {cache},
                             new int[] {1}));
             return;
         }
-        sends[cache]++;
-        copies += copy ? 1 : 0;
+        sendsByCache[cache]++;
+        hedgedRequests += hedged ? 1 : 0;
     }
 
     /** A request was refused by decision. */
-    public void refused() {
-        refused++;
+    public void recordRejection() {
+        rejectedRequests++;
     }
 
     /** A request was given up as failed by decision. */
-    public void failed() {
-        failed++;
+    public void recordFailure() {
+        failedRequests++;
     }
 
     /** Something could not be taken. */
-    public void refused(long now, String what) {
-        recorder.append(new Entry.Refused(now - born, what));
+    public void recordRejection(long now, String reason) {
+        recorder.append(new Entry.UpdateRejected(now - startNanos, reason));
     }
 
     /**
      * To be called about once a second: counts so far go into the record, also where there are
      * none, as a sign that it lives; a wall clock that was set is noticed.
      */
-    public void tick(long now, long wallMs) {
+    public void tick(long now, long wallMillis) {
         flush(now);
-        long moved = wallMs - (now - born) / MILLISECOND - wallOffset;
-        if (Math.abs(moved) >= JUMP_MS) {
-            wallOffset += moved;
-            recorder.append(new Entry.Jumped(now - born, moved));
+        long movedMillis = wallMillis - (now - startNanos) / NANOS_PER_MILLISECOND - wallOffsetMillis;
+        if (Math.abs(movedMillis) >= CLOCK_JUMP_MILLIS) {
+            wallOffsetMillis += movedMillis;
+            recorder.append(new Entry.WallClockJumped(now - startNanos, movedMillis));
         }
     }
 
     private void flush(long now) {
         int used = 0;
-        for (int i = 0; i < numbers.size(); i++) {
-            used += sends[i] > 0 ? 1 : 0;
+        for (int i = 0; i < cacheNumbers.size(); i++) {
+            used += sendsByCache[i] > 0 ? 1 : 0;
         }
         int[] caches = new int[used];
         int[] counts = new int[used];
-        for (int i = 0, at = 0; i < numbers.size(); i++) {
-            if (sends[i] > 0) {
-                caches[at] = i;
-                counts[at++] = sends[i];
-                sends[i] = 0;
+        for (int i = 0, index = 0; i < cacheNumbers.size(); i++) {
+            if (sendsByCache[i] > 0) {
+                caches[index] = i;
+                counts[index++] = sendsByCache[i];
+                sendsByCache[i] = 0;
             }
         }
         recorder.append(
-                new Entry.Counts(now - born, sequence, copies, refused, failed, caches, counts));
-        copies = 0;
-        refused = 0;
-        failed = 0;
+                new Entry.SendCounts(now - startNanos, sequence, hedgedRequests, rejectedRequests, failedRequests, caches, counts));
+        hedgedRequests = 0;
+        rejectedRequests = 0;
+        failedRequests = 0;
     }
 
     /** The life ends in order. */
-    public void end(long now) {
+    public void recordStop(long now) {
         flush(now);
-        recorder.append(new Entry.End(now - born));
+        recorder.append(new Entry.Stopped(now - startNanos));
     }
 
     @Override
-    public void onState(long now, int rank, long incarnation, State state, int by) {
-        recorder.append(new Entry.Believes(now - born, rank, incarnation, state, by));
+    public void onMemberState(long now, int rank, long incarnation, MemberState state, int reportedBy) {
+        recorder.append(new Entry.PeerStateChanged(now - startNanos, rank, incarnation, state, reportedBy));
     }
 
     @Override
-    public void onOwn(long now, long incarnation) {
-        recorder.append(new Entry.Renumbered(now - born, incarnation));
+    public void onLocalIncarnation(long now, long incarnation) {
+        recorder.append(new Entry.IncarnationChanged(now - startNanos, incarnation));
     }
 
     @Override
-    public void onRow(long now, int rank, long incarnation, int place, int ref, long age) {
-        recorder.append(new Entry.Heard(now - born, rank, incarnation, place, ref, age));
+    public void onMemberEntry(long now, int rank, long incarnation, int sequenceNumber, int versionsRef, long ageNanos) {
+        recorder.append(new Entry.PeerVersionsHeard(now - startNanos, rank, incarnation, sequenceNumber, versionsRef, ageNanos));
     }
 
     @Override
-    public void onClock(long now, int rank, long incarnation, long sent, long theirMs) {
-        recorder.append(new Entry.Clock(now - born, rank, incarnation, sent - born, theirMs));
+    public void onClockSample(long now, int rank, long incarnation, long sentAtNanos, long peerUnixMillis) {
+        recorder.append(new Entry.PeerClockSampled(now - startNanos, rank, incarnation, sentAtNanos - startNanos, peerUnixMillis));
     }
 }
--- a/audit/src/main/java/frostrelay/audit/Record.java
+++ b/audit/src/main/java/frostrelay/audit/AuditRecord.java
@@ -5,26 +5,26 @@
 import java.util.List;
 
 /**
- * What could be read of one life's record. {@code unread}: bytes behind the last whole entry, torn
- * or damaged; {@code unknown}: whole entries of types that this build does not know.
+ * What could be read of one life's record. {@code unreadBytes}: bytes behind the last whole entry, torn
+ * or damaged; {@code unknownEntries}: whole entries of types that this build does not know.
  */
-public record Record(List<Entry> entries, int unread, int unknown) {
+public record AuditRecord(List<Entry> entries, int unreadBytes, int unknownEntries) {
     /** Reads as much as is whole. Throws IllegalArgumentException for what is no record at all. */
-    public static Record read(byte[] bytes) {
+    public static AuditRecord read(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if (bytes.length < Long.BYTES || in.getLong() != Codec.MAGIC) {
             throw new IllegalArgumentException("no audit record");
         }
         List<Entry> entries = new ArrayList<>();
-        int unknown = 0;
-        for (int length = Codec.whole(in); length > 0; length = Codec.whole(in)) {
+        int unknownEntries = 0;
+        for (int length = Codec.completeFrameLength(in); length > 0; length = Codec.completeFrameLength(in)) {
             Entry entry = Codec.read(in, length);
             if (entry == null) {
-                unknown++;
+                unknownEntries++;
             } else {
                 entries.add(entry);
             }
         }
-        return new Record(entries, in.remaining(), unknown);
+        return new AuditRecord(entries, in.remaining(), unknownEntries);
     }
 }
--- a/audit/src/main/java/frostrelay/audit/Codec.java
+++ b/audit/src/main/java/frostrelay/audit/Codec.java
@@ -1,7 +1,7 @@
 package frostrelay.audit;
 
-import frostrelay.peers.Stamp;
-import frostrelay.peers.State;
+import frostrelay.peers.AppliedVersions;
+import frostrelay.peers.MemberState;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -20,91 +20,91 @@
     public static final long MAGIC = 0x4652_4155_4449_5401L;
 
     /** Length, type and checksum of an entry. */
-    static final int FRAME = Short.BYTES + 1 + Integer.BYTES;
+    static final int FRAME_BYTES = Short.BYTES + 1 + Integer.BYTES;
 
     /** The longest content that is written. */
-    static final int MOST = 8 * 1024;
+    static final int MAX_ENTRY_BYTES = 8 * 1024;
 
-    private static final int MOST_TEXT = 255;
-    private static final int U16 = 0xffff;
+    private static final int MAX_TEXT_BYTES = 255;
+    private static final int U16_MASK = 0xffff;
 
     private Codec() {}
 
     /** Room for any entry. */
-    static ByteBuffer buffer() {
-        return ByteBuffer.allocate(MOST + FRAME);
+    static ByteBuffer newBuffer() {
+        return ByteBuffer.allocate(MAX_ENTRY_BYTES + FRAME_BYTES);
     }
 
     /** Appends an entry with its frame. */
     static void write(Entry entry, ByteBuffer out) {
         int start = out.position();
-        out.putShort((short) 0).put((byte) 0).putLong(entry.at());
+        out.putShort((short) 0).put((byte) 0).putLong(entry.atNanos());
         int type;
-        if (entry instanceof Entry.Start e) {
+        if (entry instanceof Entry.Started e) {
             type = 1;
             text(out, e.name());
             out.putShort((short) e.rank())
                     .putLong(e.incarnation())
                     .putInt(e.build())
-                    .putLong(e.wallMs());
-        } else if (entry instanceof Entry.Acts e) {
+                    .putLong(e.wallMillis());
+        } else if (entry instanceof Entry.VersionsApplied e) {
             type = 2;
-            out.putInt(e.sequence()).put((byte) e.cause().ordinal()).putLong(e.wallMs());
-            e.stamp().write(out);
-        } else if (entry instanceof Entry.Names e) {
+            out.putInt(e.sequence()).put((byte) e.cause().ordinal()).putLong(e.wallMillis());
+            e.versions().write(out);
+        } else if (entry instanceof Entry.CacheNamed e) {
             type = 3;
             out.putShort((short) e.cache());
             text(out, e.uid());
-        } else if (entry instanceof Entry.Lists e) {
+        } else if (entry instanceof Entry.EndpointListed e) {
             type = 4;
-            out.putShort((short) e.cache()).put((byte) (e.ready() ? 1 : 0)).putLong(e.bootMs());
-        } else if (entry instanceof Entry.Counts e) {
+            out.putShort((short) e.cache()).put((byte) (e.ready() ? 1 : 0)).putLong(e.serverStartMillis());
+        } else if (entry instanceof Entry.SendCounts e) {
             type = 5;
             out.putInt(e.sequence())
-                    .putInt(e.copies())
-                    .putInt(e.refused())
-                    .putInt(e.failed())
+                    .putInt(e.hedgedRequests())
+                    .putInt(e.rejectedRequests())
+                    .putInt(e.failedRequests())
                     .putShort((short) e.caches().length);
             for (int i = 0; i < e.caches().length; i++) {
                 out.putShort((short) e.caches()[i]).putInt(e.sends()[i]);
             }
-        } else if (entry instanceof Entry.Sent e) {
+        } else if (entry instanceof Entry.AttemptSent e) {
             type = 6;
             out.putInt(e.sequence()).putShort((short) e.cache()).put((byte) e.attempt());
-            text(out, e.id());
-        } else if (entry instanceof Entry.Heard e) {
+            text(out, e.requestId());
+        } else if (entry instanceof Entry.PeerVersionsHeard e) {
             type = 7;
             out.putShort((short) e.rank())
                     .putLong(e.incarnation())
                     .putInt(e.sequence())
-                    .putInt(e.ref())
-                    .putLong(e.age());
-        } else if (entry instanceof Entry.Believes e) {
+                    .putInt(e.versionsRef())
+                    .putLong(e.ageNanos());
+        } else if (entry instanceof Entry.PeerStateChanged e) {
             type = 8;
             out.putShort((short) e.rank())
                     .putLong(e.incarnation())
                     .put((byte) e.state().ordinal())
-                    .putShort((short) e.by());
-        } else if (entry instanceof Entry.Clock e) {
+                    .putShort((short) e.reportedBy());
+        } else if (entry instanceof Entry.PeerClockSampled e) {
             type = 9;
             out.putShort((short) e.rank())
                     .putLong(e.incarnation())
-                    .putLong(e.sent())
-                    .putLong(e.theirMs());
-        } else if (entry instanceof Entry.Jumped e) {
+                    .putLong(e.sentAtNanos())
+                    .putLong(e.peerUnixMillis());
+        } else if (entry instanceof Entry.WallClockJumped e) {
             type = 10;
-            out.putLong(e.byMs());
-        } else if (entry instanceof Entry.Renumbered e) {
+            out.putLong(e.jumpMillis());
+        } else if (entry instanceof Entry.IncarnationChanged e) {
             type = 11;
             out.putLong(e.incarnation());
-        } else if (entry instanceof Entry.Refused e) {
+        } else if (entry instanceof Entry.UpdateRejected e) {
             type = 12;
-            text(out, e.what());
+            text(out, e.reason());
         } else if (entry instanceof Entry.Gap e) {
             type = 13;
-            out.putLong(e.from()).putLong(e.entries());
-            text(out, e.why());
-        } else if (entry instanceof Entry.End) {
+            out.putLong(e.fromNanos()).putLong(e.lostEntries());
+            text(out, e.reason());
+        } else if (entry instanceof Entry.Stopped) {
             type = 14;
         } else {
             type = 15;
@@ -118,7 +118,7 @@
 
     private static void text(ByteBuffer out, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(MOST_TEXT, bytes.length);
+        int length = Math.min(MAX_TEXT_BYTES, bytes.length);
         out.put((byte) length).put(bytes, 0, length);
     }
 
@@ -129,18 +129,18 @@
     }
 
     /** Length of the whole entry that begins here; -1 where it is torn or damaged. */
-    static int whole(ByteBuffer in) {
-        int at = in.position();
-        if (in.remaining() < FRAME) {
+    static int completeFrameLength(ByteBuffer in) {
+        int start = in.position();
+        if (in.remaining() < FRAME_BYTES) {
             return -1;
         }
-        int length = (in.getShort(at) & U16) + FRAME;
+        int length = (in.getShort(start) & U16_MASK) + FRAME_BYTES;
         if (in.remaining() < length) {
             return -1;
         }
         CRC32C crc = new CRC32C();
-        crc.update(in.duplicate().limit(at + length - Integer.BYTES));
-        return (int) crc.getValue() == in.getInt(at + length - Integer.BYTES) ? length : -1;
+        crc.update(in.duplicate().limit(start + length - Integer.BYTES));
+        return (int) crc.getValue() == in.getInt(start + length - Integer.BYTES) ? length : -1;
     }
 
     /**
@@ -149,10 +149,10 @@
      */
     static Entry read(ByteBuffer in, int length) {
         int type = in.get(in.position() + Short.BYTES) & 0xff;
-        ByteBuffer content = in.slice(in.position() + Short.BYTES + 1, length - FRAME);
+        ByteBuffer content = in.slice(in.position() + Short.BYTES + 1, length - FRAME_BYTES);
         in.position(in.position() + length);
         try {
-            return content(type, content);
+            return decode(type, content);
         } catch (BufferUnderflowException
                 | ArrayIndexOutOfBoundsException
                 | NegativeArraySizeException e) {
@@ -162,64 +162,64 @@
         }
     }
 
-    private static Entry content(int type, ByteBuffer in) {
-        long at = in.getLong();
+    private static Entry decode(int type, ByteBuffer in) {
+        long atNanos = in.getLong();
         return switch (type) {
             case 1 ->
-                    new Entry.Start(
-                            at, text(in), in.getShort(), in.getLong(), in.getInt(), in.getLong());
+                    new Entry.Started(
+                            atNanos, text(in), in.getShort(), in.getLong(), in.getInt(), in.getLong());
             case 2 ->
-                    new Entry.Acts(
-                            at,
+                    new Entry.VersionsApplied(
+                            atNanos,
                             in.getInt(),
                             Cause.values()[in.get()],
                             in.getLong(),
-                            Stamp.read(in));
-            case 3 -> new Entry.Names(at, in.getShort() & U16, text(in));
-            case 4 -> new Entry.Lists(at, in.getShort() & U16, in.get() != 0, in.getLong());
-            case 5 -> counts(at, in);
+                            AppliedVersions.read(in));
+            case 3 -> new Entry.CacheNamed(atNanos, in.getShort() & U16_MASK, text(in));
+            case 4 -> new Entry.EndpointListed(atNanos, in.getShort() & U16_MASK, in.get() != 0, in.getLong());
+            case 5 -> decodeSendCounts(atNanos, in);
             case 6 ->
-                    new Entry.Sent(at, in.getInt(), in.getShort() & U16, in.get() & 0xff, text(in));
+                    new Entry.AttemptSent(atNanos, in.getInt(), in.getShort() & U16_MASK, in.get() & 0xff, text(in));
             case 7 ->
-                    new Entry.Heard(
-                            at,
-                            in.getShort() & U16,
+                    new Entry.PeerVersionsHeard(
+                            atNanos,
+                            in.getShort() & U16_MASK,
                             in.getLong(),
                             in.getInt(),
                             in.getInt(),
                             in.getLong());
             case 8 ->
-                    new Entry.Believes(
-                            at,
-                            in.getShort() & U16,
+                    new Entry.PeerStateChanged(
+                            atNanos,
+                            in.getShort() & U16_MASK,
                             in.getLong(),
-                            State.values()[in.get()],
-                            in.getShort() & U16);
+                            MemberState.values()[in.get()],
+                            in.getShort() & U16_MASK);
             case 9 ->
-                    new Entry.Clock(
-                            at, in.getShort() & U16, in.getLong(), in.getLong(), in.getLong());
-            case 10 -> new Entry.Jumped(at, in.getLong());
-            case 11 -> new Entry.Renumbered(at, in.getLong());
-            case 12 -> new Entry.Refused(at, text(in));
-            case 13 -> new Entry.Gap(at, in.getLong(), in.getLong(), text(in));
-            case 14 -> new Entry.End(at);
-            case 15 -> new Entry.Resumes(at);
+                    new Entry.PeerClockSampled(
+                            atNanos, in.getShort() & U16_MASK, in.getLong(), in.getLong(), in.getLong());
+            case 10 -> new Entry.WallClockJumped(atNanos, in.getLong());
+            case 11 -> new Entry.IncarnationChanged(atNanos, in.getLong());
+            case 12 -> new Entry.UpdateRejected(atNanos, text(in));
+            case 13 -> new Entry.Gap(atNanos, in.getLong(), in.getLong(), text(in));
+            case 14 -> new Entry.Stopped(atNanos);
+            case 15 -> new Entry.Resumed(atNanos);
             default -> null;
         };
     }
 
-    private static Entry counts(long at, ByteBuffer in) {
+    private static Entry decodeSendCounts(long atNanos, ByteBuffer in) {
         int sequence = in.getInt();
-        int copies = in.getInt();
-        int refused = in.getInt();
-        int failed = in.getInt();
-        int[] caches = new int[in.getShort() & U16];
+        int hedgedRequests = in.getInt();
+        int rejectedRequests = in.getInt();
+        int failedRequests = in.getInt();
+        int[] caches = new int[in.getShort() & U16_MASK];
         int[] sends = new int[caches.length];
         for (int i = 0; i < caches.length; i++) {
-            caches[i] = in.getShort() & U16;
+            caches[i] = in.getShort() & U16_MASK;
             sends[i] = in.getInt();
         }
-        return new Entry.Counts(
-                at, sequence, copies, refused, failed, caches, Arrays.copyOf(sends, sends.length));
+        return new Entry.SendCounts(
+                atNanos, sequence, hedgedRequests, rejectedRequests, failedRequests, caches, Arrays.copyOf(sends, sends.length));
     }
 }
--- a/audit/src/main/java/frostrelay/audit/Framed.java
+++ b/audit/src/main/java/frostrelay/audit/FramedEntries.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /** Entries as the bytes that a record holds. */
-public final class Framed {
-    private Framed() {}
+public final class FramedEntries {
+    private FramedEntries() {}
 
     /** One entry with its frame. */
-    public static byte[] of(Entry entry) {
-        return of(entry, Codec.buffer());
+    public static byte[] encode(Entry entry) {
+        return encode(entry, Codec.newBuffer());
     }
 
     /** Likewise, with room to work in that is used again and again. */
-    static byte[] of(Entry entry, ByteBuffer out) {
+    static byte[] encode(Entry entry, ByteBuffer out) {
         out.clear();
         Codec.write(entry, out);
         byte[] bytes = new byte[out.position()];
@@ -23,15 +23,15 @@
     }
 
     /**
-     * Where the entries from a place on that fit into {@code room} end: behind one entry at least.
+     * Where the entries from a place on that fit into {@code capacityBytes} end: behind one entry at least.
      */
-    public static int fitting(byte[] bytes, int from, long room) {
+    public static int endOfFittingEntries(byte[] bytes, int from, long capacityBytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         int end = from;
         while (end < bytes.length) {
             in.position(end);
-            int length = Codec.whole(in);
-            if (length < 0 || end > from && end + length - from > room) {
+            int length = Codec.completeFrameLength(in);
+            if (length < 0 || end > from && end + length - from > capacityBytes) {
                 break;
             }
             end += length;
@@ -43,7 +43,7 @@
     public static List<Entry> entries(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         List<Entry> entries = new ArrayList<>();
-        for (int length = Codec.whole(in); length > 0; length = Codec.whole(in)) {
+        for (int length = Codec.completeFrameLength(in); length > 0; length = Codec.completeFrameLength(in)) {
             Entry entry = Codec.read(in, length);
             if (entry != null) {
                 entries.add(entry);
--- a/audit/src/main/java/frostrelay/audit/Preamble.java
+++ b/audit/src/main/java/frostrelay/audit/Preamble.java
@@ -7,23 +7,23 @@
 
 /** What a reader needs to make sense of entries when those before them are gone. For one thread. */
 public final class Preamble {
-    private Entry.Start start;
-    private final Map<Integer, Entry.Names> names = new LinkedHashMap<>();
-    private final Map<Integer, Entry.Lists> lists = new LinkedHashMap<>();
-    private Entry.Acts acts;
-    private long last;
+    private Entry.Started start;
+    private final Map<Integer, Entry.CacheNamed> cacheNames = new LinkedHashMap<>();
+    private final Map<Integer, Entry.EndpointListed> endpoints = new LinkedHashMap<>();
+    private Entry.VersionsApplied lastApplied;
+    private long lastEntryNanos;
 
     /** This entry comes before those that the preamble is for. */
-    public void note(Entry entry) {
-        last = entry.at();
-        if (entry instanceof Entry.Start one) {
+    public void observe(Entry entry) {
+        lastEntryNanos = entry.atNanos();
+        if (entry instanceof Entry.Started one) {
             start = one;
-        } else if (entry instanceof Entry.Names one) {
-            names.put(one.cache(), one);
-        } else if (entry instanceof Entry.Lists one) {
-            lists.put(one.cache(), one);
-        } else if (entry instanceof Entry.Acts one) {
-            acts = one;
+        } else if (entry instanceof Entry.CacheNamed one) {
+            cacheNames.put(one.cache(), one);
+        } else if (entry instanceof Entry.EndpointListed one) {
+            endpoints.put(one.cache(), one);
+        } else if (entry instanceof Entry.VersionsApplied one) {
+            lastApplied = one;
         }
     }
 
@@ -38,12 +38,12 @@
         if (start != null) {
             entries.add(start);
         }
-        entries.addAll(names.values());
-        entries.addAll(lists.values());
-        if (acts != null) {
-            entries.add(acts);
+        entries.addAll(cacheNames.values());
+        entries.addAll(endpoints.values());
+        if (lastApplied != null) {
+            entries.add(lastApplied);
         }
-        entries.add(new Entry.Resumes(last));
+        entries.add(new Entry.Resumed(lastEntryNanos));
         return entries;
     }
 }
--- /dev/null
+++ b/audit/src/main/java/frostrelay/audit/fleet/IncarnationHistory.java
@@ -0,0 +1,166 @@
+package frostrelay.audit.fleet;
+
+import frostrelay.audit.Entry;
+import frostrelay.audit.AuditRecord;
+import frostrelay.peers.Incarnation;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * One life of a balancer, put together from the parts of its record. Entries are in their order;
+ * what a part repeats for its reader is left out where the part before it is there.
+ */
+public final class IncarnationHistory {
+    private final String source;
+    private final List<Entry> entries = new ArrayList<>();
+    private final Entry.Started start;
+    private final Set<Long> incarnations = new HashSet<>();
+    private final Map<Integer, String> cacheNames = new HashMap<>();
+    private final List<Entry.VersionsApplied> appliedVersions = new ArrayList<>();
+    private final int unreadBytes;
+    private final boolean beginningLost;
+
+    private IncarnationHistory(String source, List<AuditRecord> parts, boolean hasFirstPart) {
+        this.source = source;
+        int totalUnreadBytes = 0;
+        for (int i = 0; i < parts.size(); i++) {
+            List<Entry> partEntries = parts.get(i).entries();
+            int resumedIndex = -1;
+            for (int index = 0; index < partEntries.size() && resumedIndex < 0; index++) {
+                resumedIndex = partEntries.get(index) instanceof Entry.Resumed ? index : -1;
+            }
+            if (i > 0) {
+                addMissingFromPreamble(partEntries.subList(0, resumedIndex + 1));
+            }
+            entries.addAll(i == 0 ? partEntries : partEntries.subList(resumedIndex + 1, partEntries.size()));
+            totalUnreadBytes += parts.get(i).unreadBytes();
+        }
+        unreadBytes = totalUnreadBytes;
+        Entry.Started startEntry = null;
+        for (Entry entry : entries) {
+            if (entry instanceof Entry.Started one) {
+                startEntry = one;
+                incarnations.add(one.incarnation());
+            } else if (entry instanceof Entry.IncarnationChanged one) {
+                incarnations.add(one.incarnation());
+            } else if (entry instanceof Entry.CacheNamed one) {
+                cacheNames.put(one.cache(), one.uid());
+            } else if (entry instanceof Entry.VersionsApplied one) {
+                appliedVersions.add(one);
+            }
+        }
+        start = startEntry;
+        beginningLost = !hasFirstPart || entries.stream().anyMatch(Entry.Resumed.class::isInstance);
+    }
+
+    /**
+     * Of what a part repeats, that counts which the parts before it do not have: it was lost on its
+     * way to them.
+     */
+    private void addMissingFromPreamble(List<Entry> preamble) {
+        int lastSequence = -1;
+        for (Entry entry : entries) {
+            lastSequence = entry instanceof Entry.VersionsApplied one ? one.sequence() : lastSequence;
+        }
+        for (Entry entry : preamble) {
+            if (entry instanceof Entry.CacheNamed
+                    || entry instanceof Entry.VersionsApplied one && one.sequence() > lastSequence) {
+                entries.add(entry);
+            }
+        }
+    }
+
+    /**
+     * {@code source}: where the parts came from, for messages; {@code hasFirstPart}: the first of
+     * them is the life's first. Null where not even the start could be read.
+     */
+    public static IncarnationHistory of(String source, List<AuditRecord> parts, boolean hasFirstPart) {
+        IncarnationHistory history = new IncarnationHistory(source, parts, hasFirstPart);
+        return history.start == null ? null : history;
+    }
+
+    /** Where its record was found. */
+    public String source() {
+        return source;
+    }
+
+    /** The balancer's name. */
+    public String name() {
+        return start.name();
+    }
+
+    /** Name and start, which tell the lives of one balancer apart. */
+    public String label() {
+        return start.name() + "/" + Incarnation.toUnixMillis(start.incarnation());
+    }
+
+    public Entry.Started start() {
+        return start;
+    }
+
+    public List<Entry> entries() {
+        return entries;
+    }
+
+    /** The stamps that it acted on, in their order. */
+    public List<Entry.VersionsApplied> appliedVersions() {
+        return appliedVersions;
+    }
+
+    /** What a cache's number stands for; the number itself where that was lost. */
+    public String cacheName(int number) {
+        return cacheNames.getOrDefault(number, "#" + number);
+    }
+
+    /** Whether this is the life of a balancer that others knew by this number and incarnation. */
+    public boolean isIncarnation(int rank, long incarnation) {
+        return start.rank() == rank
+                && (incarnations.contains(incarnation)
+                        || Incarnation.toUnixMillis(incarnation)
+                                == Incarnation.toUnixMillis(start.incarnation()));
+    }
+
+    /** Whether its last entry says that it ended in order. */
+    public boolean hasStopped() {
+        return !entries.isEmpty() && entries.get(entries.size() - 1) instanceof Entry.Stopped;
+    }
+
+    /** The moment of its last entry. */
+    public long lastEntryNanos() {
+        return entries.get(entries.size() - 1).atNanos();
+    }
+
+    /** Bytes at the end of its parts that could not be read. */
+    public int unreadBytes() {
+        return unreadBytes;
+    }
+
+    /** Whether older parts of it are missing. */
+    public boolean beginningLost() {
+        return beginningLost;
+    }
+
+    /** What it says is missing. */
+    public List<Entry.Gap> gaps() {
+        List<Entry.Gap> gaps = new ArrayList<>();
+        for (Entry entry : entries) {
+            if (entry instanceof Entry.Gap gap) {
+                gaps.add(gap);
+            }
+        }
+        return gaps;
+    }
+
+    /**
+     * Until when it acted on the stamp at a place of {@link #appliedVersions}: the next one's beginning, or
+     * the last it said.
+     */
+    public long appliedUntilNanos(int index) {
+        return index + 1 < appliedVersions.size() ? appliedVersions.get(index + 1).atNanos() : lastEntryNanos();
+    }
+}
--- a/audit/src/main/java/frostrelay/audit/store/Collected.java
+++ b/audit/src/main/java/frostrelay/audit/store/CollectedRecords.java
@@ -1,7 +1,7 @@
 package frostrelay.audit.store;
 
-import frostrelay.audit.Record;
-import frostrelay.audit.fleet.Life;
+import frostrelay.audit.AuditRecord;
+import frostrelay.audit.fleet.IncarnationHistory;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -13,54 +13,54 @@
 import java.util.stream.Stream;
 
 /** Reads the records that lie in folders, of balancers that live or are dead. */
-public final class Collected {
-    private Collected() {}
+public final class CollectedRecords {
+    private CollectedRecords() {}
 
     /**
      * All lives found in a folder and below it. {@code complaints}: hears of files that hold
      * nothing readable, which are passed over.
      */
-    public static List<Life> lives(Path folder, List<String> complaints) throws IOException {
+    public static List<IncarnationHistory> histories(Path folder, List<String> complaints) throws IOException {
         List<Path> folders;
         try (Stream<Path> all = Files.walk(folder)) {
             folders = all.filter(Files::isDirectory).sorted().toList();
         }
-        List<Life> lives = new ArrayList<>();
+        List<IncarnationHistory> histories = new ArrayList<>();
         for (Path one : folders) {
             Map<String, List<Path>> files = new LinkedHashMap<>();
             for (Path file : RecordFolder.files(one)) {
-                files.computeIfAbsent(RecordFolder.life(file), life -> new ArrayList<>()).add(file);
+                files.computeIfAbsent(RecordFolder.incarnationOf(file), incarnation -> new ArrayList<>()).add(file);
             }
-            files.forEach((life, parts) -> add(lives, parts, complaints));
+            files.forEach((incarnation, parts) -> add(histories, parts, complaints));
         }
-        return lives;
+        return histories;
     }
 
-    private static void add(List<Life> lives, List<Path> parts, List<String> complaints) {
-        List<Record> records = new ArrayList<>();
+    private static void add(List<IncarnationHistory> histories, List<Path> parts, List<String> complaints) {
+        List<AuditRecord> records = new ArrayList<>();
         for (Path part : parts) {
             try {
-                records.add(Record.read(Files.readAllBytes(part)));
+                records.add(AuditRecord.read(Files.readAllBytes(part)));
             } catch (IOException | IllegalArgumentException e) {
                 complaints.add(part + ": " + e.getMessage());
             }
         }
-        Life life =
+        IncarnationHistory history =
                 records.isEmpty()
                         ? null
-                        : Life.of(
+                        : IncarnationHistory.of(
                                 parts.get(0).toString(),
                                 records,
                                 parts.get(0).toString().endsWith("-000000.rec"));
-        if (life != null) {
-            lives.add(life);
+        if (history != null) {
+            histories.add(history);
         } else if (!records.isEmpty()) {
             complaints.add(parts.get(0) + ": not even its start can be read");
         }
     }
 
     /** A record as a console gave it; null where not even its start can be read. */
-    public static Life life(String source, byte[] record) {
-        return Life.of(source, List.of(Record.read(record)), true);
+    public static IncarnationHistory history(String source, byte[] record) {
+        return IncarnationHistory.of(source, List.of(AuditRecord.read(record)), true);
     }
 }
--- a/audit/src/main/java/frostrelay/audit/store/RecordFolder.java
+++ b/audit/src/main/java/frostrelay/audit/store/RecordFolder.java
@@ -2,7 +2,7 @@
 
 import frostrelay.audit.Codec;
 import frostrelay.audit.Entry;
-import frostrelay.audit.Framed;
+import frostrelay.audit.FramedEntries;
 import frostrelay.audit.Preamble;
 import frostrelay.audit.Recorder;
 
@@ -25,14 +25,14 @@
 
 /**
  * A life's record in files that are only appended to, written by a thread of its own: an event loop
- * must not wait for a disk. What SIGKILL can take is what came within the last {@link #WRITE_MS};
+ * must not wait for a disk. What SIGKILL can take is what came within the last {@link #WRITE_INTERVAL_MILLIS};
  * what was written the system keeps, as no machine dies. Names of the files: life, then part; parts
  * of one life belong together, the oldest go first where the folder's bound is met. {@link #append}
  * may come from one thread; it only adds to a buffer.
  */
 public final class RecordFolder implements Recorder, AutoCloseable {
     /** The stated tail: what is not on its way to the disk yet is not older than this. */
-    public static final long WRITE_MS = 100;
+    public static final long WRITE_INTERVAL_MILLIS = 100;
 
     private static final String SUFFIX = ".rec";
 
@@ -40,15 +40,15 @@
      * Waiting entries beyond this are dropped and named as a gap: a disk that hangs must not eat
      * the heap.
      */
-    private static final int MOST_WAITING = 512 * 1024;
+    private static final int MAX_PENDING_BYTES = 512 * 1024;
 
-    private static final int MOST_PARTS = 8;
+    private static final int MAX_PARTS = 8;
 
     private final Path folder;
-    private final String life;
-    private final long partBytes;
-    private final Consumer<String> failed;
-    private final ScheduledExecutorService thread =
+    private final String incarnation;
+    private final long maxPartBytes;
+    private final Consumer<String> onFailure;
+    private final ScheduledExecutorService writer =
             Executors.newSingleThreadScheduledExecutor(
                     task -> {
                         Thread fresh = new Thread(task, "audit");
@@ -63,135 +63,135 @@
      */
     private final Preamble preamble = new Preamble();
 
-    private ByteBuffer waiting = ByteBuffer.allocate(64 * 1024);
-    private long lost;
-    private long lostFrom;
-    private String lostWhy = "";
+    private ByteBuffer pending = ByteBuffer.allocate(64 * 1024);
+    private long lostEntries;
+    private long lostFromNanos;
+    private String lostReason = "";
     // Of the thread.
-    private FileChannel part;
-    private Path file;
-    private int parts;
+    private FileChannel partChannel;
+    private Path partFile;
+    private int partCount;
     private long headBytes;
-    private long written;
-    private boolean broken;
+    private long partBytesWritten;
+    private boolean failing;
 
     /**
-     * {@code life}: names this life's files, later lives sort behind earlier ones; {@code most}:
-     * bytes that all files of the folder may take; {@code failed}: hears on the writer's thread,
+     * {@code incarnation}: names this life's files, later lives sort behind earlier ones; {@code maxBytes}:
+     * bytes that all files of the folder may take; {@code onFailure}: hears on the writer's thread,
      * once a spell, why nothing can be written.
      */
-    public RecordFolder(Path folder, String life, long most, Consumer<String> failed) {
+    public RecordFolder(Path folder, String incarnation, long maxBytes, Consumer<String> onFailure) {
         this.folder = folder;
-        this.life = life;
-        this.partBytes = most / MOST_PARTS;
-        this.failed = failed;
-        thread.scheduleWithFixedDelay(this::write, WRITE_MS, WRITE_MS, TimeUnit.MILLISECONDS);
+        this.incarnation = incarnation;
+        this.maxPartBytes = maxBytes / MAX_PARTS;
+        this.onFailure = onFailure;
+        writer.scheduleWithFixedDelay(this::writePending, WRITE_INTERVAL_MILLIS, WRITE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void append(Entry entry) {
         synchronized (lock) {
-            if (lost > 0 && waiting.position() == 0) {
+            if (lostEntries > 0 && pending.position() == 0) {
                 // What waited has been written, or was refused: the disk is tried again, with the
                 // gap named first.
-                long gone = lost;
-                lost = 0;
-                put(new Entry.Gap(entry.at(), lostFrom, gone, lostWhy));
+                long previouslyLost = lostEntries;
+                lostEntries = 0;
+                enqueue(new Entry.Gap(entry.atNanos(), lostFromNanos, previouslyLost, lostReason));
             }
-            put(entry);
+            enqueue(entry);
         }
     }
 
-    private void put(Entry entry) {
-        byte[] bytes = Framed.of(entry);
-        if (lost > 0 || waiting.position() + bytes.length > MOST_WAITING) {
-            preamble.note(entry);
-            lose(entry.at(), 1, "the disk did not keep up");
+    private void enqueue(Entry entry) {
+        byte[] bytes = FramedEntries.encode(entry);
+        if (lostEntries > 0 || pending.position() + bytes.length > MAX_PENDING_BYTES) {
+            preamble.observe(entry);
+            recordLoss(entry.atNanos(), 1, "the disk did not keep up");
             return;
         }
-        if (waiting.remaining() < bytes.length) {
-            ByteBuffer wider = ByteBuffer.allocate(Math.min(MOST_WAITING, 2 * waiting.capacity()));
-            waiting.flip();
-            wider.put(waiting);
-            waiting = wider;
+        if (pending.remaining() < bytes.length) {
+            ByteBuffer wider = ByteBuffer.allocate(Math.min(MAX_PENDING_BYTES, 2 * pending.capacity()));
+            pending.flip();
+            wider.put(pending);
+            pending = wider;
         }
-        waiting.put(bytes);
+        pending.put(bytes);
     }
 
-    private void lose(long from, long entries, String why) {
-        if (lost == 0 || from < lostFrom) {
-            lostFrom = from;
-            lostWhy = why;
+    private void recordLoss(long fromNanos, long entries, String reason) {
+        if (lostEntries == 0 || fromNanos < lostFromNanos) {
+            lostFromNanos = fromNanos;
+            lostReason = reason;
         }
-        lost += entries;
+        lostEntries += entries;
     }
 
     /** Writes what waits. A write that fails leaves the file cut back to its last whole entry. */
-    private void write() {
+    private void writePending() {
         byte[] bytes;
         synchronized (lock) {
-            if (waiting.position() == 0) {
+            if (pending.position() == 0) {
                 return;
             }
-            bytes = new byte[waiting.position()];
-            waiting.flip().get(bytes);
-            waiting.clear();
+            bytes = new byte[pending.position()];
+            pending.flip().get(bytes);
+            pending.clear();
         }
         int from = 0;
         try {
             while (from < bytes.length) {
-                if (part == null || written >= partBytes) {
-                    open();
+                if (partChannel == null || partBytesWritten >= maxPartBytes) {
+                    openNextPart();
                 }
-                int to = Framed.fitting(bytes, from, partBytes - written);
+                int to = FramedEntries.endOfFittingEntries(bytes, from, maxPartBytes - partBytesWritten);
                 ByteBuffer out = ByteBuffer.wrap(bytes, from, to - from);
                 while (out.hasRemaining()) {
-                    part.write(out, written + out.position() - from);
+                    partChannel.write(out, partBytesWritten + out.position() - from);
                 }
-                if (written == headBytes) {
-                    makeRoom();
+                if (partBytesWritten == headBytes) {
+                    deleteOldestParts();
                 }
-                written += to - from;
+                partBytesWritten += to - from;
                 synchronized (lock) {
-                    Framed.entries(Arrays.copyOfRange(bytes, from, to)).forEach(preamble::note);
+                    FramedEntries.entries(Arrays.copyOfRange(bytes, from, to)).forEach(preamble::observe);
                 }
                 from = to;
             }
-            broken = false;
+            failing = false;
         } catch (IOException | RuntimeException e) {
-            fail(Arrays.copyOfRange(bytes, from, bytes.length), e);
+            onWriteFailed(Arrays.copyOfRange(bytes, from, bytes.length), e);
         }
     }
 
-    private void fail(byte[] bytes, Exception e) {
+    private void onWriteFailed(byte[] bytes, Exception e) {
         try {
-            if (part != null) {
+            if (partChannel != null) {
                 // What the disk refused may stand there in part. Another file may be taken where
                 // this one is not.
-                part.truncate(written);
-                part.close();
-                if (written == headBytes) {
-                    Files.deleteIfExists(file);
+                partChannel.truncate(partBytesWritten);
+                partChannel.close();
+                if (partBytesWritten == headBytes) {
+                    Files.deleteIfExists(partFile);
                 }
             }
         } catch (IOException ignored) {
             // The reader stops at the torn entry all the same.
         }
-        part = null;
+        partChannel = null;
         synchronized (lock) {
-            for (Entry entry : Framed.entries(bytes)) {
+            for (Entry entry : FramedEntries.entries(bytes)) {
                 // A gap that could not be named is part of the next one.
                 boolean gap = entry instanceof Entry.Gap;
-                preamble.note(entry);
-                lose(
-                        gap ? ((Entry.Gap) entry).from() : entry.at(),
-                        gap ? ((Entry.Gap) entry).entries() : 1,
+                preamble.observe(entry);
+                recordLoss(
+                        gap ? ((Entry.Gap) entry).fromNanos() : entry.atNanos(),
+                        gap ? ((Entry.Gap) entry).lostEntries() : 1,
                         "the disk refused it");
             }
         }
-        if (!broken) {
-            broken = true;
-            failed.accept(String.valueOf(e));
+        if (!failing) {
+            failing = true;
+            onFailure.accept(String.valueOf(e));
         }
     }
 
@@ -199,10 +199,10 @@
      * Begins another part. One that cannot even take its head is taken away again, and no older one
      * goes for it.
      */
-    private void open() throws IOException {
-        if (part != null) {
-            part.close();
-            part = null;
+    private void openNextPart() throws IOException {
+        if (partChannel != null) {
+            partChannel.close();
+            partChannel = null;
         }
         Files.createDirectories(folder);
         ByteArrayOutputStream head = new ByteArrayOutputStream();
@@ -211,31 +211,31 @@
             // Where nothing came before, not even what a disk refused, the record begins with its
             // own start.
             if (!preamble.isEmpty()) {
-                preamble.entries().forEach(entry -> head.writeBytes(Framed.of(entry)));
+                preamble.entries().forEach(entry -> head.writeBytes(FramedEntries.encode(entry)));
             }
         }
-        file = folder.resolve(String.format(Locale.ROOT, "%s-%06d%s", life, parts, SUFFIX));
-        FileChannel fresh =
-                FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+        partFile = folder.resolve(String.format(Locale.ROOT, "%s-%06d%s", incarnation, partCount, SUFFIX));
+        FileChannel channel =
+                FileChannel.open(partFile, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         try {
             ByteBuffer out = ByteBuffer.wrap(head.toByteArray());
             while (out.hasRemaining()) {
-                fresh.write(out, out.position());
+                channel.write(out, out.position());
             }
         } catch (IOException e) {
-            fresh.close();
-            Files.deleteIfExists(file);
+            channel.close();
+            Files.deleteIfExists(partFile);
             throw e;
         }
-        part = fresh;
+        partChannel = channel;
         headBytes = head.size();
-        written = headBytes;
-        parts++;
+        partBytesWritten = headBytes;
+        partCount++;
     }
 
-    private void makeRoom() throws IOException {
+    private void deleteOldestParts() throws IOException {
         List<Path> files = files(folder);
-        for (int i = 0; i + MOST_PARTS < files.size(); i++) {
+        for (int i = 0; i + MAX_PARTS < files.size(); i++) {
             Files.deleteIfExists(files.get(i));
         }
     }
@@ -253,26 +253,26 @@
     }
 
     /** Which life a file belongs to. */
-    public static String life(Path file) {
+    public static String incarnationOf(Path file) {
         String name = file.getFileName().toString();
         return name.substring(0, Math.max(0, name.lastIndexOf('-')));
     }
 
     @Override
     public void close() {
-        thread.shutdown();
+        writer.shutdown();
         try {
-            thread.awaitTermination(WRITE_MS * 5, TimeUnit.MILLISECONDS);
+            writer.awaitTermination(WRITE_INTERVAL_MILLIS * 5, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        write();
+        writePending();
         try {
-            if (part != null) {
-                part.close();
+            if (partChannel != null) {
+                partChannel.close();
             }
         } catch (IOException e) {
-            failed.accept(e.toString());
+            onFailure.accept(e.toString());
         }
     }
 }
--- a/audit/src/test/java/frostrelay/audit/CostTest.java
+++ b/audit/src/test/java/frostrelay/audit/CostTest.java
@@ -14,15 +14,15 @@
         int[] entries = new int[1];
         AuditLog log =
                 new AuditLog(entry -> entries[0]++, false, 0, 0, "b", 0, 1, RecordTest.stamp(1));
-        int cache = log.number(1, "cache-1");
+        int cache = log.cacheNumber(1, "cache-1");
         long[] bytes = new long[2];
         com.sun.management.ThreadMXBean threads =
                 (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
         for (int run = 0; run < 2; run++) {
             long before = threads.getCurrentThreadAllocatedBytes();
             for (int i = 0; i < 1_000_000; i++) {
-                log.sent(i, 0, cache, 0, false, "id");
-                log.refused();
+                log.recordSend(i, 0, cache, 0, false, "id");
+                log.recordRejection();
             }
             bytes[run] = threads.getCurrentThreadAllocatedBytes() - before;
         }
--- a/audit/src/test/java/frostrelay/audit/RecordTest.java
+++ b/audit/src/test/java/frostrelay/audit/RecordTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostrelay.audit.fleet.Life;
-import frostrelay.audit.store.Collected;
+import frostrelay.audit.fleet.IncarnationHistory;
+import frostrelay.audit.store.CollectedRecords;
 import frostrelay.audit.store.RecordFolder;
 import frostrelay.peers.Incarnation;
-import frostrelay.peers.Stamp;
-import frostrelay.peers.State;
+import frostrelay.peers.AppliedVersions;
+import frostrelay.peers.MemberState;
 
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
@@ -30,47 +30,47 @@
 
 /** A record keeps what it was given, through cuts, damage, rotation and a disk that refuses. */
 class RecordTest {
-    private static final long INCARNATION = Incarnation.of(1_790_000_000_000L);
+    private static final long INCARNATION = Incarnation.fromUnixMillis(1_790_000_000_000L);
 
     @TempDir private Path folder;
 
-    static Stamp stamp(long list) {
-        return new Stamp(5, 1, 2, list, list * 7, 0, 0);
+    static AppliedVersions stamp(long list) {
+        return new AppliedVersions(5, 1, 2, list, list * 7, 0, 0);
     }
 
-    private static List<Entry> some() {
+    private static List<Entry> sampleEntries() {
         List<Entry> entries =
                 new ArrayList<>(
                         List.of(
-                                new Entry.Start(0, "b", 1, INCARNATION, 5, 99),
-                                new Entry.Acts(1, 0, Cause.START, 99, stamp(1)),
-                                new Entry.Names(2, 0, "cache-1"),
-                                new Entry.Lists(2, 0, true, 3)));
+                                new Entry.Started(0, "b", 1, INCARNATION, 5, 99),
+                                new Entry.VersionsApplied(1, 0, Cause.START, 99, stamp(1)),
+                                new Entry.CacheNamed(2, 0, "cache-1"),
+                                new Entry.EndpointListed(2, 0, true, 3)));
         for (int i = 0; i < 20; i++) {
-            entries.add(new Entry.Sent(10 + i, 0, 0, 0, "id-" + i));
-            entries.add(new Entry.Counts(10 + i, 0, 0, 1, 2, new int[] {0}, new int[] {i}));
+            entries.add(new Entry.AttemptSent(10 + i, 0, 0, 0, "id-" + i));
+            entries.add(new Entry.SendCounts(10 + i, 0, 0, 1, 2, new int[] {0}, new int[] {i}));
         }
-        entries.add(new Entry.End(50));
+        entries.add(new Entry.Stopped(50));
         return entries;
     }
 
     private static byte[] bytes(List<Entry> entries) {
         java.io.ByteArrayOutputStream out = new java.io.ByteArrayOutputStream();
         out.writeBytes(java.nio.ByteBuffer.allocate(8).putLong(Codec.MAGIC).array());
-        entries.forEach(entry -> out.writeBytes(Framed.of(entry)));
+        entries.forEach(entry -> out.writeBytes(FramedEntries.encode(entry)));
         return out.toByteArray();
     }
 
     private static String text(Entry entry) {
-        return entry instanceof Entry.Counts one
-                ? one.at()
+        return entry instanceof Entry.SendCounts one
+                ? one.atNanos()
                         + " "
                         + one.sequence()
                         + Arrays.toString(one.caches())
                         + Arrays.toString(one.sends())
-                        + one.copies()
-                        + one.refused()
-                        + one.failed()
+                        + one.hedgedRequests()
+                        + one.rejectedRequests()
+                        + one.failedRequests()
                 : entry.toString();
     }
 
@@ -80,14 +80,14 @@
 
     /** SIGKILL may cut a file anywhere: what is whole is read, and what is not is named. */
     @Test
-    void cutAtEveryByteItIsReadUpToTheLastWholeEntry() {
-        List<Entry> entries = some();
-        byte[] whole = bytes(entries);
-        for (int length = 8; length <= whole.length; length++) {
-            Record read = Record.read(Arrays.copyOf(whole, length));
+    void aTruncatedRecordIsReadUpToTheLastCompleteEntry() {
+        List<Entry> entries = sampleEntries();
+        byte[] record = bytes(entries);
+        for (int length = 8; length <= record.length; length++) {
+            AuditRecord read = AuditRecord.read(Arrays.copyOf(record, length));
             int count = read.entries().size();
             assertEquals(texts(entries.subList(0, count)), texts(read.entries()));
-            assertEquals(length, bytes(entries.subList(0, count)).length + read.unread());
+            assertEquals(length, bytes(entries.subList(0, count)).length + read.unreadBytes());
             assertTrue(
                     count == entries.size() || bytes(entries.subList(0, count + 1)).length > length,
                     "nothing whole is left out");
@@ -96,15 +96,15 @@
 
     @Test
     void aFlippedByteEndsTheReadingBeforeItsEntry() {
-        List<Entry> entries = some();
-        byte[] whole = bytes(entries);
-        for (int at = 8; at < whole.length; at++) {
-            byte[] damaged = whole.clone();
+        List<Entry> entries = sampleEntries();
+        byte[] record = bytes(entries);
+        for (int at = 8; at < record.length; at++) {
+            byte[] damaged = record.clone();
             damaged[at] ^= 0x10;
-            Record read = Record.read(damaged);
+            AuditRecord read = AuditRecord.read(damaged);
             assertTrue(read.entries().size() < entries.size());
             assertEquals(texts(entries.subList(0, read.entries().size())), texts(read.entries()));
-            assertTrue(read.unread() > 0, "and that is said");
+            assertTrue(read.unreadBytes() > 0, "and that is said");
         }
     }
 
@@ -115,76 +115,76 @@
         Arbitrary<String> text = Arbitraries.strings().ascii().ofMaxLength(80);
         return Arbitraries.oneOf(
                 Combinators.combine(any, text, any, any)
-                        .as((at, name, inc, wall) -> new Entry.Start(at, name, 3, inc, 4, wall)),
+                        .as((at, name, inc, wall) -> new Entry.Started(at, name, 3, inc, 4, wall)),
                 Combinators.combine(any, small, any, any)
                         .as(
                                 (at, sequence, wall, list) ->
-                                        new Entry.Acts(
+                                        new Entry.VersionsApplied(
                                                 at, sequence, Cause.FILE, wall, stamp(list))),
-                Combinators.combine(any, small, text).as(Entry.Names::new),
+                Combinators.combine(any, small, text).as(Entry.CacheNamed::new),
                 Combinators.combine(any, small, any)
-                        .as((at, cache, boot) -> new Entry.Lists(at, cache, true, boot)),
+                        .as((at, cache, boot) -> new Entry.EndpointListed(at, cache, true, boot)),
                 Combinators.combine(any, small, small, text)
                         .as(
                                 (at, sequence, cache, id) ->
-                                        new Entry.Sent(at, sequence, cache, 2, id)),
+                                        new Entry.AttemptSent(at, sequence, cache, 2, id)),
                 Combinators.combine(any, small, any, small, any)
                         .as(
                                 (at, rank, inc, sequence, age) ->
-                                        new Entry.Heard(at, rank, inc, sequence, 7, age)),
+                                        new Entry.PeerVersionsHeard(at, rank, inc, sequence, 7, age)),
                 Combinators.combine(any, small, any)
                         .as(
                                 (at, rank, inc) ->
-                                        new Entry.Believes(at, rank, inc, State.SUSPECTED, 2)),
+                                        new Entry.PeerStateChanged(at, rank, inc, MemberState.SUSPECTED, 2)),
                 Combinators.combine(any, small, any, any)
-                        .as((at, rank, inc, sent) -> new Entry.Clock(at, rank, inc, sent, 5)),
+                        .as((at, rank, inc, sent) -> new Entry.PeerClockSampled(at, rank, inc, sent, 5)),
                 Combinators.combine(any, any, any, text).as(Entry.Gap::new),
-                any.map(Entry.End::new),
-                any.map(Entry.Resumes::new),
-                Combinators.combine(any, any).as(Entry.Jumped::new),
-                Combinators.combine(any, any).as(Entry.Renumbered::new),
-                Combinators.combine(any, text).as(Entry.Refused::new));
+                any.map(Entry.Stopped::new),
+                any.map(Entry.Resumed::new),
+                Combinators.combine(any, any).as(Entry.WallClockJumped::new),
+                Combinators.combine(any, any).as(Entry.IncarnationChanged::new),
+                Combinators.combine(any, text).as(Entry.UpdateRejected::new));
     }
 
     @Property(tries = 500)
     void whatIsWrittenIsRead(@ForAll("entry") Entry one, @ForAll("entry") Entry other) {
         assertEquals(
                 texts(List.of(one, other)),
-                texts(Record.read(bytes(List.of(one, other))).entries()));
+                texts(AuditRecord.read(bytes(List.of(one, other))).entries()));
     }
 
     /** A type of a later build does not hide what stands behind it. */
     @Test
     void anUnknownEntryIsPassedOver() {
-        byte[] alien = Framed.of(new Entry.End(9));
+        byte[] alien = FramedEntries.encode(new Entry.Stopped(9));
         alien[2] = 77;
         java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
         crc.update(alien, 0, alien.length - 4);
         java.nio.ByteBuffer.wrap(alien).putInt(alien.length - 4, (int) crc.getValue());
         java.io.ByteArrayOutputStream out = new java.io.ByteArrayOutputStream();
-        out.writeBytes(bytes(List.of(new Entry.Jumped(1, 2))));
+        out.writeBytes(bytes(List.of(new Entry.WallClockJumped(1, 2))));
         out.writeBytes(alien);
-        out.writeBytes(Framed.of(new Entry.End(10)));
-        Record read = Record.read(out.toByteArray());
-        assertEquals(1, read.unknown());
-        assertEquals(List.of(new Entry.Jumped(1, 2), new Entry.End(10)), read.entries());
+        out.writeBytes(FramedEntries.encode(new Entry.Stopped(10)));
+        AuditRecord read = AuditRecord.read(out.toByteArray());
+        assertEquals(1, read.unknownEntries());
+        assertEquals(List.of(new Entry.WallClockJumped(1, 2), new Entry.Stopped(10)), read.entries());
     }
 
     @Test
     void aFullRingNamesWhatItDroppedAndStaysReadable() {
-        Ring ring = new Ring(2_000);
-        some().forEach(ring::append);
+        EntryRingBuffer ring = new EntryRingBuffer(2_000);
+        sampleEntries().forEach(ring::append);
         for (int i = 0; i < 200; i++) {
-            ring.append(new Entry.Sent(100 + i, 0, 0, 0, "late-" + i));
+            ring.append(new Entry.AttemptSent(100 + i, 0, 0, 0, "late-" + i));
         }
         byte[] record = ring.record();
         assertTrue(record.length < 4_000, "bounded: " + record.length);
-        Life life = Collected.life("ring", record);
-        assertEquals("b", life.name());
-        assertEquals("cache-1", life.cache(0));
-        assertEquals(1, life.acts().size());
-        assertEquals(1, life.gaps().size());
-        assertTrue(life.beginningLost());
+        IncarnationHistory history = CollectedRecords.history("ring", record);
+        assertEquals("b", history.name());
+        assertEquals("cache-1", history.cacheName(0));
+        assertEquals(1, history.appliedVersions().size());
+        assertEquals(1, history.gaps().size());
+        assertTrue(history.beginningLost());
     }
 
     /** Parts follow each other, the oldest go, and what is left can be understood. */
@@ -198,11 +198,11 @@
                         reason -> {
                             throw new AssertionError(reason);
                         })) {
-            some().subList(0, 4).forEach(files::append);
+            sampleEntries().subList(0, 4).forEach(files::append);
             for (int i = 0; i < 4_000; i++) {
-                files.append(new Entry.Sent(100 + i, 0, 0, 0, "request-" + i));
+                files.append(new Entry.AttemptSent(100 + i, 0, 0, 0, "request-" + i));
                 if (i % 400 == 0) {
-                    Thread.sleep(2 * RecordFolder.WRITE_MS);
+                    Thread.sleep(2 * RecordFolder.WRITE_INTERVAL_MILLIS);
                 }
             }
         }
@@ -211,15 +211,15 @@
             bytes += Files.size(file);
         }
         assertTrue(bytes <= 64 * 1024 + 32 * 1024, "about its bound: " + bytes);
-        Life life = Collected.lives(folder, new ArrayList<>()).get(0);
-        assertEquals("cache-1", life.cache(0));
-        assertTrue(life.beginningLost());
+        IncarnationHistory history = CollectedRecords.histories(folder, new ArrayList<>()).get(0);
+        assertEquals("cache-1", history.cacheName(0));
+        assertTrue(history.beginningLost());
         assertTrue(
-                life.entries().stream()
+                history.entries().stream()
                         .anyMatch(
                                 entry ->
-                                        entry instanceof Entry.Sent sent
-                                                && sent.id().equals("request-3999")));
+                                        entry instanceof Entry.AttemptSent sent
+                                                && sent.requestId().equals("request-3999")));
     }
 
     /**
@@ -228,48 +228,48 @@
      */
     @Test
     void whatOnlyTheNextPartsHeadHasIsNotLost() {
-        List<Entry> first = some().subList(0, 4);
-        Record second =
-                new Record(
+        List<Entry> first = sampleEntries().subList(0, 4);
+        AuditRecord second =
+                new AuditRecord(
                         List.of(
                                 first.get(0),
                                 first.get(2),
-                                new Entry.Names(40, 1, "cache-2"),
-                                new Entry.Acts(41, 1, Cause.DISCOVERY, 99, stamp(2)),
-                                new Entry.Resumes(45),
+                                new Entry.CacheNamed(40, 1, "cache-2"),
+                                new Entry.VersionsApplied(41, 1, Cause.DISCOVERY, 99, stamp(2)),
+                                new Entry.Resumed(45),
                                 new Entry.Gap(60, 40, 2, "the disk refused it"),
-                                new Entry.Sent(61, 1, 1, 0, "x")),
+                                new Entry.AttemptSent(61, 1, 1, 0, "x")),
                         0,
                         0);
-        Life life = Life.of("parts", List.of(new Record(first, 0, 0), second), true);
-        assertEquals("cache-2", life.cache(1));
-        assertEquals(2, life.acts().size());
-        assertEquals(1, life.gaps().size());
+        IncarnationHistory history = IncarnationHistory.of("parts", List.of(new AuditRecord(first, 0, 0), second), true);
+        assertEquals("cache-2", history.cacheName(1));
+        assertEquals(2, history.appliedVersions().size());
+        assertEquals(1, history.gaps().size());
     }
 
     /** A disk that refuses: said once, and when it takes again the gap comes first. */
     @Test
-    void whatADiskRefusedIsNamedAsAGap() throws Exception {
-        List<String> said = new CopyOnWriteArrayList<>();
-        Path at = folder.resolve("audit");
-        Files.writeString(at, "not a folder");
-        try (RecordFolder files = new RecordFolder(at, "0001", 1 << 20, said::add)) {
-            some().subList(0, 10).forEach(files::append);
-            Thread.sleep(4 * RecordFolder.WRITE_MS);
-            assertEquals(1, said.size(), said.toString());
-            Files.delete(at);
-            files.append(new Entry.Sent(200, 0, 0, 0, "after"));
+    void entriesThatTheDiskRejectedAreRecordedAsAGap() throws Exception {
+        List<String> failures = new CopyOnWriteArrayList<>();
+        Path auditFolder = folder.resolve("audit");
+        Files.writeString(auditFolder, "not a folder");
+        try (RecordFolder files = new RecordFolder(auditFolder, "0001", 1 << 20, failures::add)) {
+            sampleEntries().subList(0, 10).forEach(files::append);
+            Thread.sleep(4 * RecordFolder.WRITE_INTERVAL_MILLIS);
+            assertEquals(1, failures.size(), failures.toString());
+            Files.delete(auditFolder);
+            files.append(new Entry.AttemptSent(200, 0, 0, 0, "after"));
         }
-        Life life = Collected.lives(at, new ArrayList<>()).get(0);
-        assertEquals("b", life.name(), "its start is repeated, though the disk had refused it");
-        assertEquals("cache-1", life.cache(0));
-        assertTrue(life.beginningLost());
-        Entry.Gap gap = life.gaps().get(0);
-        assertEquals(10, gap.entries());
-        assertEquals(0, gap.from());
-        assertNotEquals("", gap.why());
+        IncarnationHistory history = CollectedRecords.histories(auditFolder, new ArrayList<>()).get(0);
+        assertEquals("b", history.name(), "its start is repeated, though the disk had refused it");
+        assertEquals("cache-1", history.cacheName(0));
+        assertTrue(history.beginningLost());
+        Entry.Gap gap = history.gaps().get(0);
+        assertEquals(10, gap.lostEntries());
+        assertEquals(0, gap.fromNanos());
+        assertNotEquals("", gap.reason());
         assertEquals(
-                new Entry.Sent(200, 0, 0, 0, "after"),
-                life.entries().get(life.entries().size() - 1));
+                new Entry.AttemptSent(200, 0, 0, 0, "after"),
+                history.entries().get(history.entries().size() - 1));
     }
 }
--- a/cli/src/main/java/frostrelay/cli/Consoles.java
+++ b/cli/src/main/java/frostrelay/cli/AdminClient.java
@@ -11,25 +11,25 @@
 import java.util.Map;
 
 /** Asks balancers' consoles. */
-final class Consoles {
-    private static final Duration CALL = Duration.ofSeconds(3);
-    private static final HttpClient HTTP = HttpClient.newBuilder().connectTimeout(CALL).build();
+final class AdminClient {
+    private static final Duration TIMEOUT = Duration.ofSeconds(3);
+    private static final HttpClient HTTP = HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
 
-    private Consoles() {}
+    private AdminClient() {}
 
     /**
      * What a console says of its balancer and the others; {@code error} alone where it cannot be
      * asked.
      */
-    static Map<String, Object> audit(String console) throws InterruptedException {
+    static Map<String, Object> fetchStatus(String address) throws InterruptedException {
         try {
-            HttpResponse<String> answer =
+            HttpResponse<String> response =
                     HTTP.send(
-                            HttpRequest.newBuilder(URI.create("http://" + console + "/ops/audit"))
-                                    .timeout(CALL)
+                            HttpRequest.newBuilder(URI.create("http://" + address + "/ops/audit"))
+                                    .timeout(TIMEOUT)
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
-            return answer.statusCode() == 200 ? JSON.std.mapFrom(answer.body()) : Map.of();
+            return response.statusCode() == 200 ? JSON.std.mapFrom(response.body()) : Map.of();
         } catch (IOException | IllegalArgumentException e) {
             return Map.of("error", "unknown, it cannot be asked: " + e);
         }
--- a/cli/src/main/java/frostrelay/cli/AuditCommand.java
+++ b/cli/src/main/java/frostrelay/cli/AuditCommand.java
@@ -1,9 +1,9 @@
 package frostrelay.cli;
 
-import frostrelay.audit.fleet.Kind;
-import frostrelay.audit.fleet.Life;
-import frostrelay.audit.fleet.Statement;
-import frostrelay.audit.store.Collected;
+import frostrelay.audit.fleet.AuditedVersionKind;
+import frostrelay.audit.fleet.IncarnationHistory;
+import frostrelay.audit.fleet.FleetAudit;
+import frostrelay.audit.store.CollectedRecords;
 import frostrelay.report.AuditPicture;
 
 import picocli.CommandLine;
@@ -55,7 +55,7 @@
 
     /** Where records are read from. */
     static final class Sources {
-        private static final Duration CALL = Duration.ofSeconds(3);
+        private static final Duration TIMEOUT = Duration.ofSeconds(3);
 
         @Spec(Spec.Target.MIXEE)
         private CommandSpec spec;
@@ -72,11 +72,11 @@
         /** What could not be read, in words. */
         private final List<String> complaints = new ArrayList<>();
 
-        private byte[] record(String address) {
+        private byte[] fetchRecord(String address) {
             try {
-                HttpResponse<byte[]> answer =
+                HttpResponse<byte[]> response =
                         HttpClient.newBuilder()
-                                .connectTimeout(CALL)
+                                .connectTimeout(TIMEOUT)
                                 .build()
                                 .send(
                                         HttpRequest.newBuilder(
@@ -84,14 +84,14 @@
                                                                 "http://"
                                                                         + address
                                                                         + "/ops/audit/record"))
-                                                .timeout(CALL)
+                                                .timeout(TIMEOUT)
                                                 .build(),
                                         HttpResponse.BodyHandlers.ofByteArray());
-                if (answer.statusCode() == 200) {
-                    return answer.body();
+                if (response.statusCode() == 200) {
+                    return response.body();
                 }
                 complaints.add(
-                        address + " answers " + answer.statusCode() + ": it keeps no account");
+                        address + " answers " + response.statusCode() + ": it keeps no account");
             } catch (IOException | IllegalArgumentException e) {
                 complaints.add(address + " cannot be asked: " + e);
             } catch (InterruptedException e) {
@@ -105,48 +105,48 @@
         }
 
         /** All lives that can be read; where two sources have one life, the fuller one counts. */
-        List<Life> lives() throws IOException {
-            List<Life> found = new ArrayList<>();
+        List<IncarnationHistory> histories() throws IOException {
+            List<IncarnationHistory> found = new ArrayList<>();
             for (String source : sources) {
                 if (isAddress(source)) {
-                    byte[] record = record(source);
-                    Life life = record == null ? null : Collected.life(source, record);
-                    if (life != null) {
-                        found.add(life);
+                    byte[] record = fetchRecord(source);
+                    IncarnationHistory history = record == null ? null : CollectedRecords.history(source, record);
+                    if (history != null) {
+                        found.add(history);
                     }
                 } else if (Files.isDirectory(Path.of(source))) {
-                    found.addAll(Collected.lives(Path.of(source), complaints));
+                    found.addAll(CollectedRecords.histories(Path.of(source), complaints));
                 } else {
                     throw new CommandLine.ParameterException(
                             spec.commandLine(), "no console and no folder: " + source);
                 }
             }
-            Map<String, Life> lives = new LinkedHashMap<>();
-            for (Life life : found) {
-                lives.merge(
-                        life.label(),
-                        life,
+            Map<String, IncarnationHistory> byLabel = new LinkedHashMap<>();
+            for (IncarnationHistory history : found) {
+                byLabel.merge(
+                        history.label(),
+                        history,
                         (a, b) ->
                                 a.beginningLost() != b.beginningLost()
                                         ? a.beginningLost() ? b : a
                                         : a.entries().size() >= b.entries().size() ? a : b);
             }
-            return List.copyOf(lives.values());
+            return List.copyOf(byLabel.values());
         }
     }
 
-    private static Kind kind(CommandSpec spec, String word) {
-        return Arrays.stream(Kind.values())
-                .filter(kind -> kind.word().equals(word))
+    private static AuditedVersionKind parseKind(CommandSpec spec, String label) {
+        return Arrays.stream(AuditedVersionKind.values())
+                .filter(kind -> kind.label().equals(label))
                 .findFirst()
                 .orElseThrow(
                         () ->
                                 new CommandLine.ParameterException(
                                         spec.commandLine(),
-                                        "found " + word + ", allowed: config, list, holds, build"));
+                                        "found " + label + ", allowed: config, list, holds, build"));
     }
 
-    private static String lines(List<?> all) {
+    private static String indentedLines(List<?> all) {
         StringBuilder text = new StringBuilder();
         all.forEach(one -> text.append("  ").append(one).append(System.lineSeparator()));
         return text.toString();
@@ -165,23 +165,23 @@
         @Mixin private Sources sources;
 
         @Parameters(paramLabel = "DIR")
-        private Path into;
+        private Path target;
 
         @Override
         public Integer call() throws IOException {
             int copied = 0;
             for (String source : sources.sources) {
-                byte[] record = Sources.isAddress(source) ? sources.record(source) : null;
-                Life life = record == null ? null : Collected.life(source, record);
-                if (life != null) {
-                    Path folder = into.resolve(life.name());
+                byte[] record = Sources.isAddress(source) ? sources.fetchRecord(source) : null;
+                IncarnationHistory history = record == null ? null : CollectedRecords.history(source, record);
+                if (history != null) {
+                    Path folder = target.resolve(history.name());
                     Files.createDirectories(folder);
                     Files.write(
                             folder.resolve(
                                     String.format(
                                             Locale.ROOT,
                                             "%016x-000000.rec",
-                                            life.start().incarnation())),
+                                            history.start().incarnation())),
                             record);
                     copied++;
                 }
@@ -191,9 +191,9 @@
                     "copied "
                             + copied
                             + " records into "
-                            + into
+                            + target
                             + System.lineSeparator()
-                            + lines(sources.complaints));
+                            + indentedLines(sources.complaints));
             return sources.complaints.isEmpty() ? 0 : 1;
         }
     }
@@ -223,12 +223,12 @@
 
         @Override
         public Integer call() throws IOException {
-            Statement statement = new Statement(sources.lives());
-            List<Map<String, Object>> who = statement.who(kind(spec, kind), version);
+            FleetAudit statement = new FleetAudit(sources.histories());
+            List<Map<String, Object>> who = statement.applicationsOf(parseKind(spec, kind), version);
             output.result(
                     Map.of("who", who, "complaints", sources.complaints),
-                    lines(who)
-                            + lines(sources.complaints)
+                    indentedLines(who)
+                            + indentedLines(sources.complaints)
                             + who.size()
                             + " spans; milliseconds from the first start, [earliest, latest]");
             return who.isEmpty() ? 1 : 0;
@@ -265,32 +265,32 @@
 
         @Override
         public Integer call() throws IOException {
-            Statement statement = new Statement(sources.lives());
-            Kind what = kind(spec, kind);
+            FleetAudit statement = new FleetAudit(sources.histories());
+            AuditedVersionKind auditedKind = parseKind(spec, kind);
             Map<String, Object> all = new LinkedHashMap<>();
-            all.put("drift", statement.drift(what));
+            all.put("drift", statement.drift(auditedKind));
             all.put("conflicts", statement.conflicts());
-            all.put("afterDrain", statement.afterDrain());
+            all.put("afterDrain", statement.sendsAfterDrain());
             all.put("complaints", sources.complaints);
             StringBuilder text = new StringBuilder();
-            for (Map<String, Object> version : statement.drift(what)) {
+            for (Map<String, Object> version : statement.drift(auditedKind)) {
                 text.append(version.get("version"))
                         .append(" from ")
                         .append(version.get("first"))
                         .append(System.lineSeparator())
-                        .append(lines((List<?>) version.get("balancers")));
+                        .append(indentedLines((List<?>) version.get("balancers")));
             }
             text.append("conflicts")
                     .append(System.lineSeparator())
-                    .append(lines(statement.conflicts()))
+                    .append(indentedLines(statement.conflicts()))
                     .append("sent behind a known drain")
                     .append(System.lineSeparator())
-                    .append(lines(statement.afterDrain()))
-                    .append(lines(sources.complaints));
+                    .append(indentedLines(statement.sendsAfterDrain()))
+                    .append(indentedLines(sources.complaints));
             if (picture != null) {
                 Files.writeString(
                         picture,
-                        new AuditPicture("Who acted on which " + kind, statement.spans(what))
+                        new AuditPicture("Who acted on which " + kind, statement.spans(auditedKind))
                                 .html());
             }
             output.result(all, text.toString().stripTrailing());
@@ -312,21 +312,21 @@
 
         @Override
         public Integer call() throws IOException {
-            Statement statement = new Statement(sources.lives());
-            List<String> wrong = statement.verify();
+            FleetAudit statement = new FleetAudit(sources.histories());
+            List<String> violations = statement.verify();
             Map<String, Object> all = new LinkedHashMap<>();
-            all.put("lives", statement.told());
-            all.put("contradictions", wrong);
+            all.put("lives", statement.describeRecords());
+            all.put("contradictions", violations);
             all.put("complaints", sources.complaints);
             output.result(
                     all,
-                    lines(statement.told())
+                    indentedLines(statement.describeRecords())
                             + "contradictions"
                             + System.lineSeparator()
-                            + lines(wrong)
-                            + lines(sources.complaints)
-                            + (wrong.isEmpty() ? "they fit together" : "they do not fit together"));
-            return wrong.isEmpty() ? 0 : 1;
+                            + indentedLines(violations)
+                            + indentedLines(sources.complaints)
+                            + (violations.isEmpty() ? "they fit together" : "they do not fit together"));
+            return violations.isEmpty() ? 0 : 1;
         }
     }
 }
--- a/cli/src/main/java/frostrelay/cli/BenchCommand.java
+++ b/cli/src/main/java/frostrelay/cli/BenchCommand.java
@@ -3,7 +3,7 @@
 import frostrelay.rig.bench.Bench;
 import frostrelay.rig.bench.Bench.Figures;
 import frostrelay.rig.bench.Bench.Phase;
-import frostrelay.rig.fleet.Program;
+import frostrelay.rig.fleet.BalancerCommand;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -73,7 +73,7 @@
         Path own = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         List<String> relay =
                 List.of(
-                        Program.java(),
+                        BalancerCommand.javaExecutable(),
                         "@" + Checkout.root().resolve("deploy/jvm.options"),
                         "-cp",
                         own.toString(),
@@ -97,7 +97,7 @@
                                     Figures::cpuMicros);
             double[] rate =
                     phases.get(0)
-                            .compare(BALANCER, RELAY, (one, other) -> one / other, Figures::rate);
+                            .compare(BALANCER, RELAY, (one, other) -> one / other, Figures::perSecond);
             double[] added =
                     phases.get(1)
                             .compare(
@@ -110,9 +110,9 @@
                 figures.put(
                         phase.name().replace(' ', '-'),
                         List.of(
-                                phase.middle(0).json(),
-                                phase.middle(RELAY).json(),
-                                phase.middle(BALANCER).json()));
+                                phase.median(0).json(),
+                                phase.median(RELAY).json(),
+                                phase.median(BALANCER).json()));
             }
             figures.put("cpuBalancerPerRelay", spread(cpu));
             figures.put("rateBalancerPerRelay", spread(rate));
@@ -135,8 +135,8 @@
                                         (one, other) -> one / other,
                                         Figures::cpuMicros);
                 long memory =
-                        phases.get(1).middle(AUDITED).residentKb()
-                                - phases.get(1).middle(BALANCER).residentKb();
+                        phases.get(1).median(AUDITED).residentKb()
+                                - phases.get(1).median(BALANCER).residentKb();
                 figures.put("cpuAuditedPerBalancer", spread(more));
                 figures.put("cpuAuditedPerBalancerAtHalfLoad", spread(half));
                 figures.put("memoryAuditedKb", memory);
@@ -155,20 +155,20 @@
             }
             output.result(
                     figures, text(phases, cpu, rate, added, bench.cacheConnections()) + further);
-            return phases.stream().allMatch(phase -> phase.middle(BALANCER).bad() == 0) ? 0 : 1;
+            return phases.stream().allMatch(phase -> phase.median(BALANCER).errors() == 0) ? 0 : 1;
         } finally {
             Checkout.remove(folder);
         }
     }
 
-    private Program further() {
+    private BalancerCommand further() {
         if (!audited) {
             return null;
         }
         List<String> command = new ArrayList<>(Checkout.balancer().command());
         command.addAll(
                 command.size() - 1, List.of("-Dfrostrelay.peers=on", "-Dfrostrelay.audit=on"));
-        return new Program(command);
+        return new BalancerCommand(command);
     }
 
     private static Map<String, Object> spread(double[] values) {
@@ -197,18 +197,18 @@
                             "p50 us",
                             "p99 us",
                             "bad"));
-            for (int way = 0; way < phase.ways().size(); way++) {
-                Figures one = phase.middle(way);
+            for (int way = 0; way < phase.roundsByTarget().size(); way++) {
+                Figures one = phase.median(way);
                 text.append(
                         String.format(
                                 Locale.ROOT,
                                 "  %-10s %13.0f %16.2f %8.0f %9.0f %6d%n",
-                                one.way(),
-                                one.rate(),
+                                one.target(),
+                                one.perSecond(),
                                 one.cpuMicros(),
                                 one.p50Micros(),
                                 one.p99Micros(),
-                                one.bad()));
+                                one.errors()));
             }
         }
         return text
--- a/cli/src/main/java/frostrelay/cli/CampaignCommand.java
+++ b/cli/src/main/java/frostrelay/cli/CampaignCommand.java
@@ -1,14 +1,14 @@
 package frostrelay.cli;
 
 import frostrelay.rig.campaign.Campaign;
-import frostrelay.rig.campaign.CampaignPlay;
-import frostrelay.rig.campaign.Happening;
-import frostrelay.rig.campaign.Matter;
+import frostrelay.rig.campaign.CampaignRun;
+import frostrelay.rig.campaign.FaultEvent;
+import frostrelay.rig.campaign.CampaignSubject;
 import frostrelay.rig.campaign.Schedule;
 import frostrelay.rig.campaign.ScheduleFile;
 import frostrelay.rig.campaign.Violation;
-import frostrelay.rig.fleet.Program;
-import frostrelay.start.Defect;
+import frostrelay.rig.fleet.BalancerCommand;
+import frostrelay.start.SeededDefect;
 import frostrelay.start.Start;
 
 import picocli.CommandLine;
@@ -39,10 +39,10 @@
         })
 final class CampaignCommand implements Callable<Integer> {
     /** What is added up over all plays, by its name here and among a play's figures. */
-    private static final Map<String, String> SUMS = new LinkedHashMap<>();
+    private static final Map<String, String> SUMMED_FIGURES = new LinkedHashMap<>();
 
     /** And times of which percentiles are told. */
-    private static final Map<String, String> TIMES = new LinkedHashMap<>();
+    private static final Map<String, String> TIMING_FIGURES = new LinkedHashMap<>();
 
     static {
         for (String[] one :
@@ -66,15 +66,15 @@
                     {"countsUnbounded", "countsUnbounded"},
                     {"bytesASecondEach", "bytesASecondEach"}
                 }) {
-            SUMS.put(one[0], one[1]);
+            SUMMED_FIGURES.put(one[0], one[1]);
         }
-        TIMES.put("known", "knownAfterMs");
-        TIMES.put("current", "currentAfterMs");
-        TIMES.put("lowered", "loweredAfterMs");
-        TIMES.put("countAge", "countAgesMs");
+        TIMING_FIGURES.put("known", "knownAfterMs");
+        TIMING_FIGURES.put("current", "currentAfterMs");
+        TIMING_FIGURES.put("lowered", "loweredAfterMs");
+        TIMING_FIGURES.put("countAge", "countAgesMs");
     }
 
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     @Spec private CommandSpec spec;
 
@@ -92,7 +92,7 @@
             paramLabel = "NAME",
             defaultValue = "audit",
             description = "What is checked (${DEFAULT-VALUE}).")
-    private String matter;
+    private String subject;
 
     @Option(
             names = "--seeds",
@@ -121,7 +121,7 @@
             paramLabel = "N",
             defaultValue = "1",
             description = "Plays side by side (${DEFAULT-VALUE}).")
-    private int atOnce;
+    private int parallelism;
 
     @Option(
             names = "--defect",
@@ -140,18 +140,18 @@
             names = "--keep",
             paramLabel = "DIR",
             description = "Where the files of all plays stay, and schedules that fail.")
-    private Path keep;
+    private Path keepFolder;
 
     @Option(names = "--list", description = "Prints matters, faults and defects.")
     private boolean list;
 
     /** How the balancer is started for a campaign, from this program's own jar or class path. */
-    static CampaignPlay.Launch launch() {
+    static CampaignRun.Launch launch() {
         return properties -> {
             List<String> command =
                     new ArrayList<>(
                             List.of(
-                                    Program.java(),
+                                    BalancerCommand.javaExecutable(),
                                     "-XX:+UseSerialGC",
                                     "-Xms32m",
                                     "-Xmx96m",
@@ -169,48 +169,48 @@
     @Override
     public Integer call() throws Exception {
         if (list) {
-            output.result(listed(), listedText());
+            output.result(listing(), listingText());
             return 0;
         }
-        check(
-                Matter.words().contains(matter),
-                "--matter: found " + matter + ", allowed: " + Matter.words());
-        check(
+        requireValid(
+                CampaignSubject.keywords().contains(subject),
+                "--matter: found " + subject + ", allowed: " + CampaignSubject.keywords());
+        requireValid(
                 processes >= 2 && processes <= 12,
                 "--processes: found " + processes + ", allowed: 2 to 12");
-        check(
+        requireValid(
                 seconds >= 6 && seconds <= 600,
                 "--seconds: found " + seconds + ", allowed: 6 to 600");
-        check(atOnce >= 1 && atOnce <= 64, "--at-once: found " + atOnce + ", allowed: 1 to 64");
-        check(
+        requireValid(parallelism >= 1 && parallelism <= 64, "--at-once: found " + parallelism + ", allowed: 1 to 64");
+        requireValid(
                 defect == null
-                        || defect.equals(CampaignPlay.OFF)
-                        || Defect.words().contains(defect),
-                "--defect: found " + defect + ", allowed: " + Defect.words());
+                        || defect.equals(CampaignRun.OFF)
+                        || SeededDefect.labels().contains(defect),
+                "--defect: found " + defect + ", allowed: " + SeededDefect.labels());
         List<Schedule> schedules = schedules();
         for (Schedule one : schedules) {
             // Records of two plays in one folder would be taken for one play's.
-            check(
-                    keep == null || !Files.exists(keep.resolve(one.name())),
+            requireValid(
+                    keepFolder == null || !Files.exists(keepFolder.resolve(one.name())),
                     "--keep: "
-                            + keep
+                            + keepFolder
                             + " has a play of "
                             + one.name()
                             + " already, allowed: another folder");
         }
-        Path folder = keep != null ? keep : Checkout.folder();
+        Path folder = keepFolder != null ? keepFolder : Checkout.folder();
         Files.createDirectories(folder);
         Campaign campaign =
                 new Campaign(
-                        Matter.of(matter),
+                        CampaignSubject.of(subject),
                         folder,
-                        keep != null,
+                        keepFolder != null,
                         launch(),
                         defect,
                         output::progress);
-        List<CampaignPlay.Outcome> outcomes = campaign.play(schedules, atOnce);
+        List<CampaignRun.Outcome> outcomes = campaign.run(schedules, parallelism);
         if (shrink) {
-            for (CampaignPlay.Outcome outcome : outcomes) {
+            for (CampaignRun.Outcome outcome : outcomes) {
                 if (!outcome.violations().isEmpty()) {
                     Files.writeString(
                             folder.resolve(outcome.schedule().name() + ".toml"),
@@ -220,53 +220,53 @@
         }
         boolean good = outcomes.stream().allMatch(outcome -> outcome.violations().isEmpty());
         output.result(json(outcomes), text(outcomes, folder, good));
-        if (good && keep == null) {
+        if (good && keepFolder == null) {
             Checkout.remove(folder);
         }
         return good ? 0 : 1;
     }
 
-    private void check(boolean good, String otherwise) {
-        if (!good) {
-            throw new CommandLine.ParameterException(spec.commandLine(), otherwise);
+    private void requireValid(boolean valid, String message) {
+        if (!valid) {
+            throw new CommandLine.ParameterException(spec.commandLine(), message);
         }
     }
 
     /** A file as it is named, or one that is kept in the checkout, by its name alone. */
-    private static Path found(Path file) {
-        Path kept = Path.of("deploy/campaign/kept").resolve(file + ".toml");
+    private static Path resolve(Path file) {
+        Path keptSchedule = Path.of("deploy/campaign/kept").resolve(file + ".toml");
         return Files.exists(file)
                         || file.getNameCount() > 1
-                        || !Files.exists(Checkout.root().resolve(kept))
+                        || !Files.exists(Checkout.root().resolve(keptSchedule))
                 ? file
-                : Checkout.root().resolve(kept);
+                : Checkout.root().resolve(keptSchedule);
     }
 
     private List<Schedule> schedules() {
         List<Schedule> schedules = new ArrayList<>();
         if (!files.isEmpty()) {
-            files.forEach(file -> schedules.add(ScheduleFile.read(found(file))));
+            files.forEach(file -> schedules.add(ScheduleFile.read(resolve(file))));
             return schedules;
         }
         for (long seed = seeds.first(); seed <= seeds.last(); seed++) {
-            schedules.add(Matter.of(matter).drawn(seed, processes, (long) (seconds * SECOND)));
+            schedules.add(CampaignSubject.of(subject).generateSchedule(seed, processes, (long) (seconds * NANOS_PER_SECOND)));
         }
         return schedules;
     }
 
-    private static Map<String, Object> json(List<CampaignPlay.Outcome> outcomes) {
+    private static Map<String, Object> json(List<CampaignRun.Outcome> outcomes) {
         Map<String, Object> all = new LinkedHashMap<>();
         Map<String, Integer> faults = new TreeMap<>();
         List<Object> violations = new ArrayList<>();
         Map<String, Long> sums = new LinkedHashMap<>();
         Map<String, List<Long>> times = new LinkedHashMap<>();
-        double mostLost = 0;
-        long aside = 0;
-        for (CampaignPlay.Outcome outcome : outcomes) {
+        double maxLost = 0;
+        long maxWithdrawn = 0;
+        for (CampaignRun.Outcome outcome : outcomes) {
             Map<String, Object> figures = outcome.figures();
             outcome.schedule()
-                    .happenings()
-                    .forEach(one -> faults.merge(one.kind().word(), 1, Integer::sum));
+                    .events()
+                    .forEach(one -> faults.merge(one.kind().keyword(), 1, Integer::sum));
             for (Violation violation : outcome.violations()) {
                 violations.add(
                         Map.of(
@@ -277,13 +277,13 @@
                                 "what",
                                 violation.what()));
             }
-            SUMS.forEach(
+            SUMMED_FIGURES.forEach(
                     (name, figure) ->
                             sums.merge(
                                     name,
                                     ((Number) figures.getOrDefault(figure, 0)).longValue(),
                                     Long::sum));
-            TIMES.forEach(
+            TIMING_FIGURES.forEach(
                     (name, figure) ->
                             ((List<?>) figures.getOrDefault(figure, List.of()))
                                     .forEach(
@@ -292,10 +292,10 @@
                                                                     name,
                                                                     empty -> new ArrayList<>())
                                                             .add(((Number) ms).longValue())));
-            aside = Math.max(aside, ((Number) figures.getOrDefault("mostAside", 0)).longValue());
-            mostLost =
+            maxWithdrawn = Math.max(maxWithdrawn, ((Number) figures.getOrDefault("mostAside", 0)).longValue());
+            maxLost =
                     Math.max(
-                            mostLost,
+                            maxLost,
                             ((Number) figures.getOrDefault("mostLostOfAHealthyCache", 0))
                                     .doubleValue());
         }
@@ -308,29 +308,29 @@
         all.put(
                 "bytesASecondEach",
                 outcomes.isEmpty() ? 0 : sums.get("bytesASecondEach") / outcomes.size());
-        TIMES.forEach(
+        TIMING_FIGURES.forEach(
                 (name, figure) -> {
                     List<Long> sorted =
                             times.getOrDefault(name, List.of()).stream().sorted().toList();
                     all.put(name + "Seen", sorted.size());
-                    all.put(name + "P50Ms", part(sorted, 50));
-                    all.put(name + "P99Ms", part(sorted, 99));
-                    all.put(name + "MaxMs", part(sorted, 100));
+                    all.put(name + "P50Ms", percentile(sorted, 50));
+                    all.put(name + "P99Ms", percentile(sorted, 99));
+                    all.put(name + "MaxMs", percentile(sorted, 100));
                 });
-        all.put("mostAside", aside);
-        all.put("mostLostOfAHealthyCache", mostLost);
+        all.put("mostAside", maxWithdrawn);
+        all.put("mostLostOfAHealthyCache", maxLost);
         all.put("violations", violations);
         return all;
     }
 
     /** A percentile of what is sorted; null of nothing. */
-    private static Long part(List<Long> sorted, int percent) {
+    private static Long percentile(List<Long> sorted, int percent) {
         return sorted.isEmpty()
                 ? null
                 : sorted.get(Math.min(sorted.size() - 1, sorted.size() * percent / 100));
     }
 
-    private static String text(List<CampaignPlay.Outcome> outcomes, Path folder, boolean good) {
+    private static String text(List<CampaignRun.Outcome> outcomes, Path folder, boolean good) {
         StringBuilder text = new StringBuilder();
         Map<String, Object> all = json(outcomes);
         all.forEach(
@@ -339,7 +339,7 @@
                         text.append(name).append(": ").append(value).append(System.lineSeparator());
                     }
                 });
-        for (CampaignPlay.Outcome outcome : outcomes) {
+        for (CampaignRun.Outcome outcome : outcomes) {
             for (Violation violation : outcome.violations()) {
                 text.append(outcome.schedule().name())
                         .append(": ")
@@ -352,26 +352,26 @@
         return text.append(good ? "kept" : "violated; files of the plays: " + folder).toString();
     }
 
-    private static Map<String, Object> listed() {
+    private static Map<String, Object> listing() {
         Map<String, Object> all = new LinkedHashMap<>();
-        all.put("matters", Matter.words());
-        all.put("faults", Happening.Kind.words());
-        all.put("defects", Defect.words());
+        all.put("matters", CampaignSubject.keywords());
+        all.put("faults", FaultEvent.Kind.keywords());
+        all.put("defects", SeededDefect.labels());
         return all;
     }
 
-    private static String listedText() {
+    private static String listingText() {
         StringBuilder text = new StringBuilder("matters\n");
-        for (Matter one : Matter.values()) {
-            text.append(String.format("  %-18s %s%n", one.word(), one.meaning));
+        for (CampaignSubject one : CampaignSubject.values()) {
+            text.append(String.format("  %-18s %s%n", one.keyword(), one.meaning));
         }
         text.append("faults\n");
-        for (Happening.Kind kind : Happening.Kind.values()) {
-            text.append(String.format("  %-16s %s%n", kind.word(), kind.meaning));
+        for (FaultEvent.Kind kind : FaultEvent.Kind.values()) {
+            text.append(String.format("  %-16s %s%n", kind.keyword(), kind.meaning));
         }
         text.append("defects\n");
-        for (Defect one : Defect.values()) {
-            text.append(String.format("  %-18s %s%n", one.word(), one.meaning));
+        for (SeededDefect one : SeededDefect.values()) {
+            text.append(String.format("  %-18s %s%n", one.label(), one.meaning));
         }
         return text.toString().stripTrailing();
     }
--- a/cli/src/main/java/frostrelay/cli/CheckCommand.java
+++ b/cli/src/main/java/frostrelay/cli/CheckCommand.java
@@ -3,11 +3,11 @@
 import frostrelay.config.BadConfigException;
 import frostrelay.config.Problem;
 import frostrelay.config.TomlFile;
-import frostrelay.config.Values;
+import frostrelay.config.TableValues;
 import frostrelay.lab.ExperimentFile;
-import frostrelay.lab.PlantFile;
+import frostrelay.lab.SystemModelFile;
 import frostrelay.rig.campaign.ScheduleFile;
-import frostrelay.rig.day.DayFile;
+import frostrelay.rig.day.ScenarioFile;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -86,24 +86,24 @@
         if (name.endsWith(".json")) {
             return Platform.check(file);
         }
-        Values values;
+        TableValues values;
         if (has(file, "[experiment]")) {
-            values = TomlFile.read(file, ExperimentFile.form());
+            values = TomlFile.read(file, ExperimentFile.schema());
             ExperimentFile.bind(file, values);
         } else if (has(file, "[plant]")) {
-            values = TomlFile.read(file, PlantFile.form());
-            PlantFile.bind(file.toString(), values);
+            values = TomlFile.read(file, SystemModelFile.schema());
+            SystemModelFile.bind(file.toString(), values);
         } else if (has(file, "[[happening]]")) {
             values = TomlFile.read(file, ScheduleFile.form());
             ScheduleFile.bind(file.toString(), values);
         } else if (has(file, "[[class]]")) {
-            values = TomlFile.read(file, DayFile.form());
-            DayFile.bind(file.toString(), values);
+            values = TomlFile.read(file, ScenarioFile.schema());
+            ScenarioFile.bind(file.toString(), values);
         } else {
             // Its form says all that must hold.
-            values = TomlFile.read(file, OwnSettings.form());
+            values = TomlFile.read(file, LocalSettings.schema());
         }
-        return values.write();
+        return values.toToml();
     }
 
     /** Whether a file has a table with this head; false where it cannot be read. */
--- a/cli/src/main/java/frostrelay/cli/Checkout.java
+++ b/cli/src/main/java/frostrelay/cli/Checkout.java
@@ -1,6 +1,6 @@
 package frostrelay.cli;
 
-import frostrelay.rig.fleet.Program;
+import frostrelay.rig.fleet.BalancerCommand;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -31,8 +31,8 @@
                 "no checkout of frostrelay here; start it with bin/frostrelay");
     }
 
-    static Program balancer() {
-        return Program.ofCheckout(root());
+    static BalancerCommand balancer() {
+        return BalancerCommand.fromCheckout(root());
     }
 
     /** A folder for one run, which {@link #remove} takes away. */
--- a/cli/src/main/java/frostrelay/cli/CountsCommand.java
+++ b/cli/src/main/java/frostrelay/cli/ClusterCountersCommand.java
@@ -14,41 +14,41 @@
             "Asks consoles what all balancers of the tier do together, how many of them that covers and how old it is.",
             "Exits with 1 if one cannot be asked or keeps no counts. docs/judgements.md says how to read it."
         })
-final class CountsCommand extends ConsolesCommand {
+final class ClusterCountersCommand extends AdminQueryCommand {
     @Override
-    String head() {
+    String header() {
         return "";
     }
 
     @Override
-    boolean read(Map<String, Object> said, Map<String, Object> row) {
-        row.put("counts", said.getOrDefault("counts", "it keeps none"));
-        row.put("countsOf", said.getOrDefault("countsOf", List.of()));
-        return said.get("counts") instanceof Map<?, ?>;
+    boolean readStatus(Map<String, Object> status, Map<String, Object> row) {
+        row.put("counts", status.getOrDefault("counts", "it keeps none"));
+        row.put("countsOf", status.getOrDefault("countsOf", List.of()));
+        return status.get("counts") instanceof Map<?, ?>;
     }
 
     @Override
-    String text(Map<String, Object> row) {
+    String formatRow(Map<String, Object> row) {
         StringBuilder text =
                 new StringBuilder(
                         String.format("%s: %s%n", row.get("console"), row.get("balancer")));
-        if (!(row.get("counts") instanceof Map<?, ?> all)) {
+        if (!(row.get("counts") instanceof Map<?, ?> totals)) {
             return text.append(String.format("  %s%n", row.get("counts"))).toString();
         }
-        all.forEach(
+        totals.forEach(
                 (name, value) -> {
-                    Map<?, ?> sum = (Map<?, ?>) value;
+                    Map<?, ?> total = (Map<?, ?>) value;
                     text.append(
                             String.format(
                                     Locale.ROOT,
                                     "  %-12s %10s a second, %s to %s in all, covers %s of %s, %s ms old at most%n",
                                     name,
-                                    sum.get("rate"),
-                                    sum.get("known"),
-                                    sum.get("most"),
-                                    sum.get("covered"),
-                                    sum.get("of"),
-                                    sum.get("oldestMs")));
+                                    total.get("rate"),
+                                    total.get("known"),
+                                    total.get("most"),
+                                    total.get("covered"),
+                                    total.get("of"),
+                                    total.get("oldestMs")));
                 });
         return text.toString();
     }
--- a/cli/src/main/java/frostrelay/cli/DemoCommand.java
+++ b/cli/src/main/java/frostrelay/cli/DemoCommand.java
@@ -1,8 +1,8 @@
 package frostrelay.cli;
 
-import frostrelay.rig.day.Day;
-import frostrelay.rig.fleet.DayPlay;
-import frostrelay.rig.fleet.Result;
+import frostrelay.rig.day.Scenario;
+import frostrelay.rig.fleet.ScenarioRun;
+import frostrelay.rig.fleet.ScenarioResult;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -21,7 +21,7 @@
             "Exits with 0 if no request was lost or answered wrongly and no rule was broken."
         })
 final class DemoCommand implements Callable<Integer> {
-    @Mixin private DayOptions options;
+    @Mixin private ScenarioOptions options;
 
     @Mixin private Output output;
 
@@ -33,7 +33,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Day day = options.day();
+        Scenario day = options.scenario();
         Path folder = keep == null ? Checkout.folder() : keep;
         try {
             output.progress(
@@ -42,11 +42,11 @@
                             "%d caches, %d balancers, an archive and discovery on loopback; %.0f requests/s for %.0f s",
                             day.caches(),
                             day.balancers(),
-                            day.load().rate(),
-                            day.length() / 1e9));
-            Result result = DayPlay.play(day, folder, Checkout.balancer(), output::progress);
+                            day.load().requestsPerSecond(),
+                            day.durationNanos() / 1e9));
+            ScenarioResult result = ScenarioRun.run(day, folder, Checkout.balancer(), output::progress);
             output.result(result.json(), result.text());
-            return result.good() ? 0 : 1;
+            return result.isSuccessful() ? 0 : 1;
         } finally {
             if (keep == null) {
                 Checkout.remove(folder);
--- a/cli/src/main/java/frostrelay/cli/FaultCommand.java
+++ b/cli/src/main/java/frostrelay/cli/FaultCommand.java
@@ -4,7 +4,7 @@
 
 import frostrelay.rig.day.FaultKind;
 import frostrelay.rig.day.FaultSpec;
-import frostrelay.rig.fleet.Control;
+import frostrelay.rig.fleet.ControlServer;
 import frostrelay.rig.wire.Loopback;
 
 import picocli.CommandLine;
@@ -30,13 +30,13 @@
         mixinStandardHelpOptions = true,
         description = "Plays one fault or operators' call on a fleet that 'frostrelay fleet' runs.")
 final class FaultCommand implements Callable<Integer> {
-    private static final double MILLISECOND = 1e6;
+    private static final double NANOS_PER_MILLISECOND = 1e6;
 
     /** The names for help and completion. */
     static final class Kinds implements Iterable<String> {
         @Override
         public Iterator<String> iterator() {
-            return FaultKind.words().iterator();
+            return FaultKind.wireNames().iterator();
         }
     }
 
@@ -93,11 +93,11 @@
             fault =
                     new FaultSpec(
                             0,
-                            FaultKind.of(kind),
+                            FaultKind.fromWireName(kind),
                             target,
                             factor,
-                            (long) (amount * MILLISECOND),
-                            (long) (length * MILLISECOND));
+                            (long) (amount * NANOS_PER_MILLISECOND),
+                            (long) (length * NANOS_PER_MILLISECOND));
             address = Loopback.parse(at);
         } catch (IllegalArgumentException e) {
             throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage());
@@ -116,7 +116,7 @@
                                             .timeout(Duration.ofSeconds(5))
                                             .POST(
                                                     HttpRequest.BodyPublishers.ofString(
-                                                            JSON.std.asString(Control.body(fault))))
+                                                            JSON.std.asString(ControlServer.encodeFault(fault))))
                                             .build(),
                                     HttpResponse.BodyHandlers.ofString());
             System.out.println(answer.body());
--- a/cli/src/main/java/frostrelay/cli/FleetCommand.java
+++ b/cli/src/main/java/frostrelay/cli/FleetCommand.java
@@ -1,10 +1,10 @@
 package frostrelay.cli;
 
-import frostrelay.rig.day.Day;
-import frostrelay.rig.fleet.Control;
-import frostrelay.rig.fleet.Faults;
-import frostrelay.rig.fleet.Fleet;
-import frostrelay.rig.fleet.Program;
+import frostrelay.rig.day.Scenario;
+import frostrelay.rig.fleet.ControlServer;
+import frostrelay.rig.fleet.FaultInjector;
+import frostrelay.rig.fleet.TestCluster;
+import frostrelay.rig.fleet.BalancerCommand;
 import frostrelay.rig.wire.Loopback;
 
 import picocli.CommandLine.Command;
@@ -26,7 +26,7 @@
             "Load it with 'frostrelay load', hurt it with 'frostrelay fault'."
         })
 final class FleetCommand implements Callable<Integer> {
-    @Mixin private DayOptions options;
+    @Mixin private ScenarioOptions options;
 
     @Option(
             names = "--control",
@@ -41,17 +41,17 @@
             paramLabel = "FOLDER",
             description =
                     "Start no balancers; write their configurations here, for 'frostrelay serve'.")
-    private Path byHand;
+    private Path configFolder;
 
     @Override
     public Integer call() throws Exception {
-        Day day = options.day();
-        Path folder = byHand == null ? Checkout.folder() : byHand;
-        Program program = byHand == null ? Checkout.balancer() : null;
-        try (Fleet fleet = new Fleet(day, folder, program);
-                Faults faults =
-                        new Faults(fleet, null, null, text -> System.out.println(">> " + text));
-                Control calls = new Control(control, () -> status(fleet), faults::call)) {
+        Scenario scenario = options.scenario();
+        Path folder = configFolder == null ? Checkout.folder() : configFolder;
+        BalancerCommand program = configFolder == null ? Checkout.balancer() : null;
+        try (TestCluster fleet = new TestCluster(scenario, folder, program);
+                FaultInjector faults =
+                        new FaultInjector(fleet, null, null, text -> System.out.println(">> " + text));
+                ControlServer calls = new ControlServer(control, () -> status(fleet), faults::inject)) {
             if (program != null) {
                 Runnable end = fleet::close;
                 Runtime.getRuntime()
@@ -63,14 +63,14 @@
                                         }));
                 fleet.startBalancers();
             }
-            for (Fleet.Place place : fleet.balancers()) {
+            for (TestCluster.BalancerInstance place : fleet.balancers()) {
                 System.out.print(
                         place.name()
                                 + ": clients at "
-                                + Loopback.text(place.listen())
+                                + Loopback.text(place.listenAddress())
                                 + ", operators at "
-                                + Loopback.text(place.console()));
-                if (byHand != null) {
+                                + Loopback.text(place.adminAddress()));
+                if (configFolder != null) {
                     Files.createDirectories(folder);
                     Path file =
                             Files.writeString(
@@ -80,7 +80,7 @@
                 System.out.println();
             }
             System.out.println(
-                    day.caches()
+                    scenario.caches()
                             + " caches run; faults at "
                             + Loopback.text(calls.address())
                             + "; Ctrl-C ends all");
@@ -89,15 +89,15 @@
         }
     }
 
-    private static Map<String, Object> status(Fleet fleet) {
+    private static Map<String, Object> status(TestCluster fleet) {
         Map<String, Object> status = new LinkedHashMap<>();
         status.put("hits", fleet.hits());
         status.put("misses", fleet.misses());
         status.put("fetches", fleet.fetches());
-        status.put("attempts", fleet.referee().attempts());
+        status.put("attempts", fleet.invariantChecker().attemptCount());
         Map<String, Object> balancers = new LinkedHashMap<>();
         fleet.balancers()
-                .forEach(place -> balancers.put(place.name(), Loopback.text(place.listen())));
+                .forEach(place -> balancers.put(place.name(), Loopback.text(place.listenAddress())));
         status.put("balancers", balancers);
         return status;
     }
--- a/cli/src/main/java/frostrelay/cli/JudgementsCommand.java
+++ b/cli/src/main/java/frostrelay/cli/HealthReportsCommand.java
@@ -14,20 +14,20 @@
             "Asks consoles what others say of each cache, how old that is, and what each balancer makes of it.",
             "Exits with 1 if one cannot be asked or keeps no judgements. docs/judgements.md says how to read it."
         })
-final class JudgementsCommand extends ConsolesCommand {
+final class HealthReportsCommand extends AdminQueryCommand {
     @Override
-    String head() {
+    String header() {
         return "";
     }
 
     @Override
-    boolean read(Map<String, Object> said, Map<String, Object> row) {
-        row.put("judgements", said.getOrDefault("judgements", "it keeps none"));
-        return said.get("judgements") instanceof List<?>;
+    boolean readStatus(Map<String, Object> status, Map<String, Object> row) {
+        row.put("judgements", status.getOrDefault("judgements", "it keeps none"));
+        return status.get("judgements") instanceof List<?>;
     }
 
     @Override
-    String text(Map<String, Object> row) {
+    String formatRow(Map<String, Object> row) {
         StringBuilder text =
                 new StringBuilder(
                         String.format("%s: %s%n", row.get("console"), row.get("balancer")));
@@ -42,17 +42,17 @@
                             "  %-20s %s%n",
                             cache.get("cache"),
                             Boolean.TRUE.equals(cache.get("lowered")) ? "lowered" : "as usual"));
-            for (Object word : (List<?>) cache.get("said")) {
-                Map<?, ?> by = (Map<?, ?>) word;
+            for (Object entry : (List<?>) cache.get("said")) {
+                Map<?, ?> report = (Map<?, ?>) entry;
                 text.append(
                         String.format(
                                 Locale.ROOT,
                                 "    by %s, %s ms ago: %s answered, %s not %s%n",
-                                by.get("by"),
-                                by.get("ageMs"),
-                                by.get("answered"),
-                                by.get("not"),
-                                by.get("kinds")));
+                                report.get("by"),
+                                report.get("ageMs"),
+                                report.get("answered"),
+                                report.get("not"),
+                                report.get("kinds")));
             }
         }
         return text.toString();
--- a/cli/src/main/java/frostrelay/cli/LabTruth.java
+++ b/cli/src/main/java/frostrelay/cli/LabAccuracy.java
@@ -1,13 +1,13 @@
 package frostrelay.cli;
 
 import frostrelay.emulator.Emulation;
-import frostrelay.emulator.Plant;
+import frostrelay.emulator.SystemModel;
 import frostrelay.lab.Interval;
-import frostrelay.rig.client.Tally;
-import frostrelay.rig.day.Day;
-import frostrelay.rig.day.DayFile;
-import frostrelay.rig.fleet.DayPlay;
-import frostrelay.rig.fleet.Result;
+import frostrelay.rig.client.ClientStatistics;
+import frostrelay.rig.day.Scenario;
+import frostrelay.rig.day.ScenarioFile;
+import frostrelay.rig.fleet.ScenarioRun;
+import frostrelay.rig.fleet.ScenarioResult;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -33,10 +33,10 @@
             "Plays days on the stand-ins with real balancers and on the emulator, and says how far apart they are.",
             "Exits with 1 if served in time differs by more than 0.05, p99 by more than 25%% or copies by more than 20%%."
         })
-final class LabTruth implements Callable<Integer> {
-    private static final double SERVED_APART = 0.05;
-    private static final double P99_APART = 0.25;
-    private static final double COPIES_APART = 0.2;
+final class LabAccuracy implements Callable<Integer> {
+    private static final double MAX_SERVED_DIFFERENCE = 0.05;
+    private static final double MAX_P99_DIFFERENCE = 0.25;
+    private static final double MAX_HEDGING_DIFFERENCE = 0.2;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -54,20 +54,20 @@
 
     @Override
     public Integer call() throws Exception {
-        List<Object> told = new ArrayList<>();
+        List<Object> rows = new ArrayList<>();
         StringBuilder text = new StringBuilder();
-        boolean good = true;
+        boolean withinBounds = true;
         for (Path file : files) {
-            Day day = DayFile.read(file);
-            Plant plant = plant(day);
-            List<Result> real = new ArrayList<>();
+            Scenario scenario = ScenarioFile.read(file);
+            SystemModel plant = plant(scenario);
+            List<ScenarioResult> real = new ArrayList<>();
             for (int i = 0; i < Math.max(1, runs); i++) {
                 Path folder = Checkout.folder();
                 try {
                     output.progress(file + ": day " + (i + 1) + " of " + runs + " on sockets");
                     real.add(
-                            DayPlay.play(
-                                    day.seeded(day.seed() + i),
+                            ScenarioRun.run(
+                                    scenario.withSeed(scenario.seed() + i),
                                     folder,
                                     Checkout.balancer(),
                                     line -> {}));
@@ -78,92 +78,92 @@
             List<Emulation.Result> emulated =
                     IntStream.range(0, 8)
                             .parallel()
-                            .mapToObj(i -> Emulation.play(plant.seeded(day.seed() + i)))
+                            .mapToObj(i -> Emulation.simulate(plant.withSeed(scenario.seed() + i)))
                             .toList();
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("file", file.toString());
-            good &=
-                    line(
-                            one,
+            Map<String, Object> row = new LinkedHashMap<>();
+            row.put("file", file.toString());
+            withinBounds &=
+                    compareMetric(
+                            row,
                             text,
                             "served in time",
                             real,
-                            r -> r.tally().count(Tally.End.IN_TIME) / (double) r.tally().asked(),
+                            r -> r.statistics().count(ClientStatistics.Outcome.IN_TIME) / (double) r.statistics().requests(),
                             emulated,
-                            r -> r.figures().inTime() / (double) r.figures().asked(),
-                            SERVED_APART,
+                            r -> r.statistics().inTime() / (double) r.statistics().asked(),
+                            MAX_SERVED_DIFFERENCE,
                             false);
-            good &=
-                    line(
-                            one,
+            withinBounds &=
+                    compareMetric(
+                            row,
                             text,
                             "p99, ms",
                             real,
-                            r -> r.tally().ms(99),
+                            r -> r.statistics().latencyMillis(99),
                             emulated,
-                            r -> r.figures().ms(99),
-                            P99_APART,
+                            r -> r.statistics().latencyMillis(99),
+                            MAX_P99_DIFFERENCE,
                             true);
-            good &=
-                    line(
-                            one,
+            withinBounds &=
+                    compareMetric(
+                            row,
                             text,
                             "copies",
                             real,
-                            Result::copyShare,
+                            ScenarioResult::hedgeRatio,
                             emulated,
-                            Emulation.Result::copyShare,
-                            COPIES_APART,
+                            Emulation.Result::additionalAttemptRatio,
+                            MAX_HEDGING_DIFFERENCE,
                             true);
-            line(
-                    one,
+            compareMetric(
+                    row,
                     text,
                     "p50, ms",
                     real,
-                    r -> r.tally().ms(50),
+                    r -> r.statistics().latencyMillis(50),
                     emulated,
-                    r -> r.figures().ms(50),
+                    r -> r.statistics().latencyMillis(50),
                     1,
                     true);
-            line(
-                    one,
+            compareMetric(
+                    row,
                     text,
                     "hit share",
                     real,
-                    Result::hitShare,
+                    ScenarioResult::hitRatio,
                     emulated,
-                    Emulation.Result::hitShare,
+                    Emulation.Result::hitRatio,
                     1,
                     false);
-            told.add(one);
+            rows.add(row);
         }
-        output.result(Map.of("good", good, "days", told), text.toString().stripTrailing());
-        return good ? 0 : 1;
+        output.result(Map.of("good", withinBounds, "days", rows), text.toString().stripTrailing());
+        return withinBounds ? 0 : 1;
     }
 
-    private Plant plant(Day day) {
+    private SystemModel plant(Scenario day) {
         try {
-            return DayPlant.of(day);
+            return ScenarioModel.of(day);
         } catch (IllegalArgumentException e) {
             throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage(), e);
         }
     }
 
-    private static boolean line(
-            Map<String, Object> one,
+    private static boolean compareMetric(
+            Map<String, Object> row,
             StringBuilder text,
             String name,
-            List<Result> real,
-            ToDoubleFunction<Result> ofReal,
+            List<ScenarioResult> real,
+            ToDoubleFunction<ScenarioResult> ofReal,
             List<Emulation.Result> emulated,
             ToDoubleFunction<Emulation.Result> ofEmulated,
-            double most,
+            double maxDifference,
             boolean relative) {
         Interval sockets = Interval.of(real.stream().mapToDouble(ofReal).toArray());
         Interval model = Interval.of(emulated.stream().mapToDouble(ofEmulated).toArray());
-        double apart = relative ? model.mean() / sockets.mean() - 1 : model.mean() - sockets.mean();
-        boolean within = Math.abs(apart) <= most;
-        one.put(
+        double difference = relative ? model.mean() / sockets.mean() - 1 : model.mean() - sockets.mean();
+        boolean within = Math.abs(difference) <= maxDifference;
+        row.put(
                 name,
                 Map.of(
                         "sockets",
@@ -171,7 +171,7 @@
                         "emulated",
                         model.mean(),
                         "apart",
-                        apart,
+                        difference,
                         "within",
                         within));
         text.append(
@@ -180,10 +180,10 @@
                         "%-15s sockets %.4f +- %.4f, emulated %.4f +- %.4f: %+.1f%s%s%n",
                         name,
                         sockets.mean(),
-                        sockets.half(),
+                        sockets.halfWidth(),
                         model.mean(),
-                        model.half(),
-                        apart * 100,
+                        model.halfWidth(),
+                        difference * 100,
                         relative ? "%" : " points",
                         within ? "" : " TOO FAR"));
         return within;
--- a/cli/src/main/java/frostrelay/cli/LabCommand.java
+++ b/cli/src/main/java/frostrelay/cli/LabCommand.java
@@ -14,11 +14,11 @@
             LabCompare.class,
             LabHunt.class,
             LabReplay.class,
-            LabTruth.class,
+            LabAccuracy.class,
             LabSpeed.class,
             LabFleet.class,
-            LabPeers.class,
-            LabJudgements.class
+            LabGossip.class,
+            LabHealthReports.class
         },
         synopsisSubcommandLabel = "COMMAND")
 final class LabCommand implements Runnable {
--- a/cli/src/main/java/frostrelay/cli/LabCompare.java
+++ b/cli/src/main/java/frostrelay/cli/LabCompare.java
@@ -45,7 +45,7 @@
         StringBuilder text = new StringBuilder();
         List<Object> told = new ArrayList<>();
         for (Difference one : differences) {
-            if (all || one.beyondChance()) {
+            if (all || one.isSignificant()) {
                 text.append(
                         String.format(
                                 Locale.ROOT,
@@ -54,21 +54,21 @@
                                 one.metric(),
                                 one.first().mean(),
                                 one.second().mean(),
-                                one.apart().mean(),
-                                one.apart().half(),
+                                one.difference().mean(),
+                                one.difference().halfWidth(),
                                 one.days(),
-                                one.beyondChance() ? "" : " (chance)"));
+                                one.isSignificant() ? "" : " (chance)"));
                 Map<String, Object> each = new LinkedHashMap<>();
                 each.put("point", one.point());
                 each.put("metric", one.metric());
-                each.put("difference", one.apart().mean());
-                each.put("half", one.apart().half());
-                each.put("chance", one.chance());
-                each.put("beyondChance", one.beyondChance());
+                each.put("difference", one.difference().mean());
+                each.put("half", one.difference().halfWidth());
+                each.put("chance", one.pValue());
+                each.put("beyondChance", one.isSignificant());
                 told.add(each);
             }
         }
-        long beyond = differences.stream().filter(Difference::beyondChance).count();
+        long beyond = differences.stream().filter(Difference::isSignificant).count();
         text.append(
                 differences.isEmpty()
                         ? "no days in common"
--- a/cli/src/main/java/frostrelay/cli/LabFleet.java
+++ b/cli/src/main/java/frostrelay/cli/LabFleet.java
@@ -1,10 +1,10 @@
 package frostrelay.cli;
 
-import frostrelay.lab.Day;
+import frostrelay.lab.RunResult;
 import frostrelay.lab.Experiment;
 import frostrelay.lab.ExperimentFile;
 import frostrelay.lab.Interval;
-import frostrelay.lab.Lab;
+import frostrelay.lab.ExperimentRunner;
 import frostrelay.lab.ResultsFile;
 
 import picocli.CommandLine;
@@ -61,19 +61,19 @@
 
     @Override
     public Integer call() throws Exception {
-        Experiment experiment = ExperimentFile.ofPlants(files(), Math.max(1, seeds));
+        Experiment experiment = ExperimentFile.ofModels(files(), Math.max(1, seeds));
         Files.deleteIfExists(out);
         try (ResultsFile file = ResultsFile.open(out, experiment)) {
-            Lab.play(
+            ExperimentRunner.run(
                     experiment,
                     file,
                     LabCommand.threads(threads),
-                    (done, most) -> output.progress(done + " of " + most + " days"));
+                    (done, total) -> output.progress(done + " of " + total + " days"));
         }
-        ResultsFile.Held held = ResultsFile.read(out);
-        LabReport.Written report = LabReport.write(held, out);
-        output.result(report.figures(), lines(held) + LabReport.where(out));
-        return held.days().stream().allMatch(day -> day.breaks() == 0) ? 0 : 1;
+        ResultsFile.StoredResults results = ResultsFile.read(out);
+        LabReport.Written report = LabReport.write(results, out);
+        output.result(report.figures(), lines(results) + LabReport.where(out));
+        return results.allResults().stream().allMatch(scenario -> scenario.violationCount() == 0) ? 0 : 1;
     }
 
     private List<Path> files() throws IOException {
@@ -90,7 +90,7 @@
     }
 
     /** A line a day: what was served, the operators' goal, its prices, and what they are for. */
-    private static String lines(ResultsFile.Held held) {
+    private static String lines(ResultsFile.StoredResults results) {
         Map<String, String> columns = new LinkedHashMap<>();
         columns.put("service", "%7.3f");
         columns.put("goal", "%7.3f");
@@ -109,9 +109,9 @@
                                 "%-8s  served   goal prices refuse failed    p99 copies"
                                         + " shakes  lists  waste  rules%n",
                                 "day"));
-        for (int point = 0; point < held.points().size(); point++) {
-            List<Day> days = held.of(point);
-            text.append(String.format(Locale.ROOT, "%-8s", held.points().get(point)));
+        for (int point = 0; point < results.points().size(); point++) {
+            List<RunResult> days = results.resultsOf(point);
+            text.append(String.format(Locale.ROOT, "%-8s", results.points().get(point)));
             columns.forEach(
                     (name, form) ->
                             text.append(
@@ -127,7 +127,7 @@
                                                                                                     name))
                                                                     .toArray())
                                                     .mean())));
-            long broken = days.stream().mapToLong(Day::breaks).sum();
+            long broken = days.stream().mapToLong(RunResult::violationCount).sum();
             text.append(broken == 0 ? "  kept" : "  BROKEN " + broken)
                     .append(System.lineSeparator());
         }
--- a/cli/src/main/java/frostrelay/cli/LabPeers.java
+++ b/cli/src/main/java/frostrelay/cli/LabGossip.java
@@ -1,8 +1,8 @@
 package frostrelay.cli;
 
-import frostrelay.emulator.SimPeers;
-import frostrelay.report.PeersPage;
-import frostrelay.report.StragglersPage;
+import frostrelay.emulator.SimGossip;
+import frostrelay.report.GossipPage;
+import frostrelay.report.StaleInstancesPage;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -25,7 +25,7 @@
         description = {
             "Plays tiers of balancers that talk, in simulated time: how soon a change is known everywhere, false suspicions, bytes."
         })
-final class LabPeers implements Callable<Integer> {
+final class LabGossip implements Callable<Integer> {
     @Mixin private Output output;
 
     @Option(
@@ -68,7 +68,7 @@
     @Option(
             names = "--together",
             description = "All of them change within 300 ms, once, as at a new list.")
-    private boolean together;
+    private boolean simultaneous;
 
     @Option(
             names = "--kill",
@@ -96,7 +96,7 @@
             names = "--askable",
             description =
                     "With --late: a call out of turn brings it, as only their watches are lost.")
-    private boolean askable;
+    private boolean discoveryAvailable;
 
     @Option(
             names = "--ceiling",
@@ -110,12 +110,12 @@
 
     @Override
     public Integer call() throws IOException {
-        List<SimPeers.Plan> plans = new ArrayList<>();
+        List<SimGossip.Plan> plans = new ArrayList<>();
         for (int size : sizes) {
             for (double loss : losses) {
                 for (int seed = 1; seed <= seeds; seed++) {
                     plans.add(
-                            new SimPeers.Plan(
+                            new SimGossip.Plan(
                                     size,
                                     loss,
                                     2_100_000L,
@@ -123,11 +123,11 @@
                                     ceiling,
                                     seconds,
                                     changes,
-                                    together,
+                                    simultaneous,
                                     Math.min(killed, size / 2),
                                     partition,
                                     late,
-                                    askable,
+                                    discoveryAvailable,
                                     seed));
                 }
             }
@@ -135,7 +135,7 @@
         List<Map<String, Object>> played =
                 IntStream.range(0, plans.size())
                         .parallel()
-                        .mapToObj(i -> SimPeers.play(plans.get(i)))
+                        .mapToObj(i -> SimGossip.run(plans.get(i)))
                         .toList();
         StringBuilder text = new StringBuilder();
         for (Map<String, Object> one : played) {
@@ -144,7 +144,7 @@
         if (report != null) {
             Files.writeString(
                     report,
-                    late > 0 ? new StragglersPage(played).html() : new PeersPage(played).html());
+                    late > 0 ? new StaleInstancesPage(played).html() : new GossipPage(played).html());
         }
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("days", played);
--- a/cli/src/main/java/frostrelay/cli/LabJudgements.java
+++ b/cli/src/main/java/frostrelay/cli/LabHealthReports.java
@@ -1,7 +1,7 @@
 package frostrelay.cli;
 
-import frostrelay.emulator.SimJudgements;
-import frostrelay.report.JudgementsPage;
+import frostrelay.emulator.SimHealthReports;
+import frostrelay.report.HealthReportsPage;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -27,7 +27,7 @@
         description = {
             "Plays tiers of balancers that tell each other what they see of caches, in simulated time."
         })
-final class LabJudgements implements Callable<Integer> {
+final class LabHealthReports implements Callable<Integer> {
     @Mixin private Output output;
 
     @Option(
@@ -93,12 +93,12 @@
 
     @Override
     public Integer call() throws IOException {
-        List<SimJudgements.Plan> plans = new ArrayList<>();
+        List<SimHealthReports.Plan> plans = new ArrayList<>();
         for (int size : sizes) {
             for (double loss : losses) {
                 for (int seed = 1; seed <= seeds; seed++) {
                     plans.add(
-                            new SimJudgements.Plan(
+                            new SimHealthReports.Plan(
                                     size, caches, reads, loss, dead, length, chance, seed));
                 }
             }
@@ -106,7 +106,7 @@
         List<Map<String, Object>> played =
                 IntStream.range(0, plans.size())
                         .parallel()
-                        .mapToObj(i -> SimJudgements.play(plans.get(i)))
+                        .mapToObj(i -> SimHealthReports.run(plans.get(i)))
                         .toList();
         StringBuilder text = new StringBuilder();
         for (Map<String, Object> one : played) {
@@ -116,7 +116,7 @@
             text.append(brief).append(System.lineSeparator());
         }
         if (report != null) {
-            Files.writeString(report, new JudgementsPage(played).html());
+            Files.writeString(report, new HealthReportsPage(played).html());
         }
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("days", played);
--- a/cli/src/main/java/frostrelay/cli/LabHunt.java
+++ b/cli/src/main/java/frostrelay/cli/LabHunt.java
@@ -1,11 +1,11 @@
 package frostrelay.cli;
 
 import frostrelay.lab.ExperimentFile;
-import frostrelay.lab.FaultWords;
-import frostrelay.lab.Goal;
-import frostrelay.lab.Hunt;
-import frostrelay.lab.Kept;
-import frostrelay.lab.PlantFile;
+import frostrelay.lab.FaultFormat;
+import frostrelay.lab.Objective;
+import frostrelay.lab.FaultSearch;
+import frostrelay.lab.RegressionRuns;
+import frostrelay.lab.SystemModelFile;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -84,13 +84,13 @@
 
     @Override
     public Integer call() throws Exception {
-        Goal what;
-        List<Hunt.Found> found;
+        Objective what;
+        List<FaultSearch.Finding> found;
         try {
-            what = Goal.parse(goal);
+            what = Objective.parse(goal);
             found =
-                    Hunt.run(
-                            PlantFile.read(plant),
+                    FaultSearch.run(
+                            SystemModelFile.read(plant),
                             what,
                             Math.max(1, tries),
                             Math.max(1, count),
@@ -106,12 +106,12 @@
         List<Object> told = new ArrayList<>();
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < found.size(); i++) {
-            Hunt.Found one = found.get(i);
+            FaultSearch.Finding one = found.get(i);
             Path file = keep.resolve(name + "-" + (i + 1) + ".toml");
-            Kept.write(plant, file, what, one);
+            RegressionRuns.write(plant, file, what, one);
             Map<String, Object> each = new LinkedHashMap<>();
             each.put("file", file.toString());
-            each.put("faults", FaultWords.of(one.faults()));
+            each.put("faults", FaultFormat.describe(one.faults()));
             each.put(what.metric(), one.value());
             told.add(each);
             text.append(
@@ -121,8 +121,8 @@
                             file,
                             what.metric(),
                             one.value(),
-                            one.tried()));
-            FaultWords.of(one.faults())
+                            one.simulatedRuns()));
+            FaultFormat.describe(one.faults())
                     .forEach(
                             fault ->
                                     text.append("    ")
--- a/cli/src/main/java/frostrelay/cli/LabReplay.java
+++ b/cli/src/main/java/frostrelay/cli/LabReplay.java
@@ -1,6 +1,6 @@
 package frostrelay.cli;
 
-import frostrelay.lab.Kept;
+import frostrelay.lab.RegressionRuns;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -33,29 +33,29 @@
         StringBuilder text = new StringBuilder();
         boolean good = true;
         for (Path file : files) {
-            Kept.Replayed one = Kept.replay(file);
-            good &= one.good();
+            RegressionRuns.ReplayResult one = RegressionRuns.replay(file);
+            good &= one.hasPassed();
             told.put(
                     file.toString(),
                     Map.of(
                             "value",
                             one.value(),
                             "must",
-                            one.must().toString(),
+                            one.required().toString(),
                             "good",
-                            one.good(),
+                            one.hasPassed(),
                             "ruleBreaks",
-                            one.breaks()));
+                            one.violationCount()));
             text.append(
                     String.format(
                             Locale.ROOT,
                             "%s: %s %.3f, must be %s%s%s%n",
                             file,
-                            one.must().metric(),
+                            one.required().metric(),
                             one.value(),
-                            one.must(),
-                            one.missedBy() > 0 ? ": MISSED" : "",
-                            one.breaks() > 0 ? ": RULES BROKEN" : ""));
+                            one.required(),
+                            one.shortfall() > 0 ? ": MISSED" : "",
+                            one.violationCount() > 0 ? ": RULES BROKEN" : ""));
         }
         output.result(Map.of("good", good, "days", told), text.toString().stripTrailing());
         return good ? 0 : 1;
--- a/cli/src/main/java/frostrelay/cli/LabReport.java
+++ b/cli/src/main/java/frostrelay/cli/LabReport.java
@@ -28,7 +28,7 @@
 
     @Override
     public Integer call() throws Exception {
-        ResultsFile.Held held = ResultsFile.read(results);
+        ResultsFile.StoredResults held = ResultsFile.read(results);
         output.result(write(held, results).figures(), where(results));
         return 0;
     }
@@ -37,7 +37,7 @@
     record Written(String markdown, Map<String, Object> figures) {}
 
     /** Writes both pages beside a file of results. */
-    static Written write(ResultsFile.Held held, Path results) throws IOException {
+    static Written write(ResultsFile.StoredResults held, Path results) throws IOException {
         Page page = new Page(held);
         String markdown = page.markdown();
         Files.writeString(beside(results, ".html"), page.html());
--- a/cli/src/main/java/frostrelay/cli/LabRun.java
+++ b/cli/src/main/java/frostrelay/cli/LabRun.java
@@ -2,7 +2,7 @@
 
 import frostrelay.lab.Experiment;
 import frostrelay.lab.ExperimentFile;
-import frostrelay.lab.Lab;
+import frostrelay.lab.ExperimentRunner;
 import frostrelay.lab.ResultsFile;
 
 import picocli.CommandLine;
@@ -28,7 +28,7 @@
             "Exits with 1 if a rule was broken on any day."
         })
 final class LabRun implements Callable<Integer> {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -72,14 +72,14 @@
             if (before > 0) {
                 output.progress(before + " days are there already");
             }
-            Lab.play(
+            ExperimentRunner.run(
                     experiment,
                     file,
                     LabCommand.threads(threads),
                     (done, most) -> {
                         double left =
                                 (System.nanoTime() - start)
-                                        / NANOS
+                                        / NANOS_PER_SECOND
                                         / Math.max(1, done - before)
                                         * (most - done);
                         output.progress(
@@ -91,16 +91,16 @@
                                         done <= before ? 0 : left));
                     });
         }
-        ResultsFile.Held held = ResultsFile.read(results);
+        ResultsFile.StoredResults held = ResultsFile.read(results);
         LabReport.Written report = LabReport.write(held, results);
-        double took = (System.nanoTime() - start) / NANOS;
+        double took = (System.nanoTime() - start) / NANOS_PER_SECOND;
         report.figures().put("seconds", took);
         output.result(
                 report.figures(),
                 report.markdown()
                         + String.format(
                                 Locale.ROOT, "%n%.1f s; %s", took, LabReport.where(results)));
-        return held.days().stream().allMatch(day -> day.breaks() == 0) ? 0 : 1;
+        return held.allResults().stream().allMatch(day -> day.violationCount() == 0) ? 0 : 1;
     }
 
     private Experiment experiment() {
@@ -111,6 +111,6 @@
             }
             return ExperimentFile.read(files.get(0));
         }
-        return ExperimentFile.ofPlants(files, seeds == null ? 8 : Math.max(1, seeds));
+        return ExperimentFile.ofModels(files, seeds == null ? 8 : Math.max(1, seeds));
     }
 }
--- a/cli/src/main/java/frostrelay/cli/LabSpeed.java
+++ b/cli/src/main/java/frostrelay/cli/LabSpeed.java
@@ -1,9 +1,9 @@
 package frostrelay.cli;
 
 import frostrelay.emulator.Emulation;
-import frostrelay.emulator.Plant;
+import frostrelay.emulator.SystemModel;
 import frostrelay.lab.Interval;
-import frostrelay.lab.PlantFile;
+import frostrelay.lab.SystemModelFile;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -26,7 +26,7 @@
             "Measures how many requests a second one core emulates, with the decision module and with one that only passes on."
         })
 final class LabSpeed implements Callable<Integer> {
-    private static final double SECOND = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     @Mixin private Output output;
 
@@ -46,14 +46,14 @@
         Map<String, Object> told = new LinkedHashMap<>();
         StringBuilder text = new StringBuilder();
         for (Path file : files) {
-            Plant plant = PlantFile.read(file);
+            SystemModel plant = SystemModelFile.read(file);
             told.put(
                     file.toString(),
                     Map.of(
                             "module",
-                            speed(file, "with the module", plant, Emulation::play, text),
+                            speed(file, "with the module", plant, Emulation::simulate, text),
                             "plain",
-                            speed(file, "without it", plant, Emulation::playPlain, text)));
+                            speed(file, "without it", plant, Emulation::simulateSingleAttempt, text)));
         }
         output.result(told, text.toString().stripTrailing());
         return 0;
@@ -62,18 +62,18 @@
     private Map<String, Object> speed(
             Path file,
             String how,
-            Plant plant,
-            Function<Plant, Emulation.Result> play,
+            SystemModel plant,
+            Function<SystemModel, Emulation.Result> play,
             StringBuilder text) {
         int days = Math.max(2, runs);
         double[] requests = new double[days];
         double[] events = new double[days];
         for (int i = 0; i <= days; i++) {
             output.progress(file + " " + how + ": day " + i + " of " + days);
-            Emulation.Result day = play.apply(plant.seeded(plant.seed() + i));
+            Emulation.Result day = play.apply(plant.withSeed(plant.seed() + i));
             if (i > 0) {
-                requests[i - 1] = day.taken() * SECOND / day.wall();
-                events[i - 1] = day.events() * SECOND / day.wall();
+                requests[i - 1] = day.receivedRequests() * NANOS_PER_SECOND / day.wallNanos();
+                events[i - 1] = day.executedEvents() * NANOS_PER_SECOND / day.wallNanos();
             }
         }
         Interval taken = Interval.of(requests);
@@ -85,9 +85,9 @@
                         file,
                         how,
                         taken.mean() / 1e3,
-                        taken.half() / 1e3,
+                        taken.halfWidth() / 1e3,
                         happened.mean() / 1e6,
-                        happened.half() / 1e6));
+                        happened.halfWidth() / 1e6));
         return Map.of("requestsPerSecond", taken.mean(), "eventsPerSecond", happened.mean());
     }
 }
