--- a/cli/src/main/java/frostrelay/cli/LoadCommand.java
+++ b/cli/src/main/java/frostrelay/cli/LoadCommand.java
@@ -1,10 +1,10 @@
 package frostrelay.cli;
 
-import frostrelay.rig.client.Front;
-import frostrelay.rig.client.OpenLoop;
-import frostrelay.rig.client.Tally;
-import frostrelay.rig.day.Day;
-import frostrelay.rig.referee.ClientWatch;
+import frostrelay.rig.client.RoundRobinFrontend;
+import frostrelay.rig.client.OpenLoopClients;
+import frostrelay.rig.client.ClientStatistics;
+import frostrelay.rig.day.Scenario;
+import frostrelay.rig.referee.ClientObserver;
 import frostrelay.rig.wire.Loopback;
 
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -37,7 +37,7 @@
 final class LoadCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
-    @Mixin private DayOptions options;
+    @Mixin private ScenarioOptions options;
 
     @Mixin private Output output;
 
@@ -49,7 +49,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Day day = options.day();
+        Scenario day = options.scenario();
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (String text : to) {
             try {
@@ -60,32 +60,32 @@
         }
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try {
-            Tally tally = new Tally();
-            OpenLoop load =
-                    new OpenLoop(
-                            day, new Front(addresses), group.next(), ClientWatch.NOBODY, tally);
-            Future<Tally> done = load.run();
+            ClientStatistics tally = new ClientStatistics();
+            OpenLoopClients load =
+                    new OpenLoopClients(
+                            day, new RoundRobinFrontend(addresses), group.next(), ClientObserver.NONE, tally);
+            Future<ClientStatistics> done = load.run();
             while (!done.await(1, TimeUnit.SECONDS)) {
-                Tally.Recent recent = tally.recent();
+                ClientStatistics.Recent recent = tally.recent();
                 output.progress(
                         String.format(
                                 Locale.ROOT,
                                 "%6d asked  %5d/s  in time %5.1f%%  p50 %.1f ms  p99 %.1f ms",
-                                tally.asked(),
-                                recent.ended(),
-                                100.0 * recent.inTime() / Math.max(1, recent.ended()),
+                                tally.requests(),
+                                recent.completed(),
+                                100.0 * recent.inTime() / Math.max(1, recent.completed()),
                                 recent.p50Ms(),
                                 recent.p99Ms()));
             }
             Map<String, Object> figures = new LinkedHashMap<>();
-            figures.put("asked", tally.asked());
-            figures.put("tries", tally.tries());
-            for (Tally.End end : Tally.End.values()) {
+            figures.put("asked", tally.requests());
+            figures.put("tries", tally.attempts());
+            for (ClientStatistics.Outcome end : ClientStatistics.Outcome.values()) {
                 figures.put(end.name().toLowerCase(Locale.ROOT), tally.count(end));
             }
-            figures.put("wrong", tally.wrongAnswers());
-            figures.put("p50Ms", tally.ms(50));
-            figures.put("p99Ms", tally.ms(99));
+            figures.put("wrong", tally.wrongResponses());
+            figures.put("p50Ms", tally.latencyMillis(50));
+            figures.put("p99Ms", tally.latencyMillis(99));
             figures.put("classes", tally.byClass());
             output.result(
                     figures,
@@ -93,16 +93,16 @@
                             Locale.ROOT,
                             "%,d requests: %d in time, %d late, %d refused, %d failed, %d lost,"
                                     + " %d wrong; p50 %.1f ms, p99 %.1f ms",
-                            tally.asked(),
-                            tally.count(Tally.End.IN_TIME),
-                            tally.count(Tally.End.LATE),
-                            tally.count(Tally.End.REFUSED),
-                            tally.count(Tally.End.FAILED),
-                            tally.count(Tally.End.LOST),
-                            tally.wrongAnswers(),
-                            tally.ms(50),
-                            tally.ms(99)));
-            return tally.wrongAnswers() == 0 && tally.count(Tally.End.LOST) == 0 ? 0 : 1;
+                            tally.requests(),
+                            tally.count(ClientStatistics.Outcome.IN_TIME),
+                            tally.count(ClientStatistics.Outcome.LATE),
+                            tally.count(ClientStatistics.Outcome.REFUSED),
+                            tally.count(ClientStatistics.Outcome.FAILED),
+                            tally.count(ClientStatistics.Outcome.LOST),
+                            tally.wrongResponses(),
+                            tally.latencyMillis(50),
+                            tally.latencyMillis(99)));
+            return tally.wrongResponses() == 0 && tally.count(ClientStatistics.Outcome.LOST) == 0 ? 0 : 1;
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
--- a/cli/src/main/java/frostrelay/cli/OwnSettings.java
+++ b/cli/src/main/java/frostrelay/cli/LocalSettings.java
@@ -1,10 +1,10 @@
 package frostrelay.cli;
 
-import frostrelay.config.Table;
+import frostrelay.config.TableSchema;
 import frostrelay.config.TomlFile;
-import frostrelay.config.Values;
+import frostrelay.config.TableValues;
 import frostrelay.log.LogSetup;
-import frostrelay.node.FleetOptions;
+import frostrelay.node.ClusterOptions;
 import frostrelay.node.Options;
 
 import org.slf4j.event.Level;
@@ -17,14 +17,14 @@
  * What operators set beyond the platform's configuration: the form of {@code
  * deploy/frostrelay.toml}.
  */
-final class OwnSettings {
-    private OwnSettings() {}
+final class LocalSettings {
+    private LocalSettings() {}
 
-    static Table form() {
-        return new Table("A balancer's own settings.")
+    static TableSchema schema() {
+        return new TableSchema("A balancer's own settings.")
                 .table(
                         "log",
-                        new Table("What the balancer writes on standard error.")
+                        new TableSchema("What the balancer writes on standard error.")
                                 .choice(
                                         "format",
                                         "auto",
@@ -43,7 +43,7 @@
                                         "Between two lines of counts."))
                 .table(
                         "reload",
-                        new Table("How a replaced configuration is found.")
+                        new TableSchema("How a replaced configuration is found.")
                                 .duration(
                                         "look-every",
                                         "0ms",
@@ -53,7 +53,7 @@
                                                 + " the signal; 0ms looks only where the signal is ignored."))
                 .table(
                         "peers",
-                        new Table("Talk with the other balancers of the tier.")
+                        new TableSchema("Talk with the other balancers of the tier.")
                                 .bool(
                                         "enabled",
                                         false,
@@ -91,7 +91,7 @@
                                         "Sent in any second at most; each receiver is paid for."))
                 .table(
                         "audit",
-                        new Table("Its account of what it acts on.")
+                        new TableSchema("Its account of what it acts on.")
                                 .bool("enabled", false, "Whether it keeps one.")
                                 .bytes(
                                         "memory",
@@ -117,8 +117,8 @@
 
     /** Reads a file; throws {@link frostrelay.config.BadConfigException} with all that is wrong. */
     static Options read(Path file) {
-        Values values = TomlFile.read(file, form());
-        Values log = values.table("log");
+        TableValues values = TomlFile.read(file, schema());
+        TableValues log = values.table("log");
         return new Options(
                 LogSetup.Format.valueOf(log.text("format").toUpperCase(Locale.ROOT)),
                 Level.valueOf(log.text("level").toUpperCase(Locale.ROOT)),
@@ -127,9 +127,9 @@
                 fleet(values.table("peers"), values.table("audit")));
     }
 
-    private static FleetOptions fleet(Values peers, Values audit) {
+    private static ClusterOptions fleet(TableValues peers, TableValues audit) {
         String folder = audit.text("folder");
-        return new FleetOptions(
+        return new ClusterOptions(
                 peers.bool("enabled"),
                 (int) peers.whole("ceiling"),
                 peers.bool("stragglers"),
--- a/cli/src/main/java/frostrelay/cli/Platform.java
+++ b/cli/src/main/java/frostrelay/cli/Platform.java
@@ -15,7 +15,7 @@
     /** What holds, a line each; throws what is wrong. */
     static String check(Path file) {
         try {
-            return String.join(System.lineSeparator(), ConfigFile.check(file))
+            return String.join(System.lineSeparator(), ConfigFile.describe(file))
                     + System.lineSeparator();
         } catch (ConfigException e) {
             throw new BadConfigException(
--- a/cli/src/main/java/frostrelay/cli/RelayCommand.java
+++ b/cli/src/main/java/frostrelay/cli/RelayCommand.java
@@ -1,6 +1,6 @@
 package frostrelay.cli;
 
-import frostrelay.rig.link.Link;
+import frostrelay.rig.link.FaultProxy;
 import frostrelay.rig.wire.Loopback;
 
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -26,7 +26,7 @@
 
     @Override
     public Integer call() throws Exception {
-        new Link(new NioEventLoopGroup(1).next(), Loopback.parse(to)).listen(port);
+        new FaultProxy(new NioEventLoopGroup(1).next(), Loopback.parse(to)).listen(port);
         Thread.currentThread().join();
         return 0;
     }
--- a/cli/src/main/java/frostrelay/cli/DayOptions.java
+++ b/cli/src/main/java/frostrelay/cli/ScenarioOptions.java
@@ -1,7 +1,7 @@
 package frostrelay.cli;
 
-import frostrelay.rig.day.Day;
-import frostrelay.rig.day.DayFile;
+import frostrelay.rig.day.Scenario;
+import frostrelay.rig.day.ScenarioFile;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Model.CommandSpec;
@@ -11,9 +11,9 @@
 import java.nio.file.Path;
 
 /** Which day a command plays. */
-final class DayOptions {
-    private static final long SECOND = 1_000_000_000L;
-    private static final long MOST_SECONDS = 86_400;
+final class ScenarioOptions {
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long MAX_SECONDS = 86_400;
 
     @Spec(Spec.Target.MIXEE)
     private CommandSpec spec;
@@ -34,19 +34,19 @@
     private Long seed;
 
     @Option(names = "--quiet", description = "The same day without what goes wrong.")
-    private boolean quiet;
+    private boolean withoutFaults;
 
-    Day day() {
-        Day day = file == null ? DayFile.demo() : DayFile.read(file);
+    Scenario scenario() {
+        Scenario scenario = file == null ? ScenarioFile.demo() : ScenarioFile.read(file);
         if (seconds != null) {
-            if (!(seconds >= 1 && seconds <= MOST_SECONDS)) {
+            if (!(seconds >= 1 && seconds <= MAX_SECONDS)) {
                 throw new CommandLine.ParameterException(
                         spec.commandLine(),
-                        "--seconds: found " + seconds + ", allowed: 1 to " + MOST_SECONDS);
+                        "--seconds: found " + seconds + ", allowed: 1 to " + MAX_SECONDS);
             }
-            day = day.lasting((long) (seconds * SECOND));
+            scenario = scenario.withDuration((long) (seconds * NANOS_PER_SECOND));
         }
-        day = seed == null ? day : day.seeded(seed);
-        return quiet ? day.quiet() : day;
+        scenario = seed == null ? scenario : scenario.withSeed(seed);
+        return withoutFaults ? scenario.withoutFaults() : scenario;
     }
 }
--- a/cli/src/main/java/frostrelay/cli/ServeCommand.java
+++ b/cli/src/main/java/frostrelay/cli/ServeCommand.java
@@ -1,7 +1,7 @@
 package frostrelay.cli;
 
 import frostrelay.node.Options;
-import frostrelay.node.Program;
+import frostrelay.node.NodeProcess;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -49,9 +49,9 @@
         }
         if (own != null) {
             // Refused before anything starts, with every problem on a line of its own.
-            OwnSettings.read(own);
+            LocalSettings.read(own);
         }
-        Program.start(path, () -> own == null ? Options.STANDARD : OwnSettings.read(own));
+        NodeProcess.start(path, () -> own == null ? Options.DEFAULTS : LocalSettings.read(own));
         return RUNS_ON;
     }
 }
--- a/cli/src/main/java/frostrelay/cli/SoakCommand.java
+++ b/cli/src/main/java/frostrelay/cli/SoakCommand.java
@@ -1,10 +1,10 @@
 package frostrelay.cli;
 
-import frostrelay.rig.client.Tally;
-import frostrelay.rig.day.Day;
-import frostrelay.rig.fleet.Result;
+import frostrelay.rig.client.ClientStatistics;
+import frostrelay.rig.day.Scenario;
+import frostrelay.rig.fleet.ScenarioResult;
 import frostrelay.rig.soak.SoakPlan;
-import frostrelay.rig.soak.SoakPlay;
+import frostrelay.rig.soak.SoakRun;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -35,10 +35,10 @@
             "docs/soak.md says what is drawn and what is checked."
         })
 final class SoakCommand implements Callable<Integer> {
-    private static final int MOST_FINDINGS_SHOWN = 12;
+    private static final int MAX_FINDINGS_SHOWN = 12;
 
     /** Of one seed, until a play is decided. */
-    private static final int MOST_PLAYS = 3;
+    private static final int MAX_PLAYS = 3;
 
     @Spec private CommandSpec spec;
 
@@ -63,31 +63,31 @@
             names = "--keep",
             paramLabel = "FOLDER",
             description = "Keep the balancers' configurations and logs here, a folder a play.")
-    private Path keep;
+    private Path keepFolder;
 
     @Option(names = "--verbose", description = "Tell what happens in each second.")
     private boolean verbose;
 
     @Override
     public Integer call() throws Exception {
-        if (balancers < 0 || balancers > SoakPlan.MOST_BALANCERS) {
+        if (balancers < 0 || balancers > SoakPlan.MAX_BALANCERS) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
                     "--balancers: found "
                             + balancers
                             + ", allowed: 0 to "
-                            + SoakPlan.MOST_BALANCERS);
+                            + SoakPlan.MAX_BALANCERS);
         }
-        Map<SoakPlay.Verdict, Integer> verdicts = new EnumMap<>(SoakPlay.Verdict.class);
+        Map<SoakRun.Verdict, Integer> verdicts = new EnumMap<>(SoakRun.Verdict.class);
         long requests = 0;
         List<Map<String, Object>> plays = new ArrayList<>();
         for (long seed = seeds.first(); seed <= seeds.last(); seed++) {
-            SoakPlay.Outcome outcome = playUntilDecided(seed, plays);
+            SoakRun.Outcome outcome = playUntilDecided(seed, plays);
             verdicts.merge(outcome.verdict(), 1, Integer::sum);
-            requests += outcome.result().tally().asked();
+            requests += outcome.result().statistics().requests();
         }
         Map<String, Object> all = new LinkedHashMap<>();
-        for (SoakPlay.Verdict verdict : SoakPlay.Verdict.values()) {
+        for (SoakRun.Verdict verdict : SoakRun.Verdict.values()) {
             all.put(verdict.name().toLowerCase(Locale.ROOT), verdicts.getOrDefault(verdict, 0));
         }
         all.put("requests", requests);
@@ -98,39 +98,39 @@
                         Locale.ROOT,
                         "%,d requests; seeds by their last play: %d kept, %d undecided, %d broken",
                         requests,
-                        verdicts.getOrDefault(SoakPlay.Verdict.KEPT, 0),
-                        verdicts.getOrDefault(SoakPlay.Verdict.UNDECIDED, 0),
-                        verdicts.getOrDefault(SoakPlay.Verdict.BROKEN, 0)));
-        return verdicts.keySet().equals(EnumSet.of(SoakPlay.Verdict.KEPT)) ? 0 : 1;
+                        verdicts.getOrDefault(SoakRun.Verdict.KEPT, 0),
+                        verdicts.getOrDefault(SoakRun.Verdict.UNDECIDED, 0),
+                        verdicts.getOrDefault(SoakRun.Verdict.BROKEN, 0)));
+        return verdicts.keySet().equals(EnumSet.of(SoakRun.Verdict.KEPT)) ? 0 : 1;
     }
 
     /**
      * Plays a day, and again where the machine was held up and that can be all that was found;
      * every play is told.
      */
-    private SoakPlay.Outcome playUntilDecided(long seed, List<Map<String, Object>> plays)
+    private SoakRun.Outcome playUntilDecided(long seed, List<Map<String, Object>> plays)
             throws Exception {
-        SoakPlay.Outcome outcome = null;
+        SoakRun.Outcome outcome = null;
         for (int i = 0;
-                i < MOST_PLAYS
-                        && (outcome == null || outcome.verdict() == SoakPlay.Verdict.UNDECIDED);
+                i < MAX_PLAYS
+                        && (outcome == null || outcome.verdict() == SoakRun.Verdict.UNDECIDED);
                 i++) {
             outcome = play(seed);
             plays.add(figures(seed, outcome));
             output.progress(line(seed, outcome));
             outcome.findings().stream()
-                    .limit(MOST_FINDINGS_SHOWN)
-                    .forEach(finding -> output.progress("    " + finding.what()));
+                    .limit(MAX_FINDINGS_SHOWN)
+                    .forEach(finding -> output.progress("    " + finding.detail()));
         }
         return outcome;
     }
 
-    private SoakPlay.Outcome play(long seed) throws Exception {
-        Day day = SoakPlan.draw(seed, balancers);
-        Path folder = keep == null ? Checkout.folder() : freshFolder(seed);
+    private SoakRun.Outcome play(long seed) throws Exception {
+        Scenario scenario = SoakPlan.draw(seed, balancers);
+        Path folder = keepFolder == null ? Checkout.folder() : createPlayFolder(seed);
         try {
-            return SoakPlay.play(
-                    day,
+            return SoakRun.run(
+                    scenario,
                     folder,
                     Checkout.balancer(),
                     text -> {
@@ -139,7 +139,7 @@
                         }
                     });
         } finally {
-            if (keep == null) {
+            if (keepFolder == null) {
                 Checkout.remove(folder);
             }
         }
@@ -149,44 +149,44 @@
      * A folder of its own for each play: logs go behind what is there, and an earlier play's lines
      * are none of this one's.
      */
-    private Path freshFolder(long seed) throws IOException {
+    private Path createPlayFolder(long seed) throws IOException {
         int number = 1;
-        while (Files.exists(keep.resolve("seed-" + seed + "-play-" + number))) {
+        while (Files.exists(keepFolder.resolve("seed-" + seed + "-play-" + number))) {
             number++;
         }
-        return Files.createDirectories(keep.resolve("seed-" + seed + "-play-" + number));
+        return Files.createDirectories(keepFolder.resolve("seed-" + seed + "-play-" + number));
     }
 
-    private static String line(long seed, SoakPlay.Outcome outcome) {
-        Result result = outcome.result();
+    private static String line(long seed, SoakRun.Outcome outcome) {
+        ScenarioResult result = outcome.result();
         return String.format(
                 Locale.ROOT,
                 "seed %d: %d balancers, %d caches, %d faults; %,d requests, %.1f%% in time, %d excused, "
                         + "%d clients left; stand-ins stood still for %d ms, %.1f%% of the processor stolen; %s",
                 seed,
-                outcome.day().balancers(),
-                outcome.day().caches(),
-                outcome.day().faults().size(),
-                result.tally().asked(),
+                outcome.scenario().balancers(),
+                outcome.scenario().caches(),
+                outcome.scenario().faults().size(),
+                result.statistics().requests(),
                 100.0
-                        * result.tally().count(Tally.End.IN_TIME)
-                        / Math.max(1, result.tally().asked()),
-                result.tally().count(Tally.End.EXCUSED),
-                result.tally().count(Tally.End.LEFT),
-                outcome.stallMs(),
-                100 * outcome.stolenPart(),
+                        * result.statistics().count(ClientStatistics.Outcome.IN_TIME)
+                        / Math.max(1, result.statistics().requests()),
+                result.statistics().count(ClientStatistics.Outcome.EXCUSED),
+                result.statistics().count(ClientStatistics.Outcome.LEFT),
+                outcome.stallMillis(),
+                100 * outcome.stolenFraction(),
                 outcome.verdict().name().toLowerCase(Locale.ROOT));
     }
 
-    private static Map<String, Object> figures(long seed, SoakPlay.Outcome outcome) {
+    private static Map<String, Object> figures(long seed, SoakRun.Outcome outcome) {
         Map<String, Object> play = new LinkedHashMap<>();
         play.put("seed", seed);
-        play.put("balancers", outcome.day().balancers());
-        play.put("faults", outcome.day().faults().size());
-        play.put("stallMs", outcome.stallMs());
-        play.put("stolenPart", outcome.stolenPart());
+        play.put("balancers", outcome.scenario().balancers());
+        play.put("faults", outcome.scenario().faults().size());
+        play.put("stallMs", outcome.stallMillis());
+        play.put("stolenPart", outcome.stolenFraction());
         play.put("verdict", outcome.verdict().name().toLowerCase(Locale.ROOT));
-        play.put("findings", outcome.findings().stream().map(SoakPlay.Finding::what).toList());
+        play.put("findings", outcome.findings().stream().map(SoakRun.Finding::detail).toList());
         play.put("result", outcome.result().json());
         return play;
     }
--- a/cli/src/main/java/frostrelay/cli/StragglersCommand.java
+++ b/cli/src/main/java/frostrelay/cli/StaleInstancesCommand.java
@@ -14,8 +14,8 @@
             "Asks consoles how each balancer stands to the others: what it acts on, what it avoids on their word, whether it is aside.",
             "Exits with 1 if one is a straggler, stays behind, or cannot be asked. docs/stragglers.md says what to do with one."
         })
-final class StragglersCommand extends ConsolesCommand {
-    private static final List<String> SHOWN =
+final class StaleInstancesCommand extends AdminQueryCommand {
+    private static final List<String> SHOWN_FIELDS =
             List.of(
                     "standing",
                     "newestList",
@@ -26,11 +26,11 @@
                     "heldByOthers",
                     "asked",
                     "aside");
-    private static final List<String> BAD =
+    private static final List<String> STALE_STANDINGS =
             List.of("straggler", "unknown", "conflict", "refused", "stays-behind");
 
     @Override
-    String head() {
+    String header() {
         return String.format(
                 Locale.ROOT,
                 "%-16s %8s %-16s %s%n",
@@ -41,17 +41,17 @@
     }
 
     @Override
-    boolean read(Map<String, Object> said, Map<String, Object> row) {
+    boolean readStatus(Map<String, Object> status, Map<String, Object> row) {
         row.put(
                 "list",
-                said.get("actsOn") instanceof Map<?, ?> stamp ? stamp.get("list") : "unknown");
-        SHOWN.forEach(name -> row.put(name, said.getOrDefault(name, "unknown")));
-        return !BAD.contains(String.valueOf(row.get("standing")))
-                && !BAD.contains(String.valueOf(row.get("configStanding")));
+                status.get("actsOn") instanceof Map<?, ?> versions ? versions.get("list") : "unknown");
+        SHOWN_FIELDS.forEach(name -> row.put(name, status.getOrDefault(name, "unknown")));
+        return !STALE_STANDINGS.contains(String.valueOf(row.get("standing")))
+                && !STALE_STANDINGS.contains(String.valueOf(row.get("configStanding")));
     }
 
     @Override
-    String text(Map<String, Object> row) {
+    String formatRow(Map<String, Object> row) {
         return String.format(
                 Locale.ROOT,
                 "%-16s %8s %-16s %s%n",
@@ -60,7 +60,7 @@
                 row.get("standing"),
                 String.join(
                         ", ",
-                        SHOWN.stream()
+                        SHOWN_FIELDS.stream()
                                 .skip(1)
                                 .map(name -> String.valueOf(row.get(name)))
                                 .toList()));
--- a/cli/src/main/java/frostrelay/start/Start.java
+++ b/cli/src/main/java/frostrelay/start/Start.java
@@ -1,12 +1,12 @@
 package frostrelay.start;
 
 import frostrelay.audit.Recorder;
-import frostrelay.judgements.Judgements;
+import frostrelay.judgements.HealthReportAggregator;
 import frostrelay.node.Options;
-import frostrelay.node.Program;
-import frostrelay.node.Seams;
-import frostrelay.peers.PeerSettings;
-import frostrelay.stragglers.Stragglers;
+import frostrelay.node.NodeProcess;
+import frostrelay.node.TestHooks;
+import frostrelay.peers.GossipSettings;
+import frostrelay.stragglers.StalenessDetector;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -19,44 +19,44 @@
  * moves and, where that is asked for, a seeded defect. {@code run} never comes here.
  */
 public final class Start {
-    private static final String PREFIX = "frostrelay.campaign.";
+    private static final String PROPERTY_PREFIX = "frostrelay.campaign.";
 
     private Start() {}
 
     /** Takes no arguments; the JVM's properties say the rest. */
     public static void main(String[] args) {
-        String defect = System.getProperty(PREFIX + "defect");
+        String defect = System.getProperty(PROPERTY_PREFIX + "defect");
         UnaryOperator<Recorder> recorder =
-                inner -> defect == null ? inner : Defect.of(defect).into(inner);
-        UnaryOperator<Stragglers.Actions> actions =
-                inner -> defect == null ? inner : Defect.of(defect).into(inner);
-        UnaryOperator<Judgements.Actions> judgements =
-                inner -> defect == null ? inner : Defect.of(defect).into(inner);
-        UnaryOperator<Seams.Sums> counts =
-                inner -> defect == null ? inner : Defect.of(defect).into(inner);
-        Program.start(
+                inner -> defect == null ? inner : SeededDefect.of(defect).wrap(inner);
+        UnaryOperator<StalenessDetector.Actions> actions =
+                inner -> defect == null ? inner : SeededDefect.of(defect).wrap(inner);
+        UnaryOperator<HealthReportAggregator.Actions> healthReports =
+                inner -> defect == null ? inner : SeededDefect.of(defect).wrap(inner);
+        UnaryOperator<TestHooks.CounterTotals> totals =
+                inner -> defect == null ? inner : SeededDefect.of(defect).wrap(inner);
+        NodeProcess.start(
                 System.getenv("GW_CONFIG"),
-                Options::ofProperties,
-                new Seams(
+                Options::fromSystemProperties,
+                new TestHooks(
                         recorder,
                         actions,
-                        judgements,
-                        counts,
-                        wall(),
-                        Integer.getInteger(PREFIX + "build", 0),
-                        Integer.getInteger(PREFIX + "form", PeerSettings.STANDARD.form())));
+                        healthReports,
+                        totals,
+                        wallClock(),
+                        Integer.getInteger(PROPERTY_PREFIX + "build", 0),
+                        Integer.getInteger(PROPERTY_PREFIX + "form", GossipSettings.STANDARD.wireVersion())));
     }
 
     /** Unix milliseconds, off by what a file says at the moment. */
-    private static LongSupplier wall() {
-        String file = System.getProperty(PREFIX + "wall");
-        if (file == null) {
+    private static LongSupplier wallClock() {
+        String offsetFile = System.getProperty(PROPERTY_PREFIX + "wall");
+        if (offsetFile == null) {
             return System::currentTimeMillis;
         }
         return () -> {
             try {
                 return System.currentTimeMillis()
-                        + Long.parseLong(Files.readString(Path.of(file)).strip());
+                        + Long.parseLong(Files.readString(Path.of(offsetFile)).strip());
             } catch (IOException | NumberFormatException e) {
                 return System.currentTimeMillis();
             }
--- a/cli/src/test/java/frostrelay/BordersTest.java
+++ b/cli/src/test/java/frostrelay/ArchitectureTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What may use what. A reader sees it from the tree, and this keeps the tree true. */
-class BordersTest {
-    private static final JavaClasses ALL =
+class ArchitectureTest {
+    private static final JavaClasses PRODUCTION_CLASSES =
             new ClassFileImporter()
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("frostrelay");
@@ -39,7 +39,7 @@
                         "java.util.function",
                         "java.util.stream",
                         "com.tdunning.math.stats..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that()
                 .resideInAnyPackage("frostrelay.policy..", "frostrelay.settings..")
@@ -50,12 +50,12 @@
                 .orShould()
                 .dependOnClassesThat()
                 .areAssignableTo(Thread.class)
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     /** Likewise who is there and what each acts on; only the audit's store touches files. */
     @Test
-    void talkAndAccountsDoNoInputOrOutput() {
+    void gossipAndAuditDoNoInputOrOutput() {
         classes()
                 .that()
                 .resideInAPackage("frostrelay.peers..")
@@ -71,7 +71,7 @@
                         "java.util.stream",
                         "java.util.zip",
                         "java.nio")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -91,7 +91,7 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "java.nio.file..", "java.nio.channels..", "java.net..", "io.netty..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     @Test
@@ -119,7 +119,7 @@
                         "org.tomlj..",
                         "org.HdrHistogram..",
                         "org.apache.commons..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     /**
@@ -127,7 +127,7 @@
      * be seen.
      */
     @Test
-    void standInsAndRefereeShareNothingWithTheBalancer() {
+    void standInsAndInvariantCheckerShareNothingWithTheBalancer() {
         noClasses()
                 .that()
                 .resideInAPackage("frostrelay.rig..")
@@ -144,18 +144,18 @@
                         "frostrelay.stragglers..",
                         "frostrelay.judgements..",
                         "frostrelay.start..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     @Test
-    void theRefereeDoesNoInputOrOutput() {
+    void theInvariantCheckerDoesNoInputOrOutput() {
         noClasses()
                 .that()
                 .resideInAnyPackage("frostrelay.rig.referee..")
                 .should()
                 .dependOnClassesThat(
                         resideInAnyPackage("io.netty..", "java.net..", "java.io..", "java.nio.."))
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     /**
@@ -173,7 +173,7 @@
                 .callMethod(System.class, "nanoTime")
                 .orShould()
                 .callMethod(System.class, "currentTimeMillis")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that()
                 .resideInAPackage("frostrelay.emulator..")
@@ -186,12 +186,12 @@
                         "java.nio.channels..",
                         "frostrelay.node..",
                         "frostrelay.rig..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     /** So that a second front and a second back can join. */
     @Test
-    void aRequestsLifeNamesNoProtocol() {
+    void requestHandlingNamesNoProtocol() {
         noClasses()
                 .that()
                 .haveNameMatching(
@@ -201,12 +201,12 @@
                 .dependOnClassesThat()
                 .haveNameMatching(
                         "frostrelay\\.node\\.(Meta.*|Command|ClientServer|HostPool)(\\$.*)?")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     @Test
     void noCyclesBetweenPackages() {
-        slices().matching("frostrelay.(**)").should().beFreeOfCycles().check(ALL);
+        slices().matching("frostrelay.(**)").should().beFreeOfCycles().check(PRODUCTION_CLASSES);
     }
 
     @Test
@@ -217,6 +217,6 @@
                 .accessField(System.class, "out")
                 .orShould()
                 .accessField(System.class, "err")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 }
--- a/cli/src/test/java/frostrelay/cli/CampaignTest.java
+++ b/cli/src/test/java/frostrelay/cli/CampaignTest.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostrelay.audit.fleet.Life;
-import frostrelay.audit.fleet.Statement;
-import frostrelay.audit.store.Collected;
+import frostrelay.audit.fleet.IncarnationHistory;
+import frostrelay.audit.fleet.FleetAudit;
+import frostrelay.audit.store.CollectedRecords;
 import frostrelay.rig.campaign.Campaign;
-import frostrelay.rig.campaign.CampaignPlay;
-import frostrelay.rig.campaign.Matter;
+import frostrelay.rig.campaign.CampaignRun;
+import frostrelay.rig.campaign.CampaignSubject;
 import frostrelay.rig.campaign.Schedule;
 import frostrelay.rig.campaign.ScheduleFile;
-import frostrelay.start.Defect;
+import frostrelay.start.SeededDefect;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -28,26 +28,26 @@
  * Real processes with faults between them: what they say of themselves is what the stand-ins saw.
  */
 class CampaignTest {
-    private static final long SECOND = 1_000_000_000L;
-    private static final int AT_ONCE = 3;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final int PARALLEL_RUNS = 3;
 
     @TempDir private Path folder;
 
-    private List<CampaignPlay.Outcome> play(List<Schedule> schedules, String defect)
+    private List<CampaignRun.Outcome> playAll(List<Schedule> schedules, String defect)
             throws Exception {
         return new Campaign(
-                        Matter.AUDIT, folder, false, CampaignCommand.launch(), defect, line -> {})
-                .play(schedules, AT_ONCE);
+                        CampaignSubject.AUDIT, folder, false, CampaignCommand.launch(), defect, line -> {})
+                .run(schedules, PARALLEL_RUNS);
     }
 
     @Test
     void fiveProcessesKeepTrueAccountsThroughEightDrawnSchedules() throws Exception {
         List<Schedule> schedules =
                 LongStream.rangeClosed(1, 8)
-                        .mapToObj(seed -> Schedule.drawn(seed, 5, 10 * SECOND))
+                        .mapToObj(seed -> Schedule.generate(seed, 5, 10 * NANOS_PER_SECOND))
                         .toList();
         long commands = 0;
-        for (CampaignPlay.Outcome outcome : play(schedules, null)) {
+        for (CampaignRun.Outcome outcome : playAll(schedules, null)) {
             assertEquals(List.of(), outcome.violations(), outcome.schedule().toml());
             commands += ((Number) outcome.figures().get("commands")).longValue();
         }
@@ -60,8 +60,8 @@
      */
     @Test
     void everySeededDefectIsFound() throws Exception {
-        missed(
-                Matter.AUDIT,
+        assertEachDefectIsFound(
+                CampaignSubject.AUDIT,
                 ScheduleFile.parse(
                         "defects",
                         """
@@ -70,9 +70,9 @@
                 processes = 3
                 length = "7s"
                 """
-                                + happening("1s", "drain", "", "2", 0, "2500ms")
-                                + happening("1500ms", "config", "1 2 3", "", 1, "0ms")
-                                + happening("2s", "drain", "", "4", 0, "2500ms")));
+                                + faultEvent("1s", "drain", "", "2", 0, "2500ms")
+                                + faultEvent("1500ms", "config", "1 2 3", "", 1, "0ms")
+                                + faultEvent("2s", "drain", "", "4", 0, "2500ms")));
     }
 
     /**
@@ -80,9 +80,9 @@
      * after the other.
      */
     @Test
-    void everySeededDefectOfStragglersIsFound() throws Exception {
-        missed(
-                Matter.STRAGGLERS,
+    void everySeededDefectOfStalenessDetectionIsFound() throws Exception {
+        assertEachDefectIsFound(
+                CampaignSubject.STRAGGLERS,
                 ScheduleFile.parse(
                         "defects",
                         """
@@ -91,10 +91,10 @@
                 processes = 4
                 length = "15s"
                 """
-                                + happening("500ms", "discovery-old", "4", "", 0, "6500ms")
-                                + happening("600ms", "config", "1 2 3", "", 1, "0ms")
-                                + happening("1s", "drain", "", "2", 0, "5s")
-                                + happening("3s", "drain", "", "4", 0, "3500ms")),
+                                + faultEvent("500ms", "discovery-old", "4", "", 0, "6500ms")
+                                + faultEvent("600ms", "config", "1 2 3", "", 1, "0ms")
+                                + faultEvent("1s", "drain", "", "2", 0, "5s")
+                                + faultEvent("3s", "drain", "", "4", 0, "3500ms")),
                 "follows-harm");
     }
 
@@ -107,55 +107,55 @@
         Schedule schedule =
                 ScheduleFile.read(Path.of("../deploy/campaign/stragglers/harmful.toml"));
         List<String> checks =
-                CampaignPlay.play(
-                                Matter.STRAGGLERS,
+                CampaignRun.play(
+                                CampaignSubject.STRAGGLERS,
                                 schedule,
                                 folder,
                                 CampaignCommand.launch(),
                                 "follows-harm")
                         .violations()
                         .stream()
-                        .map(one -> one.check())
+                        .map(violation -> violation.check())
                         .distinct()
                         .toList();
         assertEquals(List.of("harmful"), checks);
     }
 
-    /** {@code elsewhere}: defects that this schedule gives no chance to show. */
-    private void missed(Matter matter, Schedule schedule, String... elsewhere) throws Exception {
+    /** {@code undetectable}: defects that this schedule gives no chance to show. */
+    private void assertEachDefectIsFound(CampaignSubject subject, Schedule schedule, String... undetectable) throws Exception {
         assertEquals(
                 List.of(),
-                CampaignPlay.play(
-                                matter,
+                CampaignRun.play(
+                                subject,
                                 schedule,
                                 folder.resolve("without"),
                                 CampaignCommand.launch(),
                                 null)
                         .violations());
-        List<String> missed = java.util.Collections.synchronizedList(new ArrayList<>());
+        List<String> missedDefects = java.util.Collections.synchronizedList(new ArrayList<>());
         java.util.concurrent.ExecutorService pool =
-                java.util.concurrent.Executors.newFixedThreadPool(AT_ONCE);
-        List<String> looked = new ArrayList<>(Defect.of(matter));
-        looked.removeAll(List.of(elsewhere));
-        for (String defect : looked) {
+                java.util.concurrent.Executors.newFixedThreadPool(PARALLEL_RUNS);
+        List<String> checkedDefects = new ArrayList<>(SeededDefect.of(subject));
+        checkedDefects.removeAll(List.of(undetectable));
+        for (String defect : checkedDefects) {
             pool.submit(
                     () -> {
-                        CampaignPlay.Outcome outcome =
-                                CampaignPlay.play(
-                                        matter,
+                        CampaignRun.Outcome outcome =
+                                CampaignRun.play(
+                                        subject,
                                         schedule,
                                         folder.resolve(defect),
                                         CampaignCommand.launch(),
                                         defect);
                         if (outcome.violations().isEmpty()) {
-                            missed.add(defect);
+                            missedDefects.add(defect);
                         }
                         return outcome;
                     });
         }
         pool.shutdown();
         assertTrue(pool.awaitTermination(3, java.util.concurrent.TimeUnit.MINUTES));
-        assertEquals(List.of(), missed, "defects that no checker found");
+        assertEquals(List.of(), missedDefects, "defects that no checker found");
     }
 
     /**
@@ -164,48 +164,48 @@
      * end, and never too many step aside.
      */
     @Test
-    void stragglersAreBroughtUpAndLeaveAloneWhatOthersKnowAsDraining() throws Exception {
+    void staleInstancesAreUpdatedAndLeaveAloneWhatPeersKnowAsDraining() throws Exception {
         List<Schedule> drawn =
                 LongStream.rangeClosed(105, 112)
-                        .mapToObj(seed -> Matter.STRAGGLERS.drawn(seed, 5, 13 * SECOND))
+                        .mapToObj(seed -> CampaignSubject.STRAGGLERS.generateSchedule(seed, 5, 13 * NANOS_PER_SECOND))
                         .toList();
         List<Schedule> compared = drawn.subList(0, 4);
         List<Schedule> all = new ArrayList<>(drawn);
-        for (String hard : List.of("holds", "unfit")) {
-            all.add(ScheduleFile.read(Path.of("../deploy/campaign/stragglers/" + hard + ".toml")));
+        for (String scheduleName : List.of("holds", "unfit")) {
+            all.add(ScheduleFile.read(Path.of("../deploy/campaign/stragglers/" + scheduleName + ".toml")));
         }
-        long without = stale(compared, compared, CampaignPlay.OFF);
-        long with = stale(all, compared, null);
-        assertTrue(without > 50, "without: " + without);
+        long sendsWithoutGossip = countStaleSends(compared, compared, CampaignRun.OFF);
+        long sendsWithGossip = countStaleSends(all, compared, null);
+        assertTrue(sendsWithoutGossip > 50, "without: " + sendsWithoutGossip);
         // Of those that two others could have proved, within the third that others' word may take
         // away: 185 without, 0 and 14 with.
         assertTrue(
-                with * 5 < without,
-                "sends behind a proved drain: " + without + " without, " + with + " with");
+                sendsWithGossip * 5 < sendsWithoutGossip,
+                "sends behind a proved drain: " + sendsWithoutGossip + " without, " + sendsWithGossip + " with");
     }
 
     /**
      * Plays all of them, none of which may be violated, and counts what some of them sent behind a
      * drain that two others knew of.
      */
-    private long stale(List<Schedule> all, List<Schedule> counted, String defect) throws Exception {
-        long stale = 0;
-        for (CampaignPlay.Outcome outcome :
+    private long countStaleSends(List<Schedule> all, List<Schedule> counted, String defect) throws Exception {
+        long staleSendCount = 0;
+        for (CampaignRun.Outcome outcome :
                 new Campaign(
-                                Matter.STRAGGLERS,
+                                CampaignSubject.STRAGGLERS,
                                 folder.resolve("with-" + defect),
                                 false,
                                 CampaignCommand.launch(),
                                 defect,
                                 line -> {})
-                        .play(all, AT_ONCE)) {
+                        .run(all, PARALLEL_RUNS)) {
             assertEquals(List.of(), outcome.violations(), outcome.schedule().toml());
-            stale +=
+            staleSendCount +=
                     counted.contains(outcome.schedule())
                             ? ((Number) outcome.figures().get("staleProvedSends")).longValue()
                             : 0;
         }
-        return stale;
+        return staleSendCount;
     }
 
     /**
@@ -213,45 +213,45 @@
      * soon lowered, the healthy hardly ever.
      */
     @Test
-    void whatSeveralFindBadIsSoonLoweredByAllAndNothingElseIs() throws Exception {
+    void whatSeveralFindUnhealthyIsSoonEjectedByAllAndNothingElseIs() throws Exception {
         List<Schedule> drawn =
                 new ArrayList<>(
                         LongStream.rangeClosed(1, 7)
-                                .mapToObj(seed -> Matter.JUDGEMENTS.drawn(seed, 5, 18 * SECOND))
+                                .mapToObj(seed -> CampaignSubject.JUDGEMENTS.generateSchedule(seed, 5, 18 * NANOS_PER_SECOND))
                                 .toList());
-        for (String hard : List.of("old-news", "started-anew")) {
+        for (String scheduleName : List.of("old-news", "started-anew")) {
             drawn.add(
-                    ScheduleFile.read(Path.of("../deploy/campaign/judgements/" + hard + ".toml")));
+                    ScheduleFile.read(Path.of("../deploy/campaign/judgements/" + scheduleName + ".toml")));
         }
         int deaths = 0;
-        int lowered = 0;
-        int counts = 0;
-        int partly = 0;
-        for (CampaignPlay.Outcome outcome :
+        int ejections = 0;
+        int checkedCounts = 0;
+        int partialCounts = 0;
+        for (CampaignRun.Outcome outcome :
                 new Campaign(
-                                Matter.JUDGEMENTS,
+                                CampaignSubject.JUDGEMENTS,
                                 folder,
                                 false,
                                 CampaignCommand.launch(),
                                 null,
                                 line -> {})
-                        .play(drawn, AT_ONCE)) {
+                        .run(drawn, PARALLEL_RUNS)) {
             assertEquals(List.of(), outcome.violations(), outcome.schedule().toml());
             deaths += ((Number) outcome.figures().get("deaths")).intValue();
-            lowered += ((List<?>) outcome.figures().get("loweredAfterMs")).size();
-            counts += ((Number) outcome.figures().get("countsChecked")).intValue();
-            partly += ((Number) outcome.figures().get("countsThatCoverPart")).intValue();
+            ejections += ((List<?>) outcome.figures().get("loweredAfterMs")).size();
+            checkedCounts += ((Number) outcome.figures().get("countsChecked")).intValue();
+            partialCounts += ((Number) outcome.figures().get("countsThatCoverPart")).intValue();
         }
-        assertTrue(deaths >= 16 && lowered > 20, deaths + " deaths, lowered at " + lowered);
+        assertTrue(deaths >= 16 && ejections > 20, deaths + " deaths, lowered at " + ejections);
         assertTrue(
-                counts > 500 && partly > 5,
-                counts + " sums held against records, " + partly + " of a part of the tier");
+                checkedCounts > 500 && partialCounts > 5,
+                checkedCounts + " sums held against records, " + partialCounts + " of a part of the tier");
     }
 
     @Test
-    void everySeededDefectOfJudgementsIsFound() throws Exception {
-        missed(
-                Matter.JUDGEMENTS,
+    void everySeededDefectOfHealthReportsIsFound() throws Exception {
+        assertEachDefectIsFound(
+                CampaignSubject.JUDGEMENTS,
                 ScheduleFile.parse(
                         "defects",
                         """
@@ -260,22 +260,22 @@
                 processes = 5
                 length = "25s"
                 """
-                                + happening("1s", "cache-cut", "1 2 3 4 5", "2", 0, "9s")));
+                                + faultEvent("1s", "cache-cut", "1 2 3 4 5", "2", 0, "9s")));
     }
 
-    private static String happening(
-            String at, String kind, String who, String whom, int amount, String length) {
+    private static String faultEvent(
+            String at, String kind, String balancers, String targets, int amount, String duration) {
         return "[[happening]]\nat = \""
                 + at
                 + "\"\nkind = \""
                 + kind
                 + "\"\n"
-                + (who.isEmpty() ? "" : "who = \"" + who + "\"\n")
-                + (whom.isEmpty() ? "" : "whom = \"" + whom + "\"\n")
+                + (balancers.isEmpty() ? "" : "who = \"" + balancers + "\"\n")
+                + (targets.isEmpty() ? "" : "whom = \"" + targets + "\"\n")
                 + "amount = "
                 + amount
                 + ".0\nfor = \""
-                + length
+                + duration
                 + "\"\n";
     }
 
@@ -285,33 +285,33 @@
      * partitioned off; the tools say all of that.
      */
     @Test
-    void theToolsSayWhoWasBehindAndWhatTheyCannotKnow() throws Exception {
+    void theToolsReportWhoWasBehindAndWhatTheyCannotKnow() throws Exception {
         Schedule schedule = ScheduleFile.read(Path.of("../deploy/campaign/straggler.toml"));
-        CampaignPlay.Outcome outcome =
-                CampaignPlay.play(Matter.AUDIT, schedule, folder, CampaignCommand.launch(), null);
+        CampaignRun.Outcome outcome =
+                CampaignRun.play(CampaignSubject.AUDIT, schedule, folder, CampaignCommand.launch(), null);
         assertEquals(List.of(), outcome.violations());
         List<String> complaints = new ArrayList<>();
-        List<Life> lives = Collected.lives(folder, complaints);
+        List<IncarnationHistory> histories = CollectedRecords.histories(folder, complaints);
         assertEquals(List.of(), complaints);
-        assertEquals(6, lives.size(), "five balancers, one of them twice");
-        Statement statement = new Statement(lives);
-        assertEquals(List.of(), statement.verify());
-        assertEquals(1, statement.conflicts().size());
-        assertEquals(7L, statement.conflicts().get(0).get("number"));
+        assertEquals(6, histories.size(), "five balancers, one of them twice");
+        FleetAudit auditReport = new FleetAudit(histories);
+        assertEquals(List.of(), auditReport.verify());
+        assertEquals(1, auditReport.conflicts().size());
+        assertEquals(7L, auditReport.conflicts().get(0).get("number"));
         assertEquals(
                 5,
-                statement.told().stream()
-                        .filter(life -> life.get("end").equals("in order"))
+                auditReport.describeRecords().stream()
+                        .filter(row -> row.get("end").equals("in order"))
                         .count(),
                 "the killed life says that its end is not known");
-        Map<?, ?> frozen = behind(statement, "balancer-2");
-        long least = ((Number) ((List<?>) frozen.get("behindMs")).get(0)).longValue();
+        Map<?, ?> frozen = rowOfBalancerBehind(auditReport, "balancer-2");
+        long minBehindMillis = ((Number) ((List<?>) frozen.get("behindMs")).get(0)).longValue();
         assertTrue(
-                least > 2_500 && least < 6_000,
+                minBehindMillis > 2_500 && minBehindMillis < 6_000,
                 "frozen until 5.5 s, while the others took it at 2 s: " + frozen);
         assertTrue(
-                statement.told().stream()
-                        .allMatch(life -> life.get("placed").equals("by what peers heard")),
+                auditReport.describeRecords().stream()
+                        .allMatch(row -> row.get("placed").equals("by what peers heard")),
                 "a wall clock that was set back puts nobody in a wrong place");
         assertTrue(
                 Files.readString(folder.resolve("history.jsonl"))
@@ -324,35 +324,35 @@
      * they lack.
      */
     @Test
-    void whatASmallDiskRefusedIsNamed() throws Exception {
-        CampaignPlay.Outcome outcome =
-                CampaignPlay.play(
-                        Matter.AUDIT,
+    void whatASmallDiskRejectedIsReported() throws Exception {
+        CampaignRun.Outcome outcome =
+                CampaignRun.play(
+                        CampaignSubject.AUDIT,
                         ScheduleFile.read(Path.of("../deploy/campaign/small-disk.toml")),
                         folder,
                         CampaignCommand.launch(),
                         null);
         assertEquals(List.of(), outcome.violations());
-        long asked = ((Number) outcome.figures().get("asked")).longValue();
+        long requestCount = ((Number) outcome.figures().get("asked")).longValue();
         assertTrue(
-                ((Number) outcome.figures().get("servedInTime")).longValue() * 10 > asked * 8,
+                ((Number) outcome.figures().get("servedInTime")).longValue() * 10 > requestCount * 8,
                 outcome.figures().toString());
-        List<Life> lives = Collected.lives(folder, new ArrayList<>());
-        assertEquals(List.of(), new Statement(lives).verify());
-        for (Life life : lives) {
+        List<IncarnationHistory> histories = CollectedRecords.histories(folder, new ArrayList<>());
+        assertEquals(List.of(), new FleetAudit(histories).verify());
+        for (IncarnationHistory history : histories) {
             // A life that was killed early may have stayed below its room.
             assertTrue(
-                    life.name().equals("balancer-2")
-                            || life.name().equals("balancer-3") == life.gaps().isEmpty(),
-                    life.label());
+                    history.name().equals("balancer-2")
+                            || history.name().equals("balancer-3") == history.gaps().isEmpty(),
+                    history.label());
         }
     }
 
-    private static Map<?, ?> behind(Statement statement, String balancer) {
-        for (Map<String, Object> version : statement.drift(frostrelay.audit.fleet.Kind.CONFIG)) {
+    private static Map<?, ?> rowOfBalancerBehind(FleetAudit auditReport, String balancer) {
+        for (Map<String, Object> version : auditReport.drift(frostrelay.audit.fleet.AuditedVersionKind.CONFIG)) {
             if (String.valueOf(version.get("version")).startsWith("7:")) {
-                for (Object one : (List<?>) version.get("balancers")) {
-                    Map<?, ?> row = (Map<?, ?>) one;
+                for (Object entry : (List<?>) version.get("balancers")) {
+                    Map<?, ?> row = (Map<?, ?>) entry;
                     if (row.get("balancer").equals(balancer) && row.get("from") != null) {
                         return row;
                     }
@@ -360,12 +360,12 @@
             }
         }
         throw new AssertionError(
-                "nobody of that name: " + statement.drift(frostrelay.audit.fleet.Kind.CONFIG));
+                "nobody of that name: " + auditReport.drift(frostrelay.audit.fleet.AuditedVersionKind.CONFIG));
     }
 
     @Test
     void usageIsCheckedAndTheListIsComplete() {
-        for (List<String> words :
+        for (List<String> arguments :
                 List.of(
                         List.of("campaign", "--processes", "13"),
                         List.of("campaign", "--seeds", "5..2"),
@@ -377,13 +377,13 @@
                         List.of("stragglers"),
                         List.of("judgements"),
                         List.of("counts"))) {
-            picocli.CommandLine line = Main.commandLine();
-            line.setErr(new java.io.PrintWriter(new java.io.StringWriter()));
-            assertEquals(2, line.execute(words.toArray(String[]::new)), words.toString());
+            picocli.CommandLine commandLine = Main.commandLine();
+            commandLine.setErr(new java.io.PrintWriter(new java.io.StringWriter()));
+            assertEquals(2, commandLine.execute(arguments.toArray(String[]::new)), arguments.toString());
         }
         assertFalse(
-                Defect.of(Matter.AUDIT).size() < 5
-                        || Defect.of(Matter.STRAGGLERS).size() < 5
-                        || Defect.of(Matter.JUDGEMENTS).size() < 5);
+                SeededDefect.of(CampaignSubject.AUDIT).size() < 5
+                        || SeededDefect.of(CampaignSubject.STRAGGLERS).size() < 5
+                        || SeededDefect.of(CampaignSubject.JUDGEMENTS).size() < 5);
     }
 }
--- a/cli/src/test/java/frostrelay/cli/CommandLineTest.java
+++ b/cli/src/test/java/frostrelay/cli/CommandLineTest.java
@@ -7,9 +7,9 @@
 import com.fasterxml.jackson.jr.ob.JSON;
 
 import frostrelay.lab.ExperimentFile;
-import frostrelay.lab.PlantFile;
+import frostrelay.lab.SystemModelFile;
 import frostrelay.rig.campaign.ScheduleFile;
-import frostrelay.rig.day.DayFile;
+import frostrelay.rig.day.ScenarioFile;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -31,25 +31,25 @@
  */
 class CommandLineTest {
     private static final Path DOCS = Path.of("../docs");
-    private static final String BEGIN = "<!-- made from the forms -->\n";
+    private static final String GENERATED_MARKER = "<!-- made from the forms -->\n";
 
     @TempDir private Path folder;
 
-    private record Ran(int status, String out, String err) {}
+    private record CommandResult(int exitCode, String out, String err) {}
 
-    private static Ran run(String... words) {
-        PrintStream before = System.out;
+    private static CommandResult run(String... arguments) {
+        PrintStream previousOut = System.out;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         StringWriter err = new StringWriter();
         System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
         try {
-            CommandLine line = Main.commandLine();
-            line.setErr(new PrintWriter(err, true));
-            line.setOut(new PrintWriter(System.out, true));
-            return new Ran(
-                    line.execute(words), out.toString(StandardCharsets.UTF_8), err.toString());
+            CommandLine commandLine = Main.commandLine();
+            commandLine.setErr(new PrintWriter(err, true));
+            commandLine.setOut(new PrintWriter(System.out, true));
+            return new CommandResult(
+                    commandLine.execute(arguments), out.toString(StandardCharsets.UTF_8), err.toString());
         } finally {
-            System.setOut(before);
+            System.setOut(previousOut);
         }
     }
 
@@ -68,59 +68,59 @@
 
     @Test
     void wrongUsageIsTwoAndHelpIsZero() {
-        assertEquals(2, run().status);
-        assertEquals(2, run("deom").status);
+        assertEquals(2, run().exitCode);
+        assertEquals(2, run("deom").exitCode);
         assertTrue(run("deom").err.contains("demo"), "the nearest command is named");
-        assertEquals(2, run("demo", "--seconds", "0").status);
-        assertEquals(2, run("demo", "--seconds", "soon").status);
-        assertEquals(2, run("fault", "explode").status);
-        assertEquals(2, run("load", "192.0.2.1:80").status, "nothing but loopback is loaded");
-        assertEquals(2, run("load", "127.0.0.1:99999").status);
-        assertEquals(2, run("check").status);
+        assertEquals(2, run("demo", "--seconds", "0").exitCode);
+        assertEquals(2, run("demo", "--seconds", "soon").exitCode);
+        assertEquals(2, run("fault", "explode").exitCode);
+        assertEquals(2, run("load", "192.0.2.1:80").exitCode, "nothing but loopback is loaded");
+        assertEquals(2, run("load", "127.0.0.1:99999").exitCode);
+        assertEquals(2, run("check").exitCode);
         for (String command :
                 List.of("demo", "serve", "check", "fleet", "load", "fault", "bench", "lab")) {
-            Ran help = run(command, "--help");
-            assertEquals(0, help.status);
+            CommandResult help = run(command, "--help");
+            assertEquals(0, help.exitCode);
             assertTrue(help.out.contains("Usage: frostrelay " + command), help.out);
         }
-        assertEquals(0, run("generate-completion").status);
+        assertEquals(0, run("generate-completion").exitCode);
     }
 
     @Test
-    void aFaultWithoutAFleetFails() {
-        Ran ran = run("fault", "kill", "cache-1", "--at", "127.0.0.1:1");
-        assertEquals(1, ran.status);
-        assertEquals(1, ran.err.lines().count(), ran.err);
+    void aFaultWithoutATestClusterFails() {
+        CommandResult result = run("fault", "kill", "cache-1", "--at", "127.0.0.1:1");
+        assertEquals(1, result.exitCode);
+        assertEquals(1, result.err.lines().count(), result.err);
     }
 
     @Test
-    void checkTellsEverythingAndChangesItsExit() throws Exception {
-        Path good = Files.writeString(folder.resolve("own.toml"), "[log]\nlevel = \"warn\"\n");
-        Path bad =
+    void checkReportsEverythingAndSetsItsExitCode() throws Exception {
+        Path validFile = Files.writeString(folder.resolve("own.toml"), "[log]\nlevel = \"warn\"\n");
+        Path invalidFile =
                 Files.writeString(folder.resolve("bad.toml"), "[log]\nlevel = \"loud\"\n[relod]\n");
-        Path day = Files.writeString(folder.resolve("day.toml"), DayFile.demoText());
+        Path scenario = Files.writeString(folder.resolve("day.toml"), ScenarioFile.demoText());
         Path platform = Files.writeString(folder.resolve("config.json"), "{\"listen\":");
-        assertEquals(0, run("check", good.toString(), day.toString()).status);
-        Ran both = run("check", good.toString(), bad.toString(), platform.toString());
-        assertEquals(1, both.status);
+        assertEquals(0, run("check", validFile.toString(), scenario.toString()).exitCode);
+        CommandResult resultOfAll = run("check", validFile.toString(), invalidFile.toString(), platform.toString());
+        assertEquals(1, resultOfAll.exitCode);
         assertTrue(
-                both.out.contains(
+                resultOfAll.out.contains(
                         "bad.toml:2: log.level: found \"loud\", allowed: one of debug, info, warn, error"));
         assertTrue(
-                both.out.contains(
+                resultOfAll.out.contains(
                         "bad.toml:3: relod: found an unknown key, allowed: did you mean 'reload'?"));
-        assertTrue(both.out.contains("config.json"));
-        Ran json = run("check", "--json", "--effective", good.toString());
-        Map<String, Object> told = JSON.std.mapFrom(json.out.strip());
-        assertEquals(true, told.get("good"));
+        assertTrue(resultOfAll.out.contains("config.json"));
+        CommandResult json = run("check", "--json", "--effective", validFile.toString());
+        Map<String, Object> report = JSON.std.mapFrom(json.out.strip());
+        assertEquals(true, report.get("good"));
         assertTrue(json.out.contains("level = \\\"warn\\\""));
     }
 
     /** Days that are well formed and cannot be meant. */
     @Test
-    void aDayThatCannotBePlayedIsRefusedWithItsLine() throws Exception {
-        String demo = DayFile.demoText();
-        Map<String, String> slips =
+    void aScenarioThatCannotBeRunIsRejectedWithItsLine() throws Exception {
+        String demo = ScenarioFile.demoText();
+        Map<String, String> invalidEdits =
                 Map.of(
                         "share = 0.95",
                         "share = 0.5",
@@ -138,45 +138,45 @@
                         "work-most = \"1ms\"",
                         "target = \"any-3\"",
                         "target = \"any-11\"");
-        for (Map.Entry<String, String> slip : slips.entrySet()) {
-            String text = demo.replace(slip.getKey(), slip.getValue());
-            assertFalse(text.equals(demo), slip.getKey());
+        for (Map.Entry<String, String> edit : invalidEdits.entrySet()) {
+            String text = demo.replace(edit.getKey(), edit.getValue());
+            assertFalse(text.equals(demo), edit.getKey());
             Path file = Files.writeString(folder.resolve("day.toml"), text);
-            Ran ran = run("check", file.toString());
-            assertEquals(1, ran.status, slip.toString());
+            CommandResult result = run("check", file.toString());
+            assertEquals(1, result.exitCode, edit.toString());
             assertTrue(
-                    ran.out.matches("(?s).*day\\.toml(:\\d+)?: (class|tenant|fault)\\..*"),
-                    ran.out);
+                    result.out.matches("(?s).*day\\.toml(:\\d+)?: (class|tenant|fault)\\..*"),
+                    result.out);
         }
     }
 
     @Test
     void theShippedSettingsAreTheStandardOnes() {
         Path shipped = Path.of("../deploy/frostrelay.toml");
-        assertEquals(frostrelay.node.Options.STANDARD, OwnSettings.read(shipped));
+        assertEquals(frostrelay.node.Options.DEFAULTS, LocalSettings.read(shipped));
     }
 
     /** {@code -Dfrostrelay.write-pages=true} writes the page's part anew. */
     @Test
     void thePageDescribesEveryKey() throws Exception {
-        String forms =
+        String schemas =
                 "## A balancer's own settings\n\n"
-                        + OwnSettings.form().describe()
+                        + LocalSettings.schema().describe()
                         + "## A day for the fleet\n\n"
-                        + DayFile.form().describe()
+                        + ScenarioFile.schema().describe()
                         + "## A plant for the lab\n\n"
-                        + PlantFile.form().describe()
+                        + SystemModelFile.schema().describe()
                         + "## An experiment\n\n"
-                        + ExperimentFile.form().describe()
+                        + ExperimentFile.schema().describe()
                         + "## A schedule of a campaign\n\n"
                         + ScheduleFile.form().describe();
         Path page = DOCS.resolve("configuration.md");
         String text = Files.readString(page);
-        int from = text.indexOf(BEGIN) + BEGIN.length();
+        int from = text.indexOf(GENERATED_MARKER) + GENERATED_MARKER.length();
         if (Boolean.getBoolean("frostrelay.write-pages")) {
-            Files.writeString(page, text.substring(0, from) + "\n" + forms.strip() + "\n");
+            Files.writeString(page, text.substring(0, from) + "\n" + schemas.strip() + "\n");
             text = Files.readString(page);
         }
-        assertEquals("\n" + forms.strip() + "\n", text.substring(from));
+        assertEquals("\n" + schemas.strip() + "\n", text.substring(from));
     }
 }
--- a/config/src/main/java/frostrelay/config/Kind.java
+++ b/config/src/main/java/frostrelay/config/Kind.java
@@ -56,11 +56,11 @@
             Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*/\\s*(s|min|h)");
     private static final Map<String, Integer> SPANS = Map.of("s", 1, "min", 60, "h", 3_600);
 
-    final String form;
+    final String description;
     private final Map<String, Long> units;
 
-    Kind(String form, Map<String, Long> units) {
-        this.form = form;
+    Kind(String description, Map<String, Long> units) {
+        this.description = description;
         this.units = units;
     }
 
@@ -73,10 +73,10 @@
     }
 
     /** The value in its own unit; null if it is no such value. */
-    Object read(Object raw) {
+    Object parse(Object raw) {
         return switch (this) {
-            case DURATION, BYTES -> raw instanceof String text ? quantity(text.trim()) : null;
-            case RATE -> raw instanceof String text ? rate(text.trim()) : null;
+            case DURATION, BYTES -> raw instanceof String text ? parseQuantity(text.trim()) : null;
+            case RATE -> raw instanceof String text ? parseRate(text.trim()) : null;
             case WHOLE -> raw instanceof Long ? raw : null;
             case NUMBER ->
                     raw instanceof Long whole
@@ -89,7 +89,7 @@
         };
     }
 
-    private Long quantity(String text) {
+    private Long parseQuantity(String text) {
         Matcher parts = QUANTITY.matcher(text);
         Long unit = parts.matches() ? units.get(parts.group(2)) : null;
         if (unit == null) {
@@ -102,7 +102,7 @@
                 : Long.valueOf(value.longValue());
     }
 
-    private static Double rate(String text) {
+    private static Double parseRate(String text) {
         Matcher parts = PER_SPAN.matcher(text);
         return parts.matches()
                 ? Double.parseDouble(parts.group(1)) / SPANS.get(parts.group(2))
@@ -110,39 +110,39 @@
     }
 
     /** The value as a file would write it. */
-    String write(Object value) {
+    String format(Object value) {
         return switch (this) {
-            case DURATION, BYTES -> '"' + largest((Long) value) + '"';
-            case RATE -> '"' + plain((Double) value) + "/s\"";
-            case NUMBER -> plain((Double) value);
+            case DURATION, BYTES -> '"' + formatInLargestUnit((Long) value) + '"';
+            case RATE -> '"' + formatNumber((Double) value) + "/s\"";
+            case NUMBER -> formatNumber((Double) value);
             case TEXT, CHOICE ->
                     '"' + value.toString().replace("\\", "\\\\").replace("\"", "\\\"") + '"';
             default -> value.toString();
         };
     }
 
-    private String largest(long value) {
-        String written = null;
-        long best = 0;
+    private String formatInLargestUnit(long value) {
+        String formatted = null;
+        long bestUnit = 0;
         for (Map.Entry<String, Long> unit : units.entrySet()) {
             if (value % unit.getValue() == 0
-                    && unit.getValue() > best
+                    && unit.getValue() > bestUnit
                     && (value > 0 || unit.getValue() == 1_000_000L)) {
-                best = unit.getValue();
-                written = value / best + unit.getKey();
+                bestUnit = unit.getValue();
+                formatted = value / bestUnit + unit.getKey();
             }
         }
-        return written != null ? written : value + units.keySet().iterator().next();
+        return formatted != null ? formatted : value + units.keySet().iterator().next();
     }
 
-    private static String plain(double value) {
+    private static String formatNumber(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15
                 ? String.format(Locale.ROOT, "%.0f", value)
                 : Double.toString(value);
     }
 
     /** Which kinds have an order, so that bounds can hold for them. */
-    boolean ordered() {
+    boolean isOrdered() {
         return !List.of(TEXT, CHOICE, BOOL).contains(this);
     }
 }
--- a/config/src/main/java/frostrelay/config/Values.java
+++ b/config/src/main/java/frostrelay/config/TableValues.java
@@ -15,16 +15,16 @@
  * Immutable. A name or a kind that the form does not have is a fault of the program and told by an
  * exception.
  */
-public final class Values {
-    private static final Pattern STEP = Pattern.compile("([^\\[]+)(?:\\[(\\d{1,6})])?");
+public final class TableValues {
+    private static final Pattern PATH_STEP = Pattern.compile("([^\\[]+)(?:\\[(\\d{1,6})])?");
 
-    private final Table form;
+    private final TableSchema schema;
     private final Map<String, Object> values;
-    private final Map<String, List<Values>> tables;
+    private final Map<String, List<TableValues>> tables;
     private final int line;
 
-    Values(Table form, Map<String, Object> values, Map<String, List<Values>> tables, int line) {
-        this.form = form;
+    TableValues(TableSchema schema, Map<String, Object> values, Map<String, List<TableValues>> tables, int line) {
+        this.schema = schema;
         this.values = Map.copyOf(values);
         this.tables = Map.copyOf(tables);
         this.line = line;
@@ -60,12 +60,12 @@
     }
 
     /** The one table of this name. */
-    public Values table(String name) {
+    public TableValues table(String name) {
         return list(name).get(0);
     }
 
     /** All tables of this name, in the order of the file. */
-    public List<Values> list(String name) {
+    public List<TableValues> list(String name) {
         return Objects.requireNonNull(tables.get(name), name);
     }
 
@@ -74,82 +74,82 @@
      * {@code class[0].aim}; {@code literal}: as a file has it, quotes left out or not. Throws
      * {@link BadConfigException}; {@code file} and {@code line} are where it was asked for.
      */
-    public Values with(String path, String literal, String file, int line) {
+    public TableValues with(String path, String literal, String file, int line) {
         int dot = path.indexOf('.');
         if (dot >= 0) {
-            Matcher step = STEP.matcher(path.substring(0, dot));
-            List<Values> all = step.matches() ? tables.get(step.group(1)) : null;
-            int place = all == null || step.group(2) == null ? 0 : Integer.parseInt(step.group(2));
-            if (all == null || place >= all.size()) {
-                throw refused(
+            Matcher step = PATH_STEP.matcher(path.substring(0, dot));
+            List<TableValues> siblings = step.matches() ? tables.get(step.group(1)) : null;
+            int index = siblings == null || step.group(2) == null ? 0 : Integer.parseInt(step.group(2));
+            if (siblings == null || index >= siblings.size()) {
+                throw invalid(
                         file,
                         line,
                         path,
                         "a table that is not there",
                         String.join(", ", tables.keySet()));
             }
-            List<Values> fresh = new ArrayList<>(all);
-            fresh.set(place, all.get(place).with(path.substring(dot + 1), literal, file, line));
-            Map<String, List<Values>> others = new HashMap<>(tables);
-            others.put(step.group(1), List.copyOf(fresh));
-            return new Values(form, values, others, this.line);
+            List<TableValues> updated = new ArrayList<>(siblings);
+            updated.set(index, siblings.get(index).with(path.substring(dot + 1), literal, file, line));
+            Map<String, List<TableValues>> updatedTables = new HashMap<>(tables);
+            updatedTables.put(step.group(1), List.copyOf(updated));
+            return new TableValues(schema, values, updatedTables, this.line);
         }
-        Key key = form.keys.get(path);
+        Key key = schema.keys.get(path);
         if (key == null) {
-            throw refused(file, line, path, "an unknown key", String.join(", ", form.names()));
+            throw invalid(file, line, path, "an unknown key", String.join(", ", schema.allowedNames()));
         }
-        String plain = literal.strip().replaceAll("^\"|\"$", "");
-        Object number = Toml.parse("x = " + plain).get("x");
-        Object value = key.kind().read(plain);
-        value = value == null && number != null ? key.kind().read(number) : value;
-        if (value == null || !key.admits(value)) {
-            throw refused(file, line, path, literal, key.allowed());
+        String unquoted = literal.strip().replaceAll("^\"|\"$", "");
+        Object number = Toml.parse("x = " + unquoted).get("x");
+        Object value = key.kind().parse(unquoted);
+        value = value == null && number != null ? key.kind().parse(number) : value;
+        if (value == null || !key.isAllowed(value)) {
+            throw invalid(file, line, path, literal, key.allowed());
         }
-        Map<String, Object> fresh = new HashMap<>(values);
-        fresh.put(path, value);
-        return new Values(form, fresh, tables, this.line);
+        Map<String, Object> updated = new HashMap<>(values);
+        updated.put(path, value);
+        return new TableValues(schema, updated, tables, this.line);
     }
 
-    private static BadConfigException refused(
+    private static BadConfigException invalid(
             String file, int line, String path, String found, String allowed) {
         return new BadConfigException(List.of(new Problem(file, line, path, found, allowed)));
     }
 
     /** The same values with none of a list's tables. */
-    public Values without(String list) {
-        Map<String, List<Values>> others = new HashMap<>(tables);
-        others.put(list, List.of());
-        return new Values(form, values, others, line);
+    public TableValues without(String list) {
+        Map<String, List<TableValues>> remainingTables = new HashMap<>(tables);
+        remainingTables.put(list, List.of());
+        return new TableValues(schema, values, remainingTables, line);
     }
 
     /** Everything in force, as a file would say it. */
-    public String write() {
+    public String toToml() {
         StringBuilder text = new StringBuilder();
-        write("", false, text);
+        toToml("", false, text);
         return text.toString();
     }
 
-    private void write(String path, boolean list, StringBuilder text) {
+    private void toToml(String path, boolean isList, StringBuilder text) {
         if (!path.isEmpty()) {
             text.append(text.length() > 0 ? "\n" : "")
-                    .append(list ? "[[" : "[")
+                    .append(isList ? "[[" : "[")
                     .append(path)
-                    .append(list ? "]]\n" : "]\n");
+                    .append(isList ? "]]\n" : "]\n");
         }
-        form.keys.forEach(
+        schema.keys.forEach(
                 (name, key) ->
                         text.append(name)
                                 .append(" = ")
-                                .append(key.kind().write(values.get(name)))
+                                .append(key.kind().format(values.get(name)))
                                 .append('\n'));
-        form.tables.forEach(
+        schema.tables.forEach(
                 (name, inner) ->
                         list(name)
                                 .forEach(
-                                        one ->
-                                                one.write(
+                                        nested ->
+                                                nested.toToml(
                                                         path.isEmpty() ? name : path + "." + name,
-                                                        inner.list(),
+                                                        inner.isList(),
                                                         text)));
     }
 }
--- a/config/src/main/java/frostrelay/config/TomlFile.java
+++ b/config/src/main/java/frostrelay/config/TomlFile.java
@@ -23,12 +23,12 @@
  */
 public final class TomlFile {
     /** A larger file is nobody's configuration. */
-    private static final long MOST_BYTES = 4L << 20;
+    private static final long MAX_FILE_BYTES = 4L << 20;
 
     /** Names that differ by more letters are not taken for a slip. */
-    private static final int MOST_SLIPS = 3;
+    private static final int MAX_EDIT_DISTANCE = 3;
 
-    private static final int MOST_SHOWN = 60;
+    private static final int MAX_SHOWN_LENGTH = 60;
 
     private final String file;
     private final List<Problem> problems = new ArrayList<>();
@@ -40,11 +40,11 @@
     /**
      * The values in force; throws {@link BadConfigException} with all problems if there are any.
      */
-    public static Values read(Path path, Table form) {
+    public static TableValues read(Path path, TableSchema schema) {
         String name = path.toString();
         String text;
         try {
-            if (Files.size(path) > MOST_BYTES) {
+            if (Files.size(path) > MAX_FILE_BYTES) {
                 throw new BadConfigException(
                         List.of(
                                 new Problem(
@@ -52,7 +52,7 @@
                                         0,
                                         "",
                                         Files.size(path) + " bytes",
-                                        "at most " + MOST_BYTES)));
+                                        "at most " + MAX_FILE_BYTES)));
             }
             text = Files.readString(path);
         } catch (CharacterCodingException e) {
@@ -70,16 +70,16 @@
                                             + ")",
                                     "a file")));
         }
-        return parse(name, text, form);
+        return parse(name, text, schema);
     }
 
     /** Likewise from a text; {@code file} is how problems name it. */
-    public static Values parse(String file, String text, Table form) {
+    public static TableValues parse(String file, String text, TableSchema schema) {
         TomlFile reader = new TomlFile(file);
         TomlParseResult toml = reader.parse(text);
         // What stands behind a slip in the text may belong elsewhere: keys are looked at only in a
         // sound text.
-        Values values = toml == null ? null : reader.table("", toml, form, 1);
+        TableValues values = toml == null ? null : reader.readTable("", toml, schema, 1);
         if (!reader.problems.isEmpty()) {
             throw new BadConfigException(reader.problems);
         }
@@ -90,11 +90,11 @@
     private TomlParseResult parse(String text) {
         try {
             TomlParseResult toml = Toml.parse(text);
-            toml.errors().forEach(this::noToml);
+            toml.errors().forEach(this::addSyntaxError);
             return toml.hasErrors() ? null : toml;
         } catch (TomlParseError e) {
             // Some slips, as a bad escape in a key, are thrown instead of listed.
-            noToml(e);
+            addSyntaxError(e);
             return null;
         } catch (RuntimeException | AssertionError e) {
             // A quote that ends within an escape makes the parser itself fail; it does not say
@@ -110,7 +110,7 @@
         }
     }
 
-    private void noToml(TomlParseError error) {
+    private void addSyntaxError(TomlParseError error) {
         problems.add(
                 new Problem(
                         file,
@@ -124,79 +124,79 @@
         return path.isEmpty() ? name : path + "." + name;
     }
 
-    private static int line(TomlTable toml, String name, int otherwise) {
+    private static int lineOf(TomlTable toml, String name, int defaultLine) {
         TomlPosition at = toml.inputPositionOf(List.of(name));
-        return at == null ? otherwise : at.line();
+        return at == null ? defaultLine : at.line();
     }
 
-    private Values table(String path, TomlTable toml, Table form, int line) {
+    private TableValues readTable(String path, TomlTable toml, TableSchema schema, int line) {
         for (String name : toml.keySet()) {
-            if (!form.keys.containsKey(name) && !form.tables.containsKey(name)) {
-                unknown(path, name, line(toml, name, line), form);
+            if (!schema.keys.containsKey(name) && !schema.tables.containsKey(name)) {
+                addUnknownKey(path, name, lineOf(toml, name, line), schema);
             }
         }
         Map<String, Object> values = new HashMap<>();
-        for (Key key : form.keys.values()) {
+        for (Key key : schema.keys.values()) {
             Object raw = toml.get(List.of(key.name()));
             if (raw != null) {
-                value(path, key, raw, line(toml, key.name(), line), values);
-            } else if (key.standard() != null) {
-                values.put(key.name(), key.standard());
+                readValue(path, key, raw, lineOf(toml, key.name(), line), values);
+            } else if (key.defaultValue() != null) {
+                values.put(key.name(), key.defaultValue());
             } else {
-                problem(line, join(path, key.name()), "nothing", key.allowed());
+                addProblem(line, join(path, key.name()), "nothing", key.allowed());
             }
         }
-        Map<String, List<Values>> tables = new HashMap<>();
-        form.tables.forEach(
+        Map<String, List<TableValues>> tables = new HashMap<>();
+        schema.tables.forEach(
                 (name, inner) ->
                         tables.put(
                                 name,
-                                inner.list()
-                                        ? list(
+                                inner.isList()
+                                        ? readList(
                                                 join(path, name),
                                                 toml.get(List.of(name)),
                                                 inner,
-                                                line(toml, name, line))
+                                                lineOf(toml, name, line))
                                         : List.of(
-                                                inner(
+                                                readNestedTable(
                                                         join(path, name),
                                                         toml.get(List.of(name)),
                                                         inner.table(),
-                                                        line(toml, name, line)))));
-        return problems.isEmpty() ? new Values(form, values, tables, line) : null;
+                                                        lineOf(toml, name, line)))));
+        return problems.isEmpty() ? new TableValues(schema, values, tables, line) : null;
     }
 
-    private Values inner(String path, Object raw, Table form, int line) {
+    private TableValues readNestedTable(String path, Object raw, TableSchema schema, int line) {
         if (raw != null && !(raw instanceof TomlTable)) {
-            problem(line, path, show(raw), "a table");
-            return none(form);
+            addProblem(line, path, abbreviate(raw), "a table");
+            return emptyValues(schema);
         }
-        Values values = table(path, raw == null ? Toml.parse("") : (TomlTable) raw, form, line);
-        return values == null ? none(form) : values;
+        TableValues values = readTable(path, raw == null ? Toml.parse("") : (TomlTable) raw, schema, line);
+        return values == null ? emptyValues(schema) : values;
     }
 
     /** Stands in a file that is refused as a whole, so that the rest of it can be looked at. */
-    private static Values none(Table form) {
-        return new Values(form, Map.of(), Map.of(), 0);
+    private static TableValues emptyValues(TableSchema schema) {
+        return new TableValues(schema, Map.of(), Map.of(), 0);
     }
 
-    private List<Values> list(String path, Object raw, Table.Inner inner, int line) {
-        List<Values> list = new ArrayList<>();
+    private List<TableValues> readList(String path, Object raw, TableSchema.Nested inner, int line) {
+        List<TableValues> list = new ArrayList<>();
         if (raw == null) {
             return list;
         }
         if (!(raw instanceof TomlArray array)
                 || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
-            problem(line, path, show(raw), "a list of tables, each headed [[" + path + "]]");
+            addProblem(line, path, abbreviate(raw), "a list of tables, each headed [[" + path + "]]");
             return list;
         }
-        if (array.size() > inner.most()) {
-            problem(line, path, array.size() + " tables", "at most " + inner.most());
+        if (array.size() > inner.max()) {
+            addProblem(line, path, array.size() + " tables", "at most " + inner.max());
             return list;
         }
         for (int i = 0; i < array.size(); i++) {
             list.add(
-                    inner(
+                    readNestedTable(
                             path + "[" + i + "]",
                             array.getTable(i),
                             inner.table(),
@@ -205,40 +205,40 @@
         return list;
     }
 
-    private void value(String path, Key key, Object raw, int line, Map<String, Object> values) {
-        Object value = key.kind().read(raw);
-        if (value == null || !key.admits(value)) {
-            problem(line, join(path, key.name()), show(raw), key.allowed());
+    private void readValue(String path, Key key, Object raw, int line, Map<String, Object> values) {
+        Object value = key.kind().parse(raw);
+        if (value == null || !key.isAllowed(value)) {
+            addProblem(line, join(path, key.name()), abbreviate(raw), key.allowed());
         } else {
             values.put(key.name(), value);
         }
     }
 
-    private void unknown(String path, String name, int line, Table form) {
+    private void addUnknownKey(String path, String name, int line, TableSchema schema) {
         String nearest = null;
-        int slips = MOST_SLIPS + 1;
-        LevenshteinDistance distance = new LevenshteinDistance(MOST_SLIPS);
-        for (String known : form.names()) {
-            int apart = distance.apply(known, name);
-            if (apart >= 0 && apart < slips) {
-                slips = apart;
+        int nearestDistance = MAX_EDIT_DISTANCE + 1;
+        LevenshteinDistance distance = new LevenshteinDistance(MAX_EDIT_DISTANCE);
+        for (String known : schema.allowedNames()) {
+            int editDistance = distance.apply(known, name);
+            if (editDistance >= 0 && editDistance < nearestDistance) {
+                nearestDistance = editDistance;
                 nearest = known;
             }
         }
-        problem(
+        addProblem(
                 line,
                 join(path, name),
                 "an unknown key",
                 nearest != null
                         ? "did you mean '" + nearest + "'?"
-                        : String.join(", ", form.names()));
+                        : String.join(", ", schema.allowedNames()));
     }
 
-    private void problem(int line, String key, String found, String allowed) {
+    private void addProblem(int line, String key, String found, String allowed) {
         problems.add(new Problem(file, line, key, found, allowed));
     }
 
-    private static String show(Object raw) {
+    private static String abbreviate(Object raw) {
         String text =
                 raw instanceof String
                         ? '"' + raw.toString() + '"'
@@ -246,6 +246,6 @@
                                 ? "a table"
                                 : raw instanceof TomlArray ? "a list" : String.valueOf(raw);
         String line = text.replaceAll("\\p{Cntrl}", " ");
-        return line.length() > MOST_SHOWN ? line.substring(0, MOST_SHOWN) + "..." : line;
+        return line.length() > MAX_SHOWN_LENGTH ? line.substring(0, MAX_SHOWN_LENGTH) + "..." : line;
     }
 }
--- a/config/src/test/java/frostrelay/config/TomlFileTest.java
+++ b/config/src/test/java/frostrelay/config/TomlFileTest.java
@@ -17,12 +17,12 @@
 
 /** A file is taken whole or not at all, and what is wrong is said with its place. */
 class TomlFileTest {
-    private static final Table FORM =
-            new Table("A test.")
+    private static final TableSchema SCHEMA =
+            new TableSchema("A test.")
                     .whole("seed", 1L, 0, 1_000, "A number.")
                     .table(
                             "log",
-                            new Table("Lines.")
+                            new TableSchema("Lines.")
                                     .choice(
                                             "format",
                                             "auto",
@@ -33,18 +33,18 @@
                                     .bool("colour", false, "Whether they have any."))
                     .table(
                             "limits",
-                            new Table("Limits.")
+                            new TableSchema("Limits.")
                                     .bytes("memory", "64MiB", "1KiB", "1GiB", "Bytes.")
                                     .rate("rate", "10/s", "0.5/s", "1000/s", "A second.")
                                     .number("part", 0.5, 0, 1, "A part."))
                     .list(
                             "class",
                             3,
-                            new Table("Classes.")
+                            new TableSchema("Classes.")
                                     .text("name", null, "Its name.")
                                     .duration("aim", "1s", "1ms", "1m", "Its aim."));
 
-    private static final String GOOD =
+    private static final String VALID_FILE =
             """
             seed = 7
             [log]
@@ -62,7 +62,7 @@
 
     @Example
     void valuesHaveTheirUnitsAndStandards() {
-        Values values = TomlFile.parse("f", GOOD, FORM);
+        TableValues values = TomlFile.parse("f", VALID_FILE, SCHEMA);
         assertEquals(7, values.whole("seed"));
         assertEquals(1_500_000_000L, values.table("log").whole("counts-every"));
         assertEquals(10_000_000L, values.table("limits").whole("memory"));
@@ -70,77 +70,77 @@
         assertEquals(0.5, values.table("limits").number("part"));
         assertEquals(1_000_000_000L, values.list("class").get(0).whole("aim"));
         assertEquals(10, values.list("class").get(1).line());
-        Values again = TomlFile.parse("f", values.write(), FORM);
-        assertEquals(values.write(), again.write(), "what is printed as in force can be read back");
+        TableValues reparsed = TomlFile.parse("f", values.toToml(), SCHEMA);
+        assertEquals(values.toToml(), reparsed.toToml(), "what is printed as in force can be read back");
     }
 
     /** Line, key, and a word that the message must hold; then the text. */
-    private record Bad(int line, String key, String word, String text) {}
+    private record InvalidFile(int line, String key, String expectedText, String text) {}
 
-    private static Bad bad(int line, String key, String word, String... lines) {
-        return new Bad(line, key, word, String.join("\n", lines) + "\n");
+    private static InvalidFile invalidFile(int line, String key, String expectedText, String... lines) {
+        return new InvalidFile(line, key, expectedText, String.join("\n", lines) + "\n");
     }
 
-    private static final List<Bad> BAD =
+    private static final List<InvalidFile> INVALID_FILES =
             List.of(
-                    bad(1, "seeed", "did you mean 'seed'", "seeed = 1"),
-                    bad(1, "nothing-like-it", "seed, log, limits, class", "nothing-like-it = 1"),
-                    bad(1, "seed", "\"7\"", "seed = \"7\""),
-                    bad(1, "seed", "7.5", "seed = 7.5"),
-                    bad(1, "seed", "-1", "seed = -1"),
-                    bad(1, "seed", "from 0 to 1000", "seed = 1001"),
-                    bad(1, "seed", "true", "seed = true"),
-                    bad(1, "seed", "a list", "seed = [1]"),
-                    bad(1, "seed", "a table", "[seed]", "x = 1"),
-                    bad(1, "log", "\"json\"", "log = \"json\""),
-                    bad(2, "log.format", "one of auto, json, text", "[log]", "format = \"xml\""),
-                    bad(2, "log.format", "JSON", "[log]", "format = \"JSON\""),
-                    bad(2, "log.format", "1", "[log]", "format = 1"),
-                    bad(2, "log.formt", "did you mean 'format'", "[log]", "formt = \"json\""),
-                    bad(2, "log.counts-every", "with a unit", "[log]", "counts-every = 10"),
-                    bad(2, "log.counts-every", "with a unit", "[log]", "counts-every = \"10\""),
-                    bad(
+                    invalidFile(1, "seeed", "did you mean 'seed'", "seeed = 1"),
+                    invalidFile(1, "nothing-like-it", "seed, log, limits, class", "nothing-like-it = 1"),
+                    invalidFile(1, "seed", "\"7\"", "seed = \"7\""),
+                    invalidFile(1, "seed", "7.5", "seed = 7.5"),
+                    invalidFile(1, "seed", "-1", "seed = -1"),
+                    invalidFile(1, "seed", "from 0 to 1000", "seed = 1001"),
+                    invalidFile(1, "seed", "true", "seed = true"),
+                    invalidFile(1, "seed", "a list", "seed = [1]"),
+                    invalidFile(1, "seed", "a table", "[seed]", "x = 1"),
+                    invalidFile(1, "log", "\"json\"", "log = \"json\""),
+                    invalidFile(2, "log.format", "one of auto, json, text", "[log]", "format = \"xml\""),
+                    invalidFile(2, "log.format", "JSON", "[log]", "format = \"JSON\""),
+                    invalidFile(2, "log.format", "1", "[log]", "format = 1"),
+                    invalidFile(2, "log.formt", "did you mean 'format'", "[log]", "formt = \"json\""),
+                    invalidFile(2, "log.counts-every", "with a unit", "[log]", "counts-every = 10"),
+                    invalidFile(2, "log.counts-every", "with a unit", "[log]", "counts-every = \"10\""),
+                    invalidFile(
                             2,
                             "log.counts-every",
                             "with a unit",
                             "[log]",
                             "counts-every = \"10 parsecs\""),
-                    bad(2, "log.counts-every", "with a unit", "[log]", "counts-every = \"-1s\""),
-                    bad(
+                    invalidFile(2, "log.counts-every", "with a unit", "[log]", "counts-every = \"-1s\""),
+                    invalidFile(
                             2,
                             "log.counts-every",
                             "from 250ms to 1h",
                             "[log]",
                             "counts-every = \"1ms\""),
-                    bad(
+                    invalidFile(
                             2,
                             "log.counts-every",
                             "from 250ms to 1h",
                             "[log]",
                             "counts-every = \"2h\""),
-                    bad(
+                    invalidFile(
                             2,
                             "log.counts-every",
                             "with a unit",
                             "[log]",
                             "counts-every = \"99999999999999999999h\""),
-                    bad(2, "log.colour", "true or false", "[log]", "colour = \"yes\""),
-                    bad(2, "log.colour", "true or false", "[log]", "colour = 1"),
-                    bad(2, "limits.memory", "with a unit", "[limits]", "memory = 1048576"),
-                    bad(2, "limits.memory", "with a unit", "[limits]", "memory = \"1 mb\""),
-                    bad(2, "limits.memory", "from 1KiB to 1GiB", "[limits]", "memory = \"2GiB\""),
-                    bad(2, "limits.rate", "a rate", "[limits]", "rate = 10"),
-                    bad(2, "limits.rate", "a rate", "[limits]", "rate = \"10/fortnight\""),
-                    bad(2, "limits.rate", "from 0.5/s to 1000/s", "[limits]", "rate = \"0/s\""),
-                    bad(2, "limits.part", "from 0 to 1", "[limits]", "part = 1.5"),
-                    bad(2, "limits.part", "NaN", "[limits]", "part = nan"),
-                    bad(2, "limits.part", "Infinity", "[limits]", "part = inf"),
-                    bad(1, "class", "a list of tables", "class = \"a\""),
-                    bad(1, "class", "a list of tables", "class = [1, 2]"),
-                    bad(1, "class", "a list of tables", "[class]", "name = \"a\""),
-                    bad(1, "class[0].name", "nothing", "[[class]]", "aim = \"1s\""),
-                    bad(2, "class[0].name", "\"\"", "[[class]]", "name = \"\""),
-                    bad(
+                    invalidFile(2, "log.colour", "true or false", "[log]", "colour = \"yes\""),
+                    invalidFile(2, "log.colour", "true or false", "[log]", "colour = 1"),
+                    invalidFile(2, "limits.memory", "with a unit", "[limits]", "memory = 1048576"),
+                    invalidFile(2, "limits.memory", "with a unit", "[limits]", "memory = \"1 mb\""),
+                    invalidFile(2, "limits.memory", "from 1KiB to 1GiB", "[limits]", "memory = \"2GiB\""),
+                    invalidFile(2, "limits.rate", "a rate", "[limits]", "rate = 10"),
+                    invalidFile(2, "limits.rate", "a rate", "[limits]", "rate = \"10/fortnight\""),
+                    invalidFile(2, "limits.rate", "from 0.5/s to 1000/s", "[limits]", "rate = \"0/s\""),
+                    invalidFile(2, "limits.part", "from 0 to 1", "[limits]", "part = 1.5"),
+                    invalidFile(2, "limits.part", "NaN", "[limits]", "part = nan"),
+                    invalidFile(2, "limits.part", "Infinity", "[limits]", "part = inf"),
+                    invalidFile(1, "class", "a list of tables", "class = \"a\""),
+                    invalidFile(1, "class", "a list of tables", "class = [1, 2]"),
+                    invalidFile(1, "class", "a list of tables", "[class]", "name = \"a\""),
+                    invalidFile(1, "class[0].name", "nothing", "[[class]]", "aim = \"1s\""),
+                    invalidFile(2, "class[0].name", "\"\"", "[[class]]", "name = \"\""),
+                    invalidFile(
                             5,
                             "class[1].aim",
                             "from 1ms to 1m",
@@ -149,7 +149,7 @@
                             "[[class]]",
                             "name = \"b\"",
                             "aim = \"2m\""),
-                    bad(
+                    invalidFile(
                             1,
                             "class",
                             "at most 3",
@@ -161,34 +161,34 @@
                             "name = \"c\"",
                             "[[class]]",
                             "name = \"d\""),
-                    bad(2, "", "no TOML", "seed = 1", "seed = 2"),
-                    bad(2, "", "no TOML", "[log]", "format = json"),
-                    bad(1, "", "no TOML", "[log"),
-                    bad(2, "", "no TOML", "seed = 1", "= 3"),
-                    bad(1, "", "no TOML", "\u0000"));
+                    invalidFile(2, "", "no TOML", "seed = 1", "seed = 2"),
+                    invalidFile(2, "", "no TOML", "[log]", "format = json"),
+                    invalidFile(1, "", "no TOML", "[log"),
+                    invalidFile(2, "", "no TOML", "seed = 1", "= 3"),
+                    invalidFile(1, "", "no TOML", "\u0000"));
 
     @Example
-    void eachBadFileIsRefusedWithItsKeyAndLine() {
-        assertTrue(BAD.size() >= 30);
-        for (Bad bad : BAD) {
-            BadConfigException refused =
+    void eachInvalidFileIsRejectedWithItsKeyAndLine() {
+        assertTrue(INVALID_FILES.size() >= 30);
+        for (InvalidFile invalidFile : INVALID_FILES) {
+            BadConfigException exception =
                     assertThrows(
                             BadConfigException.class,
-                            () -> TomlFile.parse("bad.toml", bad.text, FORM),
-                            bad.text);
-            Problem first = refused.problems().get(0);
-            assertEquals(bad.key, first.key(), bad.text);
-            assertEquals(bad.line, first.line(), bad.text + refused.getMessage());
+                            () -> TomlFile.parse("bad.toml", invalidFile.text, SCHEMA),
+                            invalidFile.text);
+            Problem first = exception.problems().get(0);
+            assertEquals(invalidFile.key, first.key(), invalidFile.text);
+            assertEquals(invalidFile.line, first.line(), invalidFile.text + exception.getMessage());
             assertTrue(
-                    first.toString().startsWith("bad.toml:" + bad.line + ": "), first.toString());
-            assertTrue(first.toString().contains(bad.word), first + " should say " + bad.word);
+                    first.toString().startsWith("bad.toml:" + invalidFile.line + ": "), first.toString());
+            assertTrue(first.toString().contains(invalidFile.expectedText), first + " should say " + invalidFile.expectedText);
             assertEquals(1, first.toString().lines().count());
         }
     }
 
     @Example
-    void allProblemsAreToldAtOnce() {
-        BadConfigException refused =
+    void allProblemsAreReportedAtOnce() {
+        BadConfigException exception =
                 assertThrows(
                         BadConfigException.class,
                         () ->
@@ -202,12 +202,12 @@
                 [[class]]
                 aim = "1x"
                 """,
-                                        FORM));
+                                        SCHEMA));
         assertEquals(
                 List.of("seed", "log.colur", "log.format", "class[0].name", "class[0].aim"),
-                refused.problems().stream().map(Problem::key).toList());
+                exception.problems().stream().map(Problem::key).toList());
         assertEquals(
-                List.of(1, 4, 3, 5, 6), refused.problems().stream().map(Problem::line).toList());
+                List.of(1, 4, 3, 5, 6), exception.problems().stream().map(Problem::line).toList());
     }
 
     @Example
@@ -218,7 +218,7 @@
                                 BadConfigException.class,
                                 () ->
                                         TomlFile.read(
-                                                java.nio.file.Path.of("/nonexistent/f.toml"), FORM))
+                                                java.nio.file.Path.of("/nonexistent/f.toml"), SCHEMA))
                         .problems()
                         .size());
     }
@@ -229,7 +229,7 @@
     @Property(tries = 2_000, seed = "20261201")
     void noDamageLeadsToAnythingElse(@ForAll("damaged") String text) {
         try {
-            TomlFile.parse("f", text, FORM).write();
+            TomlFile.parse("f", text, SCHEMA).toToml();
         } catch (BadConfigException e) {
             assertTrue(!e.problems().isEmpty());
         }
@@ -237,39 +237,39 @@
 
     @Provide
     Arbitrary<String> damaged() {
-        Arbitrary<Integer> at = Arbitraries.integers().between(0, GOOD.length() - 1);
-        return at.flatMap(
+        Arbitrary<Integer> startPositions = Arbitraries.integers().between(0, VALID_FILE.length() - 1);
+        return startPositions.flatMap(
                 from ->
                         Arbitraries.integers()
                                 .between(0, 6)
                                 .flatMap(
-                                        cut ->
+                                        deletedLength ->
                                                 Arbitraries.strings()
                                                         .withChars(
                                                                 "\"[]=.#\n {}',-0azZ\u0000\u00e9\\")
                                                         .ofMaxLength(6)
                                                         .map(
-                                                                fresh ->
-                                                                        GOOD.substring(0, from)
-                                                                                + fresh
-                                                                                + GOOD.substring(
+                                                                inserted ->
+                                                                        VALID_FILE.substring(0, from)
+                                                                                + inserted
+                                                                                + VALID_FILE.substring(
                                                                                         Math.min(
-                                                                                                GOOD
+                                                                                                VALID_FILE
                                                                                                         .length(),
                                                                                                 from
-                                                                                                        + cut)))));
+                                                                                                        + deletedLength)))));
     }
 
     @Property(seed = "20261201")
     void durationsAreWrittenAsTheyAreRead(
             @ForAll @LongRange(min = 1, max = 3_600_000_000L) long micros) {
         long nanos = micros * 1_000;
-        assertEquals(nanos, Kind.DURATION.read(Kind.DURATION.write(nanos).replace("\"", "")));
+        assertEquals(nanos, Kind.DURATION.parse(Kind.DURATION.format(nanos).replace("\"", "")));
     }
 
     @Property(seed = "20261201")
     void sizesAreWrittenAsTheyAreRead(@ForAll @IntRange(min = 1) int bytes) {
         assertEquals(
-                (long) bytes, Kind.BYTES.read(Kind.BYTES.write((long) bytes).replace("\"", "")));
+                (long) bytes, Kind.BYTES.parse(Kind.BYTES.format((long) bytes).replace("\"", "")));
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/Emulation.java
+++ b/emulator/src/main/java/frostrelay/emulator/Emulation.java
@@ -15,76 +15,76 @@
  * same figures.
  */
 public final class Emulation {
-    private static final long SECOND = 1_000_000_000L;
-    static final long DRAIN_GRACE = SECOND / 2;
-    private static final long REPEAT_WINDOW = 8 * SECOND;
-    private static final long CONNECT = SECOND / 4;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    static final long DRAIN_GRACE_NANOS = NANOS_PER_SECOND / 2;
+    private static final long DEDUPLICATION_WINDOW_NANOS = 8 * NANOS_PER_SECOND;
+    private static final long CONNECT_TIMEOUT_NANOS = NANOS_PER_SECOND / 4;
 
     /** What tenants may ask for, for each request that they ask on the mean. */
-    private static final double ROOM = 1.35;
+    private static final double TENANT_QUOTA_HEADROOM = 1.35;
 
     /**
-     * What a day came to. {@code taken}: tries that came to balancers, also while the plant
-     * settled; {@code listLines}: entries of lists that were told; {@code waste}: the part of
-     * caches' work that nobody waited for when it was done; {@code wall}: nanoseconds that it took
+     * What a day came to. {@code receivedRequests}: tries that came to balancers, also while the plant
+     * settled; {@code listEntriesSent}: entries of lists that were told; {@code wastedWorkFraction}: the part of
+     * caches' work that nobody waited for when it was done; {@code wallNanos}: nanoseconds that it took
      * to emulate.
      */
     public record Result(
-            Figures figures,
-            Course course,
-            long taken,
-            long events,
-            long sends,
-            long copies,
+            RunStatistics statistics,
+            RunTimeSeries timeSeries,
+            long receivedRequests,
+            long executedEvents,
+            long attemptsSent,
+            long additionalAttempts,
             long hits,
             long misses,
-            long fetches,
-            long falls,
+            long originCalls,
+            long originOverloads,
             long handshakes,
-            long listLines,
-            double waste,
-            Map<String, Long> rulesBroken,
-            long wall) {
+            long listEntriesSent,
+            double wastedWorkFraction,
+            Map<String, Long> violations,
+            long wallNanos) {
         /** How often any of the operators' rules was broken. */
-        public long breaks() {
-            return rulesBroken.values().stream().mapToLong(Long::longValue).sum();
+        public long violationCount() {
+            return violations.values().stream().mapToLong(Long::longValue).sum();
         }
 
         /** The share of reads at caches that were served from memory. */
-        public double hitShare() {
+        public double hitRatio() {
             return hits + misses == 0 ? 0 : hits / (double) (hits + misses);
         }
 
         /** A count for each first try. */
-        public double each(long count) {
-            return count / (double) Math.max(1, figures.asked());
+        public double perRequest(long count) {
+            return count / (double) Math.max(1, statistics.asked());
         }
 
         /** Sends beyond the first, for each try. */
-        public double copyShare() {
-            return figures.tries() == 0 ? 0 : copies / (double) figures.tries();
+        public double additionalAttemptRatio() {
+            return statistics.attemptCount() == 0 ? 0 : additionalAttempts / (double) statistics.attemptCount();
         }
 
         /**
          * Seconds from the end of a trigger until a whole span of five seconds is served as well as
          * 95% of what was before it; -1 if that does not come.
          */
-        public int recovery(int trigger, int end) {
-            double before = figures.served(Math.max(0, trigger - 10), trigger);
-            for (int second = end; second + 5 <= figures.seconds(); second++) {
-                if (figures.served(second, second + 5) >= 0.95 * before) {
-                    return second - end;
+        public int recoverySeconds(int triggerSecond, int triggerEndSecond) {
+            double baseline = statistics.served(Math.max(0, triggerSecond - 10), triggerSecond);
+            for (int second = triggerEndSecond; second + 5 <= statistics.seconds(); second++) {
+                if (statistics.served(second, second + 5) >= 0.95 * baseline) {
+                    return second - triggerEndSecond;
                 }
             }
             return -1;
         }
     }
 
-    private final Plant plant;
+    private final SystemModel model;
     private final Timeline timeline = new Timeline();
-    private final Figures figures;
-    private final Course course;
-    private final SimReferee referee = new SimReferee();
+    private final RunStatistics statistics;
+    private final RunTimeSeries timeSeries;
+    private final SimInvariantChecker invariantChecker = new SimInvariantChecker();
     private final SimOrigin origin;
     private final SimDiscovery discovery;
     private final List<SimCache> caches = new ArrayList<>();
@@ -92,186 +92,186 @@
     private final SimClients clients;
     private final SimFaults faults;
 
-    private Emulation(Plant plant, SimBalancer.Module module) {
-        this.plant = plant;
-        figures =
-                new Figures(
-                        plant.settle(),
-                        plant.length(),
-                        plant.classes().size(),
-                        plant.tenants().size());
-        origin = new SimOrigin(plant.origin(), timeline, plant.seed());
-        int all = plant.caches() + plant.newcomers();
+    private Emulation(SystemModel model, SimBalancer.RouterFactory routerFactory) {
+        this.model = model;
+        statistics =
+                new RunStatistics(
+                        model.warmupNanos(),
+                        model.durationNanos(),
+                        model.requestClasses().size(),
+                        model.tenantShares().size());
+        origin = new SimOrigin(model.origin(), timeline, model.seed());
+        int cacheCount = model.cacheCount() + model.replacementCount();
         discovery =
-                new SimDiscovery(timeline, plant.discovery(), plant.zones(), plant.caches(), all);
-        Wire wire = new Wire(plant.network(), plant.zones(), plant.seed());
-        int[] versions = new int[plant.clients().keys()];
-        Long2LongHashMap places = new Long2LongHashMap(-1);
-        int mostLinks = plant.links().modelled() ? plant.links().atCache() : Integer.MAX_VALUE;
-        for (int i = 0; i < all; i++) {
+                new SimDiscovery(timeline, model.discovery(), model.zoneCount(), model.cacheCount(), cacheCount);
+        NetworkDelays networkDelays = new NetworkDelays(model.network(), model.zoneCount(), model.seed());
+        int[] versionByKey = new int[model.clients().keyCount()];
+        Long2LongHashMap indexByServerId = new Long2LongHashMap(-1);
+        int maxConnections = model.connections().isModelled() ? model.connections().maxPerCache() : Integer.MAX_VALUE;
+        for (int i = 0; i < cacheCount; i++) {
             SimCache cache =
                     new SimCache(
-                            plant.cache(),
+                            model.cache(),
                             i,
-                            mostLinks,
+                            maxConnections,
                             timeline,
                             origin,
-                            versions,
-                            new ColdGuard(referee, plant.cache(), plant.meanWork()));
+                            versionByKey,
+                            new SlowStartGuard(invariantChecker, model.cache(), model.meanWorkNanos()));
             caches.add(cache);
-            places.put(SimDiscovery.id(i), i);
-            if (i >= plant.caches()) {
+            indexByServerId.put(SimDiscovery.serverId(i), i);
+            if (i >= model.cacheCount()) {
                 cache.kill(0);
-            } else if (plant.cache().filled()) {
-                for (int key = Math.min(plant.cache().memory(), versions.length) - 1;
+            } else if (model.cache().isPreloaded()) {
+                for (int key = Math.min(model.cache().maxObjects(), versionByKey.length) - 1;
                         key >= 0;
                         key--) {
-                    cache.fill(key);
+                    cache.preload(key);
                 }
             }
         }
         // What answers at each cache's address: another one may take it over.
-        List<SimCache> addresses = new ArrayList<>(caches);
-        for (int i = 0; i < plant.balancers(); i++) {
+        List<SimCache> cacheAtAddress = new ArrayList<>(caches);
+        for (int i = 0; i < model.balancerCount(); i++) {
             balancers.add(
                     new SimBalancer(
-                            plant,
+                            model,
                             timeline,
-                            wire,
+                            networkDelays,
                             discovery,
-                            addresses,
-                            places,
-                            module,
-                            settings(plant, i),
-                            referee,
-                            plant.seed() * 31 + i));
+                            cacheAtAddress,
+                            indexByServerId,
+                            routerFactory,
+                            settings(model, i),
+                            invariantChecker,
+                            model.seed() * 31 + i));
         }
-        clients = new SimClients(plant, timeline, wire, balancers, figures, referee);
+        clients = new SimClients(model, timeline, networkDelays, balancers, statistics, invariantChecker);
         faults =
                 new SimFaults(
-                        plant, timeline, wire, origin, discovery, caches, addresses, balancers,
+                        model, timeline, networkDelays, origin, discovery, caches, cacheAtAddress, balancers,
                         clients);
-        course = new Course(figures.seconds(), caches, balancers);
-        course.count("asked", figures::asked);
-        course.count("tries", figures::tries);
-        course.count("inTime", figures::inTime);
-        course.count("refused", figures::refused);
-        course.count("failed", figures::failed);
-        course.count("hits", () -> sum(caches, SimCache::hits));
-        course.count("misses", () -> sum(caches, SimCache::misses));
-        course.count("copies", () -> sum(balancers, SimBalancer::copies));
-        course.count("sends", () -> sum(balancers, SimBalancer::sends));
-        course.count("fetches", origin::calls);
-        course.count("handshakes", () -> sum(balancers, SimBalancer::handshakes));
-        course.count("listLines", discovery::lines);
-        course.count("worked", () -> sum(caches, SimCache::worked));
-        course.count("wasted", () -> sum(caches, SimCache::wasted));
+        timeSeries = new RunTimeSeries(statistics.seconds(), caches, balancers);
+        timeSeries.addCounter("asked", statistics::asked);
+        timeSeries.addCounter("tries", statistics::attemptCount);
+        timeSeries.addCounter("inTime", statistics::inTime);
+        timeSeries.addCounter("refused", statistics::rejected);
+        timeSeries.addCounter("failed", statistics::failed);
+        timeSeries.addCounter("hits", () -> sum(caches, SimCache::hits));
+        timeSeries.addCounter("misses", () -> sum(caches, SimCache::misses));
+        timeSeries.addCounter("copies", () -> sum(balancers, SimBalancer::additionalAttempts));
+        timeSeries.addCounter("sends", () -> sum(balancers, SimBalancer::attemptsSent));
+        timeSeries.addCounter("fetches", origin::calls);
+        timeSeries.addCounter("handshakes", () -> sum(balancers, SimBalancer::handshakes));
+        timeSeries.addCounter("listLines", discovery::entriesSent);
+        timeSeries.addCounter("worked", () -> sum(caches, SimCache::worked));
+        timeSeries.addCounter("wasted", () -> sum(caches, SimCache::wastedNanos));
     }
 
-    private static <T> long sum(List<T> all, ToLongFunction<T> one) {
-        return all.stream().mapToLong(one).sum();
+    private static <T> long sum(List<T> all, ToLongFunction<T> value) {
+        return all.stream().mapToLong(value).sum();
     }
 
     /** Plays a day with the real decision module. */
-    public static Result play(Plant plant) {
-        return play(plant, Router::new);
+    public static Result simulate(SystemModel model) {
+        return simulate(model, Router::new);
     }
 
     /**
      * Plays a day with a module that passes each request on and decides nothing: shows what the
      * emulator itself costs.
      */
-    public static Result playPlain(Plant plant) {
-        return play(plant, (settings, seed, actions) -> new PlainModule(actions));
+    public static Result simulateSingleAttempt(SystemModel model) {
+        return simulate(model, (settings, seed, actions) -> new SingleAttemptPolicy(actions));
     }
 
     /** Plays a day with another module, to compare. */
-    static Result play(Plant plant, SimBalancer.Module module) {
-        long start = System.nanoTime();
-        return new Emulation(plant, module).run(start);
+    static Result simulate(SystemModel model, SimBalancer.RouterFactory routerFactory) {
+        long wallStartNanos = System.nanoTime();
+        return new Emulation(model, routerFactory).run(wallStartNanos);
     }
 
-    private Result run(long start) {
+    private Result run(long wallStartNanos) {
         clients.start();
-        origin.freeUntil(plant.settle());
-        timeline.run(plant.settle());
-        course.begin();
-        faults.begin();
-        long end = plant.settle() + plant.length();
-        for (int second = 0; second < figures.seconds(); second++) {
-            timeline.run(Math.min(end, plant.settle() + (second + 1) * SECOND));
-            course.sample(second, figures, plant.cache().cores());
+        origin.setInstantUntil(model.warmupNanos());
+        timeline.runUntil(model.warmupNanos());
+        timeSeries.start();
+        faults.scheduleAll();
+        long endNanos = model.warmupNanos() + model.durationNanos();
+        for (int second = 0; second < statistics.seconds(); second++) {
+            timeline.runUntil(Math.min(endNanos, model.warmupNanos() + (second + 1) * NANOS_PER_SECOND));
+            timeSeries.recordSecond(second, statistics, model.cache().cores());
         }
-        long latest =
-                end
-                        + plant.classes().stream().mapToLong(Plant.Load::deadline).max().orElse(0)
-                        + SECOND;
-        for (long at = end; clients.open() > 0 && at <= latest; at += SECOND) {
-            timeline.run(at);
+        long latestNanos =
+                endNanos
+                        + model.requestClasses().stream().mapToLong(SystemModel.RequestClass::deadlineNanos).max().orElse(0)
+                        + NANOS_PER_SECOND;
+        for (long at = endNanos; clients.openRequests() > 0 && at <= latestNanos; at += NANOS_PER_SECOND) {
+            timeline.runUntil(at);
         }
-        referee.broken(SimReferee.Rule.UNANSWERED, clients.open());
+        invariantChecker.recordViolation(SimInvariantChecker.Rule.UNANSWERED, clients.openRequests());
         return new Result(
-                figures,
-                course,
-                sum(balancers, SimBalancer::taken),
-                timeline.happened(),
-                course.total("sends"),
-                course.total("copies"),
-                course.total("hits"),
-                course.total("misses"),
-                course.total("fetches"),
-                origin.falls(),
-                course.total("handshakes"),
-                course.total("listLines"),
-                course.total("wasted") / (double) Math.max(1, course.total("worked")),
-                referee.breaks(),
-                System.nanoTime() - start);
+                statistics,
+                timeSeries,
+                sum(balancers, SimBalancer::receivedRequests),
+                timeline.executedEvents(),
+                timeSeries.total("sends"),
+                timeSeries.total("copies"),
+                timeSeries.total("hits"),
+                timeSeries.total("misses"),
+                timeSeries.total("fetches"),
+                origin.overloadCount(),
+                timeSeries.total("handshakes"),
+                timeSeries.total("listLines"),
+                timeSeries.total("wasted") / (double) Math.max(1, timeSeries.total("worked")),
+                invariantChecker.violations(),
+                System.nanoTime() - wallStartNanos);
     }
 
-    private static Api.Settings settings(Plant plant, int rank) {
+    private static Api.Settings settings(SystemModel model, int instanceIndex) {
         List<Api.RequestClass> classes = new ArrayList<>();
-        for (Plant.Load load : plant.classes()) {
+        for (SystemModel.RequestClass requestClass : model.requestClasses()) {
             classes.add(
                     new Api.RequestClass(
-                            load.aim(),
+                            requestClass.latencyObjectiveNanos(),
                             0,
-                            load.deadline(),
-                            load.worth(),
+                            requestClass.deadlineNanos(),
+                            requestClass.priorityWeight(),
                             0.3,
-                            load.effect(),
+                            requestClass.idempotency(),
                             Api.Group.ALL,
-                            REPEAT_WINDOW,
+                            DEDUPLICATION_WINDOW_NANOS,
                             false,
                             false));
         }
-        double perSecond = plant.clients().rate();
+        double requestsPerSecond = model.clients().requestsPerSecond();
         List<Api.Tenant> tenants =
-                plant.tenants().stream()
-                        .map(part -> new Api.Tenant(ROOM * part * perSecond, part))
+                model.tenantShares().stream()
+                        .map(share -> new Api.Tenant(TENANT_QUOTA_HEADROOM * share * requestsPerSecond, share))
                         .toList();
         return new Api.Settings(
                 classes,
                 tenants,
-                rank % plant.zones(),
-                rank,
-                plant.balancers(),
+                instanceIndex % model.zoneCount(),
+                instanceIndex,
+                model.balancerCount(),
                 false,
                 -1,
                 true,
-                plant.balancer().maxAttempts(),
-                plant.balancer().hedges(),
+                model.balancer().maxAttempts(),
+                model.balancer().hedgingEnabled(),
                 true,
-                CONNECT,
+                CONNECT_TIMEOUT_NANOS,
                 true,
-                SECOND,
-                DRAIN_GRACE,
-                5 * SECOND,
-                plant.cache().coldFrom(),
-                Math.max(1, plant.cache().warmWithin()),
-                ColdGuard.TIP_MULTIPLE,
-                ColdGuard.FALL_TIME,
+                NANOS_PER_SECOND,
+                DRAIN_GRACE_NANOS,
+                5 * NANOS_PER_SECOND,
+                model.cache().slowStartInitialFraction(),
+                Math.max(1, model.cache().slowStartNanos()),
+                SlowStartGuard.OVERLOAD_MULTIPLE,
+                SlowStartGuard.WINDOW_NANOS,
                 1,
-                SECOND,
+                NANOS_PER_SECOND,
                 null,
                 new Api.ReportLayout(-1, -1, -1));
     }
--- a/emulator/src/main/java/frostrelay/emulator/Event.java
+++ b/emulator/src/main/java/frostrelay/emulator/Event.java
@@ -3,5 +3,5 @@
 /** Something that happens at a moment of simulated time. */
 interface Event {
     /** {@code now}: nanoseconds from the day's start. */
-    void happen(long now);
+    void run(long now);
 }
--- a/emulator/src/main/java/frostrelay/emulator/EventHeap.java
+++ b/emulator/src/main/java/frostrelay/emulator/EventHeap.java
@@ -20,16 +20,16 @@
             orders = Arrays.copyOf(orders, 2 * size);
             events = Arrays.copyOf(events, 2 * size);
         }
-        int place = size++;
-        while (place > 0) {
-            int parent = (place - 1) / CHILDREN;
-            if (!before(time, order, parent)) {
+        int position = size++;
+        while (position > 0) {
+            int parent = (position - 1) / CHILDREN;
+            if (!isBefore(time, order, parent)) {
                 break;
             }
-            put(place, times[parent], orders[parent], events[parent]);
-            place = parent;
+            put(position, times[parent], orders[parent], events[parent]);
+            position = parent;
         }
-        put(place, time, order, event);
+        put(position, time, order, event);
     }
 
     /** Takes the first out; there must be one. */
@@ -40,35 +40,35 @@
         long order = orders[last];
         Event event = events[last];
         events[last] = null;
-        int place = 0;
-        for (int from = 1; from < size; from = CHILDREN * place + 1) {
-            int least = from;
-            int end = Math.min(size, from + CHILDREN);
-            for (int child = from + 1; child < end; child++) {
-                if (before(times[child], orders[child], least)) {
-                    least = child;
+        int position = 0;
+        for (int firstChild = 1; firstChild < size; firstChild = CHILDREN * position + 1) {
+            int earliestChild = firstChild;
+            int childrenEnd = Math.min(size, firstChild + CHILDREN);
+            for (int child = firstChild + 1; child < childrenEnd; child++) {
+                if (isBefore(times[child], orders[child], earliestChild)) {
+                    earliestChild = child;
                 }
             }
-            if (before(time, order, least)) {
+            if (isBefore(time, order, earliestChild)) {
                 break;
             }
-            put(place, times[least], orders[least], events[least]);
-            place = least;
+            put(position, times[earliestChild], orders[earliestChild], events[earliestChild]);
+            position = earliestChild;
         }
         if (size > 0) {
-            put(place, time, order, event);
+            put(position, time, order, event);
         }
         return first;
     }
 
-    private boolean before(long time, long order, int other) {
-        return time < times[other] || time == times[other] && order < orders[other];
+    private boolean isBefore(long time, long order, int position) {
+        return time < times[position] || time == times[position] && order < orders[position];
     }
 
-    private void put(int place, long time, long order, Event event) {
-        times[place] = time;
-        orders[place] = order;
-        events[place] = event;
+    private void put(int position, long time, long order, Event event) {
+        times[position] = time;
+        orders[position] = order;
+        events[position] = event;
     }
 
     boolean isEmpty() {
@@ -76,12 +76,12 @@
     }
 
     /** The first one's moment; there must be one. */
-    long time() {
+    long firstTime() {
         return times[0];
     }
 
     /** The first one's place among all that were added. */
-    long order() {
+    long firstOrder() {
         return orders[0];
     }
 
--- a/emulator/src/main/java/frostrelay/emulator/Randoms.java
+++ b/emulator/src/main/java/frostrelay/emulator/RandomStreams.java
@@ -7,12 +7,12 @@
  * Generators for a day's parts, each with a stream of its own: one part that draws more does not
  * move the others.
  */
-final class Randoms {
+final class RandomStreams {
     private static final long MIX = 0x9E3779B97F4A7C15L;
 
-    private Randoms() {}
+    private RandomStreams() {}
 
-    static UniformRandomProvider of(long seed, String part) {
-        return RandomSource.XO_RO_SHI_RO_128_PP.create(seed * MIX + part.hashCode());
+    static UniformRandomProvider create(long seed, String streamName) {
+        return RandomSource.XO_RO_SHI_RO_128_PP.create(seed * MIX + streamName.hashCode());
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/SimBalancer.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimBalancer.java
@@ -18,267 +18,267 @@
  */
 final class SimBalancer implements Api.Actions, SimDiscovery.Subscriber {
     /** Makes the decision module. */
-    interface Module {
+    interface RouterFactory {
         Api.Events create(Api.Settings settings, long seed, Api.Actions actions);
     }
 
     /** A request as a client made it; hears its one final answer. */
-    interface Caller {
-        Api.Request request(long id, long deadline);
+    interface IncomingRequest {
+        Api.Request createRequest(long id, long deadlineNanos);
 
-        long waits();
+        long timeoutNanos();
 
         int key();
 
         /** Nanoseconds of a cache's core. */
-        double work();
+        double workNanos();
 
-        boolean write();
+        boolean isWrite();
 
         /** It took effect at a cache. */
-        void ran(long now);
+        void onExecuted(long now);
 
-        /** {@code comeAgain}: nanoseconds to wait, for a refusal. */
-        void answered(long now, Answer answer, long comeAgain);
+        /** {@code retryAfterNanos}: nanoseconds to wait, for a refusal. */
+        void onAnswer(long now, Answer answer, long retryAfterNanos);
     }
 
     /** A final answer; LOST where the balancer died with it. */
     enum Answer {
         SERVED,
-        REFUSED,
+        REJECTED,
         FAILED,
         LOST
     }
 
-    private static final long MILLISECOND = 1_000_000L;
-    private static final long WAYS = 6 * MILLISECOND;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long NETWORK_MARGIN_NANOS = 6 * NANOS_PER_MILLI;
     private static final float[] NO_REPORT = {};
-    private static final int NO_LINK = -1;
+    private static final int NO_CONNECTION = -1;
 
     private static final class Exchange {
         final long id;
-        final Caller caller;
-        final long deadline;
+        final IncomingRequest incomingRequest;
+        final long deadlineNanos;
         final List<Attempt> attempts = new ArrayList<>(2);
-        int pending;
-        boolean over;
+        int pendingAttempts;
+        boolean isCompleted;
 
         /** Its end at the latest, on the timeline. */
-        long end = Timeline.NO_MARK;
+        long deadlineTimer = Timeline.NO_TIMER;
 
-        Exchange(long id, Caller caller, long deadline) {
+        Exchange(long id, IncomingRequest incomingRequest, long deadlineNanos) {
             this.id = id;
-            this.caller = caller;
-            this.deadline = deadline;
+            this.incomingRequest = incomingRequest;
+            this.deadlineNanos = deadlineNanos;
         }
     }
 
     private final class Attempt implements SimCache.Job {
         final Exchange exchange;
         final int number;
-        final long sentAt;
-        final int mine = life;
-        boolean over;
-        long timeout = Timeline.NO_MARK;
+        final long sentAtNanos;
+        final int startIncarnation = incarnation;
+        boolean isCompleted;
+        long timeoutTimer = Timeline.NO_TIMER;
         Api.Source source = Api.Source.UNKNOWN;
-        int place;
+        int cacheIndex;
 
         /**
-         * In which life of the cache its connection came up, {@link #NO_LINK} while it has none.
+         * In which life of the cache its connection came up, {@link #NO_CONNECTION} while it has none.
          */
-        int link = NO_LINK;
+        int connectionIncarnation = NO_CONNECTION;
 
         /** The first on its connection bears the handshake's work. */
-        boolean first;
+        boolean isFirstOnConnection;
 
         /** It is on its way: it may run. */
-        boolean written;
+        boolean isSent;
 
-        boolean told = true;
+        boolean isIntendedCache = true;
 
-        Attempt(Exchange exchange, int number, long sentAt) {
+        Attempt(Exchange exchange, int number, long sentAtNanos) {
             this.exchange = exchange;
             this.number = number;
-            this.sentAt = sentAt;
+            this.sentAtNanos = sentAtNanos;
         }
 
         @Override
         public int key() {
-            return exchange.caller.key();
+            return exchange.incomingRequest.key();
         }
 
         @Override
-        public double work() {
-            return exchange.caller.work() + (first ? linkSpec.work() : 0);
+        public double workNanos() {
+            return exchange.incomingRequest.workNanos() + (isFirstOnConnection ? connectionSpec.handshakeWorkNanos() : 0);
         }
 
         @Override
-        public boolean write() {
-            return exchange.caller.write();
+        public boolean isWrite() {
+            return exchange.incomingRequest.isWrite();
         }
 
         @Override
-        public boolean told() {
-            return told;
+        public boolean isIntendedCache() {
+            return isIntendedCache;
         }
 
         @Override
-        public boolean dropped() {
-            return over || mine != life;
+        public boolean isCancelled() {
+            return isCompleted || startIncarnation != incarnation;
         }
 
         @Override
-        public void ran(long now) {
-            exchange.caller.ran(now);
+        public void onExecuted(long now) {
+            exchange.incomingRequest.onExecuted(now);
         }
 
         @Override
-        public void ended(long now, SimCache.End end) {
+        public void onCompleted(long now, SimCache.Outcome outcome) {
             Reason reason =
-                    switch (end) {
+                    switch (outcome) {
                         case SERVED, HIT, FETCHED -> Reason.OK;
                         case FAILED -> Reason.ERROR;
-                        case BUSY -> Reason.REJECTED;
-                        case REFUSED -> Reason.CONNECT_FAILED;
+                        case REJECTED -> Reason.REJECTED;
+                        case CONNECTION_REFUSED -> Reason.CONNECT_FAILED;
                         case RESET -> Reason.RESET;
                     };
             source =
-                    switch (end) {
+                    switch (outcome) {
                         case HIT -> Api.Source.CACHE;
-                        case FETCHED -> Api.Source.FETCH;
+                        case FETCHED -> Api.Source.ORIGIN;
                         default -> Api.Source.UNKNOWN;
                     };
-            if (!wire.losesAnswer() && wire.passes(zone, zone(place))) {
-                timeline.at(
-                        now + wire.delay(zone(place), zone),
-                        then -> busy(then, at -> SimBalancer.this.ended(at, this, reason)));
+            if (!networkDelays.isResponseLost() && networkDelays.isConnected(zone, zone(cacheIndex))) {
+                timeline.schedule(
+                        now + networkDelays.sampleDelayNanos(zone(cacheIndex), zone),
+                        then -> runOnCore(then, at -> SimBalancer.this.completeAttempt(at, this, reason)));
             }
         }
     }
 
-    private final Plant.Balancer spec;
-    private final Plant.Links linkSpec;
+    private final SystemModel.Balancer spec;
+    private final SystemModel.Connections connectionSpec;
     private final Timeline timeline;
-    private final Wire wire;
+    private final NetworkDelays networkDelays;
     private final SimDiscovery discovery;
 
     /** What answers at the address that a place's id is listed with. */
-    private final List<SimCache> addresses;
+    private final List<SimCache> cacheAtAddress;
 
-    private final Long2LongHashMap places;
-    private final Module module;
+    private final Long2LongHashMap indexByServerId;
+    private final RouterFactory routerFactory;
     private final Api.Settings settings;
     private final int zone;
-    private final int zones;
+    private final int zoneCount;
     private final long seed;
     private final Long2ObjectHashMap<Exchange> exchanges = new Long2ObjectHashMap<>();
 
     /** Caches that nothing sent from here reaches. */
-    private final BitSet cut = new BitSet();
+    private final BitSet partitionedCaches = new BitSet();
 
-    private final SimReferee referee;
+    private final SimInvariantChecker invariantChecker;
 
     /** Connections; null where they are not part of the model. */
-    private final SimLinks links;
+    private final SimConnectionPool connections;
 
     /**
      * Since when this balancer has been told that a cache drains or is gone; 0 where it has not.
      */
-    private final long[] leavingSince;
+    private final long[] drainingSinceNanos;
 
-    private Set<Long> held = Set.of();
+    private Set<Long> adminDrainedServers = Set.of();
     private Api.Events router;
-    private int life;
-    private boolean down;
-    private boolean leaving;
-    private long freeAt;
-    private long lastId;
+    private int incarnation;
+    private boolean isDown;
+    private boolean isShuttingDown;
+    private long coreFreeAtNanos;
+    private long lastRequestId;
     private long now;
-    private long sends;
-    private long copies;
-    private long served;
+    private long attemptsSent;
+    private long additionalAttempts;
+    private long servedRequests;
 
     /** {@code seed}: of its module; its zone is that of its settings. */
     SimBalancer(
-            Plant plant,
+            SystemModel model,
             Timeline timeline,
-            Wire wire,
+            NetworkDelays networkDelays,
             SimDiscovery discovery,
-            List<SimCache> addresses,
-            Long2LongHashMap places,
-            Module module,
+            List<SimCache> cacheAtAddress,
+            Long2LongHashMap indexByServerId,
+            RouterFactory routerFactory,
             Api.Settings settings,
-            SimReferee referee,
+            SimInvariantChecker invariantChecker,
             long seed) {
-        this.referee = referee;
-        this.leavingSince = new long[addresses.size()];
-        this.spec = plant.balancer();
-        this.linkSpec = plant.links();
-        this.zones = plant.zones();
+        this.invariantChecker = invariantChecker;
+        this.drainingSinceNanos = new long[cacheAtAddress.size()];
+        this.spec = model.balancer();
+        this.connectionSpec = model.connections();
+        this.zoneCount = model.zoneCount();
         this.zone = settings.zone();
         this.timeline = timeline;
-        this.wire = wire;
+        this.networkDelays = networkDelays;
         this.discovery = discovery;
-        this.addresses = addresses;
-        this.places = places;
-        this.module = module;
+        this.cacheAtAddress = cacheAtAddress;
+        this.indexByServerId = indexByServerId;
+        this.routerFactory = routerFactory;
         this.settings = settings;
         this.seed = seed;
-        links = linkSpec.modelled() ? new SimLinks(linkSpec, addresses) : null;
+        connections = connectionSpec.isModelled() ? new SimConnectionPool(connectionSpec, cacheAtAddress) : null;
         start(0);
     }
 
-    private int zone(int place) {
-        return place % zones;
+    private int zone(int cacheIndex) {
+        return cacheIndex % zoneCount;
     }
 
     /** Begins anew, knowing the list as it was last. */
     void start(long at) {
-        down = false;
-        leaving = false;
+        isDown = false;
+        isShuttingDown = false;
         now = at;
-        router = module.create(settings, seed + life, this);
-        router.onHolds(at, held);
-        List<Api.Server> list = discovery.list();
-        note(at, Api.ListMode.CACHED, list);
-        router.onList(at, Api.ListMode.CACHED, list);
+        router = routerFactory.create(settings, seed + incarnation, this);
+        router.onAdminDrains(at, adminDrainedServers);
+        List<Api.Server> list = discovery.currentServers();
+        recordDrainStates(at, Api.ListMode.CACHED, list);
+        router.onEndpointUpdate(at, Api.ListMode.CACHED, list);
     }
 
-    private void note(long at, Api.ListMode mode, List<Api.Server> servers) {
+    private void recordDrainStates(long at, Api.ListMode mode, List<Api.Server> servers) {
         if (mode != Api.ListMode.FAILED) {
             for (Api.Server server : servers) {
-                leave(
-                        (int) places.get(server.id()),
+                setDraining(
+                        (int) indexByServerId.get(server.id()),
                         at,
-                        server.state() != Api.State.READY || held.contains(server.id()));
+                        server.state() != Api.State.READY || adminDrainedServers.contains(server.id()));
             }
         }
     }
 
-    private void leave(int place, long at, boolean leaves) {
-        leavingSince[place] =
-                !leaves ? 0 : leavingSince[place] == 0 ? Math.max(1, at) : leavingSince[place];
+    private void setDraining(int cacheIndex, long at, boolean isDraining) {
+        drainingSinceNanos[cacheIndex] =
+                !isDraining ? 0 : drainingSinceNanos[cacheIndex] == 0 ? Math.max(1, at) : drainingSinceNanos[cacheIndex];
     }
 
     /** Operators hold these caches out of use, all of them and no others. */
-    void hold(long at, Set<Long> ids) {
-        held.forEach(id -> leave((int) places.get((long) id), at, ids.contains(id)));
-        ids.forEach(id -> leave((int) places.get((long) id), at, true));
-        held = Set.copyOf(ids);
-        if (!down) {
+    void applyAdminDrains(long at, Set<Long> serverIds) {
+        adminDrainedServers.forEach(id -> setDraining((int) indexByServerId.get((long) id), at, serverIds.contains(id)));
+        serverIds.forEach(id -> setDraining((int) indexByServerId.get((long) id), at, true));
+        adminDrainedServers = Set.copyOf(serverIds);
+        if (!isDown) {
             now = at;
-            router.onHolds(at, held);
+            router.onAdminDrains(at, adminDrainedServers);
         }
     }
 
     /** A planned restart: nothing new comes, what is open is served, and then it begins anew. */
-    void restart(long at, long longest) {
-        leaving = true;
-        int mine = life;
-        timeline.at(
-                at + longest,
+    void restart(long at, long maxDeadlineNanos) {
+        isShuttingDown = true;
+        int startIncarnation = incarnation;
+        timeline.schedule(
+                at + maxDeadlineNanos,
                 then -> {
-                    if (mine == life) {
+                    if (startIncarnation == incarnation) {
                         kill(then);
                         start(then);
                     }
@@ -287,28 +287,28 @@
 
     /** Dies with everything it holds. */
     void kill(long at) {
-        down = true;
-        life++;
-        if (links != null) {
-            links.closeAll();
+        isDown = true;
+        incarnation++;
+        if (connections != null) {
+            connections.closeAll();
         }
-        discovery.forget(this);
-        List<Exchange> lost = new ArrayList<>(exchanges.values());
+        discovery.unsubscribe(this);
+        List<Exchange> lostExchanges = new ArrayList<>(exchanges.values());
         exchanges.clear();
-        lost.stream()
-                .filter(exchange -> !exchange.over)
+        lostExchanges.stream()
+                .filter(exchange -> !exchange.isCompleted)
                 .sorted(Comparator.comparingLong(exchange -> exchange.id))
-                .forEach(exchange -> exchange.caller.answered(at, Answer.LOST, 0));
+                .forEach(exchange -> exchange.incomingRequest.onAnswer(at, Answer.LOST, 0));
     }
 
     /** A partition: what is sent to these caches is lost on the way. */
-    void cutOff(int place, boolean on) {
-        cut.set(place, on);
+    void setPartitioned(int cacheIndex, boolean isPartitioned) {
+        partitionedCaches.set(cacheIndex, isPartitioned);
     }
 
     /** Whether nothing new is to come here. */
-    boolean isDown() {
-        return down || leaving;
+    boolean isUnavailable() {
+        return isDown || isShuttingDown;
     }
 
     int zone() {
@@ -316,117 +316,117 @@
     }
 
     /** Runs an action once the core is free for it. */
-    private void busy(long at, Event action) {
-        if (spec.cost() == 0) {
+    private void runOnCore(long at, Event action) {
+        if (spec.eventCostNanos() == 0) {
             now = at;
-            action.happen(at);
+            action.run(at);
             return;
         }
-        freeAt = Math.max(at, freeAt) + spec.cost();
-        int mine = life;
-        timeline.at(
-                freeAt,
+        coreFreeAtNanos = Math.max(at, coreFreeAtNanos) + spec.eventCostNanos();
+        int startIncarnation = incarnation;
+        timeline.schedule(
+                coreFreeAtNanos,
                 then -> {
-                    if (mine == life) {
+                    if (startIncarnation == incarnation) {
                         now = then;
-                        action.happen(then);
+                        action.run(then);
                     }
                 });
     }
 
     /** A request arrives; returns under which number it can be taken back. */
-    long take(long at, Caller caller) {
-        long id = ++lastId;
-        if (down) {
-            caller.answered(at, Answer.LOST, 0);
+    long acceptRequest(long at, IncomingRequest incomingRequest) {
+        long id = ++lastRequestId;
+        if (isDown) {
+            incomingRequest.onAnswer(at, Answer.LOST, 0);
             return id;
         }
-        Exchange exchange = new Exchange(id, caller, at + caller.waits() - WAYS);
+        Exchange exchange = new Exchange(id, incomingRequest, at + incomingRequest.timeoutNanos() - NETWORK_MARGIN_NANOS);
         exchanges.put(id, exchange);
-        int mine = life;
-        exchange.end =
-                timeline.at(
-                        exchange.deadline + MILLISECOND,
+        int startIncarnation = incarnation;
+        exchange.deadlineTimer =
+                timeline.schedule(
+                        exchange.deadlineNanos + NANOS_PER_MILLI,
                         then -> {
-                            if (mine == life && !exchange.over) {
+                            if (startIncarnation == incarnation && !exchange.isCompleted) {
                                 // The module has left it open past its deadline: one answer is owed
                                 // all the same.
-                                referee.broken(SimReferee.Rule.LEFT_OPEN);
+                                invariantChecker.recordViolation(SimInvariantChecker.Rule.LEFT_OPEN);
                                 now = then;
-                                finish(exchange, Answer.FAILED, 0);
-                                router.onClientGone(then, id);
+                                completeRequest(exchange, Answer.FAILED, 0);
+                                router.onClientDisconnect(then, id);
                             }
                         });
-        busy(
+        runOnCore(
                 at,
                 then -> {
                     // Its client may have left while it waited for the core.
-                    if (!exchange.over) {
-                        router.onRequest(then, caller.request(id, exchange.deadline));
+                    if (!exchange.isCompleted) {
+                        router.onRequest(then, incomingRequest.createRequest(id, exchange.deadlineNanos));
                     }
                 });
         return id;
     }
 
     /** Its client waits no longer. */
-    void gone(long at, long id) {
+    void onClientDisconnect(long at, long id) {
         Exchange exchange = exchanges.get(id);
-        if (exchange != null && !exchange.over) {
-            exchange.over = true;
-            timeline.cancel(exchange.end);
+        if (exchange != null && !exchange.isCompleted) {
+            exchange.isCompleted = true;
+            timeline.cancel(exchange.deadlineTimer);
             now = at;
-            router.onClientGone(at, id);
-            forget(exchange);
+            router.onClientDisconnect(at, id);
+            removeIfCompleted(exchange);
         }
     }
 
-    private void finish(Exchange exchange, Answer answer, long comeAgain) {
-        exchange.over = true;
-        timeline.cancel(exchange.end);
-        Caller caller = exchange.caller;
-        timeline.at(now + wire.delay(), then -> caller.answered(then, answer, comeAgain));
-        forget(exchange);
+    private void completeRequest(Exchange exchange, Answer answer, long retryAfterNanos) {
+        exchange.isCompleted = true;
+        timeline.cancel(exchange.deadlineTimer);
+        IncomingRequest incomingRequest = exchange.incomingRequest;
+        timeline.schedule(now + networkDelays.sampleDelayNanos(), then -> incomingRequest.onAnswer(then, answer, retryAfterNanos));
+        removeIfCompleted(exchange);
     }
 
-    private void forget(Exchange exchange) {
-        if (exchange.over && exchange.pending == 0) {
+    private void removeIfCompleted(Exchange exchange) {
+        if (exchange.isCompleted && exchange.pendingAttempts == 0) {
             exchanges.remove(exchange.id);
         }
     }
 
-    private void ended(long at, Attempt attempt, Reason reason) {
-        if (attempt.over || attempt.mine != life) {
+    private void completeAttempt(long at, Attempt attempt, Reason reason) {
+        if (attempt.isCompleted || attempt.startIncarnation != incarnation) {
             return;
         }
-        attempt.over = true;
-        timeline.cancel(attempt.timeout);
-        release(at, attempt, reason);
+        attempt.isCompleted = true;
+        timeline.cancel(attempt.timeoutTimer);
+        releaseConnection(at, attempt, reason);
         Exchange exchange = attempt.exchange;
-        exchange.pending--;
+        exchange.pendingAttempts--;
         now = at;
-        if (reason == Reason.OK && !exchange.over) {
-            served++;
-            finish(exchange, Answer.SERVED, 0);
+        if (reason == Reason.OK && !exchange.isCompleted) {
+            servedRequests++;
+            completeRequest(exchange, Answer.SERVED, 0);
         }
-        router.onOutcome(
+        router.onAttemptOutcome(
                 at,
                 new Api.Outcome(
                         exchange.id,
                         attempt.number,
                         reason,
-                        at - attempt.sentAt,
-                        exchange.over,
+                        at - attempt.sentAtNanos,
+                        exchange.isCompleted,
                         attempt.source,
                         NO_REPORT));
-        forget(exchange);
+        removeIfCompleted(exchange);
     }
 
     @Override
     public void onList(long at, Api.ListMode mode, List<Api.Server> servers) {
-        if (!down) {
+        if (!isDown) {
             now = at;
-            note(at, mode, servers);
-            router.onList(at, mode, servers);
+            recordDrainStates(at, mode, servers);
+            router.onEndpointUpdate(at, mode, servers);
         }
     }
 
@@ -434,110 +434,110 @@
     // not reentrant.
 
     @Override
-    public void send(long request, long server, long cutAt) {
-        Exchange exchange = exchanges.get(request);
+    public void send(long requestId, long serverId, long abandonAtNanos) {
+        Exchange exchange = exchanges.get(requestId);
         if (exchange == null) {
             return;
         }
         Attempt attempt = new Attempt(exchange, exchange.attempts.size(), now);
         exchange.attempts.add(attempt);
-        exchange.pending++;
-        if (exchange.over || exchange.attempts.size() > spec.maxAttempts()) {
-            timeline.at(now, then -> ended(then, attempt, Reason.MOOT));
+        exchange.pendingAttempts++;
+        if (exchange.isCompleted || exchange.attempts.size() > spec.maxAttempts()) {
+            timeline.schedule(now, then -> completeAttempt(then, attempt, Reason.SUPERSEDED));
             return;
         }
-        sends++;
-        copies += exchange.attempts.size() > 1 ? 1 : 0;
-        long until = cutAt <= 0 ? exchange.deadline : Math.min(cutAt, exchange.deadline);
+        attemptsSent++;
+        additionalAttempts += exchange.attempts.size() > 1 ? 1 : 0;
+        long timeoutAtNanos = abandonAtNanos <= 0 ? exchange.deadlineNanos : Math.min(abandonAtNanos, exchange.deadlineNanos);
         // What never left cannot have run: its connection did not come up in time.
-        attempt.timeout =
-                timeline.at(
-                        until,
+        attempt.timeoutTimer =
+                timeline.schedule(
+                        timeoutAtNanos,
                         then ->
-                                ended(
+                                completeAttempt(
                                         then,
                                         attempt,
-                                        attempt.written ? Reason.TIMEOUT : Reason.CONNECT_FAILED));
-        attempt.place = (int) places.get(server);
-        if (leavingSince[attempt.place] != 0
-                && now - leavingSince[attempt.place] > Emulation.DRAIN_GRACE) {
-            referee.broken(SimReferee.Rule.SENT_TO_DRAINING);
+                                        attempt.isSent ? Reason.TIMEOUT : Reason.CONNECT_FAILED));
+        attempt.cacheIndex = (int) indexByServerId.get(serverId);
+        if (drainingSinceNanos[attempt.cacheIndex] != 0
+                && now - drainingSinceNanos[attempt.cacheIndex] > Emulation.DRAIN_GRACE_NANOS) {
+            invariantChecker.recordViolation(SimInvariantChecker.Rule.SENT_TO_DRAINING);
         }
-        if (links == null) {
-            write(now, attempt);
-        } else if (links.take(now, attempt.place)) {
-            attempt.link = links.life(attempt.place);
-            write(now, attempt);
-        } else if (links.room(now)) {
+        if (connections == null) {
+            sendToCache(now, attempt);
+        } else if (connections.tryAcquireIdle(now, attempt.cacheIndex)) {
+            attempt.connectionIncarnation = connections.incarnation(attempt.cacheIndex);
+            sendToCache(now, attempt);
+        } else if (connections.ensureCapacity(now)) {
             connect(attempt);
         } else {
-            timeline.at(now, then -> ended(then, attempt, Reason.MOOT));
+            timeline.schedule(now, then -> completeAttempt(then, attempt, Reason.SUPERSEDED));
         }
     }
 
-    private boolean reaches(int place) {
-        return !cut.get(place) && wire.passes(zone, zone(place));
+    private boolean isReachable(int cacheIndex) {
+        return !partitionedCaches.get(cacheIndex) && networkDelays.isConnected(zone, zone(cacheIndex));
     }
 
     private void connect(Attempt attempt) {
-        links.begin();
-        int place = attempt.place;
-        long begun = now;
-        long trip =
-                wire.delay(zone, zone(place))
-                        + wire.delay(zone(place), zone)
-                        + linkSpec.handshake();
-        timeline.at(
-                begun + trip,
+        connections.onConnectStarted();
+        int cacheIndex = attempt.cacheIndex;
+        long startedAtNanos = now;
+        long connectNanos =
+                networkDelays.sampleDelayNanos(zone, zone(cacheIndex))
+                        + networkDelays.sampleDelayNanos(zone(cacheIndex), zone)
+                        + connectionSpec.handshakeNanos();
+        timeline.schedule(
+                startedAtNanos + connectNanos,
                 then -> {
-                    if (attempt.mine != life) {
+                    if (attempt.startIncarnation != incarnation) {
                         return;
                     }
-                    Boolean up = reaches(place) ? addresses.get(place).link() : null;
-                    if (up == null) {
-                        timeline.at(begun + linkSpec.timeout(), at -> unconnected(at, attempt));
-                    } else if (!up) {
-                        unconnected(then, attempt);
+                    Boolean isAccepted = isReachable(cacheIndex) ? cacheAtAddress.get(cacheIndex).acceptConnection() : null;
+                    if (isAccepted == null) {
+                        timeline.schedule(startedAtNanos + connectionSpec.connectTimeoutNanos(), at -> onConnectFailed(at, attempt));
+                    } else if (!isAccepted) {
+                        onConnectFailed(then, attempt);
                     } else {
-                        links.up(then, place);
-                        if (attempt.over) {
+                        connections.onConnected(then, cacheIndex);
+                        if (attempt.isCompleted) {
                             // Cancelled while it came up: nothing was written, and it is kept.
-                            links.free(then, place, links.life(place));
+                            connections.release(then, cacheIndex, connections.incarnation(cacheIndex));
                         } else {
-                            attempt.link = links.life(place);
-                            attempt.first = true;
+                            attempt.connectionIncarnation = connections.incarnation(cacheIndex);
+                            attempt.isFirstOnConnection = true;
                             now = then;
-                            write(then, attempt);
+                            sendToCache(then, attempt);
                         }
                     }
                 });
     }
 
-    private void unconnected(long at, Attempt attempt) {
-        if (attempt.mine == life) {
-            links.failed();
-            busy(at, then -> ended(then, attempt, Reason.CONNECT_FAILED));
+    private void onConnectFailed(long at, Attempt attempt) {
+        if (attempt.startIncarnation == incarnation) {
+            connections.onConnectFailed();
+            runOnCore(at, then -> completeAttempt(then, attempt, Reason.CONNECT_FAILED));
         }
     }
 
-    private void write(long at, Attempt attempt) {
-        attempt.written = true;
-        if (wire.loses() || !reaches(attempt.place)) {
+    private void sendToCache(long at, Attempt attempt) {
+        attempt.isSent = true;
+        if (networkDelays.isMessageLost() || !isReachable(attempt.cacheIndex)) {
             return;
         }
-        SimCache cache = addresses.get(attempt.place);
-        attempt.told = cache.place() == attempt.place;
-        boolean reset = wire.resets();
-        timeline.at(
-                at + wire.delay(zone, zone(attempt.place)),
+        SimCache cache = cacheAtAddress.get(attempt.cacheIndex);
+        attempt.isIntendedCache = cache.index() == attempt.cacheIndex;
+        boolean isReset = networkDelays.isConnectionReset();
+        timeline.schedule(
+                at + networkDelays.sampleDelayNanos(zone, zone(attempt.cacheIndex)),
                 then -> {
-                    if (reset) {
-                        timeline.at(
-                                then + wire.delay(zone(attempt.place), zone),
-                                back -> ended(back, attempt, Reason.RESET));
+                    if (isReset) {
+                        timeline.schedule(
+                                then + networkDelays.sampleDelayNanos(zone(attempt.cacheIndex), zone),
+                                back -> completeAttempt(back, attempt, Reason.RESET));
                     }
                     // Of those that are reset every other one has come, and may run.
-                    if (!reset || (attempt.exchange.id & 1) == 0) {
+                    if (!isReset || (attempt.exchange.id & 1) == 0) {
                         cache.accept(then, attempt);
                     }
                 });
@@ -547,53 +547,53 @@
      * A connection is free after an answer; given up under a request it is closed, as the answer
      * may still come.
      */
-    private void release(long at, Attempt attempt, Reason reason) {
-        if (attempt.link == NO_LINK) {
+    private void releaseConnection(long at, Attempt attempt, Reason reason) {
+        if (attempt.connectionIncarnation == NO_CONNECTION) {
             return;
         }
         if (reason.answered() || reason == Reason.ERROR || reason == Reason.REJECTED) {
-            links.free(at, attempt.place, attempt.link);
+            connections.release(at, attempt.cacheIndex, attempt.connectionIncarnation);
         } else {
-            links.close(attempt.place, attempt.link);
+            connections.close(attempt.cacheIndex, attempt.connectionIncarnation);
         }
-        attempt.link = NO_LINK;
+        attempt.connectionIncarnation = NO_CONNECTION;
     }
 
     @Override
-    public void cancel(long request, int attempt) {
-        Exchange exchange = exchanges.get(request);
+    public void cancel(long requestId, int attempt) {
+        Exchange exchange = exchanges.get(requestId);
         if (exchange != null && attempt < exchange.attempts.size()) {
             Attempt cancelled = exchange.attempts.get(attempt);
-            timeline.at(now, then -> ended(then, cancelled, Reason.CANCELLED));
+            timeline.schedule(now, then -> completeAttempt(then, cancelled, Reason.CANCELLED));
         }
     }
 
     @Override
-    public void refuse(long request, long retryAfter) {
-        answer(request, Answer.REFUSED, Math.min(retryAfter, settings.maxRetryAfter()));
+    public void reject(long requestId, long retryAfterNanos) {
+        answerClient(requestId, Answer.REJECTED, Math.min(retryAfterNanos, settings.maxRetryAfterNanos()));
     }
 
     @Override
-    public void fail(long request) {
-        answer(request, Answer.FAILED, 0);
+    public void fail(long requestId) {
+        answerClient(requestId, Answer.FAILED, 0);
     }
 
-    private void answer(long request, Answer answer, long comeAgain) {
-        Exchange exchange = exchanges.get(request);
-        if (exchange == null || exchange.over) {
-            referee.broken(SimReferee.Rule.ANSWERED_TWICE);
+    private void answerClient(long requestId, Answer answer, long retryAfterNanos) {
+        Exchange exchange = exchanges.get(requestId);
+        if (exchange == null || exchange.isCompleted) {
+            invariantChecker.recordViolation(SimInvariantChecker.Rule.ANSWERED_TWICE);
         } else {
-            finish(exchange, answer, comeAgain);
+            completeRequest(exchange, answer, retryAfterNanos);
         }
     }
 
     @Override
-    public void wakeAt(long moment, int token) {
-        int mine = life;
-        timeline.at(
-                moment,
+    public void scheduleTimer(long atNanos, int token) {
+        int startIncarnation = incarnation;
+        timeline.schedule(
+                atNanos,
                 then -> {
-                    if (mine == life) {
+                    if (startIncarnation == incarnation) {
                         now = then;
                         router.onTimer(then, token);
                     }
@@ -601,9 +601,9 @@
     }
 
     @Override
-    public void closeIdle(long server) {
-        if (links != null) {
-            links.closeIdle((int) places.get(server));
+    public void closeIdleConnections(long serverId) {
+        if (connections != null) {
+            connections.closeIdle((int) indexByServerId.get(serverId));
         }
     }
 
@@ -613,26 +613,26 @@
     }
 
     /** Requests that came here, also while it was down. */
-    long taken() {
-        return lastId;
+    long receivedRequests() {
+        return lastRequestId;
     }
 
-    long sends() {
-        return sends;
+    long attemptsSent() {
+        return attemptsSent;
     }
 
     /** Requests that were served from here. */
-    long served() {
-        return served;
+    long servedRequests() {
+        return servedRequests;
     }
 
     /** Connections that were begun. */
     long handshakes() {
-        return links == null ? 0 : links.handshakes();
+        return connections == null ? 0 : connections.handshakeCount();
     }
 
     /** Sends beyond the first of a request. */
-    long copies() {
-        return copies;
+    long additionalAttempts() {
+        return additionalAttempts;
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/SimCache.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimCache.java
@@ -13,13 +13,13 @@
  */
 final class SimCache {
     /** How work at a cache ends. */
-    enum End {
+    enum Outcome {
         SERVED,
         HIT,
         FETCHED,
         FAILED,
-        BUSY,
-        REFUSED,
+        REJECTED,
+        CONNECTION_REFUSED,
         RESET
     }
 
@@ -28,341 +28,341 @@
         int key();
 
         /** Nanoseconds of a core at full speed. */
-        double work();
+        double workNanos();
 
-        boolean write();
+        boolean isWrite();
 
         /** Whether nobody waits any more: waiting work is dropped then. */
-        boolean dropped();
+        boolean isCancelled();
 
         /**
          * Whether who sent it has been told of the cache: it may think that another one is there.
          */
-        boolean told();
+        boolean isIntendedCache();
 
-        void ended(long now, End end);
+        void onCompleted(long now, Outcome outcome);
 
         /** It took effect. */
-        void ran(long now);
+        void onExecuted(long now);
     }
 
     /** A job from its coming to its end. */
-    private static final class Visit {
+    private static final class JobNode {
         final Job job;
-        Visit before = this;
-        Visit after = this;
+        JobNode previous = this;
+        JobNode next = this;
 
-        Visit(Job job) {
+        JobNode(Job job) {
             this.job = job;
         }
 
-        void add(Visit other) {
-            other.before = before;
-            other.after = this;
-            before.after = other;
-            before = other;
+        void append(JobNode other) {
+            other.previous = previous;
+            other.next = this;
+            previous.next = other;
+            previous = other;
         }
 
         /** False if it had left before. */
-        boolean leave() {
-            boolean was = after != this;
-            before.after = after;
-            after.before = before;
-            before = this;
-            after = this;
-            return was;
+        boolean unlink() {
+            boolean wasLinked = next != this;
+            previous.next = next;
+            next.previous = previous;
+            previous = this;
+            next = this;
+            return wasLinked;
         }
     }
 
     /** Lives of a newcomer are none of those that the cache before it at the same address had. */
-    private static final int NEWCOMER = 1 << 20;
+    private static final int REPLACEMENT_INCARNATION_OFFSET = 1 << 20;
 
     /** Numbers without a pattern, out of a counter. */
-    private static final int GOLDEN = 0x9E3779B9;
+    private static final int GOLDEN_RATIO = 0x9E3779B9;
 
-    private final Plant.Cache spec;
-    private final int place;
-    private final int mostLinks;
+    private final SystemModel.Cache spec;
+    private final int index;
+    private final int maxConnections;
     private final Timeline timeline;
     private final SimOrigin origin;
 
     /** How often each key was written, over all caches. */
-    private final int[] versions;
+    private final int[] versionByKey;
 
-    private final ColdGuard guard;
-    private final Memory memory;
-    private final Deque<Visit> waiting = new ArrayDeque<>();
-    private final Int2ObjectHashMap<List<Visit>> fetching = new Int2ObjectHashMap<>();
+    private final SlowStartGuard slowStartGuard;
+    private final SimCacheMemory memory;
+    private final Deque<JobNode> queue = new ArrayDeque<>();
+    private final Int2ObjectHashMap<List<JobNode>> waitersByKey = new Int2ObjectHashMap<>();
 
     /** All that has come and not ended is linked behind this, in the order in which it came. */
-    private final Visit open = new Visit(null);
+    private final JobNode openJobs = new JobNode(null);
 
-    private int busy;
-    private boolean down;
-    private double slow = 1;
-    private long startedAt = Long.MIN_VALUE / 2;
+    private int busyCores;
+    private boolean isDown;
+    private double slowdownFactor = 1;
+    private long startedAtNanos = Long.MIN_VALUE / 2;
 
     /** Counts lives: what belongs to a former one ends in nothing. */
-    private int life;
+    private int incarnation;
 
     private long hits;
     private long misses;
-    private long worked;
+    private long busyNanos;
 
     /** Takes what comes and answers nothing. */
-    private boolean silent;
+    private boolean isUnresponsive;
 
     /** The part of requests that fails for a cause of its own. */
-    private double failing;
+    private double failureFraction;
 
-    private int links;
-    private long wasted;
-    private int failures;
+    private int connectionCount;
+    private long wastedNanos;
+    private int failureCounter;
 
-    /** {@code mostLinks}: connections that it holds. */
+    /** {@code maxConnections}: connections that it holds. */
     SimCache(
-            Plant.Cache spec,
-            int place,
-            int mostLinks,
+            SystemModel.Cache spec,
+            int index,
+            int maxConnections,
             Timeline timeline,
             SimOrigin origin,
-            int[] versions,
-            ColdGuard guard) {
-        this.guard = guard;
+            int[] versionByKey,
+            SlowStartGuard slowStartGuard) {
+        this.slowStartGuard = slowStartGuard;
         this.spec = spec;
-        this.place = place;
-        this.mostLinks = mostLinks;
+        this.index = index;
+        this.maxConnections = maxConnections;
         this.timeline = timeline;
         this.origin = origin;
-        this.versions = versions;
-        this.memory = new Memory(spec.memory(), spec.eviction());
+        this.versionByKey = versionByKey;
+        this.memory = new SimCacheMemory(spec.maxObjects(), spec.eviction());
     }
 
     /** Holds a key from the start. */
-    void fill(int key) {
-        memory.keep(key, 0);
+    void preload(int key) {
+        memory.put(key, 0);
     }
 
     void accept(long now, Job job) {
-        if (silent) {
+        if (isUnresponsive) {
             return;
         }
-        if (down) {
-            job.ended(now, End.REFUSED);
+        if (isDown) {
+            job.onCompleted(now, Outcome.CONNECTION_REFUSED);
             return;
         }
-        if (now - startedAt < spec.warmWithin() && job.told()) {
-            guard.arrived(now, speed(now) * slow);
+        if (now - startedAtNanos < spec.slowStartNanos() && job.isIntendedCache()) {
+            slowStartGuard.onArrival(now, currentSpeed(now) * slowdownFactor);
         }
-        Visit visit = new Visit(job);
-        open.add(visit);
-        if (busy < spec.cores()) {
-            begin(now, visit);
-        } else if (waiting.size() < spec.queue()) {
-            waiting.add(visit);
+        JobNode jobNode = new JobNode(job);
+        openJobs.append(jobNode);
+        if (busyCores < spec.cores()) {
+            startWork(now, jobNode);
+        } else if (queue.size() < spec.queueCapacity()) {
+            queue.add(jobNode);
         } else {
-            end(now, visit, End.BUSY);
+            complete(now, jobNode, Outcome.REJECTED);
         }
     }
 
-    private void end(long now, Visit visit, End end) {
-        if (visit.leave() && !silent) {
-            visit.job.ended(now, end);
+    private void complete(long now, JobNode jobNode, Outcome outcome) {
+        if (jobNode.unlink() && !isUnresponsive) {
+            jobNode.job.onCompleted(now, outcome);
         }
     }
 
-    private double speed(long now) {
-        long age = now - startedAt;
-        double warm =
-                age >= spec.warmWithin()
+    private double currentSpeed(long now) {
+        long ageNanos = now - startedAtNanos;
+        double warmFraction =
+                ageNanos >= spec.slowStartNanos()
                         ? 1
-                        : spec.coldFrom() + (1 - spec.coldFrom()) * age / spec.warmWithin();
-        return warm / slow;
+                        : spec.slowStartInitialFraction() + (1 - spec.slowStartInitialFraction()) * ageNanos / spec.slowStartNanos();
+        return warmFraction / slowdownFactor;
     }
 
-    private void begin(long now, Visit visit) {
-        busy++;
-        int mine = life;
+    private void startWork(long now, JobNode jobNode) {
+        busyCores++;
+        int startIncarnation = incarnation;
         // Crowding: each that waits slows the one in work, as context switches and lost cache lines
         // do.
-        long time = (long) (visit.job.work() * (1 + spec.crowding() * waiting.size()) / speed(now));
-        worked += time;
-        timeline.at(
-                now + time,
+        long durationNanos = (long) (jobNode.job.workNanos() * (1 + spec.slowdownPerQueued() * queue.size()) / currentSpeed(now));
+        busyNanos += durationNanos;
+        timeline.schedule(
+                now + durationNanos,
                 then -> {
-                    if (mine != life) {
+                    if (startIncarnation != incarnation) {
                         return;
                     }
-                    busy--;
-                    worked(then, visit, time);
-                    while (busy < spec.cores() && !waiting.isEmpty()) {
-                        Visit next = waiting.poll();
-                        if (next.job.dropped()) {
-                            next.leave();
+                    busyCores--;
+                    worked(then, jobNode, durationNanos);
+                    while (busyCores < spec.cores() && !queue.isEmpty()) {
+                        JobNode next = queue.poll();
+                        if (next.job.isCancelled()) {
+                            next.unlink();
                         } else {
-                            begin(then, next);
+                            startWork(then, next);
                         }
                     }
                 });
     }
 
-    private void worked(long now, Visit visit, long time) {
-        Job job = visit.job;
-        wasted += job.dropped() ? time : 0;
-        if (failing > 0 && (++failures * GOLDEN >>> 1) < failing * Integer.MAX_VALUE) {
-            end(now, visit, End.FAILED);
+    private void worked(long now, JobNode jobNode, long durationNanos) {
+        Job job = jobNode.job;
+        wastedNanos += job.isCancelled() ? durationNanos : 0;
+        if (failureFraction > 0 && (++failureCounter * GOLDEN_RATIO >>> 1) < failureFraction * Integer.MAX_VALUE) {
+            complete(now, jobNode, Outcome.FAILED);
             return;
         }
-        if (job.write()) {
-            job.ran(now);
-            versions[job.key()]++;
-            call(now, good -> {}, List.of(visit));
+        if (job.isWrite()) {
+            job.onExecuted(now);
+            versionByKey[job.key()]++;
+            callOrigin(now, succeeded -> {}, List.of(jobNode));
             return;
         }
-        if (memory.has(job.key(), versions[job.key()])) {
+        if (memory.contains(job.key(), versionByKey[job.key()])) {
             hits++;
-            end(now, visit, End.HIT);
+            complete(now, jobNode, Outcome.HIT);
             return;
         }
         misses++;
-        List<Visit> others = spec.coalesce() ? fetching.get(job.key()) : null;
-        if (others != null) {
-            others.add(visit);
+        List<JobNode> existingWaiters = spec.coalescesFetches() ? waitersByKey.get(job.key()) : null;
+        if (existingWaiters != null) {
+            existingWaiters.add(jobNode);
             return;
         }
-        List<Visit> all = new ArrayList<>(1);
-        all.add(visit);
-        if (spec.coalesce()) {
-            fetching.put(job.key(), all);
+        List<JobNode> waiters = new ArrayList<>(1);
+        waiters.add(jobNode);
+        if (spec.coalescesFetches()) {
+            waitersByKey.put(job.key(), waiters);
         }
-        int version = versions[job.key()];
-        call(
+        int version = versionByKey[job.key()];
+        callOrigin(
                 now,
-                good -> {
-                    fetching.remove(job.key());
-                    if (good) {
-                        memory.keep(job.key(), version);
+                succeeded -> {
+                    waitersByKey.remove(job.key());
+                    if (succeeded) {
+                        memory.put(job.key(), version);
                     }
                 },
-                all);
+                waiters);
     }
 
-    private interface Fetched {
-        void fetched(boolean good);
+    private interface OriginCallback {
+        void onResult(boolean succeeded);
     }
 
-    private void call(long now, Fetched then, List<Visit> visits) {
-        int mine = life;
+    private void callOrigin(long now, OriginCallback callback, List<JobNode> jobNodes) {
+        int startIncarnation = incarnation;
         origin.call(
                 now,
-                (at, good) -> {
-                    if (mine == life) {
-                        then.fetched(good);
-                        visits.forEach(
-                                visit ->
-                                        end(
+                (at, succeeded) -> {
+                    if (startIncarnation == incarnation) {
+                        callback.onResult(succeeded);
+                        jobNodes.forEach(
+                                jobNode ->
+                                        complete(
                                                 at,
-                                                visit,
-                                                !good
-                                                        ? End.FAILED
-                                                        : visit.job.write()
-                                                                ? End.SERVED
-                                                                : End.FETCHED));
+                                                jobNode,
+                                                !succeeded
+                                                        ? Outcome.FAILED
+                                                        : jobNode.job.isWrite()
+                                                                ? Outcome.SERVED
+                                                                : Outcome.FETCHED));
                     }
                 });
     }
 
     /** The process dies with all it holds. */
     void kill(long now) {
-        down = true;
-        life++;
-        links = 0;
-        busy = 0;
+        isDown = true;
+        incarnation++;
+        connectionCount = 0;
+        busyCores = 0;
         memory.clear();
-        fetching.clear();
-        waiting.clear();
-        while (open.after != open) {
-            end(now, open.after, End.RESET);
+        waitersByKey.clear();
+        queue.clear();
+        while (openJobs.next != openJobs) {
+            complete(now, openJobs.next, Outcome.RESET);
         }
     }
 
     /** It starts empty and cold. */
     void start(long now) {
-        down = false;
-        startedAt = now;
+        isDown = false;
+        startedAtNanos = now;
     }
 
     /** It comes in the place of another for the first time. */
-    void comeIn(long now) {
-        life += NEWCOMER;
+    void startAsReplacement(long now) {
+        incarnation += REPLACEMENT_INCARNATION_OFFSET;
         start(now);
     }
 
     /** Work takes so many times as long from now on. */
-    void slow(double factor) {
-        slow = factor;
+    void setSlowdownFactor(double factor) {
+        slowdownFactor = factor;
     }
 
     /** Its machine is cut off: nothing comes in and nothing goes out, and nobody is told. */
-    void silent(boolean on) {
-        silent = on;
+    void setUnresponsive(boolean unresponsive) {
+        isUnresponsive = unresponsive;
     }
 
     /** Fails this part of its requests from now on. */
-    void failing(double part) {
-        failing = part;
+    void setFailureFraction(double fraction) {
+        failureFraction = fraction;
     }
 
     /**
      * Whether a new connection comes up: null while nothing answers, as from a machine that is cut
      * off.
      */
-    Boolean link() {
-        if (silent) {
+    Boolean acceptConnection() {
+        if (isUnresponsive) {
             return null;
         }
-        if (down || links >= mostLinks) {
+        if (isDown || connectionCount >= maxConnections) {
             return false;
         }
-        links++;
+        connectionCount++;
         return true;
     }
 
     /** A connection that came up in that life of it is closed. */
-    void unlink(int since) {
-        links -= since == life ? 1 : 0;
+    void closeConnection(int connectionIncarnation) {
+        connectionCount -= connectionIncarnation == incarnation ? 1 : 0;
     }
 
     /** Counts lives: connections end with the process. */
-    int life() {
-        return life;
+    int incarnation() {
+        return incarnation;
     }
 
     /** Where it is listed. */
-    int place() {
-        return place;
+    int index() {
+        return index;
     }
 
     /** Connections that it holds. */
-    int links() {
-        return links;
+    int connectionCount() {
+        return connectionCount;
     }
 
     /**
      * Nanoseconds of its cores' time that were given to work that nobody waited for when it was
      * done.
      */
-    long wasted() {
-        return wasted;
+    long wastedNanos() {
+        return wastedNanos;
     }
 
     /** Nanoseconds of its cores' time that were given to work. */
     long worked() {
-        return worked;
+        return busyNanos;
     }
 
     /** All that is kept goes void, as a release of new templates does. */
-    void release() {
+    void invalidateAll() {
         memory.clear();
     }
 
