--- a/emulator/src/main/java/frostrelay/emulator/SimClients.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimClients.java
@@ -13,300 +13,300 @@
 
 /** Clients in an open loop, with patience, retries and back-off, behind a plain front. */
 final class SimClients {
-    private static final double SECOND = 1e9;
-    private static final int MOST_SHIFT = 10;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final int MAX_BACKOFF_SHIFT = 10;
 
     /** With less time left than this no client asks again: the answer could not come. */
-    private static final long LEAST_WAIT = 20_000_000L;
+    private static final long MIN_RETRY_WINDOW_NANOS = 20_000_000L;
 
-    private final Plant plant;
+    private final SystemModel model;
     private final Timeline timeline;
-    private final Wire wire;
-    private final SimFront front;
-    private final Figures figures;
-    private final SimReferee referee;
+    private final NetworkDelays networkDelays;
+    private final SimFrontend frontend;
+    private final RunStatistics statistics;
+    private final SimInvariantChecker invariantChecker;
     private final UniformRandomProvider random;
-    private final ZigguratSampler.Exponential gaps;
-    private final SharedStateDiscreteSampler keys;
-    private final UniformRandomProvider tenants;
-    private double surge = 1;
-    private double firstTenant = 1;
-    private double eager = 1;
-    private double hasty = 1;
-    private long open;
+    private final ZigguratSampler.Exponential exponentialSampler;
+    private final SharedStateDiscreteSampler keySampler;
+    private final UniformRandomProvider tenantRandom;
+    private double rateFactor = 1;
+    private double firstTenantFactor = 1;
+    private double retryFactor = 1;
+    private double impatienceFactor = 1;
+    private long openRequests;
 
     SimClients(
-            Plant plant,
+            SystemModel model,
             Timeline timeline,
-            Wire wire,
+            NetworkDelays networkDelays,
             List<SimBalancer> balancers,
-            Figures figures,
-            SimReferee referee) {
-        this.referee = referee;
-        this.plant = plant;
+            RunStatistics statistics,
+            SimInvariantChecker invariantChecker) {
+        this.invariantChecker = invariantChecker;
+        this.model = model;
         this.timeline = timeline;
-        this.wire = wire;
-        this.front = new SimFront(plant, balancers);
-        this.figures = figures;
-        random = Randoms.of(plant.seed(), "clients");
-        tenants = Randoms.of(plant.seed(), "tenants");
-        gaps = ZigguratSampler.Exponential.of(random);
-        keys =
-                plant.clients().offset() == 0
+        this.networkDelays = networkDelays;
+        this.frontend = new SimFrontend(model, balancers);
+        this.statistics = statistics;
+        random = RandomStreams.create(model.seed(), "clients");
+        tenantRandom = RandomStreams.create(model.seed(), "tenants");
+        exponentialSampler = ZigguratSampler.Exponential.of(random);
+        keySampler =
+                model.clients().zipfOffset() == 0
                         ? RejectionInversionZipfSampler.of(
-                                random, plant.clients().keys(), plant.clients().zipf())
-                        : flattened(random, plant.clients());
+                                random, model.clients().keyCount(), model.clients().zipfExponent())
+                        : zipfMandelbrotSampler(random, model.clients());
     }
 
     /** Zipf and Mandelbrot's law, ranks from 1 on. */
-    private static SharedStateDiscreteSampler flattened(
-            UniformRandomProvider random, Plant.Clients clients) {
+    private static SharedStateDiscreteSampler zipfMandelbrotSampler(
+            UniformRandomProvider random, SystemModel.Clients clients) {
         double[] weights =
-                IntStream.rangeClosed(0, clients.keys())
+                IntStream.rangeClosed(0, clients.keyCount())
                         .mapToDouble(
                                 rank ->
                                         rank == 0
                                                 ? 0
                                                 : Math.pow(
-                                                        rank + clients.offset(), -clients.zipf()))
+                                                        rank + clients.zipfOffset(), -clients.zipfExponent()))
                         .toArray();
         return AliasMethodDiscreteSampler.of(random, weights);
     }
 
     void start() {
-        next(0);
+        scheduleNextArrival(0);
     }
 
-    private void next(long now) {
-        long at =
+    private void scheduleNextArrival(long now) {
+        long arrivalNanos =
                 now
                         + (long)
-                                (gaps.sample()
-                                        * SECOND
-                                        / (plant.clients().rate() * surge * tide(now)));
-        if (at < plant.settle() + plant.length()) {
-            timeline.at(
-                    at,
+                                (exponentialSampler.sample()
+                                        * NANOS_PER_SECOND
+                                        / (model.clients().requestsPerSecond() * rateFactor * rateFactorAt(now)));
+        if (arrivalNanos < model.warmupNanos() + model.durationNanos()) {
+            timeline.schedule(
+                    arrivalNanos,
                     then -> {
-                        new First(then).send(then);
-                        next(then);
+                        new UserRequest(then).sendAttempt(then);
+                        scheduleNextArrival(then);
                     });
         }
     }
 
     /** Where the day stands in its rise and fall: 1 on the mean. */
-    private double tide(long now) {
-        double swing = plant.clients().swing();
-        return swing == 0 ? 1 : 1 + swing * Math.sin(2 * Math.PI * now / plant.clients().period());
+    private double rateFactorAt(long now) {
+        double amplitude = model.clients().rateAmplitude();
+        return amplitude == 0 ? 1 : 1 + amplitude * Math.sin(2 * Math.PI * now / model.clients().ratePeriodNanos());
     }
 
     /**
      * Popularity drifts: ranks move through the keys, so that the most popular ones are others
      * after a while.
      */
-    private int key(long now) {
-        long moved = (long) (plant.clients().drift() * now / SECOND);
-        return (int) ((keys.sample() - 1 + moved) % plant.clients().keys());
+    private int sampleKey(long now) {
+        long rankShift = (long) (model.clients().driftKeysPerSecond() * now / NANOS_PER_SECOND);
+        return (int) ((keySampler.sample() - 1 + rankShift) % model.clients().keyCount());
     }
 
     /** From now on so many times the usual rate. */
-    void surge(double factor) {
-        surge = factor;
+    void setRateFactor(double factor) {
+        rateFactor = factor;
     }
 
     /** First tries that have not ended. */
-    long open() {
-        return open;
+    long openRequests() {
+        return openRequests;
     }
 
-    SimFront front() {
-        return front;
+    SimFrontend frontend() {
+        return frontend;
     }
 
     /** From now on the first tenant asks for so many times its part. */
-    void tenantSurge(double factor) {
-        firstTenant = factor;
+    void setFirstTenantFactor(double factor) {
+        firstTenantFactor = factor;
     }
 
     /** From now on they come again at once, so many times as often. */
-    void eager(double factor) {
-        eager = factor;
+    void setRetryFactor(double factor) {
+        retryFactor = factor;
     }
 
     /** From now on they give up so many times as early. */
-    void hasty(double factor) {
-        hasty = factor;
+    void setImpatienceFactor(double factor) {
+        impatienceFactor = factor;
     }
 
-    private int tenant() {
-        List<Double> parts = plant.tenants();
-        if (parts.isEmpty()) {
+    private int sampleTenant() {
+        List<Double> shares = model.tenantShares();
+        if (shares.isEmpty()) {
             return 0;
         }
-        double more = parts.get(0) * (firstTenant - 1);
-        double rest = tenants.nextDouble() * (1 + more) - more;
-        for (int i = 0; i < parts.size(); i++) {
-            rest -= parts.get(i);
-            if (rest < 0) {
+        double extraShare = shares.get(0) * (firstTenantFactor - 1);
+        double remainder = tenantRandom.nextDouble() * (1 + extraShare) - extraShare;
+        for (int i = 0; i < shares.size(); i++) {
+            remainder -= shares.get(i);
+            if (remainder < 0) {
                 return i;
             }
         }
-        return parts.size() - 1;
+        return shares.size() - 1;
     }
 
-    private int loadClass(double draw) {
-        double rest = draw;
-        for (int i = 0; i < plant.classes().size(); i++) {
-            rest -= plant.classes().get(i).share();
-            if (rest < 0) {
+    private int requestClassIndex(double draw) {
+        double remainder = draw;
+        for (int i = 0; i < model.requestClasses().size(); i++) {
+            remainder -= model.requestClasses().get(i).fraction();
+            if (remainder < 0) {
                 return i;
             }
         }
-        return plant.classes().size() - 1;
+        return model.requestClasses().size() - 1;
     }
 
     /** A first try with all that follows from it. */
-    private final class First {
-        private final long at;
-        private final int number;
-        private final Plant.Load load;
+    private final class UserRequest {
+        private final long startedAtNanos;
+        private final int classIndex;
+        private final SystemModel.RequestClass requestClass;
         private final int key;
-        private final double work;
+        private final double workNanos;
         private final int tenant;
-        private int tries;
-        private int runs;
-
-        First(long at) {
-            this.at = at;
-            number = loadClass(random.nextDouble());
-            load = plant.classes().get(number);
-            key = key(at);
-            work = load.work() * (load.spread() == Plant.Spread.FIXED ? 1 : gaps.sample());
-            tenant = tenant();
-            open++;
-            figures.asked(at, number, tenant, load.worth());
+        private int attemptCount;
+        private int executionCount;
+
+        UserRequest(long startedAtNanos) {
+            this.startedAtNanos = startedAtNanos;
+            classIndex = requestClassIndex(random.nextDouble());
+            requestClass = model.requestClasses().get(classIndex);
+            key = sampleKey(startedAtNanos);
+            workNanos = requestClass.meanWorkNanos() * (requestClass.workDistribution() == SystemModel.WorkDistribution.FIXED ? 1 : exponentialSampler.sample());
+            tenant = sampleTenant();
+            openRequests++;
+            statistics.asked(startedAtNanos, classIndex, tenant, requestClass.priorityWeight());
         }
 
-        void send(long now) {
-            tries++;
-            figures.tried(at);
-            Try fresh = new Try(this, now);
-            timeline.at(now + wire.delay(), then -> fresh.arrive(then));
+        void sendAttempt(long now) {
+            attemptCount++;
+            statistics.recordAttempt(startedAtNanos);
+            ClientAttempt attempt = new ClientAttempt(this, now);
+            timeline.schedule(now + networkDelays.sampleDelayNanos(), then -> attempt.arrive(then));
         }
 
-        void ended(long now, SimBalancer.Answer answer, long comeAgain) {
+        void onAttemptCompleted(long now, SimBalancer.Answer answer, long retryAfterNanos) {
             if (answer == SimBalancer.Answer.SERVED) {
-                open--;
-                figures.served(at, now - at, now - at <= load.aim(), number, tenant, load.worth());
+                openRequests--;
+                statistics.served(startedAtNanos, now - startedAtNanos, now - startedAtNanos <= requestClass.latencyObjectiveNanos(), classIndex, tenant, requestClass.priorityWeight());
                 return;
             }
             // What may have run is made again only where a repeat does no harm or is dropped by its
             // key.
-            boolean may =
-                    answer == SimBalancer.Answer.REFUSED || load.effect() != Api.Effect.FRAGILE;
-            long backoff =
+            boolean isRetryable =
+                    answer == SimBalancer.Answer.REJECTED || requestClass.idempotency() != Api.Effect.NOT_IDEMPOTENT;
+            long backoffNanos =
                     (long)
-                            ((plant.clients().backoff() << Math.min(tries - 1, MOST_SHIFT))
+                            ((model.clients().initialBackoffNanos() << Math.min(attemptCount - 1, MAX_BACKOFF_SHIFT))
                                     * (0.5 + random.nextDouble()));
-            long wait =
-                    eager > 1
+            long delayNanos =
+                    retryFactor > 1
                             ? 0
-                            : plant.clients().comeAgain() ? Math.max(comeAgain, backoff) : backoff;
-            if (may
-                    && tries <= plant.clients().retries() * eager
-                    && now + wait + LEAST_WAIT < at + load.deadline()) {
-                timeline.at(now + wait, this::send);
+                            : model.clients().honorsRetryAfter() ? Math.max(retryAfterNanos, backoffNanos) : backoffNanos;
+            if (isRetryable
+                    && attemptCount <= model.clients().maxRetries() * retryFactor
+                    && now + delayNanos + MIN_RETRY_WINDOW_NANOS < startedAtNanos + requestClass.deadlineNanos()) {
+                timeline.schedule(now + delayNanos, this::sendAttempt);
             } else {
-                open--;
-                figures.ended(at, answer == SimBalancer.Answer.REFUSED);
+                openRequests--;
+                statistics.recordFailure(startedAtNanos, answer == SimBalancer.Answer.REJECTED);
             }
         }
 
-        void ran() {
-            if (load.effect() == Api.Effect.FRAGILE && ++runs > 1) {
-                referee.broken(SimReferee.Rule.RAN_TWICE);
+        void onExecuted() {
+            if (requestClass.idempotency() == Api.Effect.NOT_IDEMPOTENT && ++executionCount > 1) {
+                invariantChecker.recordViolation(SimInvariantChecker.Rule.RAN_TWICE);
             }
         }
     }
 
-    private final class Try implements SimBalancer.Caller {
-        private final First first;
-        private final long waits;
+    private final class ClientAttempt implements SimBalancer.IncomingRequest {
+        private final UserRequest userRequest;
+        private final long timeoutNanos;
         private SimBalancer balancer;
-        private long id;
-        private boolean over;
+        private long balancerRequestId;
+        private boolean isCompleted;
 
         /** The end of its patience, on the timeline. */
-        private final long patience;
+        private final long timeoutTimer;
 
-        Try(First first, long now) {
-            this.first = first;
-            long whole = (long) (first.load.deadline() * plant.clients().patience() / hasty);
-            waits = Math.min(whole, first.at + first.load.deadline() - now);
-            patience = timeline.at(now + waits, this::late);
+        ClientAttempt(UserRequest userRequest, long now) {
+            this.userRequest = userRequest;
+            long fullTimeoutNanos = (long) (userRequest.requestClass.deadlineNanos() * model.clients().timeoutFraction() / impatienceFactor);
+            timeoutNanos = Math.min(fullTimeoutNanos, userRequest.startedAtNanos + userRequest.requestClass.deadlineNanos() - now);
+            timeoutTimer = timeline.schedule(now + timeoutNanos, this::onTimeout);
         }
 
         void arrive(long now) {
-            if (!over) {
-                balancer = front.choose(random);
-                id = balancer.take(now, this);
+            if (!isCompleted) {
+                balancer = frontend.choose(random);
+                balancerRequestId = balancer.acceptRequest(now, this);
             }
         }
 
-        private void late(long now) {
-            if (!over) {
-                over = true;
+        private void onTimeout(long now) {
+            if (!isCompleted) {
+                isCompleted = true;
                 if (balancer != null) {
-                    timeline.at(now + wire.delay(), then -> balancer.gone(then, id));
+                    timeline.schedule(now + networkDelays.sampleDelayNanos(), then -> balancer.onClientDisconnect(then, balancerRequestId));
                 }
-                first.ended(now, SimBalancer.Answer.FAILED, 0);
+                userRequest.onAttemptCompleted(now, SimBalancer.Answer.FAILED, 0);
             }
         }
 
         @Override
-        public Api.Request request(long number, long deadline) {
+        public Api.Request createRequest(long requestId, long deadlineNanos) {
             return new Api.Request(
-                    number,
-                    first.number,
-                    first.tenant,
-                    Long.reverse(first.key + 1L),
-                    deadline,
-                    (long) first.work,
-                    first.tries > 1,
-                    write());
+                    requestId,
+                    userRequest.classIndex,
+                    userRequest.tenant,
+                    Long.reverse(userRequest.key + 1L),
+                    deadlineNanos,
+                    (long) userRequest.workNanos,
+                    userRequest.attemptCount > 1,
+                    isWrite());
         }
 
         @Override
-        public long waits() {
-            return waits;
+        public long timeoutNanos() {
+            return timeoutNanos;
         }
 
         @Override
         public int key() {
-            return first.key;
+            return userRequest.key;
         }
 
         @Override
-        public double work() {
-            return first.work;
+        public double workNanos() {
+            return userRequest.workNanos;
         }
 
         @Override
-        public boolean write() {
-            return first.load.effect() != Api.Effect.RETRYABLE;
+        public boolean isWrite() {
+            return userRequest.requestClass.idempotency() != Api.Effect.IDEMPOTENT;
         }
 
         @Override
-        public void ran(long now) {
-            first.ran();
+        public void onExecuted(long now) {
+            userRequest.onExecuted();
         }
 
         @Override
-        public void answered(long now, SimBalancer.Answer answer, long comeAgain) {
-            if (!over) {
-                over = true;
-                timeline.cancel(patience);
-                first.ended(now, answer, comeAgain);
+        public void onAnswer(long now, SimBalancer.Answer answer, long retryAfterNanos) {
+            if (!isCompleted) {
+                isCompleted = true;
+                timeline.cancel(timeoutTimer);
+                userRequest.onAttemptCompleted(now, answer, retryAfterNanos);
             }
         }
     }
--- a/emulator/src/main/java/frostrelay/emulator/SimDiscovery.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimDiscovery.java
@@ -19,152 +19,152 @@
         void onList(long now, Api.ListMode mode, List<Api.Server> servers);
     }
 
-    private static final long CALL = 5_000_000L;
-    private static final double SECOND = 1e9;
-    private static final long MIX = 0x9E3779B97F4A7C15L;
+    private static final long CALL_NANOS = 5_000_000L;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long ID_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private final Timeline timeline;
-    private final Plant.Discovery spec;
-    private final int zones;
+    private final SystemModel.Discovery spec;
+    private final int zoneCount;
 
     /** By place; null for a cache that is not there yet. */
     private final Api.Server[] servers;
 
     private final Set<Subscriber> subscribers = new LinkedHashSet<>();
-    private boolean down;
-    private double late = 1;
-    private double shortage = 1;
-    private long freeAt;
-    private long lines;
-    private long failed;
-
-    /** {@code listed} of {@code places} are there from the start. */
-    SimDiscovery(Timeline timeline, Plant.Discovery spec, int zones, int listed, int places) {
+    private boolean isDown;
+    private double delayFactor = 1;
+    private double callCostFactor = 1;
+    private long freeAtNanos;
+    private long entriesSent;
+    private long failedCalls;
+
+    /** {@code listedCount} of {@code slotCount} are there from the start. */
+    SimDiscovery(Timeline timeline, SystemModel.Discovery spec, int zoneCount, int listedCount, int slotCount) {
         this.timeline = timeline;
         this.spec = spec;
-        this.zones = zones;
-        servers = new Api.Server[places];
-        for (int i = 0; i < listed; i++) {
+        this.zoneCount = zoneCount;
+        servers = new Api.Server[slotCount];
+        for (int i = 0; i < listedCount; i++) {
             servers[i] = server(i, Api.State.READY, 0);
         }
     }
 
     /** The id of the cache at a place, spread over all numbers. */
-    static long id(int place) {
-        return (place + 1) * MIX;
+    static long serverId(int index) {
+        return (index + 1) * ID_MULTIPLIER;
     }
 
-    private Api.Server server(int place, Api.State state, long startedAt) {
-        return new Api.Server(id(place), place % zones, 0, 0, state, 1, startedAt);
+    private Api.Server server(int index, Api.State state, long startedAtNanos) {
+        return new Api.Server(serverId(index), index % zoneCount, 0, 0, state, 1, startedAtNanos);
     }
 
     /** What is listed now. */
-    List<Api.Server> list() {
+    List<Api.Server> currentServers() {
         return Arrays.stream(servers).filter(Objects::nonNull).toList();
     }
 
     /** A cache's state changes; it is told once the lateness has passed. */
-    void change(long now, int place, Api.State state, long startedAt) {
-        timeline.at(
-                now + (long) (spec.lateness() * late),
-                then -> tell(then, place, server(place, state, startedAt)));
+    void scheduleUpdate(long now, int index, Api.State state, long startedAtNanos) {
+        timeline.schedule(
+                now + (long) (spec.delayNanos() * delayFactor),
+                then -> publish(then, index, server(index, state, startedAtNanos)));
     }
 
     /**
      * A cache is listed as gone, or again as it is, though nothing has happened to it: told at
      * once.
      */
-    void slander(long now, int place, boolean on) {
-        tell(now, place, server(place, on ? Api.State.GONE : Api.State.READY, 0));
+    void setFalselyRemoved(long now, int index, boolean isRemoved) {
+        publish(now, index, server(index, isRemoved ? Api.State.REMOVED : Api.State.READY, 0));
     }
 
-    private void tell(long now, int place, Api.Server fresh) {
-        servers[place] = fresh;
-        if (down) {
+    private void publish(long now, int index, Api.Server update) {
+        servers[index] = update;
+        if (isDown) {
             return;
         }
-        for (Subscriber one : List.copyOf(subscribers)) {
-            lines++;
-            one.onList(now, Api.ListMode.DELTA, List.of(fresh));
+        for (Subscriber subscriber : List.copyOf(subscribers)) {
+            entriesSent++;
+            subscriber.onList(now, Api.ListMode.DELTA, List.of(update));
             // The watch goes on with another call, which waits in turn as all do.
-            long turn = turn(now);
-            if (turn < 0) {
-                subscribers.remove(one);
-                fail(now + spec.patience(), one);
+            long completedAtNanos = reserveCall(now);
+            if (completedAtNanos < 0) {
+                subscribers.remove(subscriber);
+                scheduleFailure(now + spec.callTimeoutNanos(), subscriber);
             }
         }
     }
 
     /** When a call that comes now is through, -1 if it waits in vain. */
-    private long turn(long now) {
-        if (spec.calls() == 0) {
-            return now + CALL;
+    private long reserveCall(long now) {
+        if (spec.callsPerSecond() == 0) {
+            return now + CALL_NANOS;
         }
-        long begin = Math.max(now, freeAt);
-        if (begin - now > spec.patience()) {
+        long startNanos = Math.max(now, freeAtNanos);
+        if (startNanos - now > spec.callTimeoutNanos()) {
             return -1;
         }
-        freeAt = begin + (long) (SECOND * shortage / spec.calls());
-        return freeAt + CALL;
+        freeAtNanos = startNanos + (long) (NANOS_PER_SECOND * callCostFactor / spec.callsPerSecond());
+        return freeAtNanos + CALL_NANOS;
     }
 
     void subscribe(long now, Subscriber subscriber) {
-        long turn = turn(now);
-        if (turn < 0) {
-            fail(now + spec.patience(), subscriber);
+        long completedAtNanos = reserveCall(now);
+        if (completedAtNanos < 0) {
+            scheduleFailure(now + spec.callTimeoutNanos(), subscriber);
             return;
         }
-        timeline.at(
-                turn,
+        timeline.schedule(
+                completedAtNanos,
                 then -> {
-                    if (down) {
-                        failed++;
+                    if (isDown) {
+                        failedCalls++;
                         subscriber.onList(then, Api.ListMode.FAILED, List.of());
                     } else {
                         subscribers.add(subscriber);
-                        List<Api.Server> all = list();
-                        lines += all.size();
+                        List<Api.Server> all = currentServers();
+                        entriesSent += all.size();
                         subscriber.onList(then, Api.ListMode.FULL, all);
                     }
                 });
     }
 
-    private void fail(long at, Subscriber subscriber) {
-        failed++;
-        timeline.at(at, then -> subscriber.onList(then, Api.ListMode.FAILED, List.of()));
+    private void scheduleFailure(long at, Subscriber subscriber) {
+        failedCalls++;
+        timeline.schedule(at, then -> subscriber.onList(then, Api.ListMode.FAILED, List.of()));
     }
 
-    void forget(Subscriber subscriber) {
+    void unsubscribe(Subscriber subscriber) {
         subscribers.remove(subscriber);
     }
 
     /** Out of reach: watches end and calls fail. */
-    void outage(long now, boolean on) {
-        down = on;
-        if (on) {
+    void setOutage(long now, boolean isOutage) {
+        isDown = isOutage;
+        if (isOutage) {
             List<Subscriber> all = List.copyOf(subscribers);
             subscribers.clear();
-            all.forEach(one -> one.onList(now, Api.ListMode.FAILED, List.of()));
+            all.forEach(subscriber -> subscriber.onList(now, Api.ListMode.FAILED, List.of()));
         }
     }
 
     /** Changes are told so many times as late from now on. */
-    void late(double factor) {
-        late = factor;
+    void setDelayFactor(double factor) {
+        delayFactor = factor;
     }
 
     /** Calls take so many times as long from now on. */
-    void shortOfRoom(double factor) {
-        shortage = factor;
+    void setCallCostFactor(double factor) {
+        callCostFactor = factor;
     }
 
     /** Entries told so far, over all balancers. */
-    long lines() {
-        return lines;
+    long entriesSent() {
+        return entriesSent;
     }
 
     /** Calls that failed. */
-    long failed() {
-        return failed;
+    long failedCalls() {
+        return failedCalls;
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/SimFaults.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimFaults.java
@@ -13,232 +13,232 @@
 /** Brings a plant's faults about, and undoes them. */
 final class SimFaults {
     /** What is replaced is told to drain first. */
-    private static final long DRAIN = 2_000_000_000L;
+    private static final long DRAIN_NANOS = 2_000_000_000L;
 
     /** One newcomer in so many takes over the address of the one that it replaces. */
-    private static final int REUSED = 3;
+    private static final int ADDRESS_REUSE_INTERVAL = 3;
 
     /** The part of its reads that a failing cache fails. */
-    private static final double MOST = 0.9;
+    private static final double FAILURE_FRACTION = 0.9;
 
-    private final Plant plant;
+    private final SystemModel model;
     private final Timeline timeline;
-    private final Wire wire;
+    private final NetworkDelays networkDelays;
     private final SimOrigin origin;
     private final SimDiscovery discovery;
     private final List<SimCache> caches;
-    private final List<SimCache> addresses;
+    private final List<SimCache> cacheAtAddress;
     private final List<SimBalancer> balancers;
     private final SimClients clients;
     private final UniformRandomProvider random;
-    private final Set<Long> held = new HashSet<>();
+    private final Set<Long> adminDrainedServers = new HashSet<>();
 
     /** The place of the next newcomer. */
-    private int newcomers;
+    private int nextReplacementIndex;
 
     SimFaults(
-            Plant plant,
+            SystemModel model,
             Timeline timeline,
-            Wire wire,
+            NetworkDelays networkDelays,
             SimOrigin origin,
             SimDiscovery discovery,
             List<SimCache> caches,
-            List<SimCache> addresses,
+            List<SimCache> cacheAtAddress,
             List<SimBalancer> balancers,
             SimClients clients) {
-        this.plant = plant;
+        this.model = model;
         this.timeline = timeline;
-        this.wire = wire;
+        this.networkDelays = networkDelays;
         this.origin = origin;
         this.discovery = discovery;
         this.caches = caches;
-        this.addresses = addresses;
+        this.cacheAtAddress = cacheAtAddress;
         this.balancers = balancers;
         this.clients = clients;
-        random = Randoms.of(plant.seed(), "faults");
-        newcomers = plant.caches();
+        random = RandomStreams.create(model.seed(), "faults");
+        nextReplacementIndex = model.cacheCount();
     }
 
     /** Each comes at its time from now on. */
-    void begin() {
-        plant.faults()
+    void scheduleAll() {
+        model.faults()
                 .forEach(
                         fault ->
-                                timeline.at(plant.settle() + fault.at(), now -> apply(now, fault)));
+                                timeline.schedule(model.warmupNanos() + fault.startNanos(), now -> apply(now, fault)));
     }
 
-    private void apply(long now, Plant.Fault fault) {
-        boolean ofBalancers =
-                fault.kind() == Plant.Kind.BALANCER_RESTART
-                        || fault.kind() == Plant.Kind.BALANCER_WAVE;
-        int all = ofBalancers ? balancers.size() : plant.caches();
-        int[] met = new PermutationSampler(random, all, fault.count(all)).sample();
-        int zone = plant.zones() == 1 ? 0 : random.nextInt(plant.zones());
+    private void apply(long now, SystemModel.Fault fault) {
+        boolean targetsBalancers =
+                fault.kind() == SystemModel.FaultKind.BALANCER_RESTART
+                        || fault.kind() == SystemModel.FaultKind.BALANCER_WAVE;
+        int machineCount = targetsBalancers ? balancers.size() : model.cacheCount();
+        int[] targets = new PermutationSampler(random, machineCount, fault.targetCount(machineCount)).sample();
+        int zone = model.zoneCount() == 1 ? 0 : random.nextInt(model.zoneCount());
         switch (fault.kind()) {
-            case CACHE_REPLACE -> inSteps(now, fault, met, this::replace);
+            case CACHE_REPLACE -> applyInSteps(now, fault, targets, this::replaceCache);
             case BALANCER_WAVE ->
-                    inSteps(
+                    applyInSteps(
                             now,
                             fault,
-                            met,
-                            (then, place) -> balancers.get(place).restart(then, longest()));
-            case ZONE_LOST -> lose(now, fault, zone);
+                            targets,
+                            (then, index) -> balancers.get(index).restart(then, maxDeadlineNanos()));
+            case ZONE_LOST -> failZone(now, fault, zone);
             default -> {
-                set(now, fault, met, zone, true);
-                if (fault.length() > 0) {
-                    timeline.at(now + fault.length(), then -> set(then, fault, met, zone, false));
+                setFault(now, fault, targets, zone, true);
+                if (fault.durationNanos() > 0) {
+                    timeline.schedule(now + fault.durationNanos(), then -> setFault(then, fault, targets, zone, false));
                 }
             }
         }
     }
 
     private interface Step {
-        void happen(long now, int place);
+        void apply(long now, int index);
     }
 
-    private void inSteps(long now, Plant.Fault fault, int[] met, Step step) {
-        int steps = fault.steps();
-        for (int i = 0; i < met.length; i++) {
-            int place = met[i];
-            timeline.at(
-                    now + fault.length() * ((long) i * steps / met.length) / steps,
-                    then -> step.happen(then, place));
+    private void applyInSteps(long now, SystemModel.Fault fault, int[] targets, Step step) {
+        int stepCount = fault.stepCount();
+        for (int i = 0; i < targets.length; i++) {
+            int index = targets[i];
+            timeline.schedule(
+                    now + fault.durationNanos() * ((long) i * stepCount / targets.length) / stepCount,
+                    then -> step.apply(then, index));
         }
     }
 
-    private long longest() {
-        return plant.classes().stream().mapToLong(Plant.Load::deadline).max().orElse(0);
+    private long maxDeadlineNanos() {
+        return model.requestClasses().stream().mapToLong(SystemModel.RequestClass::deadlineNanos).max().orElse(0);
     }
 
     /** It drains and goes; another one under a new id comes at once, some at its address. */
-    private void replace(long now, int place) {
-        int fresh = newcomers++;
-        discovery.change(now, place, Api.State.DRAINING, 0);
-        caches.get(fresh).comeIn(now);
-        discovery.change(now, fresh, Api.State.READY, now);
-        timeline.at(
-                now + DRAIN,
+    private void replaceCache(long now, int index) {
+        int replacementIndex = nextReplacementIndex++;
+        discovery.scheduleUpdate(now, index, Api.State.DRAINING, 0);
+        caches.get(replacementIndex).startAsReplacement(now);
+        discovery.scheduleUpdate(now, replacementIndex, Api.State.READY, now);
+        timeline.schedule(
+                now + DRAIN_NANOS,
                 then -> {
-                    caches.get(place).kill(then);
-                    discovery.change(then, place, Api.State.GONE, 0);
-                    if (fresh % REUSED == 0) {
-                        addresses.set(place, caches.get(fresh));
+                    caches.get(index).kill(then);
+                    discovery.scheduleUpdate(then, index, Api.State.REMOVED, 0);
+                    if (replacementIndex % ADDRESS_REUSE_INTERVAL == 0) {
+                        cacheAtAddress.set(index, caches.get(replacementIndex));
                     }
                 });
     }
 
     /** Without zones a part of the caches stands for one. */
-    private void lose(long now, Plant.Fault fault, int zone) {
-        if (plant.zones() == 1) {
-            int[] met =
-                    new PermutationSampler(random, plant.caches(), fault.count(plant.caches()))
+    private void failZone(long now, SystemModel.Fault fault, int zone) {
+        if (model.zoneCount() == 1) {
+            int[] targets =
+                    new PermutationSampler(random, model.cacheCount(), fault.targetCount(model.cacheCount()))
                             .sample();
-            Arrays.stream(met).forEach(place -> outOfService(now, fault, place));
+            Arrays.stream(targets).forEach(index -> takeCacheDown(now, fault, index));
             return;
         }
-        for (int place = zone; place < plant.caches(); place += plant.zones()) {
-            outOfService(now, fault, place);
+        for (int index = zone; index < model.cacheCount(); index += model.zoneCount()) {
+            takeCacheDown(now, fault, index);
         }
-        for (int place = zone; place < balancers.size(); place += plant.zones()) {
-            SimBalancer balancer = balancers.get(place);
+        for (int index = zone; index < balancers.size(); index += model.zoneCount()) {
+            SimBalancer balancer = balancers.get(index);
             balancer.kill(now);
-            timeline.at(now + fault.length(), balancer::start);
+            timeline.schedule(now + fault.durationNanos(), balancer::start);
         }
     }
 
-    private void outOfService(long now, Plant.Fault fault, int place) {
-        caches.get(place).kill(now);
-        discovery.change(now, place, Api.State.GONE, 0);
-        timeline.at(now + fault.length(), then -> back(then, place));
+    private void takeCacheDown(long now, SystemModel.Fault fault, int index) {
+        caches.get(index).kill(now);
+        discovery.scheduleUpdate(now, index, Api.State.REMOVED, 0);
+        timeline.schedule(now + fault.durationNanos(), then -> bringCacheUp(then, index));
     }
 
-    private void back(long now, int place) {
-        caches.get(place).start(now);
-        discovery.change(now, place, Api.State.READY, now);
+    private void bringCacheUp(long now, int index) {
+        caches.get(index).start(now);
+        discovery.scheduleUpdate(now, index, Api.State.READY, now);
     }
 
-    private void set(long now, Plant.Fault fault, int[] met, int zone, boolean on) {
+    private void setFault(long now, SystemModel.Fault fault, int[] targets, int zone, boolean isActive) {
         switch (fault.kind()) {
             case ORIGIN_OUTAGE -> {
-                if (on) {
-                    origin.stop(now, fault.length());
+                if (isActive) {
+                    origin.startOutage(now, fault.durationNanos());
                 }
             }
-            case ORIGIN_SLOW -> origin.slow(on ? fault.factor() : 1);
-            case DISCOVERY_OUTAGE -> discovery.outage(now, on);
-            case DISCOVERY_LATE -> discovery.late(on ? fault.factor() : 1);
-            case DISCOVERY_SHORT -> discovery.shortOfRoom(on ? fault.factor() : 1);
-            case SURGE -> clients.surge(on ? fault.factor() : 1);
-            case TENANT_SURGE -> clients.tenantSurge(on ? fault.factor() : 1);
-            case CLIENTS_EAGER -> clients.eager(on ? fault.factor() : 1);
-            case CLIENTS_HASTY -> clients.hasty(on ? fault.factor() : 1);
-            case ZONE_SHIFT -> clients.front().shift(zone, on ? fault.part() : 0);
-            case ZONE_CUT -> wire.cut(zone, on);
-            case ANSWERS_LOST -> wire.loseAnswers(on ? fault.part() : 0);
-            case LINKS_RESET -> wire.reset(on ? fault.part() : 0);
-            case HOLD -> hold(now, met, on);
+            case ORIGIN_SLOW -> origin.setSlowdownFactor(isActive ? fault.factor() : 1);
+            case DISCOVERY_OUTAGE -> discovery.setOutage(now, isActive);
+            case DISCOVERY_LATE -> discovery.setDelayFactor(isActive ? fault.factor() : 1);
+            case DISCOVERY_SHORT -> discovery.setCallCostFactor(isActive ? fault.factor() : 1);
+            case SURGE -> clients.setRateFactor(isActive ? fault.factor() : 1);
+            case TENANT_SURGE -> clients.setFirstTenantFactor(isActive ? fault.factor() : 1);
+            case CLIENTS_EAGER -> clients.setRetryFactor(isActive ? fault.factor() : 1);
+            case CLIENTS_HASTY -> clients.setImpatienceFactor(isActive ? fault.factor() : 1);
+            case ZONE_SHIFT -> clients.frontend().shiftTraffic(zone, isActive ? fault.machineFraction() : 0);
+            case ZONE_CUT -> networkDelays.setPartitioned(zone, isActive);
+            case ANSWERS_LOST -> networkDelays.setResponseLoss(isActive ? fault.machineFraction() : 0);
+            case LINKS_RESET -> networkDelays.setResetFraction(isActive ? fault.machineFraction() : 0);
+            case HOLD -> setAdminDrains(now, targets, isActive);
             default -> {
-                for (int place : met) {
-                    one(now, fault, place, on);
+                for (int index : targets) {
+                    setMachineFault(now, fault, index, isActive);
                 }
             }
         }
     }
 
     /** Operators take caches out of use, restart them and put them back: they come back cold. */
-    private void hold(long now, int[] met, boolean on) {
-        for (int place : met) {
-            if (on) {
-                held.add(SimDiscovery.id(place));
+    private void setAdminDrains(long now, int[] targets, boolean isActive) {
+        for (int index : targets) {
+            if (isActive) {
+                adminDrainedServers.add(SimDiscovery.serverId(index));
             } else {
-                held.remove(SimDiscovery.id(place));
-                caches.get(place).kill(now);
-                back(now, place);
+                adminDrainedServers.remove(SimDiscovery.serverId(index));
+                caches.get(index).kill(now);
+                bringCacheUp(now, index);
             }
         }
-        balancers.forEach(one -> one.hold(now, held));
+        balancers.forEach(balancer -> balancer.applyAdminDrains(now, adminDrainedServers));
     }
 
-    private void one(long now, Plant.Fault fault, int place, boolean on) {
-        SimCache cache = fault.kind() == Plant.Kind.BALANCER_RESTART ? null : caches.get(place);
+    private void setMachineFault(long now, SystemModel.Fault fault, int index, boolean isActive) {
+        SimCache cache = fault.kind() == SystemModel.FaultKind.BALANCER_RESTART ? null : caches.get(index);
         switch (fault.kind()) {
-            case CACHE_SLOW -> cache.slow(on ? fault.factor() : 1);
-            case CACHE_SILENT -> cache.silent(on);
-            case CACHE_FAILING -> cache.failing(on ? MOST : 0);
-            case WRONG_ENTRIES -> discovery.slander(now, place, on);
+            case CACHE_SLOW -> cache.setSlowdownFactor(isActive ? fault.factor() : 1);
+            case CACHE_SILENT -> cache.setUnresponsive(isActive);
+            case CACHE_FAILING -> cache.setFailureFraction(isActive ? FAILURE_FRACTION : 0);
+            case WRONG_ENTRIES -> discovery.setFalselyRemoved(now, index, isActive);
             // Half of the balancers lose sight of these caches: the two sides see different plants.
             case PARTITION ->
                     balancers
                             .subList(0, (balancers.size() + 1) / 2)
-                            .forEach(one -> one.cutOff(place, on));
+                            .forEach(balancer -> balancer.setPartitioned(index, isActive));
             case COPIES_RELEASED -> {
-                if (on) {
-                    cache.release();
+                if (isActive) {
+                    cache.invalidateAll();
                 }
             }
             case CACHE_DRAIN -> {
-                if (on) {
-                    discovery.change(now, place, Api.State.DRAINING, 0);
+                if (isActive) {
+                    discovery.scheduleUpdate(now, index, Api.State.DRAINING, 0);
                 } else {
                     cache.kill(now);
-                    back(now, place);
+                    bringCacheUp(now, index);
                 }
             }
             case CACHE_KILL, CACHE_RESTART -> {
-                if (on) {
+                if (isActive) {
                     cache.kill(now);
-                    discovery.change(now, place, Api.State.GONE, 0);
+                    discovery.scheduleUpdate(now, index, Api.State.REMOVED, 0);
                 }
-                if (!on || fault.length() == 0 && fault.kind() == Plant.Kind.CACHE_RESTART) {
-                    back(now, place);
+                if (!isActive || fault.durationNanos() == 0 && fault.kind() == SystemModel.FaultKind.CACHE_RESTART) {
+                    bringCacheUp(now, index);
                 }
             }
             default -> {
-                if (on) {
-                    balancers.get(place).kill(now);
+                if (isActive) {
+                    balancers.get(index).kill(now);
                 }
-                if (!on || fault.length() == 0) {
-                    balancers.get(place).start(now);
+                if (!isActive || fault.durationNanos() == 0) {
+                    balancers.get(index).start(now);
                 }
             }
         }
--- /dev/null
+++ b/emulator/src/main/java/frostrelay/emulator/SimGossip.java
@@ -0,0 +1,506 @@
+package frostrelay.emulator;
+
+import frostrelay.peers.Incarnation;
+import frostrelay.peers.MemberSnapshot;
+import frostrelay.peers.GossipSettings;
+import frostrelay.peers.GossipNode;
+import frostrelay.peers.AppliedVersions;
+import frostrelay.peers.MemberState;
+import frostrelay.stragglers.VersionKind;
+import frostrelay.stragglers.StalenessSettings;
+import frostrelay.stragglers.StalenessDetector;
+
+import org.apache.commons.rng.UniformRandomProvider;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * A tier of balancers that talk, in simulated time, each with the real {@link GossipNode}: a network
+ * between them that loses datagrams, takes its time and can be cut. The same seed gives the same
+ * day.
+ */
+public final class SimGossip {
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long CHANGED_LIST_REVISION = 1_000_000L;
+
+    /** A call of discovery, there and back. */
+    private static final long DISCOVERY_CALL_NANOS = 50 * NANOS_PER_MILLI;
+
+    private static final long WALL_CLOCK_START_MILLIS = 1_790_000_000_000L;
+
+    /** Discovery is down for some of them for so long. */
+    public static final long DISCOVERY_DELAY_NANOS = 30_000_000_000L;
+
+    /**
+     * What is played.
+     *
+     * @param balancers in the tier
+     * @param loss part of the datagrams that are lost
+     * @param minDelayNanos and {@code maxDelayNanos}: a datagram's way, nanoseconds
+     * @param maxBytesPerSecond bytes that each may send in any second
+     * @param seconds how long, behind all of the others
+     * @param changes balancers that change what they act on, one every four seconds from {@link
+     *     #warmupSeconds} on
+     * @param together whether, besides, all of them change within 300 ms once, in the middle
+     * @param killed balancers that die at {@link #warmupSeconds}
+     * @param late part of the balancers whose discovery tells them of the change together only
+     *     {@link #DISCOVERY_DELAY_NANOS} later
+     * @param askable whether a call of discovery out of turn brings the list to those that are told
+     *     late: only their watches are lost
+     * @param partition part of the balancers that is cut from the others for ten seconds from the
+     *     middle on
+     */
+    public record Plan(
+            int balancers,
+            double loss,
+            long minDelayNanos,
+            long maxDelayNanos,
+            int maxBytesPerSecond,
+            int seconds,
+            int changes,
+            boolean together,
+            int killed,
+            double partition,
+            double late,
+            boolean askable,
+            long seed) {
+        /**
+         * Seconds from the start until everybody has heard of everybody: the flood of a start is
+         * not measured with the rest.
+         */
+        public int warmupSeconds() {
+            return 15 + balancers / 5;
+        }
+
+        private long measureFromSeconds() {
+            return warmupSeconds() + 4L * changes + 10;
+        }
+
+        /** The site's own ways: 2.1 to 30 ms. */
+        public static Plan of(int balancers, double loss, int seconds, int changes, long seed) {
+            return new Plan(
+                    balancers,
+                    loss,
+                    2_100_000L,
+                    30 * NANOS_PER_MILLI,
+                    GossipSettings.STANDARD.maxBytesPerSecond(),
+                    seconds,
+                    changes,
+                    false,
+                    0,
+                    0,
+                    0,
+                    false,
+                    seed);
+        }
+    }
+
+    private final Plan plan;
+    private final Timeline timeline = new Timeline();
+    private final SimNetwork network;
+    private final UniformRandomProvider events;
+    private final Node[] nodes;
+    private final List<Long> propagationNanos = new ArrayList<>();
+    private final List<Long> commonChangePropagationNanos = new ArrayList<>();
+    private final List<Long> detectionNanos = new ArrayList<>();
+    private int missedChanges;
+    private int falseSuspicions;
+    private int falseDeaths;
+    private long idleBytes;
+    private long idleDatagrams;
+    private final List<Long> lagDetectionNanos = new ArrayList<>();
+    private int pollCount;
+    private int pollsInSecond;
+    private int maxPollsInSecond;
+    private long pollSecond;
+    private int selfDrainingCount;
+    private int maxSelfDraining;
+
+    /**
+     * By seconds from the change together on: calls out of turn, balancers that are behind, and
+     * those that are aside.
+     */
+    private final List<int[]> samples = new ArrayList<>();
+
+    private long lastCatchUpNanos = -1;
+    private boolean isPartitioned;
+    private long partitionEndsAtNanos;
+    private long commonChangeAtNanos = Long.MAX_VALUE;
+
+    private SimGossip(Plan plan) {
+        this.plan = plan;
+        network =
+                new SimNetwork(
+                        timeline,
+                        RandomStreams.create(plan.seed, "network"),
+                        plan.balancers,
+                        plan.loss,
+                        plan.minDelayNanos,
+                        plan.maxDelayNanos);
+        int side = (int) (plan.partition * plan.balancers);
+        network.isPartitioned = (from, to) -> isPartitioned && from < side != to < side;
+        events = RandomStreams.create(plan.seed, "events");
+        nodes = new Node[plan.balancers];
+    }
+
+    /** Plays it and returns its figures. */
+    public static Map<String, Object> run(Plan plan) {
+        return new SimGossip(plan).run();
+    }
+
+    private static AppliedVersions stamp(long number) {
+        return new AppliedVersions(1, 0, 7, number, number * 0x9E3779B97F4A7C15L, 0, 0);
+    }
+
+    private Map<String, Object> run() {
+        for (int i = 0; i < nodes.length; i++) {
+            int place = i;
+            // They do not start in the same moment, nor a day apart.
+            timeline.schedule(
+                    events.nextLong(NANOS_PER_SECOND),
+                    now -> (nodes[place] = new Node(place, now)).join(now));
+        }
+        for (int i = 0; i < plan.changes; i++) {
+            timeline.schedule((plan.warmupSeconds() + 4L * i) * NANOS_PER_SECOND, this::change);
+        }
+        if (plan.together) {
+            commonChangeAtNanos = plan.measureFromSeconds() * NANOS_PER_SECOND;
+            for (int i = 0; i < nodes.length; i++) {
+                int place = i;
+                boolean late = i < plan.late * nodes.length;
+                timeline.schedule(
+                        commonChangeAtNanos + events.nextLong(300 * NANOS_PER_MILLI) + (late ? DISCOVERY_DELAY_NANOS : 0),
+                        now -> nodes[place].onListUpdate(now));
+            }
+            for (long second = 0; plan.late > 0 && second < plan.seconds; second++) {
+                timeline.schedule(commonChangeAtNanos + second * NANOS_PER_SECOND, this::recordSample);
+            }
+        }
+        for (int i = 0; i < plan.killed; i++) {
+            timeline.schedule(plan.warmupSeconds() * NANOS_PER_SECOND, this::kill);
+        }
+        if (plan.partition > 0) {
+            long middle = plan.measureFromSeconds() * NANOS_PER_SECOND;
+            partitionEndsAtNanos = middle + 10 * NANOS_PER_SECOND;
+            timeline.schedule(middle, now -> isPartitioned = true);
+            timeline.schedule(partitionEndsAtNanos, now -> isPartitioned = false);
+        }
+        timeline.runUntil(plan.measureFromSeconds() * NANOS_PER_SECOND);
+        long sent = network.sentBytes;
+        long count = network.sentDatagrams;
+        timeline.runUntil((plan.measureFromSeconds() + plan.seconds) * NANOS_PER_SECOND);
+        idleBytes = network.sentBytes - sent;
+        idleDatagrams = network.sentDatagrams - count;
+        return summarize();
+    }
+
+    private void recordSample(long now) {
+        int behind = 0;
+        for (Node node : nodes) {
+            behind += node.number != CHANGED_LIST_REVISION ? 1 : 0;
+        }
+        samples.add(new int[] {pollCount, behind, selfDrainingCount});
+    }
+
+    private Map<String, Object> summarize() {
+        double hours = (plan.measureFromSeconds() + plan.seconds) / 3600.0;
+        Map<String, Object> all = new LinkedHashMap<>();
+        all.put("balancers", plan.balancers);
+        all.put("loss", plan.loss);
+        all.put("seconds", plan.seconds);
+        putPercentiles(all, "known", propagationNanos);
+        all.put("knownMissed", missedChanges);
+        if (plan.together) {
+            putPercentiles(all, "knownTogether", commonChangePropagationNanos);
+        }
+        if (plan.killed > 0) {
+            putPercentiles(all, "detected", detectionNanos);
+        }
+        if (plan.late > 0) {
+            putPercentiles(all, "knewBehind", lagDetectionNanos);
+            all.put("askedBehind", pollCount);
+            all.put("mostAskedInASecond", maxPollsInSecond);
+            all.put("calmCallsASecond", plan.balancers / 20.0);
+            all.put("mostAside", maxSelfDraining);
+            // Unknown where one is neither current nor aside at the end.
+            boolean settled = true;
+            for (Node node : nodes) {
+                settled &= node.number == CHANGED_LIST_REVISION || node.isSelfDraining;
+            }
+            all.put("lastStragglerMs", settled ? lastCatchUpNanos / NANOS_PER_MILLI : null);
+            all.put("asked", samples.stream().map(one -> one[0]).toList());
+            all.put("behind", samples.stream().map(one -> one[1]).toList());
+            all.put("aside", samples.stream().map(one -> one[2]).toList());
+        }
+        all.put("falseSuspicionsAnHour", falseSuspicions / hours);
+        all.put("falseSuspicionsAnHourEach", falseSuspicions / hours / plan.balancers);
+        all.put("falselyGone", falseDeaths);
+        all.put("bytesASecondEach", idleBytes / (double) plan.seconds / plan.balancers);
+        all.put("datagramsASecondEach", idleDatagrams / (double) plan.seconds / plan.balancers);
+        all.put("mostBytesInASecond", network.maxBytesInSecond);
+        // What the platform asks for it where each balancer has ten requests a second.
+        all.put(
+                "price",
+                0.01 * (idleBytes / (double) plan.seconds) / (256 * 10.0 * plan.balancers));
+        return all;
+    }
+
+    /** Median, 99th percentile and maximum, milliseconds; null for none. */
+    static void putPercentiles(Map<String, Object> all, String name, List<Long> values) {
+        long[] sorted = values.stream().mapToLong(Long::longValue).sorted().toArray();
+        for (double part : new double[] {0.5, 0.99, 1}) {
+            all.put(
+                    name + (part == 1 ? "Max" : "P" + Math.round(part * 100)) + "Ms",
+                    sorted.length == 0
+                            ? null
+                            : sorted[
+                                            (int)
+                                                    Math.min(
+                                                            sorted.length - 1,
+                                                            Math.ceil(part * sorted.length) - 1)]
+                                    / NANOS_PER_MILLI);
+        }
+    }
+
+    /** One balancer acts on something new: everybody is to know. */
+    private void change(long now) {
+        int place = events.nextInt(nodes.length);
+        Node node = nodes[place];
+        if (node.isDead) {
+            return;
+        }
+        node.applyList(now, node.number + 1);
+        int sequence = node.sequence;
+        boolean[] knows = new boolean[nodes.length];
+        for (Node other : nodes) {
+            if (other != node && !other.isDead) {
+                other.waiting.put(place, new PendingChange(now, sequence, knows));
+            }
+        }
+        timeline.schedule(
+                now + 10 * NANOS_PER_SECOND,
+                then -> {
+                    for (Node other : nodes) {
+                        PendingChange left = other.waiting.get(place);
+                        if (left != null && left.sequence == sequence && !other.isDead) {
+                            other.waiting.remove(place);
+                            missedChanges++;
+                        }
+                    }
+                });
+    }
+
+    private void kill(long now) {
+        Node node = nodes[events.nextInt(nodes.length)];
+        if (!node.isDead) {
+            node.isDead = true;
+            node.diedAtNanos = now;
+        }
+    }
+
+    private record PendingChange(long sinceNanos, int sequence, boolean[] knows) {}
+
+    private final class Node extends SimNetwork.Station implements StalenessDetector.Actions {
+        private final GossipNode peers;
+        private final Map<Integer, PendingChange> waiting = new LinkedHashMap<>();
+        private final boolean[] newer;
+        private long number = 1;
+        private int sequence;
+        private long diedAtNanos;
+        private boolean isDeathDetected;
+        private final StalenessDetector stalenessDetector;
+        private boolean hasDetectedLag;
+        private boolean isSelfDraining;
+        private long lagTimerAtNanos = Long.MAX_VALUE;
+
+        Node(int place, long now) {
+            network.super(place);
+            newer = plan.together ? new boolean[plan.balancers] : new boolean[0];
+            peers =
+                    new GossipNode(
+                            GossipSettings.STANDARD.withMaxBytesPerSecond(plan.maxBytesPerSecond),
+                            place,
+                            plan.balancers,
+                            now,
+                            Incarnation.fromUnixMillis(WALL_CLOCK_START_MILLIS + now / NANOS_PER_MILLI),
+                            plan.seed * 31 + place,
+                            stamp(1),
+                            0,
+                            this,
+                            this);
+            stalenessDetector =
+                    plan.late > 0
+                            ? new StalenessDetector(
+                                    StalenessSettings.STANDARD,
+                                    place,
+                                    plan.balancers,
+                                    plan.seed + place,
+                                    stamp(1),
+                                    this)
+                            : null;
+        }
+
+        /** What is known of another may have changed. */
+        private void refreshPeerState(long now, int rank) {
+            if (stalenessDetector == null || peers == null || rank == index) {
+                return;
+            }
+            MemberSnapshot known = peers.snapshot(now, rank);
+            stalenessDetector.onPeerState(
+                    now,
+                    rank,
+                    known.state(),
+                    known.appliedVersions(),
+                    Incarnation.toUnixMillis(known.incarnation()),
+                    known.ageNanos());
+            updateLag(now);
+        }
+
+        private void updateLag(long now) {
+            if (!hasDetectedLag
+                    && now >= commonChangeAtNanos
+                    && stalenessDetector.listStanding() != StalenessDetector.Standing.CURRENT
+                    && number != CHANGED_LIST_REVISION
+                    && stalenessDetector.newestListRevision() == CHANGED_LIST_REVISION) {
+                hasDetectedLag = true;
+                lagDetectionNanos.add(now - commonChangeAtNanos);
+            }
+            long next = Math.max(now, stalenessDetector.nextTimerAtNanos(now));
+            if (next < lagTimerAtNanos) {
+                lagTimerAtNanos = next;
+                timeline.schedule(
+                        next,
+                        then -> {
+                            lagTimerAtNanos = Long.MAX_VALUE;
+                            stalenessDetector.onTimer(then);
+                            updateLag(then);
+                        });
+            }
+        }
+
+        @Override
+        public void pollEndpointList() {
+            pollCount++;
+            long second = timeline.now() / NANOS_PER_SECOND;
+            pollsInSecond = second == pollSecond ? pollsInSecond + 1 : 1;
+            pollSecond = second;
+            maxPollsInSecond = Math.max(maxPollsInSecond, pollsInSecond);
+            if (plan.askable) {
+                timeline.schedule(timeline.now() + DISCOVERY_CALL_NANOS, this::onListUpdate);
+            }
+        }
+
+        @Override
+        public void rereadConfig() {
+            // All have one configuration.
+        }
+
+        @Override
+        public void fetchConfig(long digest, List<Integer> holders) {
+            // Likewise.
+        }
+
+        @Override
+        public void announceFailingVersions() {
+            // It serves nobody here.
+        }
+
+        @Override
+        public void onVersionNotFollowed(VersionKind kind, long number, String why) {
+            // Likewise.
+        }
+
+        @Override
+        public void avoidCaches(Set<Long> caches) {
+            // No cache is in this model.
+        }
+
+        @Override
+        public void setSelfDraining(boolean on, String why) {
+            selfDrainingCount += on ? 1 : -1;
+            maxSelfDraining = Math.max(maxSelfDraining, selfDrainingCount);
+            isSelfDraining = on;
+            recordCatchUp();
+        }
+
+        @Override
+        public void notifyOperators(String what) {
+            // Nobody reads along.
+        }
+
+        /** Discovery tells it the list. */
+        void onListUpdate(long now) {
+            if (number != CHANGED_LIST_REVISION) {
+                applyList(now, CHANGED_LIST_REVISION);
+                recordCatchUp();
+            }
+        }
+
+        /** It is current, or out: the last one counts. */
+        private void recordCatchUp() {
+            if (timeline.now() >= commonChangeAtNanos && plan.late > 0 && index < plan.late * nodes.length) {
+                lastCatchUpNanos = Math.max(lastCatchUpNanos, timeline.now() - commonChangeAtNanos);
+            }
+        }
+
+        void applyList(long now, long fresh) {
+            number = fresh;
+            peers.updateAppliedVersions(now, stamp(fresh), ++sequence);
+            schedule(now);
+            if (stalenessDetector != null) {
+                stalenessDetector.onLocalVersions(now, stamp(fresh), Set.of());
+                updateLag(now);
+            }
+        }
+
+        @Override
+        GossipNode peers() {
+            return peers;
+        }
+
+        @Override
+        public void onMemberState(long now, int rank, long incarnation, MemberState state, int by) {
+            refreshPeerState(now, rank);
+            Node other = nodes[rank];
+            boolean lost =
+                    other == null
+                            || other.isDead
+                            || isPartitioned
+                            || now < partitionEndsAtNanos + 5 * NANOS_PER_SECOND
+                                    && plan.partition > 0
+                                    && now > partitionEndsAtNanos - 10 * NANOS_PER_SECOND;
+            if (state == MemberState.SUSPECTED && !lost && by == index) {
+                falseSuspicions++;
+            }
+            if (state == MemberState.GONE && other != null) {
+                if (other.isDead && !other.isDeathDetected) {
+                    other.isDeathDetected = true;
+                    detectionNanos.add(now - other.diedAtNanos);
+                } else if (!lost) {
+                    falseDeaths++;
+                }
+            }
+        }
+
+        @Override
+        public void onMemberEntry(long now, int rank, long incarnation, int row, int ref, long age) {
+            refreshPeerState(now, rank);
+            PendingChange waited = waiting.get(rank);
+            if (waited != null && row >= waited.sequence) {
+                waiting.remove(rank);
+                propagationNanos.add(now - waited.sinceNanos);
+            }
+            if (plan.together && now >= commonChangeAtNanos && !newer[rank] && ref == CHANGED_FINGERPRINT) {
+                newer[rank] = true;
+                commonChangePropagationNanos.add(now - commonChangeAtNanos);
+            }
+        }
+    }
+
+    private static final int CHANGED_FINGERPRINT = stamp(CHANGED_LIST_REVISION).fingerprint();
+}
--- a/emulator/src/main/java/frostrelay/emulator/SimReferee.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimInvariantChecker.java
@@ -7,7 +7,7 @@
  * Holds a day to the operators' rules, from what clients, caches and balancers' ledgers see,
  * whatever the module says of itself. Counts breaks by rule.
  */
-final class SimReferee {
+final class SimInvariantChecker {
     /** What must hold. */
     enum Rule {
         /** A class that must never run twice ran twice. */
@@ -27,22 +27,22 @@
         COLD_PUSHED_OVER
     }
 
-    private final Map<Rule, Long> breaks = new LinkedHashMap<>();
+    private final Map<Rule, Long> violations = new LinkedHashMap<>();
 
-    void broken(Rule rule) {
-        breaks.merge(rule, 1L, Long::sum);
+    void recordViolation(Rule rule) {
+        violations.merge(rule, 1L, Long::sum);
     }
 
-    void broken(Rule rule, long times) {
+    void recordViolation(Rule rule, long times) {
         if (times > 0) {
-            breaks.merge(rule, times, Long::sum);
+            violations.merge(rule, times, Long::sum);
         }
     }
 
     /** How often each rule was broken, by its name. */
-    Map<String, Long> breaks() {
+    Map<String, Long> violations() {
         Map<String, Long> all = new LinkedHashMap<>();
-        breaks.forEach((rule, times) -> all.put(rule.name(), times));
+        violations.forEach((rule, times) -> all.put(rule.name(), times));
         return all;
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/SimNetwork.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimNetwork.java
@@ -1,6 +1,6 @@
 package frostrelay.emulator;
 
-import frostrelay.peers.Peers;
+import frostrelay.peers.GossipNode;
 
 import org.apache.commons.rng.UniformRandomProvider;
 
@@ -12,103 +12,103 @@
  * what is sent.
  */
 final class SimNetwork {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private final Timeline timeline;
     private final UniformRandomProvider random;
-    private final double loss;
-    private final long least;
-    private final long most;
+    private final double lossFraction;
+    private final long minDelayNanos;
+    private final long maxDelayNanos;
     private final Station[] stations;
-    private final long[] seconds;
-    private final long[] sentInIt;
+    private final long[] currentSecond;
+    private final long[] bytesInSecond;
 
     /** Whether no way leads from one to the other now. */
-    BiPredicate<Integer, Integer> apart = (from, to) -> false;
+    BiPredicate<Integer, Integer> isPartitioned = (from, to) -> false;
 
-    long bytes;
-    long datagrams;
+    long sentBytes;
+    long sentDatagrams;
 
     /** The most bytes that one sent in any second of the clock. */
-    long busiest;
+    long maxBytesInSecond;
 
-    /** {@code least}, {@code most}: a datagram's way, nanoseconds. */
+    /** {@code minDelayNanos}, {@code maxDelayNanos}: a datagram's way, nanoseconds. */
     SimNetwork(
             Timeline timeline,
             UniformRandomProvider random,
             int count,
-            double loss,
-            long least,
-            long most) {
+            double lossFraction,
+            long minDelayNanos,
+            long maxDelayNanos) {
         this.timeline = timeline;
         this.random = random;
-        this.loss = loss;
-        this.least = least;
-        this.most = most;
+        this.lossFraction = lossFraction;
+        this.minDelayNanos = minDelayNanos;
+        this.maxDelayNanos = maxDelayNanos;
         stations = new Station[count];
-        seconds = new long[count];
-        sentInIt = new long[count];
+        currentSecond = new long[count];
+        bytesInSecond = new long[count];
     }
 
     /** One balancer's place in it: its talk goes out here and is woken here. */
-    abstract class Station implements Peers.Actions, Peers.Listener {
-        final int place;
-        boolean dead;
-        private long wakeAt = Long.MAX_VALUE;
-        private long mark = Timeline.NO_MARK;
-
-        Station(int place) {
-            this.place = place;
+    abstract class Station implements GossipNode.Actions, GossipNode.Listener {
+        final int index;
+        boolean isDead;
+        private long wakeAtNanos = Long.MAX_VALUE;
+        private long wakeTimer = Timeline.NO_TIMER;
+
+        Station(int index) {
+            this.index = index;
         }
 
         /** To be called once its talk can be. */
         final void join(long now) {
-            stations[place] = this;
+            stations[index] = this;
             schedule(now);
         }
 
-        abstract Peers peers();
+        abstract GossipNode peers();
 
         final void schedule(long now) {
-            long next = Math.max(now, peers().next());
-            if (next < wakeAt) {
-                timeline.cancel(mark);
-                wakeAt = next;
-                mark = timeline.at(next, this::wake);
+            long next = Math.max(now, peers().nextTimerAtNanos());
+            if (next < wakeAtNanos) {
+                timeline.cancel(wakeTimer);
+                wakeAtNanos = next;
+                wakeTimer = timeline.schedule(next, this::wake);
             }
         }
 
         private void wake(long now) {
-            wakeAt = Long.MAX_VALUE;
-            mark = Timeline.NO_MARK;
-            if (!dead) {
-                peers().onWake(now);
+            wakeAtNanos = Long.MAX_VALUE;
+            wakeTimer = Timeline.NO_TIMER;
+            if (!isDead) {
+                peers().onTimer(now);
                 schedule(now);
             }
         }
 
         @Override
-        public final void send(int to, byte[] data, int length) {
+        public final void send(int destination, byte[] data, int length) {
             long now = timeline.now();
-            bytes += length;
-            datagrams++;
-            if (now / SECOND != seconds[place]) {
-                seconds[place] = now / SECOND;
-                sentInIt[place] = 0;
+            sentBytes += length;
+            sentDatagrams++;
+            if (now / NANOS_PER_SECOND != currentSecond[index]) {
+                currentSecond[index] = now / NANOS_PER_SECOND;
+                bytesInSecond[index] = 0;
             }
-            sentInIt[place] += length;
-            busiest = Math.max(busiest, sentInIt[place]);
-            if (apart.test(place, to) || random.nextDouble() < loss) {
+            bytesInSecond[index] += length;
+            maxBytesInSecond = Math.max(maxBytesInSecond, bytesInSecond[index]);
+            if (isPartitioned.test(index, destination) || random.nextDouble() < lossFraction) {
                 return;
             }
             byte[] copy = Arrays.copyOf(data, length);
-            timeline.at(
-                    now + least + random.nextLong(Math.max(1, most - least)),
+            timeline.schedule(
+                    now + minDelayNanos + random.nextLong(Math.max(1, maxDelayNanos - minDelayNanos)),
                     then -> {
-                        Station there = stations[to];
-                        if (there != null && !there.dead) {
-                            there.peers().onDatagram(then, place, copy, length);
-                            there.schedule(then);
+                        Station receiver = stations[destination];
+                        if (receiver != null && !receiver.isDead) {
+                            receiver.peers().onDatagram(then, index, copy, length);
+                            receiver.schedule(then);
                         }
                     });
         }
--- a/emulator/src/main/java/frostrelay/emulator/SimOrigin.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimOrigin.java
@@ -8,96 +8,96 @@
 /** The one origin behind all caches: some places, a queue, and a fall when it is overdriven. */
 final class SimOrigin {
     /** Hears how a call ended: true if it was carried out. */
-    interface Done {
-        void done(long now, boolean good);
+    interface Callback {
+        void onCompleted(long now, boolean succeeded);
     }
 
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    private final Plant.Origin spec;
+    private final SystemModel.Origin spec;
     private final Timeline timeline;
     private final UniformRandomProvider random;
-    private final Deque<Done> waiting = new ArrayDeque<>();
-    private int busy;
-    private double slow = 1;
-    private long freeUntil;
-    private long downUntil;
-    private long windowAt;
-    private int windowCount;
+    private final Deque<Callback> queue = new ArrayDeque<>();
+    private int inFlight;
+    private double slowdownFactor = 1;
+    private long instantUntilNanos;
+    private long downUntilNanos;
+    private long windowStartNanos;
+    private int callsInWindow;
     private long calls;
-    private long falls;
+    private long overloadCount;
 
-    SimOrigin(Plant.Origin spec, Timeline timeline, long seed) {
+    SimOrigin(SystemModel.Origin spec, Timeline timeline, long seed) {
         this.spec = spec;
         this.timeline = timeline;
-        this.random = Randoms.of(seed, "origin");
+        this.random = RandomStreams.create(seed, "origin");
     }
 
     /** Until then every call is carried out at once. */
-    void freeUntil(long moment) {
-        freeUntil = moment;
+    void setInstantUntil(long untilNanos) {
+        instantUntilNanos = untilNanos;
     }
 
-    void call(long now, Done done) {
-        if (now < freeUntil) {
-            done.done(now, true);
+    void call(long now, Callback callback) {
+        if (now < instantUntilNanos) {
+            callback.onCompleted(now, true);
             return;
         }
         calls++;
-        if (now - windowAt >= SECOND) {
-            windowAt = now;
-            windowCount = 0;
+        if (now - windowStartNanos >= NANOS_PER_SECOND) {
+            windowStartNanos = now;
+            callsInWindow = 0;
         }
-        if (++windowCount > spec.fallMultiple() * spec.places() * SECOND / spec.time()
-                && spec.fallMultiple() > 0
-                && now >= downUntil) {
-            falls++;
-            stop(now, spec.fallTime());
+        if (++callsInWindow > spec.overloadMultiple() * spec.maxConcurrentFetches() * NANOS_PER_SECOND / spec.meanFetchNanos()
+                && spec.overloadMultiple() > 0
+                && now >= downUntilNanos) {
+            overloadCount++;
+            startOutage(now, spec.overloadOutageNanos());
         }
-        if (now < downUntil) {
-            done.done(now, false);
-        } else if (busy < spec.places()) {
-            begin(now, done);
-        } else if (waiting.size() < spec.queue()) {
-            waiting.add(done);
+        if (now < downUntilNanos) {
+            callback.onCompleted(now, false);
+        } else if (inFlight < spec.maxConcurrentFetches()) {
+            startCall(now, callback);
+        } else if (queue.size() < spec.queueCapacity()) {
+            queue.add(callback);
         } else {
-            done.done(now, false);
+            callback.onCompleted(now, false);
         }
     }
 
-    private void begin(long now, Done done) {
-        busy++;
+    private void startCall(long now, Callback callback) {
+        inFlight++;
         // Half of a fetch is the same for all, the other half varies.
-        double part = 0.5 - 0.5 * Math.log(1 - random.nextDouble());
-        timeline.at(
-                now + (long) (spec.time() * part * slow),
+        double durationFactor = 0.5 - 0.5 * Math.log(1 - random.nextDouble());
+        timeline.schedule(
+                now + (long) (spec.meanFetchNanos() * durationFactor * slowdownFactor),
                 then -> {
-                    busy--;
-                    done.done(then, then >= downUntil);
-                    while (busy < spec.places() && !waiting.isEmpty()) {
-                        begin(then, waiting.poll());
+                    inFlight--;
+                    callback.onCompleted(then, then >= downUntilNanos);
+                    while (inFlight < spec.maxConcurrentFetches() && !queue.isEmpty()) {
+                        startCall(then, queue.poll());
                     }
                 });
     }
 
     /** It carries nothing out for so long. */
-    void stop(long now, long time) {
-        downUntil = Math.max(downUntil, now + time);
-        Deque<Done> lost = new ArrayDeque<>(waiting);
-        waiting.clear();
-        lost.forEach(done -> done.done(now, false));
+    void startOutage(long now, long durationNanos) {
+        downUntilNanos = Math.max(downUntilNanos, now + durationNanos);
+        Deque<Callback> rejectedCalls = new ArrayDeque<>(queue);
+        queue.clear();
+        rejectedCalls.forEach(callback -> callback.onCompleted(now, false));
     }
 
     /** Fetches take so many times as long from now on. */
-    void slow(double factor) {
-        slow = factor;
+    void setSlowdownFactor(double factor) {
+        slowdownFactor = factor;
     }
 
     long calls() {
         return calls;
     }
 
-    long falls() {
-        return falls;
+    long overloadCount() {
+        return overloadCount;
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/PlainModule.java
+++ b/emulator/src/main/java/frostrelay/emulator/SingleAttemptPolicy.java
@@ -10,21 +10,21 @@
  * Sends each request once, to the cache that its key names, and fails it if that fails. It costs
  * next to nothing: what a day takes with it is the emulator's own time.
  */
-final class PlainModule implements Api.Events {
+final class SingleAttemptPolicy implements Api.Events {
     @Override
-    public void onFleet(long now, java.util.Set<Long> lowered) {
+    public void onPeerHealthReports(long now, java.util.Set<Long> outliers) {
         // It knows no health.
     }
 
     private final Api.Actions actions;
     private final List<Long> servers = new ArrayList<>();
 
-    PlainModule(Api.Actions actions) {
+    SingleAttemptPolicy(Api.Actions actions) {
         this.actions = actions;
     }
 
     @Override
-    public void onList(long now, Api.ListMode mode, List<Api.Server> list) {
+    public void onEndpointUpdate(long now, Api.ListMode mode, List<Api.Server> list) {
         if (servers.isEmpty()) {
             list.forEach(server -> servers.add(server.id()));
         }
@@ -38,20 +38,20 @@
     }
 
     @Override
-    public void onOutcome(long now, Api.Outcome outcome) {
-        if (!outcome.closed()) {
-            actions.fail(outcome.request());
+    public void onAttemptOutcome(long now, Api.Outcome outcome) {
+        if (!outcome.requestCompleted()) {
+            actions.fail(outcome.requestId());
         }
     }
 
     @Override
-    public void onFirstByte(long now, long request, int attempt) {
+    public void onFirstByte(long now, long requestId, int attempt) {
         // Nothing to decide.
     }
 
     @Override
-    public void onClientGone(long now, long request) {
-        actions.cancel(request, 0);
+    public void onClientDisconnect(long now, long requestId) {
+        actions.cancel(requestId, 0);
     }
 
     @Override
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void onHolds(long now, Set<Long> held) {
+    public void onAdminDrains(long now, Set<Long> drainedServers) {
         // Nothing to decide.
     }
 
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void onOthers(long now, int others) {
+    public void onSiblingProcesses(long now, int siblingCount) {
         // Nothing to decide.
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/Timeline.java
+++ b/emulator/src/main/java/frostrelay/emulator/Timeline.java
@@ -13,42 +13,42 @@
     /** A slot is 65.5 µs long, the wheel 4.3 s. */
     private static final int SLOT_SHIFT = 16;
 
-    private static final int SLOTS = 1 << 16;
-    private static final int MASK = SLOTS - 1;
+    private static final int SLOT_COUNT = 1 << 16;
+    private static final int SLOT_MASK = SLOT_COUNT - 1;
     private static final int NONE = -1;
 
     /** Of a mark: the place is in the lower bits, the order in the others. */
-    private static final int PLACE_BITS = 24;
+    private static final int NODE_BITS = 24;
 
-    private static final long PLACE_MASK = (1L << PLACE_BITS) - 1;
+    private static final long NODE_MASK = (1L << NODE_BITS) - 1;
 
     /** A mark of nothing. */
-    static final long NO_MARK = -1;
+    static final long NO_TIMER = -1;
 
     /** Of the present slot, and of those before it. */
-    private final EventHeap due = new EventHeap();
+    private final EventHeap dueEvents = new EventHeap();
 
-    private final EventHeap beyond = new EventHeap();
+    private final EventHeap farEvents = new EventHeap();
 
     /** The first event of each slot, in no order, and which slots have any. */
-    private final int[] heads = new int[SLOTS];
+    private final int[] heads = new int[SLOT_COUNT];
 
-    private final long[] filled = new long[SLOTS / Long.SIZE];
-    private int inWheel;
+    private final long[] occupiedSlots = new long[SLOT_COUNT / Long.SIZE];
+    private int wheelSize;
 
     /** Events of the wheel, linked by slot; free places are linked as well. */
     private long[] times = new long[1024];
 
     private long[] orders = new long[1024];
     private Event[] events = new Event[1024];
-    private int[] nexts = new int[1024];
-    private int[] befores = new int[1024];
-    private int used;
-    private int free = NONE;
-    private long slot;
-    private long added;
+    private int[] nextNodes = new int[1024];
+    private int[] previousNodes = new int[1024];
+    private int allocatedNodes;
+    private int firstFreeNode = NONE;
+    private long currentSlot;
+    private long nextOrder;
     private long now;
-    private long happened;
+    private long executedEvents;
 
     Timeline() {
         Arrays.fill(heads, NONE);
@@ -58,134 +58,134 @@
      * At that moment, or now if it has passed. Returns a mark to {@link #cancel} it by, which is
      * good for nothing once it has happened.
      */
-    long at(long time, Event event) {
-        long moment = Math.max(now, time);
-        long ahead = (moment >> SLOT_SHIFT) - slot;
-        if (ahead <= 0) {
-            due.add(moment, added++, event);
-            return NO_MARK;
+    long schedule(long requestedNanos, Event event) {
+        long atNanos = Math.max(now, requestedNanos);
+        long slotsAhead = (atNanos >> SLOT_SHIFT) - currentSlot;
+        if (slotsAhead <= 0) {
+            dueEvents.add(atNanos, nextOrder++, event);
+            return NO_TIMER;
         }
-        if (ahead < SLOTS) {
-            return link((int) (moment >> SLOT_SHIFT) & MASK, moment, added++, event);
+        if (slotsAhead < SLOT_COUNT) {
+            return insertIntoSlot((int) (atNanos >> SLOT_SHIFT) & SLOT_MASK, atNanos, nextOrder++, event);
         }
-        beyond.add(moment, added++, event);
-        return NO_MARK;
+        farEvents.add(atNanos, nextOrder++, event);
+        return NO_TIMER;
     }
 
     /**
      * Takes an event back that would do nothing. It may happen all the same, if it is due at once
      * or far off: who cancels must bear that.
      */
-    void cancel(long mark) {
-        int node = (int) (mark & PLACE_MASK);
-        if (mark == NO_MARK || orders[node] != mark >>> PLACE_BITS) {
+    void cancel(long timer) {
+        int node = (int) (timer & NODE_MASK);
+        if (timer == NO_TIMER || orders[node] != timer >>> NODE_BITS) {
             return;
         }
-        int place = (int) (times[node] >> SLOT_SHIFT) & MASK;
-        int next = nexts[node];
-        int before = befores[node];
+        int slotIndex = (int) (times[node] >> SLOT_SHIFT) & SLOT_MASK;
+        int next = nextNodes[node];
+        int previous = previousNodes[node];
         if (next != NONE) {
-            befores[next] = before;
+            previousNodes[next] = previous;
         }
-        if (before != NONE) {
-            nexts[before] = next;
+        if (previous != NONE) {
+            nextNodes[previous] = next;
         } else {
-            heads[place] = next;
+            heads[slotIndex] = next;
             if (next == NONE) {
-                filled[place / Long.SIZE] &= ~(1L << place);
+                occupiedSlots[slotIndex / Long.SIZE] &= ~(1L << slotIndex);
             }
         }
-        release(node);
+        releaseNode(node);
     }
 
-    private void release(int node) {
+    private void releaseNode(int node) {
         events[node] = null;
         orders[node] = NONE;
-        nexts[node] = free;
-        free = node;
-        inWheel--;
+        nextNodes[node] = firstFreeNode;
+        firstFreeNode = node;
+        wheelSize--;
     }
 
-    private long link(int place, long moment, long order, Event event) {
-        int node = free;
+    private long insertIntoSlot(int slotIndex, long atNanos, long order, Event event) {
+        int node = firstFreeNode;
         if (node != NONE) {
-            free = nexts[node];
+            firstFreeNode = nextNodes[node];
         } else {
-            node = used++;
+            node = allocatedNodes++;
             if (node == times.length) {
                 times = Arrays.copyOf(times, 2 * node);
                 orders = Arrays.copyOf(orders, 2 * node);
                 events = Arrays.copyOf(events, 2 * node);
-                nexts = Arrays.copyOf(nexts, 2 * node);
-                befores = Arrays.copyOf(befores, 2 * node);
+                nextNodes = Arrays.copyOf(nextNodes, 2 * node);
+                previousNodes = Arrays.copyOf(previousNodes, 2 * node);
             }
         }
-        times[node] = moment;
+        times[node] = atNanos;
         orders[node] = order;
         events[node] = event;
-        nexts[node] = heads[place];
-        befores[node] = NONE;
-        if (heads[place] != NONE) {
-            befores[heads[place]] = node;
+        nextNodes[node] = heads[slotIndex];
+        previousNodes[node] = NONE;
+        if (heads[slotIndex] != NONE) {
+            previousNodes[heads[slotIndex]] = node;
         }
-        heads[place] = node;
-        filled[place / Long.SIZE] |= 1L << place;
-        inWheel++;
-        return node > PLACE_MASK ? NO_MARK : order << PLACE_BITS | node;
+        heads[slotIndex] = node;
+        occupiedSlots[slotIndex / Long.SIZE] |= 1L << slotIndex;
+        wheelSize++;
+        return node > NODE_MASK ? NO_TIMER : order << NODE_BITS | node;
     }
 
     /** Lets everything happen up to a moment. */
-    void run(long until) {
-        while (!due.isEmpty() || turn(until)) {
-            if (due.time() > until) {
+    void runUntil(long untilNanos) {
+        while (!dueEvents.isEmpty() || advanceToNextSlot(untilNanos)) {
+            if (dueEvents.firstTime() > untilNanos) {
                 break;
             }
-            now = due.time();
-            happened++;
-            due.poll().happen(now);
+            now = dueEvents.firstTime();
+            executedEvents++;
+            dueEvents.poll().run(now);
         }
-        now = Math.max(now, until);
+        now = Math.max(now, untilNanos);
     }
 
     /** Goes on to the next slot that holds something; false if there is none up to that moment. */
-    private boolean turn(long until) {
-        long next =
+    private boolean advanceToNextSlot(long untilNanos) {
+        long nextSlot =
                 Math.min(
-                        nextInWheel(),
-                        beyond.isEmpty() ? Long.MAX_VALUE : beyond.time() >> SLOT_SHIFT);
-        if (next > until >> SLOT_SHIFT) {
+                        nextOccupiedSlot(),
+                        farEvents.isEmpty() ? Long.MAX_VALUE : farEvents.firstTime() >> SLOT_SHIFT);
+        if (nextSlot > untilNanos >> SLOT_SHIFT) {
             return false;
         }
-        slot = next;
-        int place = (int) next & MASK;
-        for (int node = heads[place]; node != NONE; ) {
-            due.add(times[node], orders[node], events[node]);
-            int following = nexts[node];
-            release(node);
+        currentSlot = nextSlot;
+        int slotIndex = (int) nextSlot & SLOT_MASK;
+        for (int node = heads[slotIndex]; node != NONE; ) {
+            dueEvents.add(times[node], orders[node], events[node]);
+            int following = nextNodes[node];
+            releaseNode(node);
             node = following;
         }
-        heads[place] = NONE;
-        filled[place / Long.SIZE] &= ~(1L << place);
-        while (!beyond.isEmpty() && beyond.time() >> SLOT_SHIFT == next) {
-            due.add(beyond.time(), beyond.order(), beyond.poll());
+        heads[slotIndex] = NONE;
+        occupiedSlots[slotIndex / Long.SIZE] &= ~(1L << slotIndex);
+        while (!farEvents.isEmpty() && farEvents.firstTime() >> SLOT_SHIFT == nextSlot) {
+            dueEvents.add(farEvents.firstTime(), farEvents.firstOrder(), farEvents.poll());
         }
         return true;
     }
 
-    private long nextInWheel() {
-        if (inWheel == 0) {
+    private long nextOccupiedSlot() {
+        if (wheelSize == 0) {
             return Long.MAX_VALUE;
         }
         // The present slot is empty: the search ends before it comes round.
-        int place = (int) (slot + 1) & MASK;
-        long word = filled[place / Long.SIZE] & -1L << place;
-        int at = place / Long.SIZE;
+        int firstIndex = (int) (currentSlot + 1) & SLOT_MASK;
+        long word = occupiedSlots[firstIndex / Long.SIZE] & -1L << firstIndex;
+        int wordIndex = firstIndex / Long.SIZE;
         while (word == 0) {
-            at = (at + 1) % filled.length;
-            word = filled[at];
+            wordIndex = (wordIndex + 1) % occupiedSlots.length;
+            word = occupiedSlots[wordIndex];
         }
-        int found = at * Long.SIZE + Long.numberOfTrailingZeros(word);
-        return slot + 1 + (found - place & MASK);
+        int foundIndex = wordIndex * Long.SIZE + Long.numberOfTrailingZeros(word);
+        return currentSlot + 1 + (foundIndex - firstIndex & SLOT_MASK);
     }
 
     long now() {
@@ -193,12 +193,12 @@
     }
 
     /** Events that have happened so far. */
-    long happened() {
-        return happened;
+    long executedEvents() {
+        return executedEvents;
     }
 
     /** Events still to come. */
-    int open() {
-        return due.size() + inWheel + beyond.size();
+    int pendingEvents() {
+        return dueEvents.size() + wheelSize + farEvents.size();
     }
 }
--- a/emulator/src/main/java/frostrelay/lab/Comparison.java
+++ b/emulator/src/main/java/frostrelay/lab/Comparison.java
@@ -13,10 +13,10 @@
  * none differs by luck alone.
  */
 public final class Comparison {
-    private static final double LEVEL = 0.05;
+    private static final double SIGNIFICANCE_LEVEL = 0.05;
 
     /**
-     * One metric at one point. {@code chance}: how likely such a difference is where there is none,
+     * One metric at one point. {@code pValue}: how likely such a difference is where there is none,
      * corrected.
      */
     public record Difference(
@@ -25,11 +25,11 @@
             int days,
             Interval first,
             Interval second,
-            Interval apart,
-            double chance) {
+            Interval difference,
+            double pValue) {
         /** Whether it is more than chance. */
-        public boolean beyondChance() {
-            return chance < LEVEL;
+        public boolean isSignificant() {
+            return pValue < SIGNIFICANCE_LEVEL;
         }
     }
 
@@ -38,29 +38,29 @@
     /**
      * Compares points that both files have, by label, over the seeds that both have: at least two.
      */
-    public static List<Difference> of(ResultsFile.Held first, ResultsFile.Held second) {
+    public static List<Difference> of(ResultsFile.StoredResults first, ResultsFile.StoredResults second) {
         List<Difference> all = new ArrayList<>();
         for (int point = 0; point < first.points().size(); point++) {
             int other = second.points().indexOf(first.points().get(point));
             if (other >= 0) {
-                all.addAll(compare(first.points().get(point), first.of(point), second.of(other)));
+                all.addAll(compare(first.points().get(point), first.resultsOf(point), second.resultsOf(other)));
             }
         }
-        return holm(all);
+        return correctByHolm(all);
     }
 
     /** Compares two points of one file. */
-    public static List<Difference> of(ResultsFile.Held held, int first, int second) {
-        return holm(compare(held.points().get(second), held.of(first), held.of(second)));
+    public static List<Difference> of(ResultsFile.StoredResults results, int first, int second) {
+        return correctByHolm(compare(results.points().get(second), results.resultsOf(first), results.resultsOf(second)));
     }
 
-    private static List<Difference> compare(String label, List<Day> first, List<Day> second) {
-        Map<Long, Day> bySeed =
-                second.stream().collect(Collectors.toMap(Day::seed, Function.identity()));
-        List<Day[]> pairs = new ArrayList<>();
-        for (Day day : first) {
-            if (bySeed.containsKey(day.seed())) {
-                pairs.add(new Day[] {day, bySeed.get(day.seed())});
+    private static List<Difference> compare(String label, List<RunResult> first, List<RunResult> second) {
+        Map<Long, RunResult> bySeed =
+                second.stream().collect(Collectors.toMap(RunResult::seed, Function.identity()));
+        List<RunResult[]> pairs = new ArrayList<>();
+        for (RunResult result : first) {
+            if (bySeed.containsKey(result.seed())) {
+                pairs.add(new RunResult[] {result, bySeed.get(result.seed())});
             }
         }
         List<Difference> all = new ArrayList<>();
@@ -73,45 +73,45 @@
                             pair ->
                                     pair[0].metrics().containsKey(metric)
                                             && pair[1].metrics().containsKey(metric))) {
-                double[] one =
+                double[] firstValues =
                         pairs.stream().mapToDouble(pair -> pair[0].metrics().get(metric)).toArray();
-                double[] two =
+                double[] secondValues =
                         pairs.stream().mapToDouble(pair -> pair[1].metrics().get(metric)).toArray();
-                double[] apart = new double[one.length];
-                for (int i = 0; i < apart.length; i++) {
-                    apart[i] = two[i] - one[i];
+                double[] differences = new double[firstValues.length];
+                for (int i = 0; i < differences.length; i++) {
+                    differences[i] = secondValues[i] - firstValues[i];
                 }
                 all.add(
                         new Difference(
                                 label,
                                 metric,
-                                one.length,
-                                Interval.of(one),
-                                Interval.of(two),
-                                Interval.of(apart),
-                                Interval.chance(apart)));
+                                firstValues.length,
+                                Interval.of(firstValues),
+                                Interval.of(secondValues),
+                                Interval.of(differences),
+                                Interval.pValue(differences)));
             }
         }
         return all;
     }
 
-    private static List<Difference> holm(List<Difference> all) {
+    private static List<Difference> correctByHolm(List<Difference> all) {
         List<Difference> sorted = new ArrayList<>(all);
-        sorted.sort(Comparator.comparingDouble(Difference::chance));
+        sorted.sort(Comparator.comparingDouble(Difference::pValue));
         List<Difference> corrected = new ArrayList<>();
-        double least = 0;
+        double minPValue = 0;
         for (int i = 0; i < sorted.size(); i++) {
-            Difference one = sorted.get(i);
-            least = Math.max(least, Math.min(1, one.chance * (sorted.size() - i)));
+            Difference difference = sorted.get(i);
+            minPValue = Math.max(minPValue, Math.min(1, difference.pValue * (sorted.size() - i)));
             corrected.add(
                     new Difference(
-                            one.point,
-                            one.metric,
-                            one.days,
-                            one.first,
-                            one.second,
-                            one.apart,
-                            least));
+                            difference.point,
+                            difference.metric,
+                            difference.days,
+                            difference.first,
+                            difference.second,
+                            difference.difference,
+                            minPValue));
         }
         return corrected;
     }
--- a/emulator/src/main/java/frostrelay/lab/ExperimentFile.java
+++ b/emulator/src/main/java/frostrelay/lab/ExperimentFile.java
@@ -2,10 +2,10 @@
 
 import frostrelay.config.BadConfigException;
 import frostrelay.config.Problem;
-import frostrelay.config.Table;
+import frostrelay.config.TableSchema;
 import frostrelay.config.TomlFile;
-import frostrelay.config.Values;
-import frostrelay.emulator.Plant;
+import frostrelay.config.TableValues;
+import frostrelay.emulator.SystemModel;
 
 import org.apache.commons.rng.sampling.ListSampler;
 import org.apache.commons.rng.simple.RandomSource;
@@ -28,16 +28,16 @@
  * is enough.
  */
 public final class ExperimentFile {
-    private static final int MOST_POINTS = 10_000;
+    private static final int MAX_POINTS = 10_000;
 
     private ExperimentFile() {}
 
     /** The form, for checks and for the page that describes it. */
-    public static Table form() {
-        return new Table("An experiment.")
+    public static TableSchema schema() {
+        return new TableSchema("An experiment.")
                 .table(
                         "experiment",
-                        new Table("What is played, and how often.")
+                        new TableSchema("What is played, and how often.")
                                 .text(
                                         "plant",
                                         null,
@@ -57,12 +57,12 @@
                                         "points",
                                         50L,
                                         1,
-                                        MOST_POINTS,
+                                        MAX_POINTS,
                                         "How many are drawn, for random.")
                                 .whole("draw-seed", 1L, 0, Long.MAX_VALUE / 2, "Of that draw."))
                 .table(
                         "stop",
-                        new Table("When a point has been played often enough.")
+                        new TableSchema("When a point has been played often enough.")
                                 .choice("metric", "service", Metrics.NAMES, "What is watched.")
                                 .number(
                                         "half",
@@ -74,47 +74,47 @@
                 .list(
                         "sweep",
                         8,
-                        new Table("A key of the plant that takes several values.")
+                        new TableSchema("A key of the plant that takes several values.")
                                 .text("key", null, "Which, as `clients.rate` or `class[0].aim`.")
                                 .text("values", null, "Its values, parted by commas."));
     }
 
     /** Reads an experiment with its plant; throws {@link BadConfigException} with what is wrong. */
     public static Experiment read(Path path) {
-        return bind(path, TomlFile.read(path, form()));
+        return bind(path, TomlFile.read(path, schema()));
     }
 
     /**
      * What values mean that were read by the form from that file; throws {@link
      * BadConfigException}.
      */
-    public static Experiment bind(Path path, Values values) {
+    public static Experiment bind(Path path, TableValues values) {
         String file = path.toString();
-        Values head = values.table("experiment");
-        Path plantPath = path.resolveSibling(head.text("plant"));
-        if (!Files.isRegularFile(plantPath)) {
+        TableValues experimentTable = values.table("experiment");
+        Path modelPath = path.resolveSibling(experimentTable.text("plant"));
+        if (!Files.isRegularFile(modelPath)) {
             throw new BadConfigException(
                     List.of(
                             new Problem(
                                     file,
-                                    head.line(),
+                                    experimentTable.line(),
                                     "experiment.plant",
-                                    head.text("plant"),
+                                    experimentTable.text("plant"),
                                     "the name of a file beside this one")));
         }
-        Values plant = TomlFile.read(plantPath, PlantFile.form());
+        TableValues modelValues = TomlFile.read(modelPath, SystemModelFile.schema());
         List<Map<String, String>> combinations = combinations(values.list("sweep"), file);
-        if (head.text("design").equals("random")) {
+        if (experimentTable.text("design").equals("random")) {
             ListSampler.shuffle(
-                    RandomSource.XO_RO_SHI_RO_128_PP.create(head.whole("draw-seed")), combinations);
+                    RandomSource.XO_RO_SHI_RO_128_PP.create(experimentTable.whole("draw-seed")), combinations);
             combinations =
                     combinations.subList(
-                            0, (int) Math.min(combinations.size(), head.whole("points")));
+                            0, (int) Math.min(combinations.size(), experimentTable.whole("points")));
         }
         List<Experiment.Point> points = new ArrayList<>();
         for (Map<String, String> settings : combinations) {
-            Values varied = plant;
-            for (Values sweep : values.list("sweep")) {
+            TableValues varied = modelValues;
+            for (TableValues sweep : values.list("sweep")) {
                 varied =
                         varied.with(
                                 sweep.text("key"),
@@ -126,47 +126,47 @@
                     new Experiment.Point(
                             label(settings),
                             settings,
-                            PlantFile.bind(plantPath.toString(), varied)));
+                            SystemModelFile.bind(modelPath.toString(), varied)));
         }
-        Values stop = values.table("stop");
+        TableValues stop = values.table("stop");
         return new Experiment(
                 name(path),
-                digest(values.write() + plant.write()),
+                digest(values.toToml() + modelValues.toToml()),
                 points,
-                (int) head.whole("seeds"),
+                (int) experimentTable.whole("seeds"),
                 stop.number("half") == 0
                         ? null
-                        : new Experiment.Stop(
+                        : new Experiment.StopRule(
                                 stop.text("metric"),
                                 stop.number("half"),
                                 (int) stop.whole("least")));
     }
 
     /** Plants, each a point; what they say is to be drawn is drawn for each seed. */
-    public static Experiment ofPlants(List<Path> paths, int seeds) {
+    public static Experiment ofModels(List<Path> paths, int seeds) {
         List<Experiment.Point> points = new ArrayList<>();
         StringBuilder all = new StringBuilder().append(seeds);
         for (Path path : paths) {
-            Values values = TomlFile.read(path, PlantFile.form());
-            all.append(values.write());
+            TableValues values = TomlFile.read(path, SystemModelFile.schema());
+            all.append(values.toToml());
             String file = path.toString();
-            LongFunction<Plant> draws = seed -> PlantFile.bind(file, Draws.of(file, values, seed));
+            LongFunction<SystemModel> modelOfSeed = seed -> SystemModelFile.bind(file, ParameterSampling.sample(file, values, seed));
             points.add(
                     new Experiment.Point(
-                            name(path), Map.of(), draws.apply(values.whole("seed")), draws));
+                            name(path), Map.of(), modelOfSeed.apply(values.whole("seed")), modelOfSeed));
         }
         return new Experiment(name(paths.get(0)), digest(all.toString()), points, seeds, null);
     }
 
-    private static List<Map<String, String>> combinations(List<Values> sweeps, String file) {
+    private static List<Map<String, String>> combinations(List<TableValues> sweeps, String file) {
         List<Map<String, String>> all = new ArrayList<>(List.of(Map.of()));
-        for (Values sweep : sweeps) {
+        for (TableValues sweep : sweeps) {
             List<String> each =
                     Arrays.stream(sweep.text("values").split(","))
                             .map(String::strip)
                             .filter(one -> !one.isEmpty())
                             .toList();
-            if (each.isEmpty() || (long) all.size() * each.size() > MOST_POINTS) {
+            if (each.isEmpty() || (long) all.size() * each.size() > MAX_POINTS) {
                 throw new BadConfigException(
                         List.of(
                                 new Problem(
@@ -174,13 +174,13 @@
                                         sweep.line(),
                                         "sweep.values",
                                         (long) all.size() * each.size() + " points",
-                                        "from 1 to " + MOST_POINTS)));
+                                        "from 1 to " + MAX_POINTS)));
             }
-            List<Map<String, String>> more = new ArrayList<>();
+            List<Map<String, String>> extended = new ArrayList<>();
             for (Map<String, String> one : all) {
                 for (String value : each) {
-                    Map<String, String> longer = new LinkedHashMap<>(one);
-                    if (longer.put(sweep.text("key"), value) != null) {
+                    Map<String, String> combination = new LinkedHashMap<>(one);
+                    if (combination.put(sweep.text("key"), value) != null) {
                         throw new BadConfigException(
                                 List.of(
                                         new Problem(
@@ -190,10 +190,10 @@
                                                 sweep.text("key") + " twice",
                                                 "each key once")));
                     }
-                    more.add(longer);
+                    extended.add(combination);
                 }
             }
-            all = more;
+            all = extended;
         }
         return all;
     }
--- a/emulator/src/main/java/frostrelay/lab/Lab.java
+++ b/emulator/src/main/java/frostrelay/lab/ExperimentRunner.java
@@ -1,6 +1,6 @@
 package frostrelay.lab;
 
-import frostrelay.emulator.Plant;
+import frostrelay.emulator.SystemModel;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -18,20 +18,20 @@
  * their plants and not by chance. Which days are played does not depend on the number of threads,
  * and what is in the file is not played again.
  */
-public final class Lab {
+public final class ExperimentRunner {
     /** Hears how far it is: days done of the most there can be. */
     public interface Progress {
         /** Called by the thread that plays the experiment. */
-        void done(int days, int most);
+        void onProgress(int completedRuns, int totalRuns);
     }
 
-    private Lab() {}
+    private ExperimentRunner() {}
 
     /**
      * Plays what is missing. An interrupt ends it: what was played is in the file. Throws {@link
      * IOException} if that cannot be written.
      */
-    public static void play(Experiment experiment, ResultsFile file, int threads, Progress progress)
+    public static void run(Experiment experiment, ResultsFile file, int threads, Progress progress)
             throws IOException, InterruptedException {
         ThreadPoolExecutor pool =
                 (ThreadPoolExecutor)
@@ -43,33 +43,33 @@
                                     return thread;
                                 });
         try {
-            int most = experiment.points().size() * experiment.seeds();
-            int done = 0;
-            Map<Integer, List<Day>> kept = new LinkedHashMap<>();
+            int totalRuns = experiment.points().size() * experiment.seeds();
+            int completedRuns = 0;
+            Map<Integer, List<RunResult>> resultsByPoint = new LinkedHashMap<>();
             for (int point = 0; point < experiment.points().size(); point++) {
-                kept.put(point, new ArrayList<>());
+                resultsByPoint.put(point, new ArrayList<>());
             }
             // By rounds, so that a stop rule sees the same days whichever thread is first.
-            for (int from = 0; from < experiment.seeds(); from += round(experiment)) {
-                int to = Math.min(experiment.seeds(), from + round(experiment));
-                List<Future<Day>> days = new ArrayList<>();
-                for (Map.Entry<Integer, List<Day>> point : kept.entrySet()) {
-                    if (experiment.stop() != null && experiment.stop().enough(point.getValue())) {
+            for (int from = 0; from < experiment.seeds(); from += roundSize(experiment)) {
+                int to = Math.min(experiment.seeds(), from + roundSize(experiment));
+                List<Future<RunResult>> pendingResults = new ArrayList<>();
+                for (Map.Entry<Integer, List<RunResult>> point : resultsByPoint.entrySet()) {
+                    if (experiment.stopRule() != null && experiment.stopRule().isReached(point.getValue())) {
                         continue;
                     }
                     for (int i = from; i < to; i++) {
-                        days.add(submit(pool, experiment, point.getKey(), i, file));
+                        pendingResults.add(submit(pool, experiment, point.getKey(), i, file));
                     }
                 }
-                for (Future<Day> one : days) {
-                    endIfInterrupted();
-                    Day day = one.get();
-                    kept.get(day.point()).add(day);
-                    progress.done(++done, most);
+                for (Future<RunResult> pendingResult : pendingResults) {
+                    throwIfInterrupted();
+                    RunResult result = pendingResult.get();
+                    resultsByPoint.get(result.point()).add(result);
+                    progress.onProgress(++completedRuns, totalRuns);
                 }
             }
-            endIfInterrupted();
-            file.finish();
+            throwIfInterrupted();
+            file.rewriteInOrder();
         } catch (ExecutionException e) {
             if (e.getCause() instanceof IOException io) {
                 throw io;
@@ -87,29 +87,29 @@
      * What is done is given at once, interrupted or not: an interrupt would be seen by the file,
      * which it closes.
      */
-    private static void endIfInterrupted() throws InterruptedException {
+    private static void throwIfInterrupted() throws InterruptedException {
         if (Thread.interrupted()) {
             throw new InterruptedException();
         }
     }
 
-    private static int round(Experiment experiment) {
-        return experiment.stop() == null ? experiment.seeds() : experiment.stop().least();
+    private static int roundSize(Experiment experiment) {
+        return experiment.stopRule() == null ? experiment.seeds() : experiment.stopRule().minSeeds();
     }
 
-    private static Future<Day> submit(
-            ExecutorService pool, Experiment experiment, int point, int number, ResultsFile file) {
-        Experiment.Point played = experiment.points().get(point);
-        Plant day = played.draws().apply(played.plant().seed() + number);
+    private static Future<RunResult> submit(
+            ExecutorService pool, Experiment experiment, int point, int seedIndex, ResultsFile file) {
+        Experiment.Point experimentPoint = experiment.points().get(point);
+        SystemModel model = experimentPoint.modelOfSeed().apply(experimentPoint.model().seed() + seedIndex);
         return pool.submit(
                 () -> {
-                    Day known = file.find(point, day.seed());
-                    if (known == null) {
+                    RunResult result = file.find(point, model.seed());
+                    if (result == null) {
                         // The course of one day is enough to look at, and keeps the file small.
-                        known = Day.play(point, day, number == 0);
-                        file.add(known);
+                        result = RunResult.simulate(point, model, seedIndex == 0);
+                        file.add(result);
                     }
-                    return known;
+                    return result;
                 });
     }
 }
--- /dev/null
+++ b/emulator/src/main/java/frostrelay/lab/FaultSearch.java
@@ -0,0 +1,295 @@
+package frostrelay.lab;
+
+import frostrelay.emulator.Emulation;
+import frostrelay.emulator.SystemModel;
+import frostrelay.emulator.SystemModel.Fault;
+import frostrelay.emulator.SystemModel.FaultKind;
+
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
+import java.util.function.Consumer;
+import java.util.stream.Collectors;
+
+/**
+ * Searches for faults after which a plant misses a goal: at random first, then by small changes to
+ * the worst that were found, and last each is made as small as it can be while the goal is still
+ * missed (Zeller and Hildebrandt 2002 for the idea). Finds the same for the same seed, however many
+ * threads. Threading: one caller.
+ */
+public final class FaultSearch {
+    private static final double EARLIEST_START_FRACTION = 0.22;
+    private static final double LATEST_START_FRACTION = 0.4;
+    private static final double MAX_DURATION_FRACTION = 0.12;
+    private static final int MAX_FAULTS = 3;
+    private static final int MAX_PARENTS = 8;
+    private static final long TICK_NANOS = 100_000_000L;
+    private static final double MIN_AFFECTED_FRACTION = 0.05;
+
+    /**
+     * What was found. {@code shortfall}: on the mean over the seeds; {@code value}: of the worst of
+     * them, {@code seed}; {@code simulatedRuns}: days played until then.
+     */
+    public record Finding(List<Fault> faults, double shortfall, double value, long seed, int simulatedRuns) {}
+
+    private final SystemModel baseModel;
+    private final Objective objective;
+    private final int seeds;
+    private final ExecutorService pool;
+    private final UniformRandomProvider random;
+    private final Consumer<String> progressListener;
+    private int simulatedRuns;
+
+    private record Candidate(List<Fault> faults, double shortfall, double value, long seed) {
+        /** Which kinds it has: two candidates of the same kinds are one finding. */
+        String kinds() {
+            return faults.stream()
+                    .map(fault -> fault.kind().name())
+                    .sorted()
+                    .distinct()
+                    .collect(Collectors.joining("+"));
+        }
+    }
+
+    private FaultSearch(
+            SystemModel baseModel,
+            Objective objective,
+            int seeds,
+            long seed,
+            ExecutorService pool,
+            Consumer<String> progressListener) {
+        this.baseModel = baseModel;
+        this.objective = objective;
+        this.seeds = seeds;
+        this.pool = pool;
+        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+        this.progressListener = progressListener;
+    }
+
+    /**
+     * Hunts with so many random tries, a quarter as many small changes, and keeps the worst of
+     * different kinds. Faults of the plant itself are left out. Throws {@link
+     * IllegalArgumentException} if the plant misses the goal without any.
+     */
+    public static List<Finding> run(
+            SystemModel plant,
+            Objective goal,
+            int tries,
+            int keep,
+            int seeds,
+            long seed,
+            int threads,
+            Consumer<String> told)
+            throws InterruptedException {
+        ExecutorService pool = Executors.newFixedThreadPool(threads);
+        try {
+            return new FaultSearch(plant.withFaults(List.of()), goal, seeds, seed, pool, told).run(tries, keep);
+        } catch (ExecutionException e) {
+            throw new IllegalStateException("a day could not be played", e.getCause());
+        } finally {
+            pool.shutdownNow();
+        }
+    }
+
+    private List<Finding> run(int tries, int keep) throws InterruptedException, ExecutionException {
+        Candidate quiet = evaluate(List.of(List.of())).get(0);
+        if (quiet.shortfall > 0) {
+            throw new IllegalArgumentException(
+                    "without any fault the plant misses the goal "
+                            + objective
+                            + " already: "
+                            + quiet.value);
+        }
+        List<List<Fault>> first = new ArrayList<>();
+        for (int i = 0; i < tries; i++) {
+            first.add(randomFaults());
+        }
+        List<Candidate> known = new ArrayList<>(evaluate(first));
+        progressListener.accept(countMissing(known) + " of " + tries + " random days miss the goal");
+        for (int round = 0; round < 3; round++) {
+            List<List<Fault>> next = new ArrayList<>();
+            for (Candidate parent : worstOfEachKind(known).stream().limit(MAX_PARENTS).toList()) {
+                for (int i = 0; i < Math.max(1, tries / 12 / MAX_PARENTS); i++) {
+                    next.add(mutate(parent.faults));
+                }
+            }
+            known.addAll(evaluate(next));
+        }
+        progressListener.accept("after small changes to the worst: " + countMissing(known) + " of " + known.size());
+        Map<String, Finding> found = new LinkedHashMap<>();
+        for (Candidate candidate : worstOfEachKind(known)) {
+            if (candidate.shortfall <= 0 || found.size() >= keep) {
+                break;
+            }
+            Candidate small = shrink(candidate);
+            if (!found.containsKey(small.kinds())) {
+                found.put(
+                        small.kinds(),
+                        new Finding(small.faults, small.shortfall, small.value, small.seed, simulatedRuns));
+                progressListener.accept("found: " + String.join("; ", FaultFormat.describe(small.faults)));
+            }
+        }
+        return List.copyOf(found.values());
+    }
+
+    private static long countMissing(List<Candidate> all) {
+        return all.stream().filter(one -> one.shortfall > 0).count();
+    }
+
+    /**
+     * The worst first; of the same kinds only the worst, so that one weakness does not hide the
+     * others.
+     */
+    private static List<Candidate> worstOfEachKind(List<Candidate> all) {
+        Map<String, Candidate> byKinds = new LinkedHashMap<>();
+        all.stream()
+                .sorted(Comparator.comparingDouble((Candidate one) -> one.shortfall).reversed())
+                .forEach(one -> byKinds.putIfAbsent(one.kinds(), one));
+        return List.copyOf(byKinds.values());
+    }
+
+    private List<Candidate> evaluate(List<List<Fault>> all)
+            throws InterruptedException, ExecutionException {
+        List<Future<Map<String, Double>>> results = new ArrayList<>();
+        for (List<Fault> faults : all) {
+            for (int i = 0; i < seeds; i++) {
+                SystemModel model = baseModel.withFaults(faults).withSeed(baseModel.seed() + i);
+                results.add(pool.submit(() -> Metrics.of(model, Emulation.simulate(model))));
+            }
+        }
+        List<Candidate> evaluated = new ArrayList<>();
+        for (int i = 0; i < all.size(); i++) {
+            double meanShortfall = 0;
+            double worst = Double.NEGATIVE_INFINITY;
+            double value = 0;
+            long seed = baseModel.seed();
+            for (int j = 0; j < seeds; j++) {
+                Map<String, Double> metrics = results.get(i * seeds + j).get();
+                double shortfallOfSeed = objective.shortfall(metrics);
+                meanShortfall += shortfallOfSeed / seeds;
+                if (shortfallOfSeed > worst) {
+                    worst = shortfallOfSeed;
+                    value = metrics.getOrDefault(objective.metric(), objective.bound());
+                    seed = baseModel.seed() + j;
+                }
+            }
+            evaluated.add(new Candidate(all.get(i), meanShortfall, value, seed));
+        }
+        simulatedRuns += results.size();
+        return evaluated;
+    }
+
+    private List<Fault> randomFaults() {
+        List<Fault> faults = new ArrayList<>();
+        for (int i = random.nextInt(MAX_FAULTS); i >= 0; i--) {
+            FaultKind kind = FaultKind.values()[random.nextInt(FaultKind.values().length)];
+            faults.add(
+                    roundedFault(
+                            baseModel.durationNanos() * (EARLIEST_START_FRACTION + (LATEST_START_FRACTION - EARLIEST_START_FRACTION) * random.nextDouble()),
+                            baseModel.durationNanos() * MAX_DURATION_FRACTION * random.nextDouble(),
+                            kind,
+                            random.nextDouble(),
+                            1.5 + 4.5 * random.nextDouble()));
+        }
+        return faults;
+    }
+
+    /** Within what is asked of a plant, in steps that people can read. */
+    private static Fault roundedFault(double startNanos, double durationNanos, FaultKind kind, double affectedFraction, double factor) {
+        long roundedDurationNanos = Math.max(TICK_NANOS, (long) (durationNanos / TICK_NANOS) * TICK_NANOS);
+        return new Fault(
+                (long) (startNanos / TICK_NANOS) * TICK_NANOS,
+                kind == FaultKind.COPIES_RELEASED ? 0 : roundedDurationNanos,
+                kind,
+                Math.rint(Math.max(MIN_AFFECTED_FRACTION, Math.min(1, affectedFraction)) * 100) / 100,
+                Math.rint(Math.max(1, Math.min(8, factor)) * 10) / 10);
+    }
+
+    private List<Fault> mutate(List<Fault> faults) {
+        List<Fault> mutated = new ArrayList<>(faults);
+        int index = random.nextInt(mutated.size());
+        Fault original = mutated.get(index);
+        if (mutated.size() < MAX_FAULTS && random.nextInt(4) == 0) {
+            mutated.add(randomFaults().get(0));
+        } else {
+            mutated.set(
+                    index,
+                    roundedFault(
+                            Math.max(
+                                    baseModel.durationNanos() * EARLIEST_START_FRACTION,
+                                    Math.min(
+                                            baseModel.durationNanos() * LATEST_START_FRACTION,
+                                            original.startNanos()
+                                                    + baseModel.durationNanos()
+                                                            * 0.05
+                                                            * (random.nextDouble() - 0.5))),
+                            Math.min(
+                                    baseModel.durationNanos() * MAX_DURATION_FRACTION,
+                                    original.durationNanos() * (0.6 + random.nextDouble())),
+                            original.kind(),
+                            original.machineFraction() * (0.6 + random.nextDouble()),
+                            original.factor() * (0.6 + random.nextDouble())));
+        }
+        return mutated;
+    }
+
+    /** Takes away whole faults first, then makes each milder, as long as the goal is missed. */
+    private Candidate shrink(Candidate original) throws InterruptedException, ExecutionException {
+        Candidate best = original;
+        boolean hasShrunk = true;
+        while (hasShrunk) {
+            hasShrunk = false;
+            for (Candidate one : evaluate(milderVariants(best.faults))) {
+                if (one.shortfall > 0) {
+                    best = one;
+                    hasShrunk = true;
+                    break;
+                }
+            }
+        }
+        return best;
+    }
+
+    private static List<List<Fault>> milderVariants(List<Fault> faults) {
+        List<List<Fault>> variants = new ArrayList<>();
+        for (int i = 0; i < faults.size() && faults.size() > 1; i++) {
+            List<Fault> fewer = new ArrayList<>(faults);
+            fewer.remove(i);
+            variants.add(fewer);
+        }
+        for (int i = 0; i < faults.size(); i++) {
+            Fault original = faults.get(i);
+            for (Fault milderFault :
+                    List.of(
+                            roundedFault(
+                                    original.startNanos(),
+                                    original.durationNanos() / 2.0,
+                                    original.kind(),
+                                    original.machineFraction(),
+                                    original.factor()),
+                            roundedFault(original.startNanos(), original.durationNanos(), original.kind(), original.machineFraction() / 2, original.factor()),
+                            roundedFault(
+                                    original.startNanos(),
+                                    original.durationNanos(),
+                                    original.kind(),
+                                    original.machineFraction(),
+                                    1 + (original.factor() - 1) / 2))) {
+                if (!milderFault.equals(original)) {
+                    List<Fault> variant = new ArrayList<>(faults);
+                    variant.set(i, milderFault);
+                    variants.add(variant);
+                }
+            }
+        }
+        return variants;
+    }
+}
--- a/emulator/src/main/java/frostrelay/lab/Interval.java
+++ b/emulator/src/main/java/frostrelay/lab/Interval.java
@@ -8,8 +8,8 @@
  * A mean and half the width of its 95% confidence interval by Student's t; the half is 0 for a
  * single value.
  */
-public record Interval(double mean, double half) {
-    private static final double UPPER = 0.975;
+public record Interval(double mean, double halfWidth) {
+    private static final double UPPER_QUANTILE = 0.975;
 
     /** Of some values, at least one. */
     public static Interval of(double[] values) {
@@ -17,30 +17,30 @@
                 mean(values),
                 values.length < 2
                         ? 0
-                        : error(values)
+                        : standardError(values)
                                 * TDistribution.of(values.length - 1)
-                                        .inverseCumulativeProbability(UPPER));
+                                        .inverseCumulativeProbability(UPPER_QUANTILE));
     }
 
     /**
      * How likely a mean so far from zero is by chance alone, by the same distribution; of at least
      * two values.
      */
-    static double chance(double[] values) {
-        double error = error(values);
-        if (error == 0) {
+    static double pValue(double[] values) {
+        double standardError = standardError(values);
+        if (standardError == 0) {
             return mean(values) == 0 ? 1 : 0;
         }
         return 2
                 * TDistribution.of(values.length - 1)
-                        .survivalProbability(Math.abs(mean(values)) / error);
+                        .survivalProbability(Math.abs(mean(values)) / standardError);
     }
 
     private static double mean(double[] values) {
         return Arrays.stream(values).average().orElseThrow();
     }
 
-    private static double error(double[] values) {
+    private static double standardError(double[] values) {
         double mean = mean(values);
         double squares = Arrays.stream(values).map(value -> (value - mean) * (value - mean)).sum();
         return Math.sqrt(squares / (values.length - 1) / values.length);
--- a/emulator/src/main/java/frostrelay/lab/Metrics.java
+++ b/emulator/src/main/java/frostrelay/lab/Metrics.java
@@ -1,8 +1,8 @@
 package frostrelay.lab;
 
 import frostrelay.emulator.Emulation.Result;
-import frostrelay.emulator.Figures;
-import frostrelay.emulator.Plant;
+import frostrelay.emulator.RunStatistics;
+import frostrelay.emulator.SystemModel;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -10,12 +10,12 @@
 
 /** What is measured of a day, by name. */
 public final class Metrics {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     /** Seconds at a day's end that tell whether service is back. */
-    private static final int LAST = 15;
+    private static final int AFTERWARDS_SECONDS = 15;
 
-    private static final int BEFORE = 10;
+    private static final int BASELINE_SECONDS = 10;
 
     /**
      * All names, in the order in which they are told; the last ones are there for days with faults
@@ -55,48 +55,48 @@
      * Of a day. {@code recovery}: seconds until service is back, counted as all that is left if it
      * is not.
      */
-    public static Map<String, Double> of(Plant plant, Result result) {
-        Figures figures = result.figures();
-        Map<String, Double> all = new LinkedHashMap<>();
-        all.put("service", figures.service());
-        all.put("p50Ms", figures.ms(50));
-        all.put("p99Ms", figures.ms(99));
-        all.put("copyShare", result.copyShare());
-        all.put("hitShare", result.hitShare());
-        all.put("fetches", (double) result.fetches());
-        all.put("originFalls", (double) result.falls());
-        all.put("refusedShare", figures.refused() / (double) Math.max(1, figures.asked()));
-        all.put("failedShare", figures.failed() / (double) Math.max(1, figures.asked()));
-        all.put("goal", figures.goal());
-        all.put("handshakes", result.each(result.handshakes()));
-        all.put("listLines", result.each(result.listLines()));
-        all.put("waste", result.waste());
-        all.put(
+    public static Map<String, Double> of(SystemModel plant, Result result) {
+        RunStatistics figures = result.statistics();
+        Map<String, Double> metrics = new LinkedHashMap<>();
+        metrics.put("service", figures.inTimeFraction());
+        metrics.put("p50Ms", figures.latencyMillis(50));
+        metrics.put("p99Ms", figures.latencyMillis(99));
+        metrics.put("copyShare", result.additionalAttemptRatio());
+        metrics.put("hitShare", result.hitRatio());
+        metrics.put("fetches", (double) result.originCalls());
+        metrics.put("originFalls", (double) result.originOverloads());
+        metrics.put("refusedShare", figures.rejected() / (double) Math.max(1, figures.asked()));
+        metrics.put("failedShare", figures.failed() / (double) Math.max(1, figures.asked()));
+        metrics.put("goal", figures.objective());
+        metrics.put("handshakes", result.perRequest(result.handshakes()));
+        metrics.put("listLines", result.perRequest(result.listEntriesSent()));
+        metrics.put("waste", result.wastedWorkFraction());
+        metrics.put(
                 "prices",
-                HANDSHAKE_PRICE * result.each(result.handshakes())
-                        + LIST_PRICE * result.each(result.listLines())
-                        + WASTE_PRICE * result.waste());
+                HANDSHAKE_PRICE * result.perRequest(result.handshakes())
+                        + LIST_PRICE * result.perRequest(result.listEntriesSent())
+                        + WASTE_PRICE * result.wastedWorkFraction());
         if (!plant.faults().isEmpty()) {
-            int from =
+            int firstFaultSecond =
                     (int)
-                            (plant.faults().stream().mapToLong(Plant.Fault::at).min().orElse(0)
-                                    / SECOND);
-            int end = (int) Math.min(figures.seconds(), (faultsEnd(plant) + SECOND - 1) / SECOND);
-            int back = result.recovery(from, end);
-            all.put("recovery", (double) (back < 0 ? figures.seconds() - end : back));
-            double before = figures.served(Math.max(0, from - BEFORE), Math.max(1, from));
-            int last = figures.seconds();
-            all.put(
+                            (plant.faults().stream().mapToLong(SystemModel.Fault::startNanos).min().orElse(0)
+                                    / NANOS_PER_SECOND);
+            int faultsEndSecond = (int) Math.min(figures.seconds(), (faultsEndNanos(plant) + NANOS_PER_SECOND - 1) / NANOS_PER_SECOND);
+            int recoverySeconds = result.recoverySeconds(firstFaultSecond, faultsEndSecond);
+            metrics.put("recovery", (double) (recoverySeconds < 0 ? figures.seconds() - faultsEndSecond : recoverySeconds));
+            double baseline = figures.served(Math.max(0, firstFaultSecond - BASELINE_SECONDS), Math.max(1, firstFaultSecond));
+            int endSecond = figures.seconds();
+            metrics.put(
                     "afterwards",
-                    before == 0 ? 1 : figures.served(Math.max(0, last - LAST), last) / before);
+                    baseline == 0 ? 1 : figures.served(Math.max(0, endSecond - AFTERWARDS_SECONDS), endSecond) / baseline);
         }
-        return all;
+        return metrics;
     }
 
     /** When the last fault is over, in nanoseconds from the day's start. */
-    private static long faultsEnd(Plant plant) {
+    private static long faultsEndNanos(SystemModel plant) {
         return plant.faults().stream()
-                .mapToLong(fault -> fault.at() + fault.length())
+                .mapToLong(fault -> fault.startNanos() + fault.durationNanos())
                 .max()
                 .orElse(0);
     }
--- a/emulator/src/main/java/frostrelay/lab/Goal.java
+++ b/emulator/src/main/java/frostrelay/lab/Objective.java
@@ -6,16 +6,16 @@
 import java.util.regex.Pattern;
 
 /** What must hold of a day: a metric on one side of a bound. */
-public record Goal(String metric, boolean atLeast, double bound) {
-    private static final Pattern FORM =
+public record Objective(String metric, boolean isLowerBound, double bound) {
+    private static final Pattern PATTERN =
             Pattern.compile("\\s*(\\w+)\\s*(>=|<=)\\s*([0-9]+(?:\\.[0-9]+)?)\\s*");
 
     /**
      * From a text as {@code afterwards >= 0.95}; throws {@link IllegalArgumentException} that says
      * what is allowed.
      */
-    public static Goal parse(String text) {
-        Matcher parts = FORM.matcher(text);
+    public static Objective parse(String text) {
+        Matcher parts = PATTERN.matcher(text);
         if (!parts.matches() || !Metrics.NAMES.contains(parts.group(1))) {
             throw new IllegalArgumentException(
                     "'"
@@ -23,18 +23,18 @@
                             + "' is no goal: METRIC >= NUMBER or METRIC <= NUMBER, with one of "
                             + String.join(", ", Metrics.NAMES));
         }
-        return new Goal(
+        return new Objective(
                 parts.group(1), parts.group(2).equals(">="), Double.parseDouble(parts.group(3)));
     }
 
     /** How far the goal is missed, in the metric's unit; 0 or less where it is met. */
-    public double missedBy(Map<String, Double> metrics) {
+    public double shortfall(Map<String, Double> metrics) {
         double value = metrics.getOrDefault(metric, bound);
-        return atLeast ? bound - value : value - bound;
+        return isLowerBound ? bound - value : value - bound;
     }
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "%s %s %s", metric, atLeast ? ">=" : "<=", bound);
+        return String.format(Locale.ROOT, "%s %s %s", metric, isLowerBound ? ">=" : "<=", bound);
     }
 }
--- a/emulator/src/main/java/frostrelay/lab/Kept.java
+++ b/emulator/src/main/java/frostrelay/lab/RegressionRuns.java
@@ -1,9 +1,9 @@
 package frostrelay.lab;
 
 import frostrelay.config.TomlFile;
-import frostrelay.config.Values;
+import frostrelay.config.TableValues;
 import frostrelay.emulator.Emulation;
-import frostrelay.emulator.Plant;
+import frostrelay.emulator.SystemModel;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,25 +12,25 @@
 import java.util.Map;
 
 /** Days that a hunt found, kept as plants with a goal that must hold since, and played again. */
-public final class Kept {
-    /** How a kept day went. {@code missedBy}: 0 or less where its goal is met. */
-    public record Replayed(Goal must, double value, double missedBy, long breaks) {
+public final class RegressionRuns {
+    /** How a kept day went. {@code shortfall}: 0 or less where its goal is met. */
+    public record ReplayResult(Objective required, double value, double shortfall, long violationCount) {
         /** Whether its goal is met and no rule was broken. */
-        public boolean good() {
-            return missedBy <= 0 && breaks == 0;
+        public boolean hasPassed() {
+            return shortfall <= 0 && violationCount == 0;
         }
     }
 
-    private Kept() {}
+    private RegressionRuns() {}
 
     /**
      * Writes a day: the plant without its own faults, what was found, and the goal as what must
      * hold.
      */
-    public static void write(Path plant, Path file, Goal goal, Hunt.Found found)
+    public static void write(Path plant, Path file, Objective goal, FaultSearch.Finding found)
             throws IOException {
-        Values values =
-                TomlFile.read(plant, PlantFile.form())
+        TableValues values =
+                TomlFile.read(plant, SystemModelFile.schema())
                         .without("fault")
                         .with("seed", String.valueOf(found.seed()), plant.toString(), 0)
                         .with("kept.goal", goal.toString(), plant.toString(), 0)
@@ -41,10 +41,10 @@
                                 0)
                         .with("kept.must", goal.toString(), plant.toString(), 0);
         StringBuilder text = new StringBuilder("# Found by a hunt:\n");
-        FaultWords.of(found.faults())
+        FaultFormat.describe(found.faults())
                 .forEach(fault -> text.append("#   ").append(fault).append('\n'));
-        text.append(values.write());
-        found.faults().forEach(fault -> text.append('\n').append(FaultWords.toml(fault)));
+        text.append(values.toToml());
+        found.faults().forEach(fault -> text.append('\n').append(FaultFormat.toToml(fault)));
         Files.writeString(file, text);
     }
 
@@ -52,16 +52,16 @@
      * Plays a kept day with its own seed; throws {@link frostrelay.config.BadConfigException} for a
      * bad file.
      */
-    public static Replayed replay(Path file) {
-        Values values = TomlFile.read(file, PlantFile.form());
-        Plant plant = PlantFile.bind(file.toString(), values);
-        Goal must = Goal.parse(values.table("kept").text("must"));
-        Emulation.Result result = Emulation.play(plant);
-        Map<String, Double> metrics = Metrics.of(plant, result);
-        return new Replayed(
-                must,
-                metrics.getOrDefault(must.metric(), Double.NaN),
-                must.missedBy(metrics),
-                result.breaks());
+    public static ReplayResult replay(Path file) {
+        TableValues values = TomlFile.read(file, SystemModelFile.schema());
+        SystemModel model = SystemModelFile.bind(file.toString(), values);
+        Objective required = Objective.parse(values.table("kept").text("must"));
+        Emulation.Result result = Emulation.simulate(model);
+        Map<String, Double> metrics = Metrics.of(model, result);
+        return new ReplayResult(
+                required,
+                metrics.getOrDefault(required.metric(), Double.NaN),
+                required.shortfall(metrics),
+                result.violationCount());
     }
 }
--- a/emulator/src/main/java/frostrelay/lab/ResultsFile.java
+++ b/emulator/src/main/java/frostrelay/lab/ResultsFile.java
@@ -23,7 +23,7 @@
 /**
  * Days that were played, one to a line, behind a line that says of which experiment. A day is on
  * disk before the next call returns; a line that was cut short by a crash is dropped when the file
- * is opened again. While days come in they stand in the order of coming; {@link #finish} puts them
+ * is opened again. While days come in they stand in the order of coming; {@link #rewriteInOrder} puts them
  * in the order of points and seeds, so that the same experiment gives the same bytes however many
  * threads played it. One process at a time may write. Safe for threads.
  */
@@ -32,23 +32,23 @@
 
     /**
      * What a file holds. {@code points}: labels in their order; {@code settings}: what a sweep set,
-     * {@code faults} in words and {@code spans}, from and to of each in seconds, for each point.
+     * {@code faults} in words and {@code faultRanges}, from and to of each in seconds, for each point.
      */
-    public record Held(
+    public record StoredResults(
             String name,
             String digest,
             List<String> points,
             List<Map<String, String>> settings,
             List<List<String>> faults,
-            List<List<List<Double>>> spans,
-            List<List<Day>> byPoint) {
+            List<List<List<Double>>> faultRanges,
+            List<List<RunResult>> byPoint) {
         /** The days of a point in the order of their seeds. */
-        public List<Day> of(int point) {
+        public List<RunResult> resultsOf(int point) {
             return byPoint.get(point);
         }
 
         /** All days, point by point. */
-        public List<Day> days() {
+        public List<RunResult> allResults() {
             return byPoint.stream().flatMap(List::stream).toList();
         }
     }
@@ -56,11 +56,11 @@
     private final Path path;
     private final FileChannel channel;
     private final FileLock lock;
-    private final String head;
-    private final NavigableMap<Key, Day> days = new TreeMap<>();
+    private final String header;
+    private final NavigableMap<Key, RunResult> results = new TreeMap<>();
 
     private record Key(int point, long seed) implements Comparable<Key> {
-        Key(Day day) {
+        Key(RunResult day) {
             this(day.point(), day.seed());
         }
 
@@ -73,7 +73,7 @@
     }
 
     /** The whole lines of a file: the first says of which experiment, the others are days. */
-    private record Lines(String[] all, int bytes) {
+    private record Lines(String[] lines, int byteCount) {
         static Lines read(Path path) throws IOException {
             byte[] bytes = Files.readAllBytes(path);
             int end = bytes.length;
@@ -83,21 +83,21 @@
             return new Lines(new String(bytes, 0, end, StandardCharsets.UTF_8).split("\n"), end);
         }
 
-        NavigableMap<Key, Day> days(Path path) throws IOException {
-            NavigableMap<Key, Day> days = new TreeMap<>();
-            for (int i = 1; i < all.length; i++) {
-                Day day = day(path, all[i], i + 1);
-                days.putIfAbsent(new Key(day), day);
+        NavigableMap<Key, RunResult> results(Path path) throws IOException {
+            NavigableMap<Key, RunResult> results = new TreeMap<>();
+            for (int i = 1; i < lines.length; i++) {
+                RunResult result = parseResult(path, lines[i], i + 1);
+                results.putIfAbsent(new Key(result), result);
             }
-            return days;
+            return results;
         }
     }
 
-    private ResultsFile(Path path, FileChannel channel, FileLock lock, String head) {
+    private ResultsFile(Path path, FileChannel channel, FileLock lock, String header) {
         this.path = path;
         this.channel = channel;
         this.lock = lock;
-        this.head = head;
+        this.header = header;
     }
 
     /**
@@ -124,8 +124,8 @@
             if (lock == null) {
                 throw new IOException(path + " is being written by another run");
             }
-            ResultsFile file = new ResultsFile(path, channel, lock, head(experiment));
-            file.takeUp(experiment);
+            ResultsFile file = new ResultsFile(path, channel, lock, headerLine(experiment));
+            file.resume(experiment);
             return file;
         } catch (IOException | RuntimeException e) {
             channel.close();
@@ -133,21 +133,21 @@
         }
     }
 
-    private void takeUp(Experiment experiment) throws IOException {
+    private void resume(Experiment experiment) throws IOException {
         Lines lines = Lines.read(path);
-        if (lines.bytes > 0) {
-            if (!digest(path, lines.all[0]).equals(experiment.digest())) {
+        if (lines.byteCount > 0) {
+            if (!digest(path, lines.lines[0]).equals(experiment.digest())) {
                 throw new IOException(
                         path
                                 + " holds the results of another experiment (or of this one before it was"
                                 + " changed); name another file with --out, or remove it");
             }
-            days.putAll(lines.days(path));
+            results.putAll(lines.results(path));
         }
-        channel.truncate(lines.bytes);
-        channel.position(lines.bytes);
-        if (lines.bytes == 0) {
-            append(head);
+        channel.truncate(lines.byteCount);
+        channel.position(lines.byteCount);
+        if (lines.byteCount == 0) {
+            append(header);
         }
     }
 
@@ -168,15 +168,15 @@
         }
     }
 
-    private static Day day(Path path, String line, int number) throws IOException {
+    private static RunResult parseResult(Path path, String line, int number) throws IOException {
         try {
-            return Day.of(line);
+            return RunResult.parse(line);
         } catch (IOException | RuntimeException e) {
             throw new IOException(path + ":" + number + ": not a day's results", e);
         }
     }
 
-    private static String head(Experiment experiment) throws IOException {
+    private static String headerLine(Experiment experiment) throws IOException {
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("frostrelayResults", FORMAT);
         all.put("name", experiment.name());
@@ -186,12 +186,12 @@
         all.put(
                 "faults",
                 experiment.points().stream()
-                        .map(point -> FaultWords.of(point.plant().faults()))
+                        .map(point -> FaultFormat.describe(point.model().faults()))
                         .toList());
         all.put(
                 "spans",
                 experiment.points().stream()
-                        .map(point -> FaultWords.spans(point.plant().faults()))
+                        .map(point -> FaultFormat.timeRangesSeconds(point.model().faults()))
                         .toList());
         return JSON.std.asString(all) + "\n";
     }
@@ -209,19 +209,19 @@
     }
 
     /** The day of a point and seed if it was played; null otherwise. */
-    public synchronized Day find(int point, long seed) {
-        return days.get(new Key(point, seed));
+    public synchronized RunResult find(int point, long seed) {
+        return results.get(new Key(point, seed));
     }
 
     /** Days that are kept. */
     public synchronized int size() {
-        return days.size();
+        return results.size();
     }
 
     /** Keeps a day: it outlasts this process from here on. */
-    public synchronized void add(Day day) throws IOException {
-        if (days.putIfAbsent(new Key(day), day) == null) {
-            append(day.json() + "\n");
+    public synchronized void add(RunResult result) throws IOException {
+        if (results.putIfAbsent(new Key(result), result) == null) {
+            append(result.toJson() + "\n");
         }
     }
 
@@ -229,15 +229,15 @@
      * Puts all days in order, in one step: the file is the old or the new one, never half of
      * either.
      */
-    public synchronized void finish() throws IOException {
-        Path fresh = path.resolveSibling(path.getFileName() + ".new");
-        StringBuilder text = new StringBuilder(head);
-        for (Day day : days.values()) {
-            text.append(day.json()).append('\n');
+    public synchronized void rewriteInOrder() throws IOException {
+        Path newFile = path.resolveSibling(path.getFileName() + ".new");
+        StringBuilder text = new StringBuilder(header);
+        for (RunResult result : results.values()) {
+            text.append(result.toJson()).append('\n');
         }
         try (FileChannel out =
                 FileChannel.open(
-                        fresh,
+                        newFile,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -245,46 +245,46 @@
             out.force(true);
         }
         Files.move(
-                fresh, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                newFile, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** Reads a file that nobody need have finished. */
-    public static Held read(Path path) throws IOException {
+    public static StoredResults read(Path path) throws IOException {
         Lines lines = Lines.read(path);
-        String digest = digest(path, lines.all[0]);
-        Map<String, Object> top = JSON.std.mapFrom(lines.all[0]);
-        List<String> points = texts(top.get("points"));
-        List<List<Day>> byPoint = new ArrayList<>();
-        NavigableMap<Key, Day> days = lines.days(path);
+        String digest = digest(path, lines.lines[0]);
+        Map<String, Object> headerValues = JSON.std.mapFrom(lines.lines[0]);
+        List<String> points = strings(headerValues.get("points"));
+        List<List<RunResult>> byPoint = new ArrayList<>();
+        NavigableMap<Key, RunResult> results = lines.results(path);
         for (int point = 0; point < points.size(); point++) {
             byPoint.add(
                     List.copyOf(
-                            days.subMap(
+                            results.subMap(
                                             new Key(point, Long.MIN_VALUE),
                                             new Key(point + 1, Long.MIN_VALUE))
                                     .values()));
         }
         List<Map<String, String>> settings = new ArrayList<>();
-        for (Object one : (List<?>) top.get("settings")) {
+        for (Object one : (List<?>) headerValues.get("settings")) {
             Map<String, String> each = new LinkedHashMap<>();
             ((Map<?, ?>) one)
                     .forEach((key, value) -> each.put((String) key, String.valueOf(value)));
             settings.add(each);
         }
-        return new Held(
-                String.valueOf(top.get("name")),
+        return new StoredResults(
+                String.valueOf(headerValues.get("name")),
                 digest,
                 points,
                 settings,
-                ((List<?>) top.get("faults")).stream().map(ResultsFile::texts).toList(),
-                ((List<?>) top.get("spans"))
+                ((List<?>) headerValues.get("faults")).stream().map(ResultsFile::strings).toList(),
+                ((List<?>) headerValues.get("spans"))
                         .stream()
-                                .map(point -> ((List<?>) point).stream().map(Day::numbers).toList())
+                                .map(point -> ((List<?>) point).stream().map(RunResult::numbers).toList())
                                 .toList(),
                 byPoint);
     }
 
-    private static List<String> texts(Object list) {
+    private static List<String> strings(Object list) {
         return ((List<?>) list).stream().map(String::valueOf).toList();
     }
 
--- a/emulator/src/main/java/frostrelay/lab/Day.java
+++ b/emulator/src/main/java/frostrelay/lab/RunResult.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
-import frostrelay.emulator.Course;
+import frostrelay.emulator.RunTimeSeries;
 import frostrelay.emulator.Emulation;
-import frostrelay.emulator.Plant;
+import frostrelay.emulator.SystemModel;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -14,53 +14,53 @@
 import java.util.Map;
 
 /**
- * What is kept of a day that was played: nothing in it depends on the machine. {@code course}:
- * series by name, a value for each second; {@code load}, a row for one cache or for several, and
- * {@code unserved}, likewise of balancers; all empty where they are not kept.
+ * What is kept of a day that was played: nothing in it depends on the machine. {@code timeSeries}:
+ * series by name, a value for each second; {@code cacheLoad}, a row for one cache or for several, and
+ * {@code unservedByBalancer}, likewise of balancers; all empty where they are not kept.
  */
-public record Day(
+public record RunResult(
         int point,
         long seed,
-        long asked,
-        long breaks,
+        long requestCount,
+        long violationCount,
         Map<String, Double> metrics,
-        Map<String, List<Double>> course,
-        List<List<Double>> load,
-        List<List<Double>> unserved) {
-    private static final double DIGITS = 1e6;
+        Map<String, List<Double>> timeSeries,
+        List<List<Double>> cacheLoad,
+        List<List<Double>> unservedByBalancer) {
+    private static final double ROUNDING_SCALE = 1e6;
 
     /** Plays a day of a point. */
-    static Day play(int point, Plant plant, boolean withCourse) {
-        Emulation.Result result = Emulation.play(plant);
+    static RunResult simulate(int point, SystemModel model, boolean withTimeSeries) {
+        Emulation.Result result = Emulation.simulate(model);
         Map<String, Double> metrics = new LinkedHashMap<>();
-        Metrics.of(plant, result).forEach((name, value) -> metrics.put(name, round(value)));
-        Map<String, List<Double>> course = new LinkedHashMap<>();
-        List<List<Double>> load = List.of();
-        List<List<Double>> unserved = List.of();
-        if (withCourse) {
-            Course went = result.course();
-            went.counts()
+        Metrics.of(model, result).forEach((name, value) -> metrics.put(name, round(value)));
+        Map<String, List<Double>> timeSeries = new LinkedHashMap<>();
+        List<List<Double>> cacheLoad = List.of();
+        List<List<Double>> unservedByBalancer = List.of();
+        if (withTimeSeries) {
+            RunTimeSeries recorded = result.timeSeries();
+            recorded.counts()
                     .forEach(
                             (name, counts) ->
-                                    course.put(
+                                    timeSeries.put(
                                             name,
                                             Arrays.stream(counts)
                                                     .mapToObj(count -> (double) count)
                                                     .toList()));
-            course.put("p50Ms", Arrays.stream(went.p50()).boxed().toList());
-            course.put("p99Ms", Arrays.stream(went.p99()).boxed().toList());
-            load = rows(went.load());
-            unserved = rows(went.unserved());
+            timeSeries.put("p50Ms", Arrays.stream(recorded.p50Millis()).boxed().toList());
+            timeSeries.put("p99Ms", Arrays.stream(recorded.p99Millis()).boxed().toList());
+            cacheLoad = rows(recorded.utilization());
+            unservedByBalancer = rows(recorded.unservedFraction());
         }
-        return new Day(
+        return new RunResult(
                 point,
-                plant.seed(),
-                result.figures().asked(),
-                result.breaks(),
+                model.seed(),
+                result.statistics().asked(),
+                result.violationCount(),
                 metrics,
-                course,
-                load,
-                unserved);
+                timeSeries,
+                cacheLoad,
+                unservedByBalancer);
     }
 
     private static List<List<Double>> rows(float[][] rows) {
@@ -76,47 +76,47 @@
     }
 
     private static double round(double value) {
-        return Math.rint(value * DIGITS) / DIGITS;
+        return Math.rint(value * ROUNDING_SCALE) / ROUNDING_SCALE;
     }
 
     /** As one line. */
-    String json() throws IOException {
+    String toJson() throws IOException {
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("point", point);
         all.put("seed", seed);
-        all.put("asked", asked);
-        all.put("breaks", breaks);
+        all.put("asked", requestCount);
+        all.put("breaks", violationCount);
         all.put("metrics", metrics);
-        if (!course.isEmpty()) {
-            all.put("course", course);
-            all.put("load", load);
-            all.put("unserved", unserved);
+        if (!timeSeries.isEmpty()) {
+            all.put("course", timeSeries);
+            all.put("load", cacheLoad);
+            all.put("unserved", unservedByBalancer);
         }
         return JSON.std.asString(all);
     }
 
     /** From a line; throws {@link IOException} or {@link RuntimeException} for anything else. */
-    static Day of(String line) throws IOException {
+    static RunResult parse(String line) throws IOException {
         Map<String, Object> all = JSON.std.mapFrom(line);
         Map<String, Double> metrics = new LinkedHashMap<>();
         map(all.get("metrics"))
                 .forEach((name, value) -> metrics.put(name, ((Number) value).doubleValue()));
-        Map<String, List<Double>> course = new LinkedHashMap<>();
+        Map<String, List<Double>> timeSeries = new LinkedHashMap<>();
         map(all.getOrDefault("course", Map.of()))
-                .forEach((name, values) -> course.put(name, numbers(values)));
-        return new Day(
+                .forEach((name, values) -> timeSeries.put(name, numbers(values)));
+        return new RunResult(
                 ((Number) all.get("point")).intValue(),
                 ((Number) all.get("seed")).longValue(),
                 ((Number) all.get("asked")).longValue(),
                 ((Number) all.get("breaks")).longValue(),
                 metrics,
-                course,
+                timeSeries,
                 rows(all, "load"),
                 rows(all, "unserved"));
     }
 
     private static List<List<Double>> rows(Map<String, Object> all, String name) {
-        return ((List<?>) all.getOrDefault(name, List.of())).stream().map(Day::numbers).toList();
+        return ((List<?>) all.getOrDefault(name, List.of())).stream().map(RunResult::numbers).toList();
     }
 
     private static Map<String, Object> map(Object value) {
--- a/emulator/src/main/java/frostrelay/lab/PlantFile.java
+++ b/emulator/src/main/java/frostrelay/lab/SystemModelFile.java
@@ -2,10 +2,10 @@
 
 import frostrelay.config.BadConfigException;
 import frostrelay.config.Problem;
-import frostrelay.config.Table;
+import frostrelay.config.TableSchema;
 import frostrelay.config.TomlFile;
-import frostrelay.config.Values;
-import frostrelay.emulator.Plant;
+import frostrelay.config.TableValues;
+import frostrelay.emulator.SystemModel;
 import frostrelay.policy.Api;
 
 import java.nio.file.Path;
@@ -15,24 +15,24 @@
 import java.util.Locale;
 
 /** The form of a plant in TOML, and what must hold beyond the form. */
-public final class PlantFile {
-    private static final List<String> EFFECTS = List.of("repeatable", "keyed", "never-twice");
-    private static final double SHARES_APART = 0.01;
+public final class SystemModelFile {
+    private static final List<String> IDEMPOTENCY_NAMES = List.of("repeatable", "keyed", "never-twice");
+    private static final double SUM_TOLERANCE = 0.01;
 
-    private PlantFile() {}
+    private SystemModelFile() {}
 
-    private static List<String> kinds() {
-        return Arrays.stream(Plant.Kind.values()).map(PlantFile::word).toList();
+    private static List<String> kindNames() {
+        return Arrays.stream(SystemModel.FaultKind.values()).map(SystemModelFile::tomlName).toList();
     }
 
     /** A kind of fault as a file has it. */
-    static String word(Plant.Kind kind) {
+    static String tomlName(SystemModel.FaultKind kind) {
         return kind.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /** The form, for checks and for the page that describes it. */
-    public static Table form() {
-        return new Table("A plant.")
+    public static TableSchema schema() {
+        return new TableSchema("A plant.")
                 .whole(
                         "seed",
                         1L,
@@ -48,7 +48,7 @@
                         "Before the day: requests come, the origin takes no time.")
                 .table(
                         "plant",
-                        new Table("The machines.")
+                        new TableSchema("The machines.")
                                 .whole("balancers", 3L, 1, 10_000, "Balancers.")
                                 .whole("caches", 12L, 1, 100_000, "Caches.")
                                 .whole("zones", 1L, 1, 64, "Machines are dealt out over so many.")
@@ -83,7 +83,7 @@
                                         "Whether a second copy may run beside the first."))
                 .table(
                         "cache",
-                        new Table("Each cache.")
+                        new TableSchema("Each cache.")
                                 .whole("cores", 1L, 1, 1_024, "Requests in work at once.")
                                 .whole(
                                         "queue",
@@ -122,7 +122,7 @@
                                         "Whether it holds the most popular keys at the start."))
                 .table(
                         "origin",
-                        new Table("The origin behind all caches.")
+                        new TableSchema("The origin behind all caches.")
                                 .whole("places", 12L, 1, 1_000_000, "Fetches in work at once.")
                                 .duration("time", "60ms", "1us", "60s", "Mean time of a fetch.")
                                 .whole(
@@ -141,7 +141,7 @@
                                         "fall-time", "3s", "0ms", "10m", "How long it stops for."))
                 .table(
                         "network",
-                        new Table("Each message.")
+                        new TableSchema("Each message.")
                                 .duration("delay", "1ms", "0ms", "10s", "One way.")
                                 .duration("jitter", "1ms", "0ms", "10s", "Up to so much more.")
                                 .duration(
@@ -154,7 +154,7 @@
                                         "Part of the sends to caches that never come."))
                 .table(
                         "links",
-                        new Table(
+                        new TableSchema(
                                         "Connections from balancers to caches, each with one request at a time.")
                                 .bool(
                                         "modelled",
@@ -193,7 +193,7 @@
                                         "That a balancer holds."))
                 .table(
                         "clients",
-                        new Table("What clients do.")
+                        new TableSchema("What clients do.")
                                 .rate("rate", "300/s", "0.1/s", "10000000/s", "First tries.")
                                 .number(
                                         "swing",
@@ -242,19 +242,19 @@
                 .list(
                         "tenant",
                         1_000,
-                        new Table("A tenant; parts add up to 1.")
+                        new TableSchema("A tenant; parts add up to 1.")
                                 .number("part", null, 0, 1, "Of all requests."))
                 .list(
                         "draw",
                         64,
-                        new Table(
+                        new TableSchema(
                                         "A value that each seed of a fleet day draws anew; the file's own counts elsewhere.")
                                 .text("key", null, "Which, as `clients.rate` or `fault[0].part`.")
                                 .text("least", null, "As the file would have it.")
                                 .text("most", null, "Likewise, in the same unit."))
                 .table(
                         "kept",
-                        new Table(
+                        new TableSchema(
                                         "Why a plant is kept as a regression day; for days that a hunt found.")
                                 .text(
                                         "goal",
@@ -270,7 +270,7 @@
                 .list(
                         "class",
                         64,
-                        new Table("A class of requests; shares add up to 1.")
+                        new TableSchema("A class of requests; shares add up to 1.")
                                 .number("share", null, 0, 1, "Its part of all.")
                                 .duration(
                                         "work",
@@ -299,14 +299,14 @@
                                 .choice(
                                         "effect",
                                         "repeatable",
-                                        EFFECTS,
+                                        IDEMPOTENCY_NAMES,
                                         "Whether it may run again."))
                 .list(
                         "fault",
                         1_000,
-                        new Table("Something that happens.")
+                        new TableSchema("Something that happens.")
                                 .duration("at", null, "0ms", "24h", "From the start.")
-                                .choice("kind", null, kinds(), "What happens.")
+                                .choice("kind", null, kindNames(), "What happens.")
                                 .duration(
                                         "for",
                                         "0ms",
@@ -323,57 +323,57 @@
     }
 
     /** Reads a plant; throws {@link BadConfigException} with all that is wrong. */
-    public static Plant read(Path path) {
-        return bind(path.toString(), TomlFile.read(path, form()));
+    public static SystemModel read(Path path) {
+        return bind(path.toString(), TomlFile.read(path, schema()));
     }
 
     /** Likewise from a text; {@code file} is how problems name it. */
-    public static Plant parse(String file, String text) {
-        return bind(file, TomlFile.parse(file, text, form()));
+    public static SystemModel parse(String file, String text) {
+        return bind(file, TomlFile.parse(file, text, schema()));
     }
 
     /**
      * What values mean that were read by the form; throws {@link BadConfigException} with what
      * cannot be meant.
      */
-    public static Plant bind(String file, Values values) {
+    public static SystemModel bind(String file, TableValues values) {
         List<Problem> problems = new ArrayList<>();
-        List<Plant.Load> classes = new ArrayList<>();
-        double sum = 0;
-        for (Values one : values.list("class")) {
-            sum += one.number("share");
-            if (one.whole("aim") > one.whole("deadline")) {
+        List<SystemModel.RequestClass> classes = new ArrayList<>();
+        double shareSum = 0;
+        for (TableValues entry : values.list("class")) {
+            shareSum += entry.number("share");
+            if (entry.whole("aim") > entry.whole("deadline")) {
                 problems.add(
                         new Problem(
                                 file,
-                                one.line(),
+                                entry.line(),
                                 "class.aim",
                                 "an aim past the deadline",
                                 "at most the deadline"));
             }
-            Api.Effect effect = Api.Effect.values()[EFFECTS.indexOf(one.text("effect"))];
+            Api.Effect idempotency = Api.Effect.values()[IDEMPOTENCY_NAMES.indexOf(entry.text("effect"))];
             classes.add(
-                    new Plant.Load(
-                            one.number("share"),
-                            one.whole("work"),
-                            Plant.Spread.valueOf(one.text("spread").toUpperCase(Locale.ROOT)),
-                            one.whole("aim"),
-                            one.whole("deadline"),
-                            one.number("worth"),
-                            effect));
+                    new SystemModel.RequestClass(
+                            entry.number("share"),
+                            entry.whole("work"),
+                            SystemModel.WorkDistribution.valueOf(entry.text("spread").toUpperCase(Locale.ROOT)),
+                            entry.whole("aim"),
+                            entry.whole("deadline"),
+                            entry.number("worth"),
+                            idempotency));
         }
-        if (classes.isEmpty() || Math.abs(sum - 1) > SHARES_APART) {
+        if (classes.isEmpty() || Math.abs(shareSum - 1) > SUM_TOLERANCE) {
             problems.add(
                     new Problem(
-                            file, 0, "class.share", "shares that add up to " + sum, "a sum of 1"));
+                            file, 0, "class.share", "shares that add up to " + shareSum, "a sum of 1"));
         }
         List<Double> tenants =
-                values.list("tenant").stream().map(one -> one.number("part")).toList();
-        double parts = tenants.stream().mapToDouble(Double::doubleValue).sum();
-        if (!tenants.isEmpty() && Math.abs(parts - 1) > SHARES_APART) {
+                values.list("tenant").stream().map(entry -> entry.number("part")).toList();
+        double tenantSum = tenants.stream().mapToDouble(Double::doubleValue).sum();
+        if (!tenants.isEmpty() && Math.abs(tenantSum - 1) > SUM_TOLERANCE) {
             problems.add(
                     new Problem(
-                            file, 0, "tenant.part", "parts that add up to " + parts, "a sum of 1"));
+                            file, 0, "tenant.part", "parts that add up to " + tenantSum, "a sum of 1"));
         }
         if (values.table("plant").whole("zones")
                 > Math.min(
@@ -387,29 +387,29 @@
                             "a zone without balancers or caches",
                             "at most as many zones as there are of each"));
         }
-        List<Plant.Fault> faults = new ArrayList<>();
-        for (Values one : values.list("fault")) {
-            if (one.whole("at") > values.whole("length")) {
+        List<SystemModel.Fault> faults = new ArrayList<>();
+        for (TableValues entry : values.list("fault")) {
+            if (entry.whole("at") > values.whole("length")) {
                 problems.add(
                         new Problem(
                                 file,
-                                one.line(),
+                                entry.line(),
                                 "fault.at",
                                 "a time past the length",
                                 "at most the length"));
             }
             faults.add(
-                    new Plant.Fault(
-                            one.whole("at"),
-                            one.whole("for"),
-                            Plant.Kind.valueOf(
-                                    one.text("kind").toUpperCase(Locale.ROOT).replace('-', '_')),
-                            one.number("part"),
-                            one.number("factor")));
+                    new SystemModel.Fault(
+                            entry.whole("at"),
+                            entry.whole("for"),
+                            SystemModel.FaultKind.valueOf(
+                                    entry.text("kind").toUpperCase(Locale.ROOT).replace('-', '_')),
+                            entry.number("part"),
+                            entry.number("factor")));
         }
         for (String key : List.of("goal", "must")) {
             try {
-                Goal.parse(values.table("kept").text(key));
+                Objective.parse(values.table("kept").text(key));
             } catch (IllegalArgumentException e) {
                 problems.add(
                         new Problem(
@@ -423,41 +423,41 @@
         if (!problems.isEmpty()) {
             throw new BadConfigException(problems);
         }
-        Values plant = values.table("plant");
-        Values cache = values.table("cache");
-        Values origin = values.table("origin");
-        Values network = values.table("network");
-        Values clients = values.table("clients");
-        Values links = values.table("links");
-        return new Plant(
+        TableValues plant = values.table("plant");
+        TableValues cache = values.table("cache");
+        TableValues origin = values.table("origin");
+        TableValues network = values.table("network");
+        TableValues clients = values.table("clients");
+        TableValues links = values.table("links");
+        return new SystemModel(
                 values.whole("seed"),
                 values.whole("settle"),
                 values.whole("length"),
                 (int) plant.whole("balancers"),
                 (int) plant.whole("caches"),
                 (int) plant.whole("zones"),
-                new Plant.Cache(
+                new SystemModel.Cache(
                         (int) cache.whole("cores"),
                         (int) cache.whole("queue"),
                         cache.number("crowding"),
                         (int) cache.whole("memory"),
-                        Plant.Eviction.valueOf(cache.text("eviction").toUpperCase(Locale.ROOT)),
+                        SystemModel.Eviction.valueOf(cache.text("eviction").toUpperCase(Locale.ROOT)),
                         cache.number("cold-from"),
                         cache.whole("warm-within"),
                         cache.bool("coalesce"),
                         cache.bool("filled")),
-                new Plant.Origin(
+                new SystemModel.Origin(
                         (int) origin.whole("places"),
                         origin.whole("time"),
                         (int) origin.whole("queue"),
                         origin.number("fall-multiple"),
                         origin.whole("fall-time")),
-                new Plant.Network(
+                new SystemModel.Network(
                         network.whole("delay"),
                         network.whole("jitter"),
                         network.whole("far"),
                         network.number("loss")),
-                new Plant.Links(
+                new SystemModel.Connections(
                         links.bool("modelled"),
                         links.whole("handshake"),
                         links.whole("work"),
@@ -465,7 +465,7 @@
                         links.whole("idle"),
                         (int) links.whole("at-cache"),
                         (int) links.whole("at-balancer")),
-                new Plant.Clients(
+                new SystemModel.Clients(
                         clients.number("rate"),
                         clients.number("swing"),
                         clients.whole("period"),
@@ -478,11 +478,11 @@
                         clients.number("patience"),
                         clients.bool("come-again"),
                         clients.number("skew")),
-                new Plant.Balancer(
+                new SystemModel.Balancer(
                         plant.whole("balancer-cost"),
                         (int) plant.whole("max-attempts"),
                         plant.bool("hedges")),
-                new Plant.Discovery(
+                new SystemModel.Discovery(
                         plant.whole("discovery-lateness"),
                         plant.number("discovery-calls"),
                         plant.whole("discovery-patience")),
