--- a/emulator/src/test/java/frostrelay/emulator/EmulationTest.java
+++ b/emulator/src/test/java/frostrelay/emulator/EmulationTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostrelay.emulator.Plant.Fault;
-import frostrelay.emulator.Plant.Kind;
+import frostrelay.emulator.SystemModel.Fault;
+import frostrelay.emulator.SystemModel.FaultKind;
 import frostrelay.policy.Api;
 import frostrelay.policy.Router;
 
@@ -21,80 +21,80 @@
 
 /** Whole days with the real decision module. */
 class EmulationTest {
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
 
-    private static Plant plant(long seed, List<Fault> faults) {
-        return new Plant(
+    private static SystemModel model(long seed, List<Fault> faults) {
+        return new SystemModel(
                 seed,
                 0,
-                30 * SECOND,
+                30 * NANOS_PER_SECOND,
                 3,
                 12,
                 1,
-                new Plant.Cache(1, 64, 0, 400, Plant.Eviction.LRU, 0.15, 10 * SECOND, false, true),
-                new Plant.Origin(12, 60 * MS, 100, 3, 3 * SECOND),
-                new Plant.Network(MS, MS, 0, 0),
-                new Plant.Links(false, 0, 0, 1, 1, 1, 1),
-                new Plant.Clients(300, 0, SECOND, 0, 2_000, 0.95, 0, 2, 200 * MS, 0.7, true, 0),
-                new Plant.Balancer(100_000, 4, true),
-                new Plant.Discovery(SECOND, 0, 0),
+                new SystemModel.Cache(1, 64, 0, 400, SystemModel.Eviction.LRU, 0.15, 10 * NANOS_PER_SECOND, false, true),
+                new SystemModel.Origin(12, 60 * NANOS_PER_MILLI, 100, 3, 3 * NANOS_PER_SECOND),
+                new SystemModel.Network(NANOS_PER_MILLI, NANOS_PER_MILLI, 0, 0),
+                new SystemModel.Connections(false, 0, 0, 1, 1, 1, 1),
+                new SystemModel.Clients(300, 0, NANOS_PER_SECOND, 0, 2_000, 0.95, 0, 2, 200 * NANOS_PER_MILLI, 0.7, true, 0),
+                new SystemModel.Balancer(100_000, 4, true),
+                new SystemModel.Discovery(NANOS_PER_SECOND, 0, 0),
                 List.of(),
                 List.of(
-                        new Plant.Load(
+                        new SystemModel.RequestClass(
                                 0.95,
-                                15 * MS,
-                                Plant.Spread.EXPONENTIAL,
-                                300 * MS,
-                                1_500 * MS,
+                                15 * NANOS_PER_MILLI,
+                                SystemModel.WorkDistribution.EXPONENTIAL,
+                                300 * NANOS_PER_MILLI,
+                                1_500 * NANOS_PER_MILLI,
                                 1,
-                                Api.Effect.RETRYABLE),
-                        new Plant.Load(
+                                Api.Effect.IDEMPOTENT),
+                        new SystemModel.RequestClass(
                                 0.05,
-                                20 * MS,
-                                Plant.Spread.FIXED,
-                                600 * MS,
-                                2_500 * MS,
+                                20 * NANOS_PER_MILLI,
+                                SystemModel.WorkDistribution.FIXED,
+                                600 * NANOS_PER_MILLI,
+                                2_500 * NANOS_PER_MILLI,
                                 3,
-                                Api.Effect.FRAGILE)),
+                                Api.Effect.NOT_IDEMPOTENT)),
                 faults);
     }
 
-    private static String told(Emulation.Result result) {
-        Figures figures = result.figures();
+    private static String describe(Emulation.Result result) {
+        RunStatistics statistics = result.statistics();
         return String.format(
                 Locale.ROOT,
                 "%d %d %d %d %d %d %.9f %.3f %.3f %d %d %d %d %d",
-                figures.asked(),
-                figures.tries(),
-                figures.inTime(),
-                figures.late(),
-                figures.refused(),
-                figures.failed(),
-                figures.service(),
-                figures.ms(50),
-                figures.ms(99),
-                result.events(),
-                result.sends(),
-                result.copies(),
+                statistics.asked(),
+                statistics.attemptCount(),
+                statistics.inTime(),
+                statistics.late(),
+                statistics.rejected(),
+                statistics.failed(),
+                statistics.inTimeFraction(),
+                statistics.latencyMillis(50),
+                statistics.latencyMillis(99),
+                result.executedEvents(),
+                result.attemptsSent(),
+                result.additionalAttempts(),
                 result.hits(),
-                result.fetches());
+                result.originCalls());
     }
 
     @Test
     void theSameSeedGivesTheSameDayAloneAndBesideOthers() {
-        List<Fault> faults = List.of(new Fault(10 * SECOND, 3 * SECOND, Kind.CACHE_SLOW, 0.3, 6));
-        String alone = told(Emulation.play(plant(5, faults)));
+        List<Fault> faults = List.of(new Fault(10 * NANOS_PER_SECOND, 3 * NANOS_PER_SECOND, FaultKind.CACHE_SLOW, 0.3, 6));
+        String alone = describe(Emulation.simulate(model(5, faults)));
         List<String> together =
                 IntStream.range(0, 8)
                         .parallel()
-                        .mapToObj(i -> told(Emulation.play(plant(5 + i % 2, faults))))
+                        .mapToObj(i -> describe(Emulation.simulate(model(5 + i % 2, faults))))
                         .toList();
         for (int i = 0; i < 8; i++) {
             assertEquals(
                     i % 2 == 0, alone.equals(together.get(i)), alone + " / " + together.get(i));
         }
-        assertNotEquals(alone, told(Emulation.play(plant(5, List.of()))));
+        assertNotEquals(alone, describe(Emulation.simulate(model(5, List.of()))));
     }
 
     /**
@@ -104,19 +104,19 @@
     @Test
     void everyRuleIsKeptThroughEveryFault() {
         List<Fault> faults = new ArrayList<>();
-        for (Kind kind : Kind.values()) {
-            faults.add(new Fault((1 + 2L * kind.ordinal()) * SECOND, 2 * SECOND, kind, 0.3, 3));
+        for (FaultKind kind : FaultKind.values()) {
+            faults.add(new Fault((1 + 2L * kind.ordinal()) * NANOS_PER_SECOND, 2 * NANOS_PER_SECOND, kind, 0.3, 3));
         }
         for (long seed = 1; seed <= 6; seed++) {
-            Emulation.Result result = Emulation.play(plant(seed, faults));
-            Figures figures = result.figures();
+            Emulation.Result result = Emulation.simulate(model(seed, faults));
+            RunStatistics statistics = result.statistics();
             assertEquals(
-                    figures.asked(),
-                    figures.inTime() + figures.late() + figures.refused() + figures.failed());
-            assertEquals(Map.of(), result.rulesBroken(), "seed " + seed);
+                    statistics.asked(),
+                    statistics.inTime() + statistics.late() + statistics.rejected() + statistics.failed());
+            assertEquals(Map.of(), result.violations(), "seed " + seed);
             assertTrue(
-                    figures.asked() > 8_000 && figures.service() > 0.3 && figures.service() < 1,
-                    told(result));
+                    statistics.asked() > 8_000 && statistics.inTimeFraction() > 0.3 && statistics.inTimeFraction() < 1,
+                    describe(result));
         }
     }
 
@@ -125,15 +125,15 @@
      * for each request.
      */
     @Test
-    void aPlainModuleSendsEachTryOnce() {
-        Emulation.Result result = Emulation.playPlain(plant(4, List.of()));
+    void aSingleAttemptPolicySendsEachAttemptOnce() {
+        Emulation.Result result = Emulation.simulateSingleAttempt(model(4, List.of()));
         // Sends are counted up to the day's end, tries until the last has ended.
         assertTrue(
-                result.sends() <= result.taken() && result.sends() > 0.99 * result.taken(),
-                told(result));
-        assertEquals(0, result.copies());
-        assertEquals(0, result.rulesBroken().getOrDefault("UNANSWERED", 0L));
-        assertTrue(result.figures().inTime() > 0.5 * result.figures().asked(), told(result));
+                result.attemptsSent() <= result.receivedRequests() && result.attemptsSent() > 0.99 * result.receivedRequests(),
+                describe(result));
+        assertEquals(0, result.additionalAttempts());
+        assertEquals(0, result.violations().getOrDefault("UNANSWERED", 0L));
+        assertTrue(result.statistics().inTime() > 0.5 * result.statistics().asked(), describe(result));
     }
 
     /**
@@ -142,60 +142,60 @@
      */
     @Test
     void eachFaultCostsService() {
-        double quiet = Emulation.play(plant(3, List.of())).figures().service();
-        assertTrue(quiet > 0.97, "quiet " + quiet);
+        double baseline = Emulation.simulate(model(3, List.of())).statistics().inTimeFraction();
+        assertTrue(baseline > 0.97, "quiet " + baseline);
         for (Fault fault :
                 List.of(
-                        new Fault(10 * SECOND, 8 * SECOND, Kind.CACHE_KILL, 0.8, 1),
-                        new Fault(10 * SECOND, 8 * SECOND, Kind.CACHE_SLOW, 0.6, 20),
-                        new Fault(10 * SECOND, 5 * SECOND, Kind.ORIGIN_OUTAGE, 1, 1),
-                        new Fault(10 * SECOND, 0, Kind.COPIES_RELEASED, 1, 1),
-                        new Fault(10 * SECOND, 5 * SECOND, Kind.SURGE, 1, 4),
-                        new Fault(10 * SECOND, 5 * SECOND, Kind.BALANCER_RESTART, 1, 1))) {
-            double hurt = Emulation.play(plant(3, List.of(fault))).figures().service();
-            assertTrue(hurt < quiet - 0.002, fault.kind() + ": " + hurt + ", quiet " + quiet);
+                        new Fault(10 * NANOS_PER_SECOND, 8 * NANOS_PER_SECOND, FaultKind.CACHE_KILL, 0.8, 1),
+                        new Fault(10 * NANOS_PER_SECOND, 8 * NANOS_PER_SECOND, FaultKind.CACHE_SLOW, 0.6, 20),
+                        new Fault(10 * NANOS_PER_SECOND, 5 * NANOS_PER_SECOND, FaultKind.ORIGIN_OUTAGE, 1, 1),
+                        new Fault(10 * NANOS_PER_SECOND, 0, FaultKind.COPIES_RELEASED, 1, 1),
+                        new Fault(10 * NANOS_PER_SECOND, 5 * NANOS_PER_SECOND, FaultKind.SURGE, 1, 4),
+                        new Fault(10 * NANOS_PER_SECOND, 5 * NANOS_PER_SECOND, FaultKind.BALANCER_RESTART, 1, 1))) {
+            double withFault = Emulation.simulate(model(3, List.of(fault))).statistics().inTimeFraction();
+            assertTrue(withFault < baseline - 0.002, fault.kind() + ": " + withFault + ", quiet " + baseline);
         }
     }
 
     /** The real module with one habit that breaks a rule. */
-    private static Map<String, Long> broken(
-            Plant plant,
-            Class<?> what,
-            UnaryOperator<Api.Actions> habit,
-            UnaryOperator<List<Api.Server>> seen) {
-        return Emulation.play(
-                        plant,
+    private static Map<String, Long> violations(
+            SystemModel model,
+            Class<?> apiType,
+            UnaryOperator<Api.Actions> actionsWrapper,
+            UnaryOperator<List<Api.Server>> listFilter) {
+        return Emulation.simulate(
+                        model,
                         (settings, seed, actions) -> {
-                            Api.Events real = new Router(settings, seed, habit.apply(actions));
+                            Api.Events router = new Router(settings, seed, actionsWrapper.apply(actions));
                             return (Api.Events)
                                     Proxy.newProxyInstance(
-                                            what.getClassLoader(),
+                                            apiType.getClassLoader(),
                                             new Class<?>[] {Api.Events.class},
-                                            (proxy, method, values) -> {
+                                            (proxy, method, arguments) -> {
                                                 if (method.getName().equals("onList")) {
-                                                    values[2] = seen.apply(servers(values[2]));
+                                                    arguments[2] = listFilter.apply(servers(arguments[2]));
                                                 }
-                                                return method.invoke(real, values);
+                                                return method.invoke(router, arguments);
                                             });
                         })
-                .rulesBroken();
+                .violations();
     }
 
     private static List<Api.Server> servers(Object list) {
         return ((List<?>) list).stream().map(Api.Server.class::cast).toList();
     }
 
-    private static UnaryOperator<Api.Actions> habit(String method, int times) {
+    private static UnaryOperator<Api.Actions> repeating(String method, int times) {
         return actions ->
                 (Api.Actions)
                         Proxy.newProxyInstance(
                                 Api.class.getClassLoader(),
                                 new Class<?>[] {Api.Actions.class},
-                                (proxy, called, values) -> {
+                                (proxy, called, arguments) -> {
                                     for (int i = called.getName().equals(method) ? times : 1;
                                             i > 0;
                                             i--) {
-                                        called.invoke(actions, values);
+                                        called.invoke(actions, arguments);
                                     }
                                     return null;
                                 });
@@ -206,70 +206,70 @@
      * for none.
      */
     @Test
-    void theRefereeCallsEachRule() {
-        List<Fault> trouble =
+    void theInvariantCheckerReportsEachRule() {
+        List<Fault> faults =
                 List.of(
-                        new Fault(3 * SECOND, 4 * SECOND, Kind.ORIGIN_OUTAGE, 1, 1),
-                        new Fault(8 * SECOND, 6 * SECOND, Kind.CACHE_DRAIN, 0.3, 1),
-                        new Fault(17 * SECOND, SECOND, Kind.CACHE_RESTART, 0.3, 1));
-        Plant plant = plant(4, trouble);
-        assertEquals(Map.of(), broken(plant, Api.class, habit("", 1), UnaryOperator.identity()));
+                        new Fault(3 * NANOS_PER_SECOND, 4 * NANOS_PER_SECOND, FaultKind.ORIGIN_OUTAGE, 1, 1),
+                        new Fault(8 * NANOS_PER_SECOND, 6 * NANOS_PER_SECOND, FaultKind.CACHE_DRAIN, 0.3, 1),
+                        new Fault(17 * NANOS_PER_SECOND, NANOS_PER_SECOND, FaultKind.CACHE_RESTART, 0.3, 1));
+        SystemModel model = model(4, faults);
+        assertEquals(Map.of(), violations(model, Api.class, repeating("", 1), UnaryOperator.identity()));
         assertTrue(
-                broken(plant, Api.class, habit("refuse", 2), UnaryOperator.identity())
+                violations(model, Api.class, repeating("refuse", 2), UnaryOperator.identity())
                                 .get("ANSWERED_TWICE")
                         > 0);
         assertTrue(
-                broken(plant, Api.class, habit("send", 2), UnaryOperator.identity())
+                violations(model, Api.class, repeating("send", 2), UnaryOperator.identity())
                                 .get("RAN_TWICE")
                         > 0);
         assertTrue(
-                broken(plant, Api.class, habit("refuse", 0), UnaryOperator.identity())
+                violations(model, Api.class, repeating("refuse", 0), UnaryOperator.identity())
                                 .get("LEFT_OPEN")
                         > 0);
-        Map<String, Long> blind =
-                broken(
-                        plant,
+        Map<String, Long> violations =
+                violations(
+                        model,
                         Api.class,
-                        habit("", 1),
+                        repeating("", 1),
                         list ->
                                 list.stream()
                                         .map(
-                                                one ->
+                                                server ->
                                                         new Api.Server(
-                                                                one.id(),
-                                                                one.zone(),
-                                                                one.kind(),
-                                                                one.cell(),
+                                                                server.id(),
+                                                                server.zone(),
+                                                                server.kind(),
+                                                                server.cell(),
                                                                 Api.State.READY,
-                                                                one.weight(),
+                                                                server.weight(),
                                                                 0))
                                         .toList());
-        assertTrue(blind.get("SENT_TO_DRAINING") > 0, blind.toString());
+        assertTrue(violations.get("SENT_TO_DRAINING") > 0, violations.toString());
     }
 
     /** A cache at 15% that can do 10 requests a second stands 39 of them in one and not 41. */
     @Test
-    void aColdCacheIsPushedOverByMoreThanItsMultiple() {
+    void aCacheInSlowStartIsOverloadedByMoreThanItsMultiple() {
         for (int sent : new int[] {39, 41}) {
-            SimReferee referee = new SimReferee();
-            ColdGuard guard =
-                    new ColdGuard(
-                            referee,
-                            new Plant.Cache(
+            SimInvariantChecker invariantChecker = new SimInvariantChecker();
+            SlowStartGuard slowStartGuard =
+                    new SlowStartGuard(
+                            invariantChecker,
+                            new SystemModel.Cache(
                                     1,
                                     64,
                                     0,
                                     400,
-                                    Plant.Eviction.LRU,
+                                    SystemModel.Eviction.LRU,
                                     0.15,
-                                    10 * SECOND,
+                                    10 * NANOS_PER_SECOND,
                                     false,
                                     true),
-                            15 * MS);
+                            15 * NANOS_PER_MILLI);
             for (int i = 0; i <= sent; i++) {
-                guard.arrived(SECOND + i * SECOND / sent, 0.15);
+                slowStartGuard.onArrival(NANOS_PER_SECOND + i * NANOS_PER_SECOND / sent, 0.15);
             }
-            assertEquals(sent == 39 ? Map.of() : Map.of("COLD_PUSHED_OVER", 1L), referee.breaks());
+            assertEquals(sent == 39 ? Map.of() : Map.of("COLD_PUSHED_OVER", 1L), invariantChecker.violations());
         }
     }
 }
--- a/emulator/src/test/java/frostrelay/emulator/FleetTest.java
+++ b/emulator/src/test/java/frostrelay/emulator/FleetTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostrelay.emulator.Plant.Fault;
-import frostrelay.emulator.Plant.Kind;
+import frostrelay.emulator.SystemModel.Fault;
+import frostrelay.emulator.SystemModel.FaultKind;
 import frostrelay.policy.Api;
 
 import net.jqwik.api.ForAll;
@@ -21,56 +21,56 @@
 
 /** What a hundred balancers that see little each do to caches, to discovery and to one another. */
 class FleetTest {
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
 
-    private static Plant plant(int balancers, double rate, int zones, List<Fault> faults) {
-        return new Plant(
+    private static SystemModel model(int balancers, double rate, int zones, List<Fault> faults) {
+        return new SystemModel(
                 7,
-                15 * SECOND,
-                24 * SECOND,
+                15 * NANOS_PER_SECOND,
+                24 * NANOS_PER_SECOND,
                 balancers,
                 60,
                 zones,
-                new Plant.Cache(
-                        1, 16, 0.01, 200, Plant.Eviction.LRU, 0.2, 15 * SECOND, false, false),
-                new Plant.Origin(16, 70 * MS, 120, 0, 0),
-                new Plant.Network(MS / 2, MS / 2, 2 * MS, 0),
-                new Plant.Links(true, 4 * MS, 4 * MS, 250 * MS, 15 * SECOND, 120, 280),
-                new Plant.Clients(
-                        rate, 0, SECOND, 0, 1_000, 0.95, 10, 2, 120 * MS, 0.65, true, 0.5),
-                new Plant.Balancer(400_000, 4, true),
-                new Plant.Discovery(1_500 * MS, 400, 2 * SECOND),
+                new SystemModel.Cache(
+                        1, 16, 0.01, 200, SystemModel.Eviction.LRU, 0.2, 15 * NANOS_PER_SECOND, false, false),
+                new SystemModel.Origin(16, 70 * NANOS_PER_MILLI, 120, 0, 0),
+                new SystemModel.Network(NANOS_PER_MILLI / 2, NANOS_PER_MILLI / 2, 2 * NANOS_PER_MILLI, 0),
+                new SystemModel.Connections(true, 4 * NANOS_PER_MILLI, 4 * NANOS_PER_MILLI, 250 * NANOS_PER_MILLI, 15 * NANOS_PER_SECOND, 120, 280),
+                new SystemModel.Clients(
+                        rate, 0, NANOS_PER_SECOND, 0, 1_000, 0.95, 10, 2, 120 * NANOS_PER_MILLI, 0.65, true, 0.5),
+                new SystemModel.Balancer(400_000, 4, true),
+                new SystemModel.Discovery(1_500 * NANOS_PER_MILLI, 400, 2 * NANOS_PER_SECOND),
                 List.of(0.6, 0.4),
                 List.of(
-                        new Plant.Load(
+                        new SystemModel.RequestClass(
                                 0.95,
-                                25 * MS,
-                                Plant.Spread.EXPONENTIAL,
-                                340 * MS,
-                                SECOND,
+                                25 * NANOS_PER_MILLI,
+                                SystemModel.WorkDistribution.EXPONENTIAL,
+                                340 * NANOS_PER_MILLI,
+                                NANOS_PER_SECOND,
                                 1,
-                                Api.Effect.RETRYABLE),
-                        new Plant.Load(
+                                Api.Effect.IDEMPOTENT),
+                        new SystemModel.RequestClass(
                                 0.05,
-                                40 * MS,
-                                Plant.Spread.FIXED,
-                                710 * MS,
-                                1_670 * MS,
+                                40 * NANOS_PER_MILLI,
+                                SystemModel.WorkDistribution.FIXED,
+                                710 * NANOS_PER_MILLI,
+                                1_670 * NANOS_PER_MILLI,
                                 3,
-                                Api.Effect.FRAGILE)),
+                                Api.Effect.NOT_IDEMPOTENT)),
                 faults);
     }
 
-    private static Emulation.Result play(Fault... faults) {
-        return Emulation.play(plant(100, 800, 1, List.of(faults)));
+    private static Emulation.Result simulate(Fault... faults) {
+        return Emulation.simulate(model(100, 800, 1, List.of(faults)));
     }
 
-    private static double served(Emulation.Result day, int from, int to) {
-        assertEquals(Map.of(), day.rulesBroken());
-        Figures all = day.figures();
-        assertEquals(all.asked(), all.inTime() + all.late() + all.refused() + all.failed());
-        return all.served(from, to);
+    private static double servedFraction(Emulation.Result result, int from, int to) {
+        assertEquals(Map.of(), result.violations());
+        RunStatistics statistics = result.statistics();
+        assertEquals(statistics.asked(), statistics.inTime() + statistics.late() + statistics.rejected() + statistics.failed());
+        return statistics.served(from, to);
     }
 
     /**
@@ -79,12 +79,12 @@
      */
     @Test
     void seventyBalancersDieAtOnceWhileDiscoveryIsFull() {
-        Emulation.Result day =
-                play(
-                        new Fault(5 * SECOND, 12 * SECOND, Kind.DISCOVERY_SHORT, 1, 16),
-                        new Fault(8 * SECOND, SECOND, Kind.BALANCER_RESTART, 0.7, 1));
-        assertTrue(served(day, 8, 12) > 0.7, "meanwhile " + day.figures().served(8, 12));
-        assertTrue(served(day, 18, 24) > 0.9, "after it " + day.figures().served(18, 24));
+        Emulation.Result result =
+                simulate(
+                        new Fault(5 * NANOS_PER_SECOND, 12 * NANOS_PER_SECOND, FaultKind.DISCOVERY_SHORT, 1, 16),
+                        new Fault(8 * NANOS_PER_SECOND, NANOS_PER_SECOND, FaultKind.BALANCER_RESTART, 0.7, 1));
+        assertTrue(servedFraction(result, 8, 12) > 0.7, "meanwhile " + result.statistics().served(8, 12));
+        assertTrue(servedFraction(result, 18, 24) > 0.9, "after it " + result.statistics().served(18, 24));
     }
 
     /**
@@ -93,20 +93,20 @@
      */
     @Test
     void aZoneIsLostAndComesBackCold() {
-        Emulation.Result day =
-                Emulation.play(
-                        plant(
+        Emulation.Result result =
+                Emulation.simulate(
+                        model(
                                 100,
                                 700,
                                 3,
                                 List.of(
-                                        new Fault(6 * SECOND, 5 * SECOND, Kind.ZONE_LOST, 1, 1),
-                                        new Fault(15 * SECOND, 3 * SECOND, Kind.ZONE_CUT, 1, 1))));
-        double before = served(day, 0, 6);
+                                        new Fault(6 * NANOS_PER_SECOND, 5 * NANOS_PER_SECOND, FaultKind.ZONE_LOST, 1, 1),
+                                        new Fault(15 * NANOS_PER_SECOND, 3 * NANOS_PER_SECOND, FaultKind.ZONE_CUT, 1, 1))));
+        double before = servedFraction(result, 0, 6);
         assertTrue(
-                before > 0.9 && served(day, 6, 11) < before,
-                before + ", while it is lost " + day.figures().served(6, 11));
-        assertTrue(served(day, 20, 24) > 0.75, "after both " + day.figures().served(20, 24));
+                before > 0.9 && servedFraction(result, 6, 11) < before,
+                before + ", while it is lost " + result.statistics().served(6, 11));
+        assertTrue(servedFraction(result, 20, 24) > 0.75, "after both " + result.statistics().served(20, 24));
     }
 
     /**
@@ -114,10 +114,10 @@
      * it is over.
      */
     @Test
-    void aFifthOfTheCachesFallsSilent() {
-        Emulation.Result day = play(new Fault(6 * SECOND, 6 * SECOND, Kind.CACHE_SILENT, 0.2, 1));
-        assertTrue(served(day, 6, 12) > 0.65, "meanwhile " + day.figures().served(6, 12));
-        assertTrue(served(day, 16, 24) > 0.95, "after it " + day.figures().served(16, 24));
+    void aFifthOfTheCachesBecomesUnresponsive() {
+        Emulation.Result result = simulate(new Fault(6 * NANOS_PER_SECOND, 6 * NANOS_PER_SECOND, FaultKind.CACHE_SILENT, 0.2, 1));
+        assertTrue(servedFraction(result, 6, 12) > 0.65, "meanwhile " + result.statistics().served(6, 12));
+        assertTrue(servedFraction(result, 16, 24) > 0.95, "after it " + result.statistics().served(16, 24));
     }
 
     /**
@@ -126,8 +126,8 @@
      */
     @Test
     void balancersWithOneRequestASecondServe() {
-        Emulation.Result day = Emulation.play(plant(300, 300, 1, List.of()));
-        assertTrue(served(day, 2, 24) > 0.93, "" + day.figures().served(2, 24));
+        Emulation.Result result = Emulation.simulate(model(300, 300, 1, List.of()));
+        assertTrue(servedFraction(result, 2, 24) > 0.93, "" + result.statistics().served(2, 24));
     }
 
     /**
@@ -136,12 +136,12 @@
      */
     @Test
     void anOldListNamesAnAddressThatAnotherCacheHas() {
-        Emulation.Result day =
-                play(
-                        new Fault(4 * SECOND, 14 * SECOND, Kind.DISCOVERY_LATE, 1, 3),
-                        new Fault(5 * SECOND, 7 * SECOND, Kind.CACHE_REPLACE, 0.6, 12));
+        Emulation.Result result =
+                simulate(
+                        new Fault(4 * NANOS_PER_SECOND, 14 * NANOS_PER_SECOND, FaultKind.DISCOVERY_LATE, 1, 3),
+                        new Fault(5 * NANOS_PER_SECOND, 7 * NANOS_PER_SECOND, FaultKind.CACHE_REPLACE, 0.6, 12));
         assertTrue(
-                served(day, 0, 24) > 0.4 && day.listLines() > 100 * 36, day.listLines() + " lines");
+                servedFraction(result, 0, 24) > 0.4 && result.listEntriesSent() > 100 * 36, result.listEntriesSent() + " lines");
     }
 
     /**
@@ -149,14 +149,14 @@
      * them.
      */
     @Test
-    void clientsThatComeAgainAtOnceDoNotKeepTheFleetDown() {
-        Emulation.Result day =
-                play(
-                        new Fault(5 * SECOND, 5 * SECOND, Kind.SURGE, 1, 2.5),
-                        new Fault(5 * SECOND, 5 * SECOND, Kind.CLIENTS_EAGER, 1, 5));
+    void clientsThatRetryAtOnceDoNotKeepTheFleetDown() {
+        Emulation.Result result =
+                simulate(
+                        new Fault(5 * NANOS_PER_SECOND, 5 * NANOS_PER_SECOND, FaultKind.SURGE, 1, 2.5),
+                        new Fault(5 * NANOS_PER_SECOND, 5 * NANOS_PER_SECOND, FaultKind.CLIENTS_EAGER, 1, 5));
         assertTrue(
-                served(day, 5, 10) < 0.9 && served(day, 17, 24) > 0.9,
-                "after it " + day.figures().served(17, 24));
+                servedFraction(result, 5, 10) < 0.9 && servedFraction(result, 17, 24) > 0.9,
+                "after it " + result.statistics().served(17, 24));
     }
 
     /**
@@ -166,20 +166,20 @@
     @Test
     void everyFleetFaultKeepsTheRules() {
         List<Fault> faults = new ArrayList<>();
-        for (Kind kind :
+        for (FaultKind kind :
                 List.of(
-                        Kind.HOLD,
-                        Kind.CACHE_KILL,
-                        Kind.ANSWERS_LOST,
-                        Kind.LINKS_RESET,
-                        Kind.CLIENTS_HASTY,
-                        Kind.TENANT_SURGE,
-                        Kind.ZONE_SHIFT,
-                        Kind.BALANCER_WAVE,
-                        Kind.CACHE_FAILING)) {
-            faults.add(new Fault((1 + 2L * faults.size()) * SECOND, 2 * SECOND, kind, 0.2, 2));
+                        FaultKind.HOLD,
+                        FaultKind.CACHE_KILL,
+                        FaultKind.ANSWERS_LOST,
+                        FaultKind.LINKS_RESET,
+                        FaultKind.CLIENTS_HASTY,
+                        FaultKind.TENANT_SURGE,
+                        FaultKind.ZONE_SHIFT,
+                        FaultKind.BALANCER_WAVE,
+                        FaultKind.CACHE_FAILING)) {
+            faults.add(new Fault((1 + 2L * faults.size()) * NANOS_PER_SECOND, 2 * NANOS_PER_SECOND, kind, 0.2, 2));
         }
-        assertTrue(served(Emulation.play(plant(60, 600, 3, faults)), 0, 24) > 0.6);
+        assertTrue(servedFraction(Emulation.simulate(model(60, 600, 3, faults)), 0, 24) > 0.6);
     }
 
     /**
@@ -190,18 +190,18 @@
     void discoveryWorksThroughCallsInTurn() {
         Timeline timeline = new Timeline();
         SimDiscovery discovery =
-                new SimDiscovery(timeline, new Plant.Discovery(0, 10, 2 * SECOND), 1, 3, 4);
-        List<String> told = new ArrayList<>();
+                new SimDiscovery(timeline, new SystemModel.Discovery(0, 10, 2 * NANOS_PER_SECOND), 1, 3, 4);
+        List<String> notifications = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            discovery.subscribe(0, (now, mode, servers) -> told.add(mode + " " + now / (100 * MS)));
+            discovery.subscribe(0, (now, mode, servers) -> notifications.add(mode + " " + now / (100 * NANOS_PER_MILLI)));
         }
-        timeline.run(10 * SECOND);
-        assertEquals(30, told.size());
+        timeline.runUntil(10 * NANOS_PER_SECOND);
+        assertEquals(30, notifications.size());
         assertEquals(
-                21, told.stream().filter(one -> one.startsWith("FULL")).count(), told.toString());
-        assertTrue(told.contains("FULL 21") && told.contains("FAILED 20"), told.toString());
-        assertEquals(21 * 3, discovery.lines());
-        assertEquals(9, discovery.failed());
+                21, notifications.stream().filter(one -> one.startsWith("FULL")).count(), notifications.toString());
+        assertTrue(notifications.contains("FULL 21") && notifications.contains("FAILED 20"), notifications.toString());
+        assertEquals(21 * 3, discovery.entriesSent());
+        assertEquals(9, discovery.failedCalls());
     }
 
     /**
@@ -211,40 +211,40 @@
     @Property(tries = 200, seed = "20261201")
     void connectionsAreCountedTheSameOnBothSides(
             @ForAll long seed,
-            @ForAll @IntRange(min = 1, max = 6) int atCache,
-            @ForAll @IntRange(min = 1, max = 8) int atBalancer) {
+            @ForAll @IntRange(min = 1, max = 6) int maxPerCache,
+            @ForAll @IntRange(min = 1, max = 8) int maxPerBalancer) {
         Random random = new Random(seed);
         Timeline timeline = new Timeline();
-        Plant.Links spec = new Plant.Links(true, 1, 1, 1, 1_000, atCache, atBalancer);
+        SystemModel.Connections spec = new SystemModel.Connections(true, 1, 1, 1, 1_000, maxPerCache, maxPerBalancer);
         List<SimCache> caches = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             caches.add(
                     new SimCache(
-                            new Plant.Cache(1, 4, 0, 4, Plant.Eviction.LRU, 1, 1, false, false),
+                            new SystemModel.Cache(1, 4, 0, 4, SystemModel.Eviction.LRU, 1, 1, false, false),
                             i,
-                            atCache,
+                            maxPerCache,
                             timeline,
-                            new SimOrigin(new Plant.Origin(1, 1, 1, 0, 0), timeline, 1),
+                            new SimOrigin(new SystemModel.Origin(1, 1, 1, 0, 0), timeline, 1),
                             new int[8],
                             null));
         }
-        List<SimLinks> balancers = List.of(new SimLinks(spec, caches), new SimLinks(spec, caches));
+        List<SimConnectionPool> balancers = List.of(new SimConnectionPool(spec, caches), new SimConnectionPool(spec, caches));
         List<int[]> busy = new ArrayList<>();
         for (long now = 1; now < 300; now += 1 + random.nextInt(40)) {
-            int who = random.nextInt(2);
-            int place = random.nextInt(3);
-            SimLinks links = balancers.get(who);
+            int balancerIndex = random.nextInt(2);
+            int cacheIndex = random.nextInt(3);
+            SimConnectionPool pool = balancers.get(balancerIndex);
             switch (random.nextInt(6)) {
                 case 0, 1 -> {
-                    if (links.take(now, place)) {
-                        busy.add(new int[] {who, place, links.life(place)});
-                    } else if (links.room(now)) {
-                        links.begin();
-                        if (caches.get(place).link()) {
-                            links.up(now, place);
-                            busy.add(new int[] {who, place, links.life(place)});
+                    if (pool.tryAcquireIdle(now, cacheIndex)) {
+                        busy.add(new int[] {balancerIndex, cacheIndex, pool.incarnation(cacheIndex)});
+                    } else if (pool.ensureCapacity(now)) {
+                        pool.onConnectStarted();
+                        if (caches.get(cacheIndex).acceptConnection()) {
+                            pool.onConnected(now, cacheIndex);
+                            busy.add(new int[] {balancerIndex, cacheIndex, pool.incarnation(cacheIndex)});
                         } else {
-                            links.failed();
+                            pool.onConnectFailed();
                         }
                     }
                 }
@@ -252,32 +252,32 @@
                     if (!busy.isEmpty()) {
                         int[] one = busy.remove(random.nextInt(busy.size()));
                         if (random.nextBoolean()) {
-                            balancers.get(one[0]).free(now, one[1], one[2]);
+                            balancers.get(one[0]).release(now, one[1], one[2]);
                         } else {
                             balancers.get(one[0]).close(one[1], one[2]);
                         }
                     }
                 }
                 case 4 -> {
-                    caches.get(place).kill(now);
-                    caches.get(place).start(now);
+                    caches.get(cacheIndex).kill(now);
+                    caches.get(cacheIndex).start(now);
                 }
-                default -> links.closeIdle(place);
+                default -> pool.closeIdle(cacheIndex);
             }
             // Not each time: a look is when a balancer finds out that a process is gone.
             if (random.nextInt(3) > 0) {
                 continue;
             }
-            for (SimLinks one : balancers) {
-                one.room(now);
+            for (SimConnectionPool one : balancers) {
+                one.ensureCapacity(now);
                 assertTrue(
-                        one.total() <= atBalancer && one.total() >= 0,
-                        "a balancer holds " + one.total());
+                        one.totalConnections() <= maxPerBalancer && one.totalConnections() >= 0,
+                        "a balancer holds " + one.totalConnections());
             }
             for (int i = 0; i < 3; i++) {
-                int both = balancers.get(0).open(now, i) + balancers.get(1).open(now, i);
-                assertEquals(both, caches.get(i).links());
-                assertFalse(both > atCache);
+                int both = balancers.get(0).openConnections(now, i) + balancers.get(1).openConnections(now, i);
+                assertEquals(both, caches.get(i).connectionCount());
+                assertFalse(both > maxPerCache);
             }
         }
     }
--- a/emulator/src/test/java/frostrelay/emulator/SimJudgementsTest.java
+++ b/emulator/src/test/java/frostrelay/emulator/SimJudgementsTest.java
@@ -9,8 +9,8 @@
 
 /** What tiers of many sizes make of dead caches: bounds that hold on every seed. */
 class SimJudgementsTest {
-    private static double figure(Map<String, Object> day, String name) {
-        return ((Number) day.get(name)).doubleValue();
+    private static double figure(Map<String, Object> summary, String name) {
+        return ((Number) summary.get(name)).doubleValue();
     }
 
     /**
@@ -19,31 +19,31 @@
      */
     @Test
     void inASmallTierNobodyMissesWhatThreeFound() {
-        int late = 0;
+        int lateEjections = 0;
         for (int seed = 1; seed <= 30; seed++) {
-            Map<String, Object> day =
-                    SimJudgements.play(new SimJudgements.Plan(5, 6, 6, 0, 0.17, 10, 0, seed));
-            assertEquals(0, figure(day, "neverLowered"), day.toString());
-            late += (int) figure(day, "loweredLaterThanASecond");
+            Map<String, Object> summary =
+                    SimHealthReports.run(new SimHealthReports.Plan(5, 6, 6, 0, 0.17, 10, 0, seed));
+            assertEquals(0, figure(summary, "neverLowered"), summary.toString());
+            lateEjections += (int) figure(summary, "loweredLaterThanASecond");
         }
-        assertEquals(0, late);
+        assertEquals(0, lateEjections);
     }
 
     @Test
     void aHundredLowerTheDeadSoonAndTheHealthyHardlyEver() {
-        Map<String, Object> day =
-                SimJudgements.play(new SimJudgements.Plan(100, 60, 10, 0.01, 0.2, 10, 0.005, 3));
-        assertTrue(figure(day, "loweredBehindDeathP50Ms") < 2_000, day.toString());
-        assertTrue(figure(day, "loweredBehindDeathP99Ms") < 6_000, day.toString());
-        assertTrue(figure(day, "healthyLost") < 0.01, day.toString());
-        assertTrue(figure(day, "readsAtTheDead") < 0.08, "a fifth is dead: " + day);
+        Map<String, Object> summary =
+                SimHealthReports.run(new SimHealthReports.Plan(100, 60, 10, 0.01, 0.2, 10, 0.005, 3));
+        assertTrue(figure(summary, "loweredBehindDeathP50Ms") < 2_000, summary.toString());
+        assertTrue(figure(summary, "loweredBehindDeathP99Ms") < 6_000, summary.toString());
+        assertTrue(figure(summary, "healthyLost") < 0.01, summary.toString());
+        assertTrue(figure(summary, "readsAtTheDead") < 0.08, "a fifth is dead: " + summary);
         assertEquals(
                 0,
-                figure(day, "countsOutsideTheirBounds"),
+                figure(summary, "countsOutsideTheirBounds"),
                 "what all take lies within what each says of it");
         assertTrue(
-                figure(day, "countErrorP50") < 0.1 && figure(day, "countCoverP50") > 0.4,
-                day.toString());
-        assertTrue(figure(day, "mostBytesInASecond") <= 2_048, day.toString());
+                figure(summary, "countErrorP50") < 0.1 && figure(summary, "countCoverP50") > 0.4,
+                summary.toString());
+        assertTrue(figure(summary, "mostBytesInASecond") <= 2_048, summary.toString());
     }
 }
--- a/emulator/src/test/java/frostrelay/emulator/SimPeersTest.java
+++ b/emulator/src/test/java/frostrelay/emulator/SimPeersTest.java
@@ -9,31 +9,31 @@
 
 /** Tiers that talk, at sizes that sockets do not reach: bounds that hold on every seed. */
 class SimPeersTest {
-    private static double figure(Map<String, Object> day, String name) {
-        return ((Number) day.get(name)).doubleValue();
+    private static double figure(Map<String, Object> summary, String name) {
+        return ((Number) summary.get(name)).doubleValue();
     }
 
     @Test
-    void newsIsSoonKnownAndTheCeilingHoldsAtAnyLoss() {
+    void changesPropagateSoonAndTheRateLimitHoldsAtAnyLoss() {
         for (double loss : new double[] {0.01, 0.1, 0.3}) {
-            Map<String, Object> day = SimPeers.play(SimPeers.Plan.of(64, loss, 60, 10, 7));
-            assertTrue(figure(day, "knownP99Ms") <= 2_000, day.toString());
-            assertTrue(figure(day, "knownMissed") <= 2, day.toString());
-            assertEquals(0, figure(day, "falselyGone"), day.toString());
-            assertTrue(figure(day, "mostBytesInASecond") <= 2048, day.toString());
-            assertTrue(figure(day, "price") < 0.003, day.toString());
+            Map<String, Object> summary = SimGossip.run(SimGossip.Plan.of(64, loss, 60, 10, 7));
+            assertTrue(figure(summary, "knownP99Ms") <= 2_000, summary.toString());
+            assertTrue(figure(summary, "knownMissed") <= 2, summary.toString());
+            assertEquals(0, figure(summary, "falselyGone"), summary.toString());
+            assertTrue(figure(summary, "mostBytesInASecond") <= 2048, summary.toString());
+            assertTrue(figure(summary, "price") < 0.003, summary.toString());
         }
     }
 
     @Test
     void theDeadAreMissedAndAHealedPartitionSuspectsNobodyForLong() {
-        SimPeers.Plan plan =
-                new SimPeers.Plan(
+        SimGossip.Plan plan =
+                new SimGossip.Plan(
                         32, 0.1, 2_100_000L, 30_000_000L, 2048, 90, 4, true, 3, 0, 0, false, 5);
-        Map<String, Object> day = SimPeers.play(plan);
-        assertTrue(figure(day, "detectedMaxMs") < 60_000, day.toString());
-        assertEquals(0, figure(day, "falselyGone"), day.toString());
-        assertTrue(figure(day, "knownTogetherP99Ms") < 10_000, day.toString());
+        Map<String, Object> summary = SimGossip.run(plan);
+        assertTrue(figure(summary, "detectedMaxMs") < 60_000, summary.toString());
+        assertEquals(0, figure(summary, "falselyGone"), summary.toString());
+        assertTrue(figure(summary, "knownTogetherP99Ms") < 10_000, summary.toString());
     }
 
     /**
@@ -42,15 +42,15 @@
      */
     @Test
     void manyThatAreBehindDoNotMobDiscovery() {
-        SimPeers.Plan plan =
-                new SimPeers.Plan(
+        SimGossip.Plan plan =
+                new SimGossip.Plan(
                         100, 0.1, 2_100_000L, 30_000_000L, 2048, 60, 0, true, 0, 0, 0.33, false, 5);
-        Map<String, Object> day = SimPeers.play(plan);
-        assertTrue(figure(day, "knewBehindP99Ms") < 2_000, day.toString());
+        Map<String, Object> summary = SimGossip.run(plan);
+        assertTrue(figure(summary, "knewBehindP99Ms") < 2_000, summary.toString());
         assertTrue(
-                figure(day, "mostAskedInASecond") <= 2 * figure(day, "calmCallsASecond"),
-                day.toString());
-        assertTrue(figure(day, "mostAside") <= 25, day.toString());
+                figure(summary, "mostAskedInASecond") <= 2 * figure(summary, "calmCallsASecond"),
+                summary.toString());
+        assertTrue(figure(summary, "mostAside") <= 25, summary.toString());
     }
 
     /**
@@ -59,22 +59,22 @@
      */
     @Test
     void aPartIsBroughtUpBehindAPartitionWithoutAHerd() {
-        SimPeers.Plan plan =
-                new SimPeers.Plan(
+        SimGossip.Plan plan =
+                new SimGossip.Plan(
                         100, 0.1, 2_100_000L, 30_000_000L, 2048, 40, 0, true, 0, 0.4, 0.4, true, 6);
-        Map<String, Object> day = SimPeers.play(plan);
+        Map<String, Object> summary = SimGossip.run(plan);
         assertTrue(
-                day.get("lastStragglerMs") != null && figure(day, "lastStragglerMs") < 31_000,
-                day.toString());
+                summary.get("lastStragglerMs") != null && figure(summary, "lastStragglerMs") < 31_000,
+                summary.toString());
         assertTrue(
-                figure(day, "mostAskedInASecond") <= 2 * figure(day, "calmCallsASecond"),
-                day.toString());
-        assertTrue(figure(day, "askedBehind") >= 30, day.toString());
+                figure(summary, "mostAskedInASecond") <= 2 * figure(summary, "calmCallsASecond"),
+                summary.toString());
+        assertTrue(figure(summary, "askedBehind") >= 30, summary.toString());
     }
 
     @Test
     void aSeedIsADay() {
-        SimPeers.Plan plan = SimPeers.Plan.of(16, 0.3, 30, 4, 3);
-        assertEquals(SimPeers.play(plan), SimPeers.play(plan));
+        SimGossip.Plan plan = SimGossip.Plan.of(16, 0.3, 30, 4, 3);
+        assertEquals(SimGossip.run(plan), SimGossip.run(plan));
     }
 }
--- a/emulator/src/test/java/frostrelay/emulator/TheoryTest.java
+++ b/emulator/src/test/java/frostrelay/emulator/TheoryTest.java
@@ -21,26 +21,26 @@
 
 /** The model's parts against what is known of them in closed form. */
 class TheoryTest {
-    private static final double WORK = 1e6;
+    private static final double WORK_NANOS = 1e6;
 
     /** What a cache made of a stream of jobs: mean wait in units of work, and the share of hits. */
-    private record Made(double waited, double hits) {}
+    private record Measurement(double meanWait, double hitRatio) {}
 
-    private static Made serve(
+    private static Measurement serve(
             int cores, double load, boolean fixed, int memory, int keys, double zipf, int jobs) {
         Timeline timeline = new Timeline();
-        UniformRandomProvider random = Randoms.of(7, "theory");
-        ZigguratSampler.Exponential draws = ZigguratSampler.Exponential.of(random);
-        SharedStateDiscreteSampler popular = RejectionInversionZipfSampler.of(random, keys, zipf);
-        SimOrigin origin = new SimOrigin(new Plant.Origin(1_000_000, 1, 0, 0, 0), timeline, 1);
+        UniformRandomProvider random = RandomStreams.create(7, "theory");
+        ZigguratSampler.Exponential exponentialSampler = ZigguratSampler.Exponential.of(random);
+        SharedStateDiscreteSampler keySampler = RejectionInversionZipfSampler.of(random, keys, zipf);
+        SimOrigin origin = new SimOrigin(new SystemModel.Origin(1_000_000, 1, 0, 0, 0), timeline, 1);
         SimCache cache =
                 new SimCache(
-                        new Plant.Cache(
+                        new SystemModel.Cache(
                                 cores,
                                 Integer.MAX_VALUE,
                                 0,
                                 memory,
-                                Plant.Eviction.LRU,
+                                SystemModel.Eviction.LRU,
                                 1,
                                 0,
                                 false,
@@ -52,16 +52,16 @@
                         new int[keys],
                         null);
         if (keys == 1) {
-            cache.fill(0);
+            cache.preload(0);
         }
-        double[] waited = new double[1];
+        double[] totalWaitNanos = new double[1];
         double at = 0;
         for (int i = 0; i < jobs; i++) {
-            at += draws.sample() * WORK / (load * cores);
+            at += exponentialSampler.sample() * WORK_NANOS / (load * cores);
             long arrival = (long) at;
-            double work = fixed ? WORK : draws.sample() * WORK;
-            int key = popular.sample() - 1;
-            timeline.run(arrival);
+            double work = fixed ? WORK_NANOS : exponentialSampler.sample() * WORK_NANOS;
+            int key = keySampler.sample() - 1;
+            timeline.runUntil(arrival);
             cache.accept(
                     arrival,
                     new SimCache.Job() {
@@ -71,39 +71,39 @@
                         }
 
                         @Override
-                        public double work() {
+                        public double workNanos() {
                             return work;
                         }
 
                         @Override
-                        public boolean write() {
+                        public boolean isWrite() {
                             return false;
                         }
 
                         @Override
-                        public boolean told() {
+                        public boolean isIntendedCache() {
                             return true;
                         }
 
                         @Override
-                        public boolean dropped() {
+                        public boolean isCancelled() {
                             return false;
                         }
 
                         @Override
-                        public void ended(long now, SimCache.End end) {
-                            waited[0] += now - arrival - work;
+                        public void onCompleted(long now, SimCache.Outcome end) {
+                            totalWaitNanos[0] += now - arrival - work;
                         }
 
                         @Override
-                        public void ran(long now) {
+                        public void onExecuted(long now) {
                             throw new AssertionError("a read has no effect");
                         }
                     });
         }
-        timeline.run(Long.MAX_VALUE / 2);
-        return new Made(
-                waited[0] / jobs / WORK, cache.hits() / (double) (cache.hits() + cache.misses()));
+        timeline.runUntil(Long.MAX_VALUE / 2);
+        return new Measurement(
+                totalWaitNanos[0] / jobs / WORK_NANOS, cache.hits() / (double) (cache.hits() + cache.misses()));
     }
 
     /** Erlang's C: the chance to wait in M/M/c. */
@@ -124,7 +124,7 @@
         for (int cores : new int[] {1, 4, 16}) {
             double load = 0.8;
             double theory = erlangC(cores, load) / (cores * (1 - load));
-            double wait = serve(cores, load, false, 1, 1, 1, 400_000).waited;
+            double wait = serve(cores, load, false, 1, 1, 1, 400_000).meanWait;
             assertEquals(1, wait / theory, 0.06, cores + " cores: " + wait + ", theory " + theory);
         }
     }
@@ -134,7 +134,7 @@
     void waitsAreThoseOfMD1() {
         double load = 0.7;
         double theory = load / (2 * (1 - load));
-        double wait = serve(1, load, true, 1, 1, 1, 400_000).waited;
+        double wait = serve(1, load, true, 1, 1, 1, 400_000).meanWait;
         assertEquals(1, wait / theory, 0.04, "wait " + wait + ", theory " + theory);
     }
 
@@ -169,7 +169,7 @@
                 theory += one / norm * (1 - Math.exp(-one / norm * low));
             }
             // So many jobs that the empty start weighs less than the bound.
-            double hits = serve(1, 0.3, true, memory, keys, zipf, 600_000).hits;
+            double hits = serve(1, 0.3, true, memory, keys, zipf, 600_000).hitRatio;
             assertEquals(theory, hits, 0.01, "memory " + memory);
         }
     }
@@ -183,43 +183,43 @@
      * that end anywhere.
      */
     @Property(tries = 300, seed = "20261201")
-    void thingsHappenInOrder(
+    void eventsRunInOrder(
             @ForAll @Size(max = 200) List<@LongRange(min = 0, max = 50) Long> times,
             @ForAll @LongRange(min = 0, max = 3) long scale,
             @ForAll @LongRange(min = 1, max = 60) long step) {
         long unit = new long[] {1, 40_000, 300_000_000, 7_000_000_000L}[(int) scale];
         Timeline timeline = new Timeline();
-        List<long[]> happened = new ArrayList<>();
+        List<long[]> executed = new ArrayList<>();
         for (int i = 0; i < times.size(); i++) {
             int number = i;
-            timeline.at(
+            timeline.schedule(
                     times.get(i) * unit,
                     now -> {
-                        happened.add(new long[] {now, number});
+                        executed.add(new long[] {now, number});
                         if (number % 3 == 0) {
-                            timeline.at(
+                            timeline.schedule(
                                     now + 7 * unit,
-                                    then -> happened.add(new long[] {then, 1_000 + number}));
+                                    then -> executed.add(new long[] {then, 1_000 + number}));
                         }
                     });
         }
         // Some are taken back, twice, and their places used again: the others must not notice.
         for (int i = 0; i < times.size(); i++) {
-            long mark = timeline.at(times.get(i) * unit, now -> {});
-            timeline.cancel(mark);
-            timeline.cancel(mark);
+            long timer = timeline.schedule(times.get(i) * unit, now -> {});
+            timeline.cancel(timer);
+            timeline.cancel(timer);
         }
         for (long until = 0; until < 60 * unit; until += step * unit - unit / 3) {
-            timeline.run(until);
+            timeline.runUntil(until);
             long reached = until;
-            assertTrue(happened.stream().allMatch(one -> one[0] <= reached));
+            assertTrue(executed.stream().allMatch(one -> one[0] <= reached));
         }
-        timeline.run(60 * unit);
-        assertEquals(times.size() + (times.size() + 2) / 3, happened.size());
-        assertEquals(0, timeline.open());
-        for (int i = 1; i < happened.size(); i++) {
-            long[] one = happened.get(i - 1);
-            long[] next = happened.get(i);
+        timeline.runUntil(60 * unit);
+        assertEquals(times.size() + (times.size() + 2) / 3, executed.size());
+        assertEquals(0, timeline.pendingEvents());
+        for (int i = 1; i < executed.size(); i++) {
+            long[] one = executed.get(i - 1);
+            long[] next = executed.get(i);
             boolean first = one[1] < 1_000 && next[1] < 1_000;
             assertTrue(one[0] < next[0] || one[0] == next[0] && (!first || one[1] < next[1]));
         }
@@ -232,10 +232,10 @@
     @Property(tries = 200, seed = "20261201")
     void aCacheKeepsWhatALinkedMapWould(
             @ForAll @Size(max = 300) List<@LongRange(min = 0, max = 400) Long> steps,
-            @ForAll boolean byUse,
-            @ForAll @LongRange(min = 1, max = 90) long most) {
-        Memory memory = new Memory((int) most, byUse ? Plant.Eviction.LRU : Plant.Eviction.FIFO);
-        Map<Integer, Integer> model = new LinkedHashMap<>(16, 0.75f, byUse);
+            @ForAll boolean isLru,
+            @ForAll @LongRange(min = 1, max = 90) long maxEntries) {
+        SimCacheMemory memory = new SimCacheMemory((int) maxEntries, isLru ? SystemModel.Eviction.LRU : SystemModel.Eviction.FIFO);
+        Map<Integer, Integer> model = new LinkedHashMap<>(16, 0.75f, isLru);
         for (long step : steps) {
             int key = (int) (step % 100);
             int version = (int) (step % 3);
@@ -243,18 +243,18 @@
                 memory.clear();
                 model.clear();
             } else if (step < 200) {
-                memory.keep(key, version);
+                memory.put(key, version);
                 model.put(key, version);
-                if (model.size() > most) {
+                if (model.size() > maxEntries) {
                     model.remove(model.keySet().iterator().next());
                 }
             } else {
-                Integer kept = model.get(key);
-                assertEquals(kept != null && kept == version, memory.has(key, version));
+                Integer cachedVersion = model.get(key);
+                assertEquals(cachedVersion != null && cachedVersion == version, memory.contains(key, version));
             }
         }
         for (Map.Entry<Integer, Integer> one : new LinkedHashMap<>(model).entrySet()) {
-            assertTrue(memory.has(one.getKey(), one.getValue()));
+            assertTrue(memory.contains(one.getKey(), one.getValue()));
         }
     }
 }
--- a/emulator/src/test/java/frostrelay/lab/LabTest.java
+++ b/emulator/src/test/java/frostrelay/lab/LabTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import frostrelay.config.BadConfigException;
-import frostrelay.emulator.Plant;
+import frostrelay.emulator.SystemModel;
 
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -64,7 +64,7 @@
     private byte[] play(String name, int threads) throws Exception {
         Path path = folder.resolve(name);
         try (ResultsFile file = ResultsFile.open(path, experiment)) {
-            Lab.play(experiment, file, threads, (done, most) -> assertEquals(18, most));
+            ExperimentRunner.run(experiment, file, threads, (done, most) -> assertEquals(18, most));
         }
         return Files.readAllBytes(path);
     }
@@ -73,14 +73,14 @@
     void theSameBytesOnOneThreadAndOnEight() throws Exception {
         byte[] one = play("one.jsonl", 1);
         assertArrayEquals(one, play("eight.jsonl", 8));
-        ResultsFile.Held held = ResultsFile.read(folder.resolve("one.jsonl"));
-        assertEquals(18, held.days().size());
-        assertEquals(List.of("50/s", "15ms"), List.copyOf(held.settings().get(1).values()));
+        ResultsFile.StoredResults results = ResultsFile.read(folder.resolve("one.jsonl"));
+        assertEquals(18, results.allResults().size());
+        assertEquals(List.of("50/s", "15ms"), List.copyOf(results.settings().get(1).values()));
         // Twice the work at eight times the load is felt: the sweep reached the plant.
         assertTrue(
-                held.of(5).get(0).metrics().get("p99Ms")
-                        > 2 * held.of(0).get(0).metrics().get("p99Ms"));
-        assertTrue(held.of(5).get(0).asked() > 6 * held.of(0).get(0).asked());
+                results.resultsOf(5).get(0).metrics().get("p99Ms")
+                        > 2 * results.resultsOf(0).get(0).metrics().get("p99Ms"));
+        assertTrue(results.resultsOf(5).get(0).requestCount() > 6 * results.resultsOf(0).get(0).requestCount());
     }
 
     /**
@@ -112,7 +112,7 @@
             assertThrows(
                     InterruptedException.class,
                     () ->
-                            Lab.play(
+                            ExperimentRunner.run(
                                     experiment,
                                     file,
                                     2,
@@ -123,14 +123,14 @@
                                     }));
             assertTrue(file.size() >= 5);
         }
-        assertTrue(ResultsFile.read(path).days().size() >= 5);
+        assertTrue(ResultsFile.read(path).allResults().size() >= 5);
         assertArrayEquals(play("whole.jsonl", 8), play("cut.jsonl", 8));
     }
 
     @Test
     void anotherExperimentsFileAndASecondWriterAreRefused() throws Exception {
         play("kept.jsonl", 8);
-        Experiment other = ExperimentFile.ofPlants(List.of(folder.resolve("small.toml")), 2);
+        Experiment other = ExperimentFile.ofModels(List.of(folder.resolve("small.toml")), 2);
         Path path = folder.resolve("kept.jsonl");
         byte[] before = Files.readAllBytes(path);
         assertTrue(
@@ -183,18 +183,18 @@
         String draw = "[[draw]]\nkey = \"clients.rate\"\nleast = \"100/s\"\nmost = \"%s\"\n";
         Path path = folder.resolve("drawn.toml");
         Files.writeString(path, SMALL + String.format(draw, "200/s"));
-        Experiment.Point point = ExperimentFile.ofPlants(List.of(path), 2).points().get(0);
+        Experiment.Point point = ExperimentFile.ofModels(List.of(path), 2).points().get(0);
         double[] rates =
                 LongStream.range(1, 50)
-                        .mapToDouble(seed -> point.draws().apply(seed).clients().rate())
+                        .mapToDouble(seed -> point.modelOfSeed().apply(seed).clients().requestsPerSecond())
                         .toArray();
         assertTrue(
                 Arrays.stream(rates).allMatch(rate -> rate >= 100 && rate <= 200)
                         && Arrays.stream(rates).distinct().count() > 25,
                 Arrays.toString(rates));
-        assertEquals(point.draws().apply(9), point.draws().apply(9));
+        assertEquals(point.modelOfSeed().apply(9), point.modelOfSeed().apply(9));
         Files.writeString(path, SMALL + String.format(draw, "2000ms"));
-        assertThrows(BadConfigException.class, () -> ExperimentFile.ofPlants(List.of(path), 2));
+        assertThrows(BadConfigException.class, () -> ExperimentFile.ofModels(List.of(path), 2));
     }
 
     @Test
@@ -206,25 +206,25 @@
                             "stop" + half,
                             experiment.points(),
                             5,
-                            new Experiment.Stop("service", half, 2));
+                            new Experiment.StopRule("service", half, 2));
             Path path = folder.resolve("stop" + half + ".jsonl");
             try (ResultsFile file = ResultsFile.open(path, stopped)) {
-                Lab.play(stopped, file, 8, (done, most) -> {});
-                int most = ResultsFile.read(path).of(5).size();
+                ExperimentRunner.run(stopped, file, 8, (done, most) -> {});
+                int most = ResultsFile.read(path).resultsOf(5).size();
                 assertEquals(half == 1 ? 2 : 5, most);
             }
         }
     }
 
     @Test
-    void whatDiffersIsToldAndWhatDoesNotIsNot() throws Exception {
+    void differencesAreReportedAndEqualResultsAreNot() throws Exception {
         play("a.jsonl", 8);
-        ResultsFile.Held held = ResultsFile.read(folder.resolve("a.jsonl"));
+        ResultsFile.StoredResults results = ResultsFile.read(folder.resolve("a.jsonl"));
         assertTrue(
-                Comparison.of(held, held).stream().noneMatch(Comparison.Difference::beyondChance));
-        List<Comparison.Difference> apart = Comparison.of(held, 0, 5);
+                Comparison.of(results, results).stream().noneMatch(Comparison.Difference::isSignificant));
+        List<Comparison.Difference> apart = Comparison.of(results, 0, 5);
         assertTrue(
-                apart.stream().anyMatch(one -> one.metric().equals("p50Ms") && one.beyondChance()),
+                apart.stream().anyMatch(one -> one.metric().equals("p50Ms") && one.isSignificant()),
                 apart.toString());
     }
 
@@ -234,25 +234,25 @@
      */
     @Test
     void aHuntFindsAndShrinks() throws Exception {
-        Plant plant = PlantFile.parse("hunted", SMALL);
-        Goal goal = Goal.parse("service >= 0.97");
-        List<Hunt.Found> found = Hunt.run(plant, goal, 24, 2, 1, 3, 8, line -> {});
+        SystemModel model = SystemModelFile.parse("hunted", SMALL);
+        Objective goal = Objective.parse("service >= 0.97");
+        List<FaultSearch.Finding> found = FaultSearch.run(model, goal, 24, 2, 1, 3, 8, line -> {});
         assertFalse(found.isEmpty());
         assertEquals(
                 found,
-                Hunt.run(plant, goal, 24, 2, 1, 3, 2, line -> {}),
+                FaultSearch.run(model, goal, 24, 2, 1, 3, 2, line -> {}),
                 "the same on two threads");
-        for (Hunt.Found one : found) {
-            assertTrue(one.missedBy() > 0 && one.faults().size() <= 3 && !one.faults().isEmpty());
+        for (FaultSearch.Finding one : found) {
+            assertTrue(one.shortfall() > 0 && one.faults().size() <= 3 && !one.faults().isEmpty());
             Path kept = folder.resolve("kept.toml");
-            Kept.write(folder.resolve("small.toml"), kept, goal, one);
-            Kept.Replayed again = Kept.replay(kept);
+            RegressionRuns.write(folder.resolve("small.toml"), kept, goal, one);
+            RegressionRuns.ReplayResult again = RegressionRuns.replay(kept);
             assertEquals(one.value(), again.value(), 1e-9, "what was kept is what was found");
-            assertFalse(again.good());
+            assertFalse(again.hasPassed());
         }
         assertThrows(
                 IllegalArgumentException.class,
-                () -> Hunt.run(plant, Goal.parse("service >= 1.5"), 8, 1, 1, 1, 2, line -> {}));
+                () -> FaultSearch.run(model, Objective.parse("service >= 1.5"), 8, 1, 1, 1, 2, line -> {}));
     }
 
     /** Days found by hunts hold what must hold of them since. */
@@ -265,8 +265,8 @@
             all.parallelStream()
                     .forEach(
                             file -> {
-                                Kept.Replayed day = Kept.replay(file);
-                                assertTrue(day.good(), file + ": " + day);
+                                RegressionRuns.ReplayResult day = RegressionRuns.replay(file);
+                                assertTrue(day.hasPassed(), file + ": " + day);
                             });
         }
     }
--- a/judgements/src/main/java/frostrelay/judgements/Seen.java
+++ b/judgements/src/main/java/frostrelay/judgements/AttemptObservation.java
@@ -1,7 +1,7 @@
 package frostrelay.judgements;
 
 /** What an attempt at a cache told its balancer of the cache. */
-public enum Seen {
+public enum AttemptObservation {
     /** It answered. */
     ANSWERED,
     /** It said that it failed: its own fault, or that of what is behind it. */
@@ -21,5 +21,5 @@
     }
 
     /** The cause lies at the cache or on the way to it, not behind it. */
-    static final int NOT_THERE = RESET.bit() | UNREACHABLE.bit();
+    static final int UNREACHABLE_BITS = RESET.bit() | UNREACHABLE.bit();
 }
--- a/judgements/src/main/java/frostrelay/judgements/counts/Count.java
+++ b/judgements/src/main/java/frostrelay/judgements/counts/ClusterCounter.java
@@ -5,7 +5,7 @@
 /**
  * What each balancer counts since its life began; on the wire in this order, later ones at the end.
  */
-public enum Count {
+public enum ClusterCounter {
     /** Requests of clients, but for their retries. */
     FIRST_TRIES,
     /** Clients' retries. */
@@ -24,7 +24,7 @@
     REFUSED;
 
     /** As operators read it. */
-    public String word() {
+    public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/judgements/src/test/java/frostrelay/judgements/ExplorerTest.java
+++ b/judgements/src/test/java/frostrelay/judgements/ExplorerTest.java
@@ -28,7 +28,7 @@
  * kept apart, and invariants are held against that.
  */
 class ExplorerTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final int ACTORS = 3;
     private static final int SMALL = 6;
 
@@ -37,18 +37,18 @@
 
     private static final int LIAR = 3;
     private static final int CACHES = 3;
-    private static final int DEEP = 9;
-    private static final int MOST_STATES = 60_000;
+    private static final int MAX_DEPTH = 9;
+    private static final int MAX_STATES = 60_000;
 
     /** What is put in wrongly, to see that it is found. */
-    private enum Slip {
+    private enum SeededDefect {
         NONE,
         COUNTS_THE_BRINGER,
         KEEPS_OLD_STARTS,
         BELIEVES_THE_BRINGER
     }
 
-    private enum What {
+    private enum ActionKind {
         BAD,
         GOOD,
         TELL,
@@ -61,218 +61,218 @@
         LIE
     }
 
-    private record Step(What what, int balancer, int other) {}
+    private record Step(ActionKind kind, int balancer, int other) {}
 
     /** One datagram's section on its way. */
-    private record Message(int from, int to, long life, byte[] bytes) {}
+    private record Message(int from, int to, long incarnation, byte[] bytes) {}
 
     /** A world that is made anew for each sequence of steps. */
     private static final class World {
-        final Slip slip;
-        final int tier;
+        final SeededDefect defect;
+        final int clusterSize;
 
         /** Whether the liar has spoken to anybody: it may pass for one that saw the cache bad. */
         boolean lied;
 
-        final Judgements[] nodes = new Judgements[ACTORS];
-        final long[] lives = new long[ACTORS];
-        final List<Set<Long>> lowered = new ArrayList<>();
-        final List<Message> onTheWay = new ArrayList<>();
-        final long[] boots = new long[CACHES + 1];
+        final HealthReportAggregator[] nodes = new HealthReportAggregator[ACTORS];
+        final long[] incarnations = new long[ACTORS];
+        final List<Set<Long>> outliers = new ArrayList<>();
+        final List<Message> inTransit = new ArrayList<>();
+        final long[] serverStarts = new long[CACHES + 1];
 
         /**
          * When a balancer last truly saw a cache bad in its present start, by balancer and cache;
          * and how often in a row.
          */
-        final long[][] sawBad = new long[ACTORS][CACHES + 1];
+        final long[][] lastFailureNanos = new long[ACTORS][CACHES + 1];
 
-        final int[][] row = new int[ACTORS][CACHES + 1];
-        long now = 100 * SECOND;
-        long anew;
+        final int[][] consecutiveFailures = new int[ACTORS][CACHES + 1];
+        long now = 100 * NANOS_PER_SECOND;
+        long restarts;
 
-        World(Slip slip, int tier) {
-            this.slip = slip;
-            this.tier = tier;
+        World(SeededDefect defect, int clusterSize) {
+            this.defect = defect;
+            this.clusterSize = clusterSize;
             for (int i = 0; i < ACTORS; i++) {
-                Arrays.fill(sawBad[i], Long.MIN_VALUE / 2);
-                lowered.add(Set.of());
-                begin(i);
+                Arrays.fill(lastFailureNanos[i], Long.MIN_VALUE / 2);
+                outliers.add(Set.of());
+                restart(i);
             }
         }
 
-        void begin(int i) {
-            lives[i] = Incarnation.of(1_790_000_000_000L + ++anew * 1_000);
-            lowered.set(i, Set.of());
+        void restart(int i) {
+            incarnations[i] = Incarnation.fromUnixMillis(1_790_000_000_000L + ++restarts * 1_000);
+            outliers.set(i, Set.of());
             nodes[i] =
-                    new Judgements(
-                            JudgementSettings.STANDARD,
+                    new HealthReportAggregator(
+                            HealthReportSettings.STANDARD,
                             i,
-                            tier,
-                            lives[i],
+                            clusterSize,
+                            incarnations[i],
                             (moment, rank) -> true,
-                            new Judgements.Actions() {
+                            new HealthReportAggregator.Actions() {
                                 @Override
-                                public void lower(Set<Long> caches) {
-                                    lowered.set(i, caches);
+                                public void setOutliers(Set<Long> caches) {
+                                    outliers.set(i, caches);
                                 }
 
                                 @Override
-                                public boolean post(int to, int type, ByteBuffer section) {
+                                public boolean sendSection(int to, int type, ByteBuffer section) {
                                     return true;
                                 }
 
                                 @Override
-                                public void changed() {
+                                public void onReportsPending() {
                                     // Telling is a step of its own.
                                 }
 
                                 @Override
-                                public void findsBad(long cache) {
+                                public void onLocallyUnhealthy(long cache) {
                                     // Nobody reads along.
                                 }
                             });
-            list(i);
+            sendEndpointList(i);
         }
 
-        void list(int i) {
+        void sendEndpointList(int i) {
             Map<Long, Long> caches = new HashMap<>();
             for (long cache = 1; cache <= CACHES; cache++) {
-                caches.put(cache, boots[(int) cache]);
+                caches.put(cache, serverStarts[(int) cache]);
             }
-            nodes[i].onList(now, caches);
+            nodes[i].onEndpointList(now, caches);
         }
 
-        void take(Step step) {
-            now += SECOND / 10;
+        void apply(Step step) {
+            now += NANOS_PER_SECOND / 10;
             int b = step.balancer;
-            switch (step.what) {
+            switch (step.kind) {
                 case BAD -> {
-                    sawBad[b][step.other] = now;
-                    row[b][step.other]++;
-                    nodes[b].onSeen(now, step.other, Seen.SILENT, now);
+                    lastFailureNanos[b][step.other] = now;
+                    consecutiveFailures[b][step.other]++;
+                    nodes[b].onAttemptObserved(now, step.other, AttemptObservation.SILENT, now);
                 }
                 case GOOD -> {
-                    row[b][step.other] = 0;
-                    nodes[b].onSeen(now, step.other, Seen.ANSWERED, now);
+                    consecutiveFailures[b][step.other] = 0;
+                    nodes[b].onAttemptObserved(now, step.other, AttemptObservation.ANSWERED, now);
                 }
                 case TELL -> {
-                    byte[] told = JudgementsHold.of(nodes[b], now, step.other);
+                    byte[] told = LoadedSections.loadedFor(nodes[b], now, step.other);
                     if (told.length > 0) {
-                        onTheWay.add(new Message(b, step.other, lives[b], told));
+                        inTransit.add(new Message(b, step.other, incarnations[b], told));
                     }
                 }
-                case DELIVER -> deliver(onTheWay.remove(step.other));
-                case DOUBLE -> deliver(onTheWay.get(step.other));
+                case DELIVER -> deliver(inTransit.remove(step.other));
+                case DOUBLE -> deliver(inTransit.get(step.other));
                 case LIE -> {
                     lied = true;
-                    long life = Incarnation.of(1_790_000_000_000L);
+                    long life = Incarnation.fromUnixMillis(1_790_000_000_000L);
                     ByteBuffer out =
-                            ByteBuffer.allocate(4 + Evidence.BYTES + 3 * Evidence.BROUGHT_BYTES);
-                    out.put((byte) 32).put((byte) Evidence.BYTES);
-                    new Evidence(LIAR, life, 1, (int) boots[1], 0, 9, 8).write(out, 1, 0, false);
-                    out.put((byte) 33).put((byte) (3 * Evidence.BROUGHT_BYTES));
+                            ByteBuffer.allocate(4 + HealthReport.BYTES + 3 * HealthReport.RELAYED_BYTES);
+                    out.put((byte) 32).put((byte) HealthReport.BYTES);
+                    new HealthReport(LIAR, life, 1, (int) serverStarts[1], 0, 9, 8).write(out, 1, 0, false);
+                    out.put((byte) 33).put((byte) (3 * HealthReport.RELAYED_BYTES));
                     for (int other = 0; other < ACTORS; other++) {
-                        new Evidence(LIAR + 1 + other, life, 1, (int) boots[1], 0, 9, 8)
+                        new HealthReport(LIAR + 1 + other, life, 1, (int) serverStarts[1], 0, 9, 8)
                                 .write(out, 1, 0, true);
                     }
                     deliver(new Message(LIAR, b, life, out.array()));
                 }
-                case LOSE -> onTheWay.remove(step.other);
+                case LOSE -> inTransit.remove(step.other);
                 case ANEW -> {
-                    Arrays.fill(row[b], 0);
-                    begin(b);
+                    Arrays.fill(consecutiveFailures[b], 0);
+                    restart(b);
                 }
                 case BOOT -> {
-                    boots[step.other]++;
+                    serverStarts[step.other]++;
                     for (int i = 0; i < ACTORS; i++) {
-                        sawBad[i][step.other] = Long.MIN_VALUE / 2;
-                        row[i][step.other] = 0;
-                        if (slip != Slip.KEEPS_OLD_STARTS || i != 2) {
-                            list(i);
+                        lastFailureNanos[i][step.other] = Long.MIN_VALUE / 2;
+                        consecutiveFailures[i][step.other] = 0;
+                        if (defect != SeededDefect.KEEPS_OLD_STARTS || i != 2) {
+                            sendEndpointList(i);
                         }
                     }
                 }
                 default -> {
-                    now += 4 * SECOND;
-                    for (Judgements node : nodes) {
-                        node.onWake(now);
+                    now += 4 * NANOS_PER_SECOND;
+                    for (HealthReportAggregator node : nodes) {
+                        node.onTimer(now);
                     }
                 }
             }
         }
 
         private void deliver(Message message) {
-            Judgements to = nodes[message.to];
-            JudgementsHold.sections(
+            HealthReportAggregator to = nodes[message.to];
+            LoadedSections.sections(
                     message.bytes,
                     (type, content) -> {
-                        if (slip == Slip.BELIEVES_THE_BRINGER && type == 33) {
-                            while (content.remaining() >= Evidence.BROUGHT_BYTES) {
-                                Evidence one =
-                                        Evidence.read(content.slice(), 0, 0, true).evidence();
+                        if (defect == SeededDefect.BELIEVES_THE_BRINGER && type == 33) {
+                            while (content.remaining() >= HealthReport.RELAYED_BYTES) {
+                                HealthReport one =
+                                        HealthReport.read(content.slice(), 0, 0, true).report();
                                 content.position(content.position() + 8);
-                                to.onCargo(
+                                to.onSection(
                                         now,
                                         0,
                                         one.rank(),
-                                        one.life(),
+                                        one.incarnation(),
                                         32,
-                                        content.slice(content.position(), Evidence.BYTES));
-                                content.position(content.position() + Evidence.BYTES);
+                                        content.slice(content.position(), HealthReport.BYTES));
+                                content.position(content.position() + HealthReport.BYTES);
                             }
                             return;
                         }
-                        to.onCargo(now, 0, message.from, message.life, type, content.duplicate());
-                        if (slip == Slip.COUNTS_THE_BRINGER && type == 32) {
-                            to.onCargo(now, 0, 4, message.life, type, content);
+                        to.onSection(now, 0, message.from, message.incarnation, type, content.duplicate());
+                        if (defect == SeededDefect.COUNTS_THE_BRINGER && type == 32) {
+                            to.onSection(now, 0, 4, message.incarnation, type, content);
                         }
                     });
         }
 
-        List<Step> next() {
+        List<Step> nextSteps() {
             List<Step> steps = new ArrayList<>();
             for (int b = 0; b < ACTORS; b++) {
-                steps.add(new Step(What.BAD, b, 1));
-                steps.add(new Step(What.GOOD, b, 1));
+                steps.add(new Step(ActionKind.BAD, b, 1));
+                steps.add(new Step(ActionKind.GOOD, b, 1));
                 for (int to = 0; to < ACTORS; to++) {
                     if (to != b) {
-                        steps.add(new Step(What.TELL, b, to));
+                        steps.add(new Step(ActionKind.TELL, b, to));
                     }
                 }
             }
-            steps.add(new Step(What.BAD, 0, 2));
-            steps.add(new Step(What.ANEW, 1, 0));
-            steps.add(new Step(What.BOOT, 0, 1));
-            steps.add(new Step(What.WAIT, 0, 0));
-            if (tier == LARGE) {
-                steps.add(new Step(What.LIE, 0, 0));
-                steps.add(new Step(What.LIE, 2, 0));
+            steps.add(new Step(ActionKind.BAD, 0, 2));
+            steps.add(new Step(ActionKind.ANEW, 1, 0));
+            steps.add(new Step(ActionKind.BOOT, 0, 1));
+            steps.add(new Step(ActionKind.WAIT, 0, 0));
+            if (clusterSize == LARGE) {
+                steps.add(new Step(ActionKind.LIE, 0, 0));
+                steps.add(new Step(ActionKind.LIE, 2, 0));
             }
-            for (int i = 0; i < onTheWay.size(); i++) {
-                steps.add(new Step(What.DELIVER, 0, i));
-                steps.add(new Step(What.DOUBLE, 0, i));
-                steps.add(new Step(What.LOSE, 0, i));
+            for (int i = 0; i < inTransit.size(); i++) {
+                steps.add(new Step(ActionKind.DELIVER, 0, i));
+                steps.add(new Step(ActionKind.DOUBLE, 0, i));
+                steps.add(new Step(ActionKind.LOSE, 0, i));
             }
             return steps;
         }
 
         /** The invariant that does not hold, or null. */
-        String broken() {
+        String violation() {
             for (int b = 0; b < ACTORS; b++) {
-                if (lowered.get(b).size() > 1) {
+                if (outliers.get(b).size() > 1) {
                     return "more than a third of the caches lowered at " + b;
                 }
-                for (long cache : lowered.get(b)) {
+                for (long cache : outliers.get(b)) {
                     int saw = 0;
                     for (int i = 0; i < ACTORS; i++) {
                         saw +=
-                                now - sawBad[i][(int) cache] < 12 * SECOND
-                                                && (i != b || row[b][(int) cache] >= 1)
+                                now - lastFailureNanos[i][(int) cache] < 12 * NANOS_PER_SECOND
+                                                && (i != b || consecutiveFailures[b][(int) cache] >= 1)
                                         ? 1
                                         : 0;
                     }
                     saw += lied ? 1 : 0;
-                    if (saw < JudgementSettings.STANDARD.witnesses()) {
+                    if (saw < HealthReportSettings.STANDARD.requiredReporters()) {
                         return "cache "
                                 + cache
                                 + " is lowered at "
@@ -286,30 +286,30 @@
             return null;
         }
 
-        String print() {
+        String fingerprint() {
             StringBuilder print = new StringBuilder();
             for (int b = 0; b < ACTORS; b++) {
-                print.append(lowered.get(b)).append(Arrays.toString(row[b]));
+                print.append(outliers.get(b)).append(Arrays.toString(consecutiveFailures[b]));
                 for (long cache = 1; cache <= CACHES; cache++) {
                     Map<Integer, String> said = new TreeMap<>();
-                    nodes[b].said(now, cache)
+                    nodes[b].reportAges(now, cache)
                             .forEach(
                                     (one, age) ->
                                             said.put(
                                                     one.rank(),
-                                                    one.seq()
+                                                    one.sequenceNumber()
                                                             + ","
-                                                            + one.isBad()
+                                                            + one.isUnhealthy()
                                                             + ","
-                                                            + age / SECOND
+                                                            + age / NANOS_PER_SECOND
                                                             + ","
-                                                            + one.boot()));
+                                                            + one.serverStart()));
                     print.append(said)
-                            .append(boots[(int) cache])
-                            .append((now - sawBad[b][(int) cache]) / SECOND / 4);
+                            .append(serverStarts[(int) cache])
+                            .append((now - lastFailureNanos[b][(int) cache]) / NANOS_PER_SECOND / 4);
                 }
             }
-            onTheWay.stream()
+            inTransit.stream()
                     .map(one -> one.from + ">" + one.to + Arrays.hashCode(one.bytes))
                     .sorted()
                     .forEach(print::append);
@@ -317,9 +317,9 @@
         }
     }
 
-    private static World world(Slip slip, int tier, List<Step> steps) {
-        World world = new World(slip, tier);
-        steps.forEach(world::take);
+    private static World replay(SeededDefect defect, int clusterSize, List<Step> steps) {
+        World world = new World(defect, clusterSize);
+        steps.forEach(world::apply);
         return world;
     }
 
@@ -327,80 +327,80 @@
      * Walks from the situation behind {@code first}; returns the states met, and the first broken
      * invariant if there is one.
      */
-    private static Object[] walk(Slip slip, int tier, List<Step> first) {
-        Set<String> met = new HashSet<>();
-        Deque<List<Step>> open = new ArrayDeque<>();
-        open.add(first);
-        while (!open.isEmpty() && met.size() < MOST_STATES) {
-            List<Step> steps = open.poll();
-            World world = world(slip, tier, steps);
-            String broken = world.broken();
+    private static Object[] explore(SeededDefect defect, int clusterSize, List<Step> first) {
+        Set<String> visited = new HashSet<>();
+        Deque<List<Step>> frontier = new ArrayDeque<>();
+        frontier.add(first);
+        while (!frontier.isEmpty() && visited.size() < MAX_STATES) {
+            List<Step> steps = frontier.poll();
+            World world = replay(defect, clusterSize, steps);
+            String broken = world.violation();
             if (broken != null) {
-                return new Object[] {met.size(), broken + " behind " + steps};
+                return new Object[] {visited.size(), broken + " behind " + steps};
             }
-            if (!met.add(world.print())
-                    || steps.size() >= DEEP + first.size()
-                    || world.onTheWay.size() > 3) {
+            if (!visited.add(world.fingerprint())
+                    || steps.size() >= MAX_DEPTH + first.size()
+                    || world.inTransit.size() > 3) {
                 continue;
             }
-            for (Step next : world.next()) {
+            for (Step next : world.nextSteps()) {
                 List<Step> longer = new ArrayList<>(steps);
                 longer.add(next);
-                open.add(longer);
+                frontier.add(longer);
             }
         }
-        return new Object[] {met.size(), null};
+        return new Object[] {visited.size(), null};
     }
 
     /** Two of three have found cache 1 bad and told the third; from there everything may happen. */
-    private static final List<Step> BEGUN =
+    private static final List<Step> TWO_REPORTS_PREFIX =
             List.of(
-                    new Step(What.BAD, 0, 1),
-                    new Step(What.BAD, 0, 1),
-                    new Step(What.BAD, 1, 1),
-                    new Step(What.BAD, 1, 1),
-                    new Step(What.TELL, 0, 2),
-                    new Step(What.TELL, 1, 2),
-                    new Step(What.DELIVER, 0, 0));
+                    new Step(ActionKind.BAD, 0, 1),
+                    new Step(ActionKind.BAD, 0, 1),
+                    new Step(ActionKind.BAD, 1, 1),
+                    new Step(ActionKind.BAD, 1, 1),
+                    new Step(ActionKind.TELL, 0, 2),
+                    new Step(ActionKind.TELL, 1, 2),
+                    new Step(ActionKind.DELIVER, 0, 0));
 
     @Test
-    void noReachableStateLowersACacheThatThreeDidNotSee() {
+    void noReachableStateEjectsACacheThatThreeDidNotSeeFail() {
         for (int tier : new int[] {SMALL, LARGE}) {
-            Object[] cold = walk(Slip.NONE, tier, List.of());
-            assertEquals(null, cold[1]);
-            Object[] begun = walk(Slip.NONE, tier, BEGUN);
-            assertEquals(null, begun[1]);
+            Object[] fromStart = explore(SeededDefect.NONE, tier, List.of());
+            assertEquals(null, fromStart[1]);
+            Object[] fromPrefix = explore(SeededDefect.NONE, tier, TWO_REPORTS_PREFIX);
+            assertEquals(null, fromPrefix[1]);
             assertTrue(
-                    (int) cold[0] > 30_000 && (int) begun[0] > 30_000,
-                    "states walked: " + cold[0] + " and " + begun[0]);
+                    (int) fromStart[0] > 30_000 && (int) fromPrefix[0] > 30_000,
+                    "states walked: " + fromStart[0] + " and " + fromPrefix[0]);
         }
-        World lowered =
-                world(
-                        Slip.NONE,
+        World reached =
+                replay(
+                        SeededDefect.NONE,
                         SMALL,
                         List.of(
-                                new Step(What.BAD, 0, 1),
-                                new Step(What.BAD, 1, 1),
-                                new Step(What.BAD, 2, 1),
-                                new Step(What.BAD, 2, 1),
-                                new Step(What.TELL, 0, 2),
-                                new Step(What.TELL, 1, 2),
-                                new Step(What.DELIVER, 0, 0),
-                                new Step(What.DELIVER, 0, 0)));
-        assertEquals(Set.of(1L), lowered.lowered.get(2), "three saw it: it is reached");
+                                new Step(ActionKind.BAD, 0, 1),
+                                new Step(ActionKind.BAD, 1, 1),
+                                new Step(ActionKind.BAD, 2, 1),
+                                new Step(ActionKind.BAD, 2, 1),
+                                new Step(ActionKind.TELL, 0, 2),
+                                new Step(ActionKind.TELL, 1, 2),
+                                new Step(ActionKind.DELIVER, 0, 0),
+                                new Step(ActionKind.DELIVER, 0, 0)));
+        assertEquals(Set.of(1L), reached.outliers.get(2), "three saw it: it is reached");
     }
 
     @Test
-    void eachSlipIsFound() {
-        for (Slip slip : List.of(Slip.COUNTS_THE_BRINGER, Slip.KEEPS_OLD_STARTS)) {
-            List<Step> begun = new ArrayList<>(BEGUN);
-            if (slip == Slip.KEEPS_OLD_STARTS) {
-                begun.addAll(List.of(new Step(What.BAD, 2, 1), new Step(What.BAD, 2, 1)));
+    void eachSeededDefectIsFound() {
+        for (SeededDefect defect : List.of(SeededDefect.COUNTS_THE_BRINGER, SeededDefect.KEEPS_OLD_STARTS)) {
+            List<Step> begun = new ArrayList<>(TWO_REPORTS_PREFIX);
+            if (defect == SeededDefect.KEEPS_OLD_STARTS) {
+                begun.addAll(List.of(new Step(ActionKind.BAD, 2, 1), new Step(ActionKind.BAD, 2, 1)));
             }
-            assertFalse(walk(slip, SMALL, begun)[1] == null, slip.toString());
+            assertFalse(explore(defect, SMALL, begun)[1] == null, defect.toString());
         }
         assertFalse(
-                walk(Slip.BELIEVES_THE_BRINGER, LARGE, List.of())[1] == null,
+                explore(SeededDefect.BELIEVES_THE_BRINGER, LARGE, List.of())[1] == null,
                 "a liar speaks for three others");
     }
 }
--- a/judgements/src/test/java/frostrelay/judgements/JudgementsHold.java
+++ b/judgements/src/test/java/frostrelay/judgements/LoadedSections.java
@@ -1,17 +1,17 @@
 package frostrelay.judgements;
 
-import frostrelay.peers.Cargo;
+import frostrelay.peers.PayloadProvider;
 import frostrelay.peers.Datagrams;
 
 import java.nio.ByteBuffer;
 import java.util.function.BiConsumer;
 
 /** What one would tell another now. */
-final class JudgementsHold {
-    private JudgementsHold() {}
+final class LoadedSections {
+    private LoadedSections() {}
 
     /** All sections; empty for nothing. */
-    static byte[] of(Cargo cargo, long now, int to) {
+    static byte[] loadedFor(PayloadProvider cargo, long now, int to) {
         ByteBuffer loaded = Datagrams.loaded(cargo, now, to);
         byte[] all = new byte[loaded.remaining()];
         loaded.get(all);
--- a/judgements/src/test/java/frostrelay/judgements/counts/CountsTest.java
+++ b/judgements/src/test/java/frostrelay/judgements/counts/CountsTest.java
@@ -27,50 +27,50 @@
  * cut off.
  */
 class CountsTest {
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
-    private static final long WALL = 1_790_000_000_000L;
+    private static final long NANOS_PER_MILLISECOND = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLISECOND;
+    private static final long START_UNIX_MILLIS = 1_790_000_000_000L;
     private static final int SECTION = 34;
 
     @Provide
-    Arbitrary<Vector> vectors() {
+    Arbitrary<GrowOnlyCounters> vectors() {
         return Combinators.combine(
                         Arbitraries.longs().between(1, 2),
-                        Arbitraries.longs().between(0, 4).list().ofSize(Vector.KINDS))
+                        Arbitraries.longs().between(0, 4).list().ofSize(GrowOnlyCounters.COUNTER_COUNT))
                 .as(
-                        (life, values) ->
-                                new Vector(
-                                        life,
+                        (startedAtUnixMillis, values) ->
+                                new GrowOnlyCounters(
+                                        startedAtUnixMillis,
                                         values.stream().mapToLong(Long::longValue).toArray()));
     }
 
     @Property(tries = 1_000)
     void joinIsCommutativeAssociativeAndIdempotent(
-            @ForAll("vectors") Vector a, @ForAll("vectors") Vector b, @ForAll("vectors") Vector c) {
-        assertEquals(Vector.join(a, b), Vector.join(b, a));
-        assertEquals(Vector.join(Vector.join(a, b), c), Vector.join(a, Vector.join(b, c)));
-        assertEquals(a, Vector.join(a, a));
-        assertEquals(a, Vector.join(null, a));
+            @ForAll("vectors") GrowOnlyCounters a, @ForAll("vectors") GrowOnlyCounters b, @ForAll("vectors") GrowOnlyCounters c) {
+        assertEquals(GrowOnlyCounters.merge(a, b), GrowOnlyCounters.merge(b, a));
+        assertEquals(GrowOnlyCounters.merge(GrowOnlyCounters.merge(a, b), c), GrowOnlyCounters.merge(a, GrowOnlyCounters.merge(b, c)));
+        assertEquals(a, GrowOnlyCounters.merge(a, a));
+        assertEquals(a, GrowOnlyCounters.merge(null, a));
     }
 
-    private static Counts of(int me, int count, long now, long wallMs) {
-        return new Counts(
-                CountSettings.STANDARD,
-                me,
-                count,
+    private static ClusterCounters newCounters(int localRank, int clusterSize, long now, long wallMs) {
+        return new ClusterCounters(
+                ClusterCounterSettings.STANDARD,
+                localRank,
+                clusterSize,
                 now,
-                Incarnation.of(wallMs),
+                Incarnation.fromUnixMillis(wallMs),
                 rank -> true,
                 (to, type, section) -> {});
     }
 
     /** What one would tell another now; empty for nothing. */
-    private static ByteBuffer told(Counts from, long now, int to) {
-        ByteBuffer loaded = Datagrams.loaded(from, now, to);
+    private static ByteBuffer encodedFor(ClusterCounters source, long now, int to) {
+        ByteBuffer loaded = Datagrams.loaded(source, now, to);
         return loaded.hasRemaining() ? loaded.slice(2, loaded.remaining() - 2) : loaded;
     }
 
-    private record Late(long sent, long at, int from, long life, ByteBuffer section) {}
+    private record DelayedSection(long sentAtNanos, long deliverAtNanos, int from, long startedAtUnixMillis, ByteBuffer section) {}
 
     /**
      * Four balancers, of whom some send much: at each moment the truth lies between what is known
@@ -82,158 +82,158 @@
             @ForAll long seed, @ForAll @IntRange(min = 0, max = 60) int lost) {
         Random random = new Random(seed);
         int count = 4;
-        Counts[] all = new Counts[count];
-        long[] lives = new long[count];
+        ClusterCounters[] all = new ClusterCounters[count];
+        long[] startTimes = new long[count];
         long[] truth = new long[count];
-        long now = SECOND;
+        long now = NANOS_PER_SECOND;
         for (int i = 0; i < count; i++) {
-            lives[i] = WALL + i;
-            all[i] = of(i, count, now, lives[i]);
+            startTimes[i] = START_UNIX_MILLIS + i;
+            all[i] = newCounters(i, count, now, startTimes[i]);
         }
-        List<Late> way = new ArrayList<>();
+        List<DelayedSection> inTransit = new ArrayList<>();
         // Each is heard once: of one that never was nobody knows what it has done.
         for (int i = 1; i < count; i++) {
-            all[0].onCargo(now, 0, i, Incarnation.of(lives[i]), SECTION, told(all[i], now, 0));
+            all[0].onSection(now, 0, i, Incarnation.fromUnixMillis(startTimes[i]), SECTION, encodedFor(all[i], now, 0));
         }
         for (int step = 0; step < 400; step++) {
-            now += 20 * MS;
+            now += 20 * NANOS_PER_MILLISECOND;
             for (int i = 0; i < count; i++) {
                 if (random.nextInt(i + 1) == 0) {
-                    all[i].add(Count.SENDS);
+                    all[i].increment(ClusterCounter.SENDS);
                     truth[i]++;
                 }
             }
             int i = 1 + random.nextInt(count - 1);
-            ByteBuffer section = told(all[i], now, 0);
+            ByteBuffer section = encodedFor(all[i], now, 0);
             if (section.hasRemaining() && random.nextInt(100) >= lost) {
-                way.add(new Late(now, now + random.nextInt(2_000) * MS, i, lives[i], section));
+                inTransit.add(new DelayedSection(now, now + random.nextInt(2_000) * NANOS_PER_MILLISECOND, i, startTimes[i], section));
                 if (random.nextBoolean()) {
-                    way.add(
-                            new Late(
+                    inTransit.add(
+                            new DelayedSection(
                                     now,
-                                    now + random.nextInt(2_000) * MS,
+                                    now + random.nextInt(2_000) * NANOS_PER_MILLISECOND,
                                     i,
-                                    lives[i],
+                                    startTimes[i],
                                     section.duplicate()));
                 }
             }
             long moment = now;
-            way.removeIf(
+            inTransit.removeIf(
                     one -> {
-                        if (one.at <= moment) {
-                            all[0].onCargo(
+                        if (one.deliverAtNanos <= moment) {
+                            all[0].onSection(
                                     moment,
-                                    moment - one.sent,
+                                    moment - one.sentAtNanos,
                                     one.from,
-                                    Incarnation.of(one.life),
+                                    Incarnation.fromUnixMillis(one.startedAtUnixMillis),
                                     SECTION,
                                     one.section);
                         }
-                        return one.at <= moment;
+                        return one.deliverAtNanos <= moment;
                     });
             if (step % 50 == 0) {
                 all[0].tick(now);
             }
-            Sum sum = all[0].sum(now, Count.SENDS);
+            CounterTotal sum = all[0].total(now, ClusterCounter.SENDS);
             long sent = Arrays.stream(truth).sum();
             assertTrue(
-                    sum.known() <= sent && sent <= sum.most(), step + ": " + sum + " and " + sent);
+                    sum.known() <= sent && sent <= sum.upperBound(), step + ": " + sum + " and " + sent);
             assertEquals(
                     truth[0],
-                    all[0].sum(now, Count.SENDS).known()
-                            - all[0].rows(now).stream()
-                                    .filter(row -> now(row))
-                                    .mapToLong(row -> row.values()[Count.SENDS.ordinal()])
+                    all[0].total(now, ClusterCounter.SENDS).known()
+                            - all[0].peerCounters(now).stream()
+                                    .filter(row -> isFresh(row))
+                                    .mapToLong(row -> row.values()[ClusterCounter.SENDS.ordinal()])
                                     .sum());
         }
-        all[0].onCargo(
+        all[0].onSection(
                 now,
                 0,
                 1,
-                Incarnation.of(WALL + 99_000),
+                Incarnation.fromUnixMillis(START_UNIX_MILLIS + 99_000),
                 SECTION,
-                told(of(1, count, now, WALL + 99_000), now, 0));
+                encodedFor(newCounters(1, count, now, START_UNIX_MILLIS + 99_000), now, 0));
         assertEquals(
                 0,
-                all[0].rows(now).get(0).values()[Count.SENDS.ordinal()],
+                all[0].peerCounters(now).get(0).values()[ClusterCounter.SENDS.ordinal()],
                 "a later life begins with nothing");
     }
 
-    private static boolean now(Counts.Row row) {
-        return row.age() < CountSettings.STANDARD.forget();
+    private static boolean isFresh(ClusterCounters.PeerCounters row) {
+        return row.ageNanos() < ClusterCounterSettings.STANDARD.expiryNanos();
     }
 
     @Test
-    void underSilenceASumSlidesToTheOwnCountTimesTheTierWithoutAStep() {
-        Counts mine = of(0, 5, 0, WALL);
-        Counts[] others = new Counts[5];
+    void withoutReportsATotalDecaysToTheLocalCountTimesTheClusterSizeWithoutAStep() {
+        ClusterCounters mine = newCounters(0, 5, 0, START_UNIX_MILLIS);
+        ClusterCounters[] peers = new ClusterCounters[5];
         for (int i = 1; i < 5; i++) {
-            others[i] = of(i, 5, 0, WALL + i);
+            peers[i] = newCounters(i, 5, 0, START_UNIX_MILLIS + i);
         }
         long now = 0;
         for (int second = 1; second <= 5; second++) {
-            now = second * SECOND;
+            now = second * NANOS_PER_SECOND;
             for (int i = 1; i < 5; i++) {
                 for (int n = 0; n < 100; n++) {
-                    others[i].add(Count.FIRST_TRIES);
+                    peers[i].increment(ClusterCounter.FIRST_TRIES);
                 }
-                mine.onCargo(now, 0, i, Incarnation.of(WALL + i), SECTION, told(others[i], now, 0));
+                mine.onSection(now, 0, i, Incarnation.fromUnixMillis(START_UNIX_MILLIS + i), SECTION, encodedFor(peers[i], now, 0));
             }
             for (int n = 0; n < 10; n++) {
-                mine.add(Count.FIRST_TRIES);
+                mine.increment(ClusterCounter.FIRST_TRIES);
             }
             mine.tick(now);
         }
-        assertEquals(410, mine.sum(now, Count.FIRST_TRIES).rate(), 1);
-        assertEquals(5, mine.sum(now, Count.FIRST_TRIES).covered());
-        double before = mine.sum(now, Count.FIRST_TRIES).rate();
+        assertEquals(410, mine.total(now, ClusterCounter.FIRST_TRIES).ratePerSecond(), 1);
+        assertEquals(5, mine.total(now, ClusterCounter.FIRST_TRIES).coveredMembers());
+        double before = mine.total(now, ClusterCounter.FIRST_TRIES).ratePerSecond();
         for (int tenth = 1; tenth <= 120; tenth++) {
-            now += SECOND / 10;
+            now += NANOS_PER_SECOND / 10;
             if (tenth % 10 == 0) {
                 for (int n = 0; n < 10; n++) {
-                    mine.add(Count.FIRST_TRIES);
+                    mine.increment(ClusterCounter.FIRST_TRIES);
                 }
                 mine.tick(now);
             }
-            double rate = mine.sum(now, Count.FIRST_TRIES).rate();
+            double rate = mine.total(now, ClusterCounter.FIRST_TRIES).ratePerSecond();
             assertTrue(
                     rate <= before + 1e-6 && before - rate < 60, "from " + before + " to " + rate);
             before = rate;
         }
         assertEquals(50, before, 1);
-        Sum alone = mine.sum(now, Count.FIRST_TRIES);
-        assertEquals(1, alone.covered());
-        assertEquals(5, alone.of());
+        CounterTotal alone = mine.total(now, ClusterCounter.FIRST_TRIES);
+        assertEquals(1, alone.coveredMembers());
+        assertEquals(5, alone.aliveMembers());
         assertTrue(
-                alone.most() >= 4 * 500 + alone.known(),
+                alone.upperBound() >= 4 * 500 + alone.known(),
                 "who is not heard is not taken as nothing: " + alone);
-        Counts fresh = of(0, 5, now, WALL);
+        ClusterCounters fresh = newCounters(0, 5, now, START_UNIX_MILLIS);
         assertEquals(
                 Double.POSITIVE_INFINITY,
-                fresh.sum(now, Count.SENDS).most(),
+                fresh.total(now, ClusterCounter.SENDS).upperBound(),
                 "nor is who was never heard");
     }
 
     @Test
     void whatNobodyCanHaveDoneAndWhatIsCutOffIsPassedOver() {
-        Counts mine = of(0, 3, 0, WALL);
-        Counts other = of(1, 3, 0, WALL + 1);
-        mine.onCargo(SECOND, 0, 1, Incarnation.of(WALL + 1), SECTION, told(other, SECOND, 0));
-        long[] much = new long[Vector.KINDS];
+        ClusterCounters mine = newCounters(0, 3, 0, START_UNIX_MILLIS);
+        ClusterCounters other = newCounters(1, 3, 0, START_UNIX_MILLIS + 1);
+        mine.onSection(NANOS_PER_SECOND, 0, 1, Incarnation.fromUnixMillis(START_UNIX_MILLIS + 1), SECTION, encodedFor(other, NANOS_PER_SECOND, 0));
+        long[] much = new long[GrowOnlyCounters.COUNTER_COUNT];
         Arrays.fill(much, 1L << 39);
-        ByteBuffer lie = ByteBuffer.allocate(Vector.bytes());
-        new Vector(0, much).write(lie);
-        mine.onCargo(2 * SECOND, 0, 1, Incarnation.of(WALL + 1), SECTION, lie.flip());
-        assertEquals(0, mine.sum(2 * SECOND, Count.SENDS).known());
-        assertEquals(1, mine.refused());
-        mine.onCargo(
-                2 * SECOND,
+        ByteBuffer lie = ByteBuffer.allocate(GrowOnlyCounters.encodedBytes());
+        new GrowOnlyCounters(0, much).write(lie);
+        mine.onSection(2 * NANOS_PER_SECOND, 0, 1, Incarnation.fromUnixMillis(START_UNIX_MILLIS + 1), SECTION, lie.flip());
+        assertEquals(0, mine.total(2 * NANOS_PER_SECOND, ClusterCounter.SENDS).known());
+        assertEquals(1, mine.rejectedCount());
+        mine.onSection(
+                2 * NANOS_PER_SECOND,
                 0,
                 2,
-                Incarnation.of(WALL + 2),
+                Incarnation.fromUnixMillis(START_UNIX_MILLIS + 2),
                 SECTION,
                 ByteBuffer.wrap(new byte[] {1, 2, 3}));
-        mine.onCargo(2 * SECOND, 0, 9, Incarnation.of(WALL + 2), SECTION, lie.rewind());
-        assertEquals(2, mine.sum(2 * SECOND, Count.SENDS).covered());
+        mine.onSection(2 * NANOS_PER_SECOND, 0, 9, Incarnation.fromUnixMillis(START_UNIX_MILLIS + 2), SECTION, lie.rewind());
+        assertEquals(2, mine.total(2 * NANOS_PER_SECOND, ClusterCounter.SENDS).coveredMembers());
     }
 }
--- a/judgements/src/test/java/frostrelay/peers/Datagrams.java
+++ b/judgements/src/test/java/frostrelay/peers/Datagrams.java
@@ -7,9 +7,9 @@
     private Datagrams() {}
 
     /** The sections that cargo loads into an empty datagram for a balancer. */
-    public static ByteBuffer loaded(Cargo cargo, long now, int to) {
-        ByteBuffer out = ByteBuffer.allocate(Datagram.MOST);
-        cargo.load(now, to, new Hold(out).under(Datagram.MOST));
+    public static ByteBuffer loaded(PayloadProvider cargo, long now, int to) {
+        ByteBuffer out = ByteBuffer.allocate(GossipDatagram.MAX_BYTES);
+        cargo.writeSections(now, to, new PayloadBuffer(out).withMaxBytes(GossipDatagram.MAX_BYTES));
         return out.flip();
     }
 }
--- a/node/src/main/java/frostrelay/console/Operations.java
+++ b/node/src/main/java/frostrelay/console/AdminOperations.java
@@ -5,25 +5,25 @@
 /**
  * What operators may ask of a balancer. Calls come on its event loop; repeating one is harmless.
  */
-public interface Operations {
+public interface AdminOperations {
     /** Whether this process is ready to serve. */
-    boolean ready();
+    boolean isReady();
 
     /**
      * What this balancer acts on and what it knows of the others, as JSON; null where it keeps no
      * account.
      */
-    byte[] audit();
+    byte[] auditStatement();
 
     /** Its record so far, in the form of the audit's files; null where it keeps none. */
     byte[] auditRecord();
 
     /**
      * Decides in place of the program how this balancer stands to the others, lastingly: {@code
-     * keep-in}, {@code shut-out} or {@code follow:KIND:NUMBER}; an empty word with {@code on} false
+     * keep-in}, {@code shut-out} or {@code follow:KIND:NUMBER}; an empty word with {@code isActive} false
      * ends all of that. Done with false where it minds nobody.
      */
-    Future<Boolean> override(String word, boolean on);
+    Future<Boolean> setOverride(String decision, boolean isActive);
 
     /** Sends clients away until {@link #stopDrain}. */
     void startDrain();
@@ -35,5 +35,5 @@
      * Holds a server out of use, or lets it be used again: done with false for an id that nobody
      * has.
      */
-    Future<Boolean> hold(String id, boolean out);
+    Future<Boolean> setAdminDrain(String id, boolean isDrained);
 }
--- a/node/src/main/java/frostrelay/console/Calls.java
+++ b/node/src/main/java/frostrelay/console/AdminRoutes.java
@@ -17,23 +17,23 @@
 import java.util.Map;
 
 /**
- * Translates calls into {@link Operations} and what comes of them into answers; it decides nothing.
+ * Translates calls into {@link AdminOperations} and what comes of them into answers; it decides nothing.
  */
-final class Calls {
-    private final Operations operations;
+final class AdminRoutes {
+    private final AdminOperations operations;
     private final EventLoop loop;
 
-    Calls(Operations operations, EventLoop loop) {
+    AdminRoutes(AdminOperations operations, EventLoop loop) {
         this.operations = operations;
         this.loop = loop;
     }
 
-    Future<Answer> answer(FullHttpRequest request) {
+    Future<AdminResponse> handle(FullHttpRequest request) {
         if (request.decoderResult().isFailure()) {
-            boolean tooLong = request.decoderResult().cause() instanceof TooLongFrameException;
-            return done(
-                    Answer.of(
-                            tooLong
+            boolean isTooLong = request.decoderResult().cause() instanceof TooLongFrameException;
+            return completed(
+                    AdminResponse.of(
+                            isTooLong
                                     ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                                     : HttpResponseStatus.BAD_REQUEST,
                             "no call that can be read"));
@@ -54,52 +54,52 @@
                     default -> null;
                 };
         if (method == null) {
-            return done(Answer.of(HttpResponseStatus.NOT_FOUND, "no such path"));
+            return completed(AdminResponse.of(HttpResponseStatus.NOT_FOUND, "no such path"));
         }
         if (!method.equals(request.method())) {
-            return done(
-                    new Answer(
+            return completed(
+                    new AdminResponse(
                             HttpResponseStatus.METHOD_NOT_ALLOWED,
                             "the method is " + method,
                             method));
         }
         return switch (path) {
             case "/ops/readiness" ->
-                    done(
-                            operations.ready()
-                                    ? Answer.of(HttpResponseStatus.OK, "ready")
-                                    : Answer.of(
+                    completed(
+                            operations.isReady()
+                                    ? AdminResponse.of(HttpResponseStatus.OK, "ready")
+                                    : AdminResponse.of(
                                             HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready"));
-            case "/ops/audit" -> done(whole(operations.audit(), HttpHeaderValues.APPLICATION_JSON));
+            case "/ops/audit" -> completed(binaryResponse(operations.auditStatement(), HttpHeaderValues.APPLICATION_JSON));
             case "/ops/audit/record" ->
-                    done(
-                            whole(
+                    completed(
+                            binaryResponse(
                                     operations.auditRecord(),
                                     HttpHeaderValues.APPLICATION_OCTET_STREAM));
-            case "/ops/stragglers/keep-in" -> override("keep-in", true, "kept in");
-            case "/ops/stragglers/shut-out" -> override("shut-out", true, "shut out");
-            case "/ops/stragglers/let-go" -> override("", false, "let go");
-            case "/ops/stragglers/follow" -> follow(request);
+            case "/ops/stragglers/keep-in" -> setOverride("keep-in", true, "kept in");
+            case "/ops/stragglers/shut-out" -> setOverride("shut-out", true, "shut out");
+            case "/ops/stragglers/let-go" -> setOverride("", false, "let go");
+            case "/ops/stragglers/follow" -> followVersion(request);
             case "/ops/drain/start" -> {
                 operations.startDrain();
-                yield done(Answer.of(HttpResponseStatus.OK, "draining"));
+                yield completed(AdminResponse.of(HttpResponseStatus.OK, "draining"));
             }
             case "/ops/drain/stop" -> {
                 operations.stopDrain();
-                yield done(Answer.of(HttpResponseStatus.OK, "serving"));
+                yield completed(AdminResponse.of(HttpResponseStatus.OK, "serving"));
             }
-            default -> hold(request, path.endsWith("/down"));
+            default -> setAdminDrain(request, path.endsWith("/down"));
         };
     }
 
-    private static Answer whole(byte[] body, CharSequence type) {
+    private static AdminResponse binaryResponse(byte[] body, CharSequence type) {
         return body == null
-                ? Answer.of(HttpResponseStatus.NOT_FOUND, "this balancer keeps no account")
-                : Answer.of(body, type);
+                ? AdminResponse.of(HttpResponseStatus.NOT_FOUND, "this balancer keeps no account")
+                : AdminResponse.of(body, type);
     }
 
     /** The call's body; null where it is no JSON. */
-    private static Object body(FullHttpRequest request) {
+    private static Object parseBody(FullHttpRequest request) {
         try {
             return JSON.std.anyFrom(request.content().toString(StandardCharsets.UTF_8));
         } catch (IOException e) {
@@ -107,50 +107,50 @@
         }
     }
 
-    private Future<Answer> hold(FullHttpRequest request, boolean out) {
-        Object body = body(request);
+    private Future<AdminResponse> setAdminDrain(FullHttpRequest request, boolean isDrained) {
+        Object body = parseBody(request);
         if (body == null) {
-            return done(Answer.of(HttpResponseStatus.BAD_REQUEST, "the body is no JSON"));
+            return completed(AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "the body is no JSON"));
         }
         if (!(body instanceof Map<?, ?> call && call.get("id") instanceof String id)
                 || id.isEmpty()) {
-            return done(Answer.of(HttpResponseStatus.BAD_REQUEST, "the body has no id"));
+            return completed(AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "the body has no id"));
         }
-        return answered(operations.hold(id, out), out ? "down" : "up", "nobody has this id");
+        return respondWhenDone(operations.setAdminDrain(id, isDrained), isDrained ? "down" : "up", "nobody has this id");
     }
 
-    private Future<Answer> follow(FullHttpRequest request) {
-        if (!(body(request) instanceof Map<?, ?> call
+    private Future<AdminResponse> followVersion(FullHttpRequest request) {
+        if (!(parseBody(request) instanceof Map<?, ?> call
                 && call.get("number") instanceof Number number
                 && ("list".equals(call.get("kind")) || "config".equals(call.get("kind"))))) {
-            return done(
-                    Answer.of(
+            return completed(
+                    AdminResponse.of(
                             HttpResponseStatus.BAD_REQUEST,
                             "the body is {\"kind\": \"list\" or \"config\", \"number\": N}"));
         }
-        return override("follow:" + call.get("kind") + ':' + number.longValue(), true, "followed");
+        return setOverride("follow:" + call.get("kind") + ':' + number.longValue(), true, "followed");
     }
 
-    private Future<Answer> override(String word, boolean on, String done) {
-        return answered(operations.override(word, on), done, "this balancer minds no others");
+    private Future<AdminResponse> setOverride(String decision, boolean isActive, String successText) {
+        return respondWhenDone(operations.setOverride(decision, isActive), successText, "this balancer minds no others");
     }
 
-    private Future<Answer> answered(Future<Boolean> future, String good, String otherwise) {
-        Promise<Answer> answer = loop.newPromise();
+    private Future<AdminResponse> respondWhenDone(Future<Boolean> future, String successText, String notFoundText) {
+        Promise<AdminResponse> response = loop.newPromise();
         future.addListener(
                 (Future<Boolean> done) -> {
                     if (!done.isSuccess()) {
-                        answer.setFailure(done.cause());
+                        response.setFailure(done.cause());
                     } else if (!done.getNow()) {
-                        answer.setSuccess(Answer.of(HttpResponseStatus.NOT_FOUND, otherwise));
+                        response.setSuccess(AdminResponse.of(HttpResponseStatus.NOT_FOUND, notFoundText));
                     } else {
-                        answer.setSuccess(Answer.of(HttpResponseStatus.OK, good));
+                        response.setSuccess(AdminResponse.of(HttpResponseStatus.OK, successText));
                     }
                 });
-        return answer;
+        return response;
     }
 
-    private Future<Answer> done(Answer answer) {
-        return loop.newSucceededFuture(answer);
+    private Future<AdminResponse> completed(AdminResponse response) {
+        return loop.newSucceededFuture(response);
     }
 }
--- a/node/src/main/java/frostrelay/console/ConsoleServer.java
+++ b/node/src/main/java/frostrelay/console/AdminServer.java
@@ -31,29 +31,29 @@
  * and the time each may take are bounded, so that callers who send nothing, half a call or too much
  * cost next to nothing.
  */
-public final class ConsoleServer {
-    private static final int MOST_LINE = 1024;
-    private static final int MOST_HEAD = 8 * 1024;
-    private static final int MOST_BODY = 4 * 1024;
+public final class AdminServer {
+    private static final int MAX_REQUEST_LINE_BYTES = 1024;
+    private static final int MAX_HEADER_BYTES = 8 * 1024;
+    private static final int MAX_BODY_BYTES = 4 * 1024;
 
     /** Connections at once; one more costs the oldest that still owes its call. */
-    private static final int MOST_CONNECTIONS = 16;
+    private static final int MAX_CONNECTIONS = 16;
 
     private static final int BACKLOG = 64;
 
     private final EventLoop loop;
-    private final Calls calls;
-    private final long callMs;
+    private final AdminRoutes routes;
+    private final long callTimeoutMillis;
     private final Set<Connection> connections = new LinkedHashSet<>();
 
     /**
-     * {@code callMs}: within this a call must be whole, and as long again its caller has to take
+     * {@code callTimeoutMillis}: within this a call must be whole, and as long again its caller has to take
      * the answer.
      */
-    public ConsoleServer(EventLoop loop, Operations operations, long callMs) {
+    public AdminServer(EventLoop loop, AdminOperations operations, long callTimeoutMillis) {
         this.loop = loop;
-        this.calls = new Calls(operations, loop);
-        this.callMs = callMs;
+        this.routes = new AdminRoutes(operations, loop);
+        this.callTimeoutMillis = callTimeoutMillis;
     }
 
     /** Begins to take calls. */
@@ -74,19 +74,19 @@
                                 fresh.pipeline()
                                         .addLast(
                                                 new HttpServerCodec(
-                                                        MOST_LINE, MOST_HEAD, MOST_BODY),
-                                                connection.new Whole(),
+                                                        MAX_REQUEST_LINE_BYTES, MAX_HEADER_BYTES, MAX_BODY_BYTES),
+                                                connection.new RequestAggregator(),
                                                 connection);
                             }
                         })
                 .bind(address);
     }
 
-    private void makeRoom() {
+    private void evictOldest() {
         Iterator<Connection> oldest = connections.iterator();
-        while (connections.size() > MOST_CONNECTIONS && oldest.hasNext()) {
+        while (connections.size() > MAX_CONNECTIONS && oldest.hasNext()) {
             Connection connection = oldest.next();
-            if (!connection.called || connection.answered) {
+            if (!connection.hasRequest || connection.hasResponded) {
                 oldest.remove();
                 connection.channel.close();
             }
@@ -96,8 +96,8 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Channel channel;
         private Future<?> timeout;
-        private boolean called;
-        private boolean answered;
+        private boolean hasRequest;
+        private boolean hasResponded;
 
         Connection(Channel channel) {
             this.channel = channel;
@@ -106,34 +106,34 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             connections.add(this);
-            makeRoom();
+            evictOldest();
             timeout =
                     loop.schedule(
                             () ->
-                                    answer(
-                                            Answer.of(
+                                    respond(
+                                            AdminResponse.of(
                                                     HttpResponseStatus.REQUEST_TIMEOUT,
                                                     "the call is not whole")),
-                            callMs,
+                            callTimeoutMillis,
                             TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            if (called) {
+            if (hasRequest) {
                 return;
             }
-            called = true;
+            hasRequest = true;
             timeout.cancel(false);
-            calls.answer(request)
+            routes.handle(request)
                     .addListener(
-                            (Future<Answer> done) -> {
+                            (Future<AdminResponse> done) -> {
                                 if (done.isSuccess()) {
-                                    answer(done.getNow());
+                                    respond(done.getNow());
                                 } else {
-                                    Log.write(Event.CALL_FAILED, String.valueOf(done.cause()));
-                                    answer(
-                                            Answer.of(
+                                    Log.write(Event.ADMIN_CALL_FAILED, String.valueOf(done.cause()));
+                                    respond(
+                                            AdminResponse.of(
                                                     HttpResponseStatus.INTERNAL_SERVER_ERROR,
                                                     "the call failed: see the log"));
                                 }
@@ -144,15 +144,15 @@
          * Answers once and ends the sending; what the caller still sends is read, lest a reset lose
          * the answer.
          */
-        private void answer(Answer answer) {
-            if (answered || !channel.isActive()) {
+        private void respond(AdminResponse response) {
+            if (hasResponded || !channel.isActive()) {
                 return;
             }
-            answered = true;
-            called = true;
+            hasResponded = true;
+            hasRequest = true;
             timeout.cancel(false);
-            timeout = loop.schedule(() -> channel.close(), callMs, TimeUnit.MILLISECONDS);
-            channel.writeAndFlush(answer.response())
+            timeout = loop.schedule(() -> channel.close(), callTimeoutMillis, TimeUnit.MILLISECONDS);
+            channel.writeAndFlush(response.toHttpResponse())
                     .addListener(
                             sent -> {
                                 if (sent.isSuccess()) {
@@ -168,7 +168,7 @@
             // The far end has ended its sending: without a whole call, or behind the answer, that
             // is all.
             if (event instanceof io.netty.channel.socket.ChannelInputShutdownEvent
-                    && (!called || answered)) {
+                    && (!hasRequest || hasResponded)) {
                 ctx.close();
             }
         }
@@ -187,16 +187,16 @@
         }
 
         /** Puts a call together; one with too much of a body is answered here. */
-        private final class Whole extends HttpObjectAggregator {
-            Whole() {
-                super(MOST_BODY);
+        private final class RequestAggregator extends HttpObjectAggregator {
+            RequestAggregator() {
+                super(MAX_BODY_BYTES);
             }
 
             @Override
             protected void handleOversizedMessage(
                     ChannelHandlerContext ctx, HttpMessage oversized) {
-                answer(
-                        Answer.of(
+                respond(
+                        AdminResponse.of(
                                 HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
                                 "the body is too long"));
             }
--- a/node/src/main/java/frostrelay/lifecycle/ActionGuard.java
+++ b/node/src/main/java/frostrelay/lifecycle/ActionGuard.java
@@ -8,7 +8,7 @@
  */
 public final class ActionGuard {
     /** This process may be held up for so long between reading its clock and writing. */
-    public static final long HELD_UP = 150_000_000L;
+    public static final long MAX_PROCESS_STALL_NANOS = 150_000_000L;
 
     /** What never ends. */
     public static final long NEVER = Long.MAX_VALUE;
@@ -18,25 +18,25 @@
      * is on the way, and a close would cross it. A slow way there takes 60 ms, a busy client some
      * more.
      */
-    private static final long NEWCOMER = 300_000_000L;
+    private static final long NEW_CONNECTION_GRACE_NANOS = 300_000_000L;
 
     /**
      * Of the 100 ms within which a client that left must be seen to, the rest is for the way of
      * what is sent.
      */
-    private static final long MOST_UNSEEN = 75_000_000L;
+    private static final long MAX_UNOBSERVED_NANOS = 75_000_000L;
 
     /**
      * The terms allow 150 ms by which a wait may be overstated, and as much for which this process
      * may be held up before it writes: what comes on top, such as the client's own way, is taken
      * off; of short waits only a part.
      */
-    private static final long MOST_TOLD_LESS = 60_000_000L;
+    private static final long MAX_TIMEOUT_MARGIN_NANOS = 60_000_000L;
 
-    private static final long TOLD_LESS_PART = 8;
+    private static final long TIMEOUT_MARGIN_DIVISOR = 8;
 
     /** Whether an attempt may be written, or why not. */
-    public enum Verdict {
+    public enum SendDecision {
         /** It may. */
         ALLOWED,
         /** The request has its final answer, or its client has left. */
@@ -45,11 +45,11 @@
          * Its client's connection was not looked at for so long that the client may have left
          * unseen.
          */
-        CLIENT_UNSEEN,
+        CLIENT_UNOBSERVED,
         /** The time to answer the request, or to wait for this attempt, is up. */
         TIME_UP,
         /** The server was told to drain, is gone or is held by operators, and the grace is over. */
-        SERVER_LEFT,
+        SERVER_UNAVAILABLE,
         /** An earlier attempt may have run, and a second run could have a second effect. */
         MAY_HAVE_RUN
     }
@@ -57,23 +57,23 @@
     /**
      * What is known of an attempt that is about to be written.
      *
-     * @param requestOver whether the request has its final answer or its client has left
-     * @param unseenSince since when its client could have left without being seen to; {@link
+     * @param isRequestOver whether the request has its final answer or its client has left
+     * @param unobservedSinceNanos since when its client could have left without being seen to; {@link
      *     #NEVER} while it is watched
-     * @param cutAt until when the attempt is waited for; its server is told what is left of that
-     * @param answerBy when the request's final answer is due
-     * @param serverUntil when the last send to the server may begin; {@link #NEVER} while it is in
+     * @param attemptDeadlineNanos until when the attempt is waited for; its server is told what is left of that
+     * @param requestDeadlineNanos when the request's final answer is due
+     * @param serverUsableUntilNanos when the last send to the server may begin; {@link #NEVER} while it is in
      *     use
-     * @param repeatUntil when it may be sent at the latest, for what its earlier attempts may have
+     * @param retryUntilNanos when it may be sent at the latest, for what its earlier attempts may have
      *     done; {@link #NEVER} for no limit
      */
-    public record Send(
-            boolean requestOver,
-            long unseenSince,
-            long cutAt,
-            long answerBy,
-            long serverUntil,
-            long repeatUntil) {}
+    public record PendingSend(
+            boolean isRequestOver,
+            long unobservedSinceNanos,
+            long attemptDeadlineNanos,
+            long requestDeadlineNanos,
+            long serverUsableUntilNanos,
+            long retryUntilNanos) {}
 
     /** How clients are being sent away; null while they are welcome. */
     private DrainSchedule schedule;
@@ -82,20 +82,20 @@
      * From now on clients are sent away by this schedule; null welcomes them again, unless this
      * process is shutting down.
      */
-    public void follow(DrainSchedule fresh) {
+    public void setSchedule(DrainSchedule newSchedule) {
         if (!isShuttingDown()) {
-            schedule = fresh;
+            schedule = newSchedule;
         }
     }
 
     /** Whether clients are being sent away, for whatever reason. */
-    public boolean sendsClientsAway() {
+    public boolean isDraining() {
         return schedule != null;
     }
 
     /** Whether this process ends. */
     public boolean isShuttingDown() {
-        return schedule != null && schedule.shutdown();
+        return schedule != null && schedule.isShutdown();
     }
 
     /**
@@ -103,27 +103,27 @@
      * effect.
      */
     public boolean mayAccept(long now) {
-        return schedule == null || now < schedule.acceptUntil();
+        return schedule == null || now < schedule.acceptUntilNanos();
     }
 
     /**
      * Whether a client could have left too long ago: nothing is begun for one that left more than
      * 100 ms before.
      *
-     * @param unseenSince since when it could have left without being seen to; {@link #NEVER} while
+     * @param unobservedSinceNanos since when it could have left without being seen to; {@link #NEVER} while
      *     it is watched
      */
-    public boolean isUnseen(long now, long unseenSince) {
-        return unseenSince != NEVER && now - unseenSince > MOST_UNSEEN;
+    public boolean isClientUnobserved(long now, long unobservedSinceNanos) {
+        return unobservedSinceNanos != NEVER && now - unobservedSinceNanos > MAX_UNOBSERVED_NANOS;
     }
 
     /**
-     * When the final answer of a request is due that came at {@code arrivedAt} and whose client
-     * waits for {@code wait}.
+     * When the final answer of a request is due that came at {@code arrivedAtNanos} and whose client
+     * waits for {@code timeoutNanos}.
      */
-    public long answerBy(long arrivedAt, long wait) {
-        long clientUntil = arrivedAt + wait;
-        return schedule == null ? clientUntil : Math.min(clientUntil, schedule.answerUntil());
+    public long requestDeadlineNanos(long arrivedAtNanos, long timeoutNanos) {
+        long clientDeadlineNanos = arrivedAtNanos + timeoutNanos;
+        return schedule == null ? clientDeadlineNanos : Math.min(clientDeadlineNanos, schedule.answerUntilNanos());
     }
 
     /**
@@ -131,45 +131,45 @@
      * than the client has left once this process has been held up for a moment and the bytes have
      * had their way.
      */
-    public long tellableWait(long now, long cutAt, long answerBy) {
-        long clientLeft = answerBy - now;
-        long margin = Math.min(MOST_TOLD_LESS, clientLeft / TOLD_LESS_PART);
-        return Math.min(cutAt - now, clientLeft - margin);
+    public long forwardedTimeoutNanos(long now, long attemptDeadlineNanos, long requestDeadlineNanos) {
+        long clientRemainingNanos = requestDeadlineNanos - now;
+        long marginNanos = Math.min(MAX_TIMEOUT_MARGIN_NANOS, clientRemainingNanos / TIMEOUT_MARGIN_DIVISOR);
+        return Math.min(attemptDeadlineNanos - now, clientRemainingNanos - marginNanos);
     }
 
     /** Whether an attempt may be written now. */
-    public Verdict maySend(long now, Send send) {
-        if (send.requestOver) {
-            return Verdict.REQUEST_OVER;
+    public SendDecision checkSend(long now, PendingSend send) {
+        if (send.isRequestOver) {
+            return SendDecision.REQUEST_OVER;
         }
-        if (isUnseen(now, send.unseenSince)) {
-            return Verdict.CLIENT_UNSEEN;
+        if (isClientUnobserved(now, send.unobservedSinceNanos)) {
+            return SendDecision.CLIENT_UNOBSERVED;
         }
-        if (now >= send.cutAt || now >= send.answerBy) {
-            return Verdict.TIME_UP;
+        if (now >= send.attemptDeadlineNanos || now >= send.requestDeadlineNanos) {
+            return SendDecision.TIME_UP;
         }
-        if (now >= send.serverUntil) {
-            return Verdict.SERVER_LEFT;
+        if (now >= send.serverUsableUntilNanos) {
+            return SendDecision.SERVER_UNAVAILABLE;
         }
-        return now >= send.repeatUntil ? Verdict.MAY_HAVE_RUN : Verdict.ALLOWED;
+        return now >= send.retryUntilNanos ? SendDecision.MAY_HAVE_RUN : SendDecision.ALLOWED;
     }
 
     /**
      * Whether a client's connection on which no request is open may be closed because clients are
      * sent away.
      *
-     * @param spoke whether a request was ever accepted on it
-     * @param quietSince when it came, or fell idle
-     * @param incomplete whether a request has come in part
+     * @param hasAcceptedRequest whether a request was ever accepted on it
+     * @param idleSinceNanos when it came, or fell idle
+     * @param hasPartialRequest whether a request has come in part
      */
-    public boolean mayCloseQuiet(long now, boolean spoke, long quietSince, boolean incomplete) {
+    public boolean mayCloseIdle(long now, boolean hasAcceptedRequest, long idleSinceNanos, boolean hasPartialRequest) {
         if (schedule == null) {
             return false;
         }
-        if (now >= schedule.answerUntil()) {
+        if (now >= schedule.answerUntilNanos()) {
             return true;
         }
-        boolean newcomer = !spoke && now - quietSince < NEWCOMER;
-        return !newcomer && now >= (incomplete ? schedule.incompleteUntil() : schedule.idleUntil());
+        boolean isNewConnection = !hasAcceptedRequest && now - idleSinceNanos < NEW_CONNECTION_GRACE_NANOS;
+        return !isNewConnection && now >= (hasPartialRequest ? schedule.partialRequestUntilNanos() : schedule.idleUntilNanos());
     }
 }
--- a/node/src/main/java/frostrelay/lifecycle/HoldStore.java
+++ b/node/src/main/java/frostrelay/lifecycle/AdminStateStore.java
@@ -23,46 +23,46 @@
  * outlasts the process. Every process of the balancer may change it, one at a time, and replaces it
  * whole, so that no reader finds half of it. Waits for files.
  */
-final class HoldStore {
+final class AdminStateStore {
     /** A longer file is none of ours. */
-    private static final long MOST_BYTES = 1024 * 1024;
+    private static final long MAX_FILE_BYTES = 1024 * 1024;
 
     private final String name;
     private final Path file;
-    private final Path lock;
-    private final Path draft;
+    private final Path lockFile;
+    private final Path temporaryFile;
 
     /** What was read or written last: it stands while the file cannot be read. */
-    private Set<String> last = Set.of();
+    private Set<String> lastKnown = Set.of();
 
-    private boolean unreadable;
+    private boolean isUnreadable;
 
     /** {@code name}: of the file in the folder, and of the list in it. */
-    HoldStore(Path folder, String name) {
+    AdminStateStore(Path directory, String name) {
         this.name = name;
-        file = folder.resolve(name + ".json");
-        lock = folder.resolve(name + ".lock");
-        draft = folder.resolve(name + ".draft");
+        file = directory.resolve(name + ".json");
+        lockFile = directory.resolve(name + ".lock");
+        temporaryFile = directory.resolve(name + ".draft");
     }
 
     /** The ids held; those known last if the file is torn or somebody else's. */
     Set<String> read() {
         try {
-            last = parse();
-            unreadable = false;
+            lastKnown = parse();
+            isUnreadable = false;
         } catch (NoSuchFileException e) {
-            last = Set.of();
+            lastKnown = Set.of();
         } catch (IOException | RuntimeException e) {
-            if (!unreadable) {
-                Log.write(Event.HOLDS_UNREADABLE, file, e.getMessage());
+            if (!isUnreadable) {
+                Log.write(Event.ADMIN_DRAINS_UNREADABLE, file, e.getMessage());
             }
-            unreadable = true;
+            isUnreadable = true;
         }
-        return last;
+        return lastKnown;
     }
 
     private Set<String> parse() throws IOException {
-        if (Files.size(file) > MOST_BYTES) {
+        if (Files.size(file) > MAX_FILE_BYTES) {
             throw new IOException("it is too long");
         }
         Object json = JSON.std.anyFrom(Files.readString(file, StandardCharsets.UTF_8));
@@ -76,25 +76,25 @@
     }
 
     /** Holds an id or lets it go, and returns all that are held then. */
-    Set<String> change(String id, boolean out) throws IOException {
-        try (FileChannel guard =
-                FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-            guard.lock();
+    Set<String> change(String id, boolean isPresent) throws IOException {
+        try (FileChannel lockChannel =
+                FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
+            lockChannel.lock();
             Set<String> ids = new TreeSet<>(read());
             // Letting go of nothing in particular is letting go of everything.
-            if (out
+            if (isPresent
                     ? ids.add(id)
                     : id.isEmpty() ? ids.removeAll(Set.copyOf(ids)) : ids.remove(id)) {
                 Files.writeString(
-                        draft, JSON.std.asString(Map.of(name, ids)), StandardCharsets.UTF_8);
+                        temporaryFile, JSON.std.asString(Map.of(name, ids)), StandardCharsets.UTF_8);
                 Files.move(
-                        draft,
+                        temporaryFile,
                         file,
                         StandardCopyOption.ATOMIC_MOVE,
                         StandardCopyOption.REPLACE_EXISTING);
             }
-            last = Set.copyOf(ids);
-            return last;
+            lastKnown = Set.copyOf(ids);
+            return lastKnown;
         }
     }
 }
--- a/node/src/main/java/frostrelay/lifecycle/Siblings.java
+++ b/node/src/main/java/frostrelay/lifecycle/ProcessRegistry.java
@@ -20,83 +20,83 @@
  * file whose lock is free is a dead one's. The file tells what its process has in use. All of this
  * waits for files.
  */
-final class Siblings implements AutoCloseable {
+final class ProcessRegistry implements AutoCloseable {
     /** What the others amount to. */
-    record Others(int count, Usage usage) {
-        private static final Others NONE = new Others(0, Usage.NONE);
+    record PeerProcesses(int count, DescriptorUsage usage) {
+        private static final PeerProcesses NONE = new PeerProcesses(0, DescriptorUsage.NONE);
 
-        private Others plus(Usage one) {
-            return new Others(count + 1, usage.plus(one));
+        private PeerProcesses plus(DescriptorUsage processUsage) {
+            return new PeerProcesses(count + 1, usage.plus(processUsage));
         }
     }
 
     private static final String PREFIX = "serving-";
 
-    private final Path folder;
-    private final Path own;
-    private FileChannel announced;
+    private final Path directory;
+    private final Path ownFile;
+    private FileChannel ownChannel;
 
     /** The folder could not be read, and the log says so. */
-    private boolean blind;
+    private boolean isUnreadable;
 
     /** {@code name} is this process's own among those that share the folder. */
-    Siblings(Path folder, String name) {
-        this.folder = folder;
-        this.own = folder.resolve(PREFIX + name);
+    ProcessRegistry(Path directory, String name) {
+        this.directory = directory;
+        this.ownFile = directory.resolve(PREFIX + name);
     }
 
     /** Tells the others that this process serves, until it ends. */
     void announce() {
         try {
-            announced = FileChannel.open(own, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-            announced.lock();
+            ownChannel = FileChannel.open(ownFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            ownChannel.lock();
         } catch (IOException e) {
-            Log.write(Event.SIBLINGS_UNSEEN, "they cannot see this one: " + e);
+            Log.write(Event.PEER_PROCESSES_UNREADABLE, "they cannot see this one: " + e);
         }
     }
 
     /** Tells the others what this process has in use. */
-    void tell(Usage usage) throws IOException {
-        if (announced != null) {
-            announced.write(usage.encode(), 0);
+    void publish(DescriptorUsage usage) throws IOException {
+        if (ownChannel != null) {
+            ownChannel.write(usage.encode(), 0);
         }
     }
 
     /** The other processes of this balancer that serve now. */
-    Others others() {
-        Others others = Others.NONE;
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
+    PeerProcesses servingPeers() {
+        PeerProcesses peers = PeerProcesses.NONE;
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(directory, PREFIX + "*")) {
             for (Path file : files) {
-                Usage usage = file.equals(own) ? null : read(file);
-                others = usage == null ? others : others.plus(usage);
+                DescriptorUsage usage = file.equals(ownFile) ? null : read(file);
+                peers = usage == null ? peers : peers.plus(usage);
             }
-            blind = false;
+            isUnreadable = false;
         } catch (IOException e) {
-            if (!blind) {
-                Log.write(Event.SIBLINGS_UNSEEN, e.toString());
+            if (!isUnreadable) {
+                Log.write(Event.PEER_PROCESSES_UNREADABLE, e.toString());
             }
-            blind = true;
+            isUnreadable = true;
         }
-        return others;
+        return peers;
     }
 
     /** What the process has in use whose file this is; null if it is dead. */
-    private static Usage read(Path file) throws IOException {
+    private static DescriptorUsage read(Path file) throws IOException {
         try (FileChannel channel =
                 FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            if (isFree(channel)) {
+            if (isUnlocked(channel)) {
                 Files.deleteIfExists(file);
                 return null;
             }
-            ByteBuffer bytes = Usage.buffer();
+            ByteBuffer bytes = DescriptorUsage.allocateBuffer();
             channel.read(bytes, 0);
-            return Usage.decode(bytes.flip());
+            return DescriptorUsage.decode(bytes.flip());
         } catch (NoSuchFileException e) {
             return null;
         }
     }
 
-    private static boolean isFree(FileChannel channel) throws IOException {
+    private static boolean isUnlocked(FileChannel channel) throws IOException {
         try (FileLock lock = channel.tryLock()) {
             return lock != null;
         } catch (OverlappingFileLockException e) {
@@ -107,10 +107,10 @@
 
     @Override
     public void close() throws IOException {
-        if (announced != null) {
-            announced.close();
-            announced = null;
+        if (ownChannel != null) {
+            ownChannel.close();
+            ownChannel = null;
         }
-        Files.deleteIfExists(own);
+        Files.deleteIfExists(ownFile);
     }
 }
--- a/node/src/main/java/frostrelay/log/Event.java
+++ b/node/src/main/java/frostrelay/log/Event.java
@@ -9,9 +9,9 @@
  * docs/events.md} is made from this and a test holds it to it.
  */
 public enum Event {
-    SERVES(Level.INFO, "Clients are taken from now on.", "listen", "console"),
+    SERVING(Level.INFO, "Clients are taken from now on.", "listen", "console"),
     CANNOT_START(Level.ERROR, "It ends with 1.", "reason"),
-    STOPS(
+    SHUTDOWN_STARTED(
             Level.INFO,
             "SIGTERM came: requests are accepted and answered for so many milliseconds more.",
             "replaced",
@@ -27,16 +27,16 @@
             "requests"),
     REQUEST(Level.DEBUG, "A request changed its state.", "id", "state", "detail"),
     CLIENT_CLOSED(Level.DEBUG, "A client's connection ended.", "client", "reason", "unanswered"),
-    STOPPED_SHORT(Level.ERROR, "The orderly stop failed; the process ends all the same.", "reason"),
+    SHUTDOWN_FAILED(Level.ERROR, "The orderly stop failed; the process ends all the same.", "reason"),
     SIGNAL_IGNORED(
             Level.WARN,
             "It was started where SIGHUP is ignored, as under nohup: a replaced configuration is"
                     + " found by looking at the file instead.",
             "signal",
             "look-ms"),
-    SETTINGS_TAKEN(
+    SETTINGS_APPLIED(
             Level.INFO, "A replaced configuration holds from now on.", "classes", "attempts"),
-    SETTINGS_REFUSED(
+    SETTINGS_REJECTED(
             Level.ERROR,
             "A replaced configuration cannot be used; the old one stays, whole.",
             "reason"),
@@ -45,113 +45,113 @@
             "What has been counted since the start, every ten seconds; what is 0 is left out.",
             "counts",
             "gauges"),
-    DRAIN_BEGINS(Level.INFO, "Operators send the clients away."),
-    DRAIN_ENDS(Level.INFO, "Clients are taken again."),
-    HOLDS(Level.INFO, "What operators hold out of use has changed.", "caches"),
-    SIBLING_SERVES(
+    DRAIN_STARTED(Level.INFO, "Operators send the clients away."),
+    DRAIN_ENDED(Level.INFO, "Clients are taken again."),
+    ADMIN_DRAINS(Level.INFO, "What operators hold out of use has changed.", "caches"),
+    PEER_PROCESS_SERVING(
             Level.INFO,
             "Another process of this balancer serves: descriptors are shared with it.",
             "others"),
-    SIBLING_ENDED(Level.INFO, "Another process of this balancer has ended.", "others"),
-    SIBLINGS_UNSEEN(
+    PEER_PROCESS_ENDED(Level.INFO, "Another process of this balancer has ended.", "others"),
+    PEER_PROCESSES_UNREADABLE(
             Level.WARN,
             "Other processes of this balancer cannot be looked for, or cannot see this one.",
             "reason"),
-    HOLDS_UNREADABLE(
+    ADMIN_DRAINS_UNREADABLE(
             Level.WARN,
             "The file of holds is torn or somebody else's; those known so far stay.",
             "file",
             "reason"),
-    FOLDER_FAILED(Level.WARN, "A look at the folder shared with other processes failed.", "reason"),
-    CALL_FAILED(Level.WARN, "An operators' call could not be carried out.", "reason"),
-    DISCOVERY_MOVES(Level.INFO, "The configuration names another discovery.", "from", "to"),
-    DISCOVERY_MOVED(Level.INFO, "The other discovery has answered.", "at", "version", "known"),
+    SHARED_DIRECTORY_FAILED(Level.WARN, "A look at the folder shared with other processes failed.", "reason"),
+    ADMIN_CALL_FAILED(Level.WARN, "An operators' call could not be carried out.", "reason"),
+    DISCOVERY_ADDRESS_CHANGED(Level.INFO, "The configuration names another discovery.", "from", "to"),
+    DISCOVERY_ADDRESS_CONNECTED(Level.INFO, "The other discovery has answered.", "at", "version", "known"),
     DISCOVERY_FAILED(
             Level.WARN,
             "A call or a watch ended without a list; the module says when to ask again. `silence`: another one is opened at once.",
             "reason"),
-    PEER(
+    PROTOCOL_VIOLATION(
             Level.WARN,
             "A peer did what the protocol does not allow. At most 20 such lines between two counts.",
             "what"),
-    VIOLATION(
+    INVARIANT_VIOLATION(
             Level.ERROR,
             "What must never happen did: a fault of this program, or a machine that gave it no time. Bounded as lines"
                     + " of peers are.",
             "invariant",
             "what"),
-    UNEXPECTED(
+    UNEXPECTED_EXCEPTION(
             Level.ERROR,
             "An exception that nobody expected. Bounded as lines of peers are.",
             "where",
             "exception",
             "trace"),
-    LIBRARY(
+    LIBRARY_WARNING(
             Level.WARN,
             "A library complains. At most 100 such lines in a process's life.",
             "logger",
             "message",
             "exception"),
-    PEERS_TALK(
+    GOSSIP_STARTED(
             Level.INFO,
             "It talks with the balancers of its tier from now on.",
             "at",
             "number",
             "of",
             "ceiling"),
-    PEERS_SILENT(Level.WARN, "It was to talk with its peers and does not.", "reason"),
+    GOSSIP_DISABLED(Level.WARN, "It was to talk with its peers and does not.", "reason"),
     PEER_STATE(
             Level.INFO,
             "What is believed of another balancer has changed. At most 200 such lines between two counts.",
             "number",
             "state",
             "said-by"),
-    STRAGGLER(
+    STALE_INSTANCE(
             Level.WARN,
             "This balancer has become a straggler, or is none any more, or a version has two contents.",
             "what"),
-    AVOIDS(
+    CACHES_AVOIDED(
             Level.INFO,
             "So many caches are avoided on others' word, as their lists or their operators' holds have it.",
             "caches",
             "list",
             "others-list",
             "held"),
-    STAYS_BEHIND(
+    VERSION_NOT_FOLLOWED(
             Level.ERROR,
             "Others act on a newer version and fail under it: it is not followed. Operators decide.",
             "kind",
             "number",
             "why"),
-    SERVES_WORSE(
+    DEGRADATION_REPORTED(
             Level.WARN,
             "By its own counts this balancer serves worse since it took a version of these kinds; others are told.",
             "kinds",
             "list",
             "config"),
-    SETTINGS_HANDED_OVER(
+    SETTINGS_RECEIVED_FROM_PEER(
             Level.INFO,
             "Settings that its file lacks came from another balancer, whole by their digest.",
             "config"),
-    FINDS_BAD(
+    OUTLIER_REPORTED(
             Level.INFO,
             "By its own attempts this balancer finds a cache bad and tells others. Bounded likewise.",
             "cache"),
-    LOWERS(
+    OUTLIERS_DOWNWEIGHTED(
             Level.INFO,
             "Exactly these caches are lowered now, as others find them bad. Bounded as lines on peers' states are.",
             "caches"),
     OVERRIDES(Level.INFO, "What operators decided in place of the program has changed.", "decided"),
-    STEPS_ASIDE(
+    STALE_DRAIN_STARTED(
             Level.WARN,
             "Behind for long and not brought up, it sends clients away until it is current.",
             "why"),
-    COMES_BACK(Level.INFO, "It is current again, or may not be aside, and takes clients.", "why"),
-    AUDIT_LACKS(
+    STALE_DRAIN_ENDED(Level.INFO, "It is current again, or may not be aside, and takes clients.", "why"),
+    AUDIT_GAP(
             Level.ERROR,
             "The audit's record cannot be written; what is missing is named in it as a gap. Service goes on.",
             "reason"),
-    REHEARSED(Level.INFO, "The build has played a balancer's life once.", "answers");
+    CLASS_ARCHIVE_TRAINED(Level.INFO, "The build has played a balancer's life once.", "answers");
 
     /** How much it matters. */
     public final Level level;
@@ -169,12 +169,12 @@
     }
 
     /** The name in the log. */
-    public String word() {
+    public String logName() {
         return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
     }
 
     /** The page on all events. */
-    public static String page() {
+    public static String renderDocumentation() {
         StringBuilder page =
                 new StringBuilder(
                         "# What the balancer logs\n\n"
@@ -184,7 +184,7 @@
                                 + "| event | level | fields | meaning |\n| --- | --- | --- | --- |\n");
         for (Event event : values()) {
             page.append("| `")
-                    .append(event.word())
+                    .append(event.logName())
                     .append("` | ")
                     .append(event.level.toString().toLowerCase(java.util.Locale.ROOT))
                     .append(" | ")
--- a/node/src/main/java/frostrelay/log/LineEncoder.java
+++ b/node/src/main/java/frostrelay/log/LineEncoder.java
@@ -26,12 +26,12 @@
  * missing descriptors, this would fail in turn.
  */
 final class LineEncoder extends EncoderBase<ILoggingEvent> {
-    private static final int MOST_TEXT = 2_000;
+    private static final int MAX_TEXT_LENGTH = 2_000;
     private static final JsonFactory JSON = new JsonFactory();
-    private final boolean json;
+    private final boolean isJson;
 
-    LineEncoder(boolean json) {
-        this.json = json;
+    LineEncoder(boolean isJson) {
+        this.isJson = isJson;
     }
 
     @Override
@@ -49,10 +49,10 @@
         Map<String, Object> fields = fields(event);
         String time = Instant.ofEpochMilli(event.getTimeStamp()).toString();
         String level = event.getLevel().toString().toLowerCase(Locale.ROOT);
-        String balancer = event.getLoggerContextVO().getPropertyMap().get(LogSetup.BALANCER);
-        boolean own = event.getLoggerName().equals(Log.NAME);
-        String name = own ? event.getMessage() : Event.LIBRARY.word();
-        return (json
+        String balancer = event.getLoggerContextVO().getPropertyMap().get(LogSetup.BALANCER_PROPERTY);
+        boolean isBalancerEvent = event.getLoggerName().equals(Log.NAME);
+        String name = isBalancerEvent ? event.getMessage() : Event.LIBRARY_WARNING.logName();
+        return (isJson
                         ? json(time, level, name, balancer, fields)
                         : text(time, level, name, balancer, fields))
                 .getBytes(StandardCharsets.UTF_8);
@@ -88,7 +88,7 @@
             }
             for (Map.Entry<String, Object> field : fields.entrySet()) {
                 out.writeFieldName(field.getKey());
-                value(out, field.getValue());
+                writeValue(out, field.getValue());
             }
             out.writeEndObject();
         } catch (IOException e) {
@@ -97,7 +97,7 @@
         return line.append('\n').toString();
     }
 
-    private static void value(JsonGenerator out, Object value) throws IOException {
+    private static void writeValue(JsonGenerator out, Object value) throws IOException {
         if (value instanceof Double || value instanceof Float) {
             out.writeNumber(((Number) value).doubleValue());
         } else if (value instanceof Number number) {
@@ -107,43 +107,43 @@
         } else if (value instanceof Iterable<?> list) {
             out.writeStartArray();
             for (Object item : list) {
-                value(out, item);
+                writeValue(out, item);
             }
             out.writeEndArray();
         } else if (value instanceof Map<?, ?> map) {
             out.writeStartObject();
             for (Map.Entry<?, ?> entry : map.entrySet()) {
                 out.writeFieldName(String.valueOf(entry.getKey()));
-                value(out, entry.getValue());
+                writeValue(out, entry.getValue());
             }
             out.writeEndObject();
         } else {
-            out.writeString(show(value));
+            out.writeString(format(value));
         }
     }
 
     private static String text(
             String time, String level, String name, String balancer, Map<String, Object> fields) {
-        List<String> words = new ArrayList<>();
+        List<String> pairs = new ArrayList<>();
         // No peer may end a line, or begin one that looks like ours.
         fields.forEach(
-                (key, value) -> words.add(key + "=" + show(value).replaceAll("\\p{Cntrl}", "?")));
+                (key, value) -> pairs.add(key + "=" + format(value).replaceAll("\\p{Cntrl}", "?")));
         return time
                 + ' '
                 + String.format(Locale.ROOT, "%-5s", level)
                 + ' '
                 + (balancer == null ? "" : balancer + ' ')
                 + name
-                + (words.isEmpty() ? "" : "  ")
-                + String.join(" ", words)
+                + (pairs.isEmpty() ? "" : "  ")
+                + String.join(" ", pairs)
                 + '\n';
     }
 
-    private static String show(Object value) {
+    private static String format(Object value) {
         String text =
                 value instanceof InetSocketAddress address
                         ? address.getHostString() + ':' + address.getPort()
                         : String.valueOf(value);
-        return text.length() > MOST_TEXT ? text.substring(0, MOST_TEXT) + "..." : text;
+        return text.length() > MAX_TEXT_LENGTH ? text.substring(0, MAX_TEXT_LENGTH) + "..." : text;
     }
 }
--- a/node/src/main/java/frostrelay/log/Log.java
+++ b/node/src/main/java/frostrelay/log/Log.java
@@ -26,7 +26,7 @@
         if (values.length != event.fields.size()) {
             throw new IllegalArgumentException(event + " has the fields " + event.fields);
         }
-        LoggingEventBuilder line = LOGGER.atLevel(event.level).setMessage(event.word());
+        LoggingEventBuilder line = LOGGER.atLevel(event.level).setMessage(event.logName());
         for (int i = 0; i < values.length; i++) {
             if (values[i] != null) {
                 line = line.addKeyValue(event.fields.get(i), values[i]);
--- a/node/src/main/java/frostrelay/log/LogSetup.java
+++ b/node/src/main/java/frostrelay/log/LogSetup.java
@@ -26,13 +26,13 @@
         AUTO
     }
 
-    static final String BALANCER = "balancer";
+    static final String BALANCER_PROPERTY = "balancer";
 
     /**
      * Lines that libraries may write in a process's life; what they say after that is the same
      * again.
      */
-    private static final int MOST_LIBRARY_LINES = 100;
+    private static final int MAX_LIBRARY_LINES = 100;
 
     @Override
     public ExecutionStatus configure(LoggerContext context) {
@@ -41,13 +41,13 @@
     }
 
     /** From now on lines look so, name this balancer, and those below the level are left out. */
-    public static void apply(Format format, org.slf4j.event.Level least, String balancer) {
+    public static void apply(Format format, org.slf4j.event.Level minLevel, String balancer) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
-        context.putProperty(BALANCER, balancer);
-        apply(context, format, Level.convertAnSLF4JLevel(least));
+        context.putProperty(BALANCER_PROPERTY, balancer);
+        apply(context, format, Level.convertAnSLF4JLevel(minLevel));
     }
 
-    private static void apply(LoggerContext context, Format format, Level least) {
+    private static void apply(LoggerContext context, Format format, Level minLevel) {
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         root.detachAndStopAllAppenders();
         LineEncoder encoder =
@@ -63,17 +63,17 @@
         appender.start();
         root.addAppender(appender);
         root.setLevel(Level.WARN);
-        context.getLogger(Log.NAME).setLevel(least);
+        context.getLogger(Log.NAME).setLevel(minLevel);
     }
 
     /** Lets our own lines through and so many of others. */
     private static final class LibraryLimit extends Filter<ILoggingEvent> {
-        private final AtomicInteger lines = new AtomicInteger();
+        private final AtomicInteger lineCount = new AtomicInteger();
 
         @Override
         public FilterReply decide(ILoggingEvent event) {
             return event.getLoggerName().equals(Log.NAME)
-                            || lines.incrementAndGet() <= MOST_LIBRARY_LINES
+                            || lineCount.incrementAndGet() <= MAX_LIBRARY_LINES
                     ? FilterReply.NEUTRAL
                     : FilterReply.DENY;
         }
--- a/node/src/main/java/frostrelay/node/Exchange.java
+++ b/node/src/main/java/frostrelay/node/ActiveRequest.java
@@ -9,26 +9,26 @@
 import java.util.List;
 
 /** A request that was taken, from its arrival until the outcome of its last attempt. */
-final class Exchange {
+final class ActiveRequest {
     /** Where the one final answer goes, in whatever protocol. */
-    interface Client {
+    interface ResponseListener {
         /** {@code value}: what is still coming in, or null. */
-        void served(Reply reply, ValueStream value);
+        void onServed(UpstreamResponse response, ValueStream value);
 
-        /** Nothing has run. {@code retryAfterMs}: when to come back, 0 if nothing is said. */
-        void refused(long retryAfterMs);
+        /** Nothing has run. {@code retryAfterMillis}: when to come back, 0 if nothing is said. */
+        void onRejected(long retryAfterMillis);
 
-        void failed();
+        void onFailed();
 
         /**
          * Since when the client could have left without being seen to; {@link ActionGuard#NEVER}
          * while it is watched.
          */
-        long unseenSince(long now);
+        long disconnectUndetectableSince(long now);
     }
 
     final long id;
-    final Ask ask;
+    final ClientRequest clientRequest;
 
     /** Its class, as the settings had it when the request was accepted. */
     final Api.RequestClass requestClass;
@@ -37,36 +37,36 @@
      * When the final answer is due, on this program's clock; earlier than at first once a shutdown
      * began.
      */
-    long answerBy;
+    long deadlineNanos;
 
-    private final long acceptedAt;
+    private final long acceptedAtNanos;
     final List<Attempt> attempts = new ArrayList<>(2);
-    final Client client;
-    int pending;
+    final ResponseListener client;
+    int pendingOutcomes;
 
     /** Answered, or the client is gone: nothing is owed and nothing new goes out. */
-    boolean over;
+    boolean completed;
 
     /** The number of the attempt that was answered, -1 before. */
-    int winner = -1;
+    int winningAttempt = -1;
 
     /** Some attempt may have run. */
     boolean mayHaveRun;
 
-    Future<?> lastCall;
+    Future<?> fallbackTask;
 
-    Exchange(
+    ActiveRequest(
             long id,
-            Ask ask,
+            ClientRequest clientRequest,
             Api.RequestClass requestClass,
-            long acceptedAt,
-            long answerBy,
-            Client client) {
+            long acceptedAtNanos,
+            long deadlineNanos,
+            ResponseListener client) {
         this.id = id;
-        this.ask = ask;
+        this.clientRequest = clientRequest;
         this.requestClass = requestClass;
-        this.acceptedAt = acceptedAt;
-        this.answerBy = answerBy;
+        this.acceptedAtNanos = acceptedAtNanos;
+        this.deadlineNanos = deadlineNanos;
         this.client = client;
     }
 
@@ -74,17 +74,17 @@
      * By how much its final answer is late now; waiting in line behind others' answers does not
      * count.
      */
-    long lateness(long now) {
-        return now - Math.max(acceptedAt, answerBy);
+    long latenessNanos(long now) {
+        return now - Math.max(acceptedAtNanos, deadlineNanos);
     }
 
     /** Closes the request; true the first time only, so that there is never a second answer. */
-    boolean close() {
-        boolean first = !over;
-        over = true;
-        if (first && lastCall != null) {
-            lastCall.cancel(false);
+    boolean markCompleted() {
+        boolean isFirst = !completed;
+        completed = true;
+        if (isFirst && fallbackTask != null) {
+            fallbackTask.cancel(false);
         }
-        return first;
+        return isFirst;
     }
 }
--- /dev/null
+++ b/node/src/main/java/frostrelay/node/AppliedVersionTracker.java
@@ -0,0 +1,230 @@
+package frostrelay.node;
+
+import frostrelay.audit.AuditLog;
+import frostrelay.audit.Cause;
+import frostrelay.judgements.AttemptObservation;
+import frostrelay.peers.AppliedVersions;
+import frostrelay.policy.Api;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.function.LongSupplier;
+
+/**
+ * Puts the stamp together that this balancer acts under, has every change of it entered, and counts
+ * what is done.
+ */
+final class AppliedVersionTracker implements DecisionObserver {
+    private record ListedCache(int number, boolean ready, long serverStartMillis, long digest) {}
+
+    /** Hears of changes. */
+    interface Listener {
+        /** It acts on this from now on. */
+        void onVersionsApplied(AppliedVersions versions);
+
+        /**
+         * Operators hold these caches here, by their numbers, and the stamp has this digest for it.
+         */
+        void onAdminDrains(long digest, Set<Long> caches);
+
+        /**
+         * The list has changed: the caches that it names as ready, with their starts in
+         * milliseconds, and their names.
+         */
+        void onReadyCaches(Map<Long, Long> ready, Map<Long, String> names);
+
+        /** An attempt at a cache told this of it. */
+        void onAttemptObserved(long cache, AttemptObservation observation, long sentAtNanos);
+
+        /** What is done, for whoever counts. */
+        DecisionObserver trafficObserver();
+
+        /** By the list of that version a cache, by its number, may be used or may not. */
+        void onCacheReadiness(long revision, long cache, boolean ready);
+    }
+
+    private final AuditLog audit;
+    private final LongSupplier wallClock;
+    private final Listener listener;
+    private final Map<String, ListedCache> listedCaches = new HashMap<>();
+    private long listDigest;
+
+    /** {@code audit}: has the first stamp; {@code listener}: hears of each later one. */
+    AppliedVersionTracker(AuditLog audit, LongSupplier wallClock, Listener listener) {
+        this.audit = audit;
+        this.wallClock = wallClock;
+        this.listener = listener;
+    }
+
+    /** What a balancer acts on before it has taken any list. */
+    static AppliedVersions initialVersions(Config config, int build) {
+        return new AppliedVersions(build, config.version(), config.settingsDigest(), 0, 0, 0, 0);
+    }
+
+    @Override
+    public void onEndpointList(Api.ListMode mode, long revision, List<EndpointList.Endpoint> members) {
+        if (mode == Api.ListMode.FAILED) {
+            return;
+        }
+        if (mode != Api.ListMode.DELTA) {
+            Set<String> removed = new TreeSet<>(listedCaches.keySet());
+            members.forEach(member -> removed.remove(member.uid()));
+            removed.forEach(uid -> applyEntry(revision, uid, Api.State.REMOVED, listedCaches.get(uid).serverStartMillis));
+        }
+        members.forEach(
+                member ->
+                        applyEntry(
+                                revision,
+                                member.uid(),
+                                member.server().state(),
+                                member.server().startedAtNanos() / Clock.NANOS_PER_MILLISECOND));
+        Map<Long, Long> ready = new HashMap<>();
+        Map<Long, String> names = new HashMap<>();
+        listedCaches.forEach(
+                (uid, listed) -> {
+                    if (listed.ready) {
+                        ready.put(EndpointList.serverId(uid), listed.serverStartMillis);
+                        names.put(EndpointList.serverId(uid), uid);
+                    }
+                });
+        listener.onReadyCaches(ready, names);
+        AppliedVersions current = audit.appliedVersions();
+        apply(
+                new AppliedVersions(
+                        current.buildDigest(),
+                        current.configNumber(),
+                        current.configDigest(),
+                        revision,
+                        listDigest,
+                        current.adminDrainsDigest(),
+                        current.termsDigest()),
+                mode == Api.ListMode.CACHED ? Cause.START : Cause.DISCOVERY);
+    }
+
+    /** The list's digest is a sum, so that it is the same in whatever order entries come and go. */
+    private void applyEntry(long revision, String uid, Api.State state, long serverStartMillis) {
+        ListedCache previous = listedCaches.get(uid);
+        if (state == Api.State.REMOVED && previous == null) {
+            return;
+        }
+        long digest = state == Api.State.REMOVED ? 0 : Digests.of(uid + '|' + state + '|' + serverStartMillis);
+        listDigest += digest - (previous == null ? 0 : previous.digest);
+        int number = cacheNumber(uid);
+        boolean ready = state == Api.State.READY;
+        if (previous == null || previous.ready != ready || previous.serverStartMillis != serverStartMillis) {
+            audit.recordEndpoint(Clock.now(), number, ready, serverStartMillis);
+            if (previous != null || ready) {
+                listener.onCacheReadiness(revision, EndpointList.serverId(uid), ready);
+            }
+        }
+        if (state == Api.State.REMOVED) {
+            listedCaches.remove(uid);
+        } else {
+            listedCaches.put(uid, new ListedCache(number, ready, serverStartMillis, digest));
+        }
+    }
+
+    /** The caches that the list names as ready, by their numbers. */
+    Set<Long> readyCaches() {
+        Set<Long> ready = new HashSet<>();
+        listedCaches.forEach(
+                (uid, listed) -> {
+                    if (listed.ready) {
+                        ready.add(EndpointList.serverId(uid));
+                    }
+                });
+        return ready;
+    }
+
+    @Override
+    public void onConfig(Config config) {
+        AppliedVersions current = audit.appliedVersions();
+        apply(
+                new AppliedVersions(
+                        current.buildDigest(),
+                        config.version(),
+                        config.settingsDigest(),
+                        current.listRevision(),
+                        current.listDigest(),
+                        current.adminDrainsDigest(),
+                        current.termsDigest()),
+                Cause.FILE);
+    }
+
+    @Override
+    public void onAdminDrains(Set<String> names) {
+        AppliedVersions current = audit.appliedVersions();
+        long digest = names.isEmpty() ? 0 : Digests.of(String.join("\n", new TreeSet<>(names)));
+        apply(
+                new AppliedVersions(
+                        current.buildDigest(),
+                        current.configNumber(),
+                        current.configDigest(),
+                        current.listRevision(),
+                        current.listDigest(),
+                        digest,
+                        current.termsDigest()),
+                Cause.OPERATORS);
+        Set<Long> caches = new HashSet<>();
+        names.forEach(name -> caches.add(EndpointList.serverId(name)));
+        listener.onAdminDrains(digest, caches);
+    }
+
+    private void apply(AppliedVersions versions, Cause cause) {
+        if (!versions.equals(audit.appliedVersions())) {
+            audit.recordVersionsApplied(Clock.now(), wallClock.getAsLong(), versions, cause);
+            listener.onVersionsApplied(versions);
+        }
+    }
+
+    @Override
+    public void onConfigRejected(String reason) {
+        audit.recordRejection(Clock.now(), reason);
+    }
+
+    @Override
+    public int versionSequence() {
+        return audit.sequence();
+    }
+
+    @Override
+    public int cacheNumber(String uid) {
+        return audit.cacheNumber(Clock.now(), uid);
+    }
+
+    @Override
+    public void onAttemptSent(int versionSequence, int cache, int attempt, boolean hedged, ClientRequest request) {
+        audit.recordSend(Clock.now(), versionSequence, cache, attempt, hedged, request.id());
+        listener.trafficObserver().onAttemptSent(versionSequence, cache, attempt, hedged, request);
+    }
+
+    @Override
+    public void onAttemptObserved(long cache, AttemptObservation observation, long sentAtNanos) {
+        listener.onAttemptObserved(cache, observation, sentAtNanos);
+    }
+
+    @Override
+    public void onRequestAccepted(boolean clientRetry) {
+        listener.trafficObserver().onRequestAccepted(clientRetry);
+    }
+
+    @Override
+    public void onAttemptCompleted(Api.Reason result, Api.Source source) {
+        listener.trafficObserver().onAttemptCompleted(result, source);
+    }
+
+    @Override
+    public void onRequestRejected() {
+        audit.recordRejection();
+        listener.trafficObserver().onRequestRejected();
+    }
+
+    @Override
+    public void onRequestFailed() {
+        audit.recordFailure();
+    }
+}
--- a/node/src/main/java/frostrelay/node/Attempt.java
+++ b/node/src/main/java/frostrelay/node/Attempt.java
@@ -6,47 +6,47 @@
 
 /** One send of a request to a cache host; numbered by its place among the request's sends. */
 final class Attempt {
-    final Exchange exchange;
+    final ActiveRequest activeRequest;
     final int number;
 
     /** The host that it goes to, by its number on the list. */
-    final long server;
+    final long serverId;
 
-    final long sentAt;
-    final long cutAt;
+    final long sentAtNanos;
+    final long timeoutAtNanos;
 
     /** Which stamp it was decided on under, by its number in this life. */
-    final int under;
+    final int appliedVersionIndex;
 
     /** Set once, with the attempt's one outcome. */
-    boolean over;
+    boolean completed;
 
     /** That outcome; null before. */
-    Reason ended;
+    Reason result;
 
     /** Whether it went out whole. */
-    boolean sent;
+    boolean writeStarted;
 
-    /** Ends the wait at {@link #cutAt}. */
-    Future<?> cut;
+    /** Ends the wait at {@link #timeoutAtNanos}. */
+    Future<?> timeoutTask;
 
     /** The milliseconds that its server was told it is waited for; 0 before it is written. */
-    long toldMs;
+    long announcedTimeoutMillis;
 
     /** What carries it, or will once it is up; null before and after. */
-    Backend.Carrier carrier;
+    Upstream.AttemptConnection connection;
 
-    Attempt(Exchange exchange, int number, long server, long sentAt, long cutAt, int under) {
-        this.exchange = exchange;
+    Attempt(ActiveRequest activeRequest, int number, long serverId, long sentAtNanos, long timeoutAtNanos, int appliedVersionIndex) {
+        this.activeRequest = activeRequest;
         this.number = number;
-        this.server = server;
-        this.sentAt = sentAt;
-        this.cutAt = cutAt;
-        this.under = under;
+        this.serverId = serverId;
+        this.sentAtNanos = sentAtNanos;
+        this.timeoutAtNanos = timeoutAtNanos;
+        this.appliedVersionIndex = appliedVersionIndex;
     }
 
     /** Whether its last byte has left: from then on it may run. */
-    boolean written() {
-        return carrier != null && carrier.written();
+    boolean isWritten() {
+        return connection != null && connection.isWritten();
     }
 }
--- a/node/src/main/java/frostrelay/node/Rehearsal.java
+++ b/node/src/main/java/frostrelay/node/ClassArchiveTraining.java
@@ -1,6 +1,6 @@
 package frostrelay.node;
 
-import frostrelay.lifecycle.SharedFolder;
+import frostrelay.lifecycle.SharedDirectory;
 import frostrelay.log.Event;
 import frostrelay.log.Log;
 import frostrelay.policy.Router;
@@ -28,15 +28,15 @@
  * core for too long. Two balancers that talk come behind it, so that a start with talk, audit and
  * stragglers costs little more than one without.
  */
-public final class Rehearsal {
-    private static final int READS = 50;
-    private static final int LIMIT_MS = 20_000;
+public final class ClassArchiveTraining {
+    private static final int READ_COUNT = 50;
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
 
     /** Within this the two have greeted each other, probed and told their lists. */
-    private static final int TALK_MS = 1_500;
+    private static final int GOSSIP_WAIT_MILLIS = 1_500;
 
-    private static final FleetOptions TALKING =
-            new FleetOptions(
+    private static final ClusterOptions GOSSIP_OPTIONS =
+            new ClusterOptions(
                     true, 2048, true, true, true, true, true, true, 16 * 1024, false, null, 0);
     private static final String CONFIG =
             """
@@ -54,71 +54,71 @@
             """;
 
     /** What a peer answers to a line; null keeps it silent. */
-    private interface Script {
-        String answer(String line);
+    private interface ResponseScript {
+        String respond(String line);
     }
 
-    private Rehearsal() {}
+    private ClassArchiveTraining() {}
 
     /** Takes no arguments; fails if the rehearsal went wrong. */
     public static void main(String[] args) throws Exception {
-        int answers = play();
-        Log.write(Event.REHEARSED, answers);
+        int correctResponses = run();
+        Log.write(Event.CLASS_ARCHIVE_TRAINED, correctResponses);
         System.exit(0);
     }
 
     /** Returns how many commands were answered as they should be. */
-    static int play() throws Exception {
+    static int run() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         EventLoop loop = group.next();
-        Path shared = Files.createTempDirectory("rehearsal");
-        try (ServerSocket discovery = peer(Rehearsal::list);
-                ServerSocket host = peer(Rehearsal::serve);
-                SharedFolder folder = new SharedFolder(shared, "rehearsal")) {
-            int[] ports = {discovery.getLocalPort(), host.getLocalPort(), talkPort(), talkPort()};
-            Node alone = start(loop, ports, 0, folder, Options.STANDARD);
-            int answers = ask(listen(loop, alone));
-            loop.submit(() -> alone.stop(false, Clock.now())).get().sync();
-            Options talking =
+        Path sharedPath = Files.createTempDirectory("rehearsal");
+        try (ServerSocket discovery = startServer(ClassArchiveTraining::respondAsDiscovery);
+                ServerSocket cacheServer = startServer(ClassArchiveTraining::respondAsCache);
+                SharedDirectory sharedDirectory = new SharedDirectory(sharedPath, "rehearsal")) {
+            int[] ports = {discovery.getLocalPort(), cacheServer.getLocalPort(), freeUdpPort(), freeUdpPort()};
+            Node standaloneNode = start(loop, ports, 0, sharedDirectory, Options.DEFAULTS);
+            int correctResponses = sendCommands(listen(loop, standaloneNode));
+            loop.submit(() -> standaloneNode.stop(false, Clock.now())).get().sync();
+            Options gossipOptions =
                     new Options(
-                            Options.STANDARD.logFormat(),
-                            Options.STANDARD.logLevel(),
+                            Options.DEFAULTS.logFormat(),
+                            Options.DEFAULTS.logLevel(),
                             0,
-                            Options.STANDARD.counts(),
-                            TALKING);
-            Node first = start(loop, ports, 0, folder, talking);
-            Node second = start(loop, ports, 1, folder, talking);
-            listen(loop, second);
-            answers += ask(listen(loop, first));
-            Thread.sleep(TALK_MS);
-            answers += loop.submit(first::audit).get() == null ? 0 : 1;
-            loop.submit(() -> second.stop(false, Clock.now())).get().sync();
-            loop.submit(() -> first.stop(false, Clock.now())).get().sync();
-            return answers;
+                            Options.DEFAULTS.reportIntervalNanos(),
+                            GOSSIP_OPTIONS);
+            Node firstNode = start(loop, ports, 0, sharedDirectory, gossipOptions);
+            Node secondNode = start(loop, ports, 1, sharedDirectory, gossipOptions);
+            listen(loop, secondNode);
+            correctResponses += sendCommands(listen(loop, firstNode));
+            Thread.sleep(GOSSIP_WAIT_MILLIS);
+            correctResponses += loop.submit(firstNode::auditStatement).get() == null ? 0 : 1;
+            loop.submit(() -> secondNode.stop(false, Clock.now())).get().sync();
+            loop.submit(() -> firstNode.stop(false, Clock.now())).get().sync();
+            return correctResponses;
         } finally {
             group.shutdownGracefully().sync();
-            Files.deleteIfExists(shared);
+            Files.deleteIfExists(sharedPath);
         }
     }
 
     private static Node start(
-            EventLoop loop, int[] ports, int rank, SharedFolder folder, Options options)
+            EventLoop loop, int[] ports, int rank, SharedDirectory sharedDirectory, Options options)
             throws Exception {
         byte[] json =
                 String.format(CONFIG, ports[0], ports[1], rank, ports[2 + rank], ports[2], ports[3])
                         .getBytes(StandardCharsets.UTF_8);
         Config config = Config.parse(Json.parse(json));
-        SharedFolder.Look look = folder.look();
+        SharedDirectory.Snapshot sharedState = sharedDirectory.snapshot();
         return loop.submit(
                         () ->
                                 new Node(
                                         config,
                                         loop,
                                         Router::new,
-                                        folder,
-                                        look,
+                                        sharedDirectory,
+                                        sharedState,
                                         options,
-                                        Seams.NONE))
+                                        TestHooks.NONE))
                 .get();
     }
 
@@ -127,50 +127,50 @@
                 loop.submit(node::start).get().sync().getNow().channel().localAddress();
     }
 
-    private static int talkPort() throws IOException {
-        try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            return free.getLocalPort();
+    private static int freeUdpPort() throws IOException {
+        try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
-    private static int ask(InetSocketAddress address) throws IOException {
+    private static int sendCommands(InetSocketAddress address) throws IOException {
         try (Socket client = new Socket(address.getAddress(), address.getPort())) {
-            client.setSoTimeout(LIMIT_MS);
+            client.setSoTimeout(READ_TIMEOUT_MILLIS);
             BufferedReader in = reader(client);
             PrintStream out =
                     new PrintStream(client.getOutputStream(), true, StandardCharsets.ISO_8859_1);
-            int answers =
-                    answered(in, out, "mn", "MN")
-                            + answered(in, out, "nonsense", "ERROR")
-                            + answered(in, out, "ms 5 1 O5 Pc=copy,t=t,d=900\r\nx", "HD O5 c1")
-                            + answered(
+            int correctResponses =
+                    countIfAnswered(in, out, "mn", "MN")
+                            + countIfAnswered(in, out, "nonsense", "ERROR")
+                            + countIfAnswered(in, out, "ms 5 1 O5 Pc=copy,t=t,d=900\r\nx", "HD O5 c1")
+                            + countIfAnswered(
                                     in,
                                     out,
                                     "mg silent v O6 Pc=read,t=t,d=60",
                                     "SERVER_ERROR busy");
-            for (int i = 0; i < READS; i++) {
-                answers += answered(in, out, "mg " + i + " v O7 Pc=read,t=t,d=900", "VA 1 O7");
+            for (int i = 0; i < READ_COUNT; i++) {
+                correctResponses += countIfAnswered(in, out, "mg " + i + " v O7 Pc=read,t=t,d=900", "VA 1 O7");
                 in.readLine();
             }
-            return answers;
+            return correctResponses;
         }
     }
 
-    private static int answered(BufferedReader in, PrintStream out, String command, String answer)
+    private static int countIfAnswered(BufferedReader in, PrintStream out, String command, String response)
             throws IOException {
         out.print(command + "\r\n");
         out.flush();
-        return answer.equals(in.readLine()) ? 1 : 0;
+        return response.equals(in.readLine()) ? 1 : 0;
     }
 
-    private static String serve(String command) {
+    private static String respondAsCache(String command) {
         if (command.startsWith("mg silent") || !command.startsWith("m")) {
             return null;
         }
         return command.startsWith("mg") ? "VA 1 O7 h1 Lutil=0.5\r\nv\r\n" : "HD O5 c1\r\n";
     }
 
-    private static String list(String line) {
+    private static String respondAsDiscovery(String line) {
         String json = "{\"rev\":2,\"all\":false,\"targets\":[]}";
         return line.isEmpty()
                 ? "HTTP/1.1 200 OK\r\nContent-Length: " + json.length() + "\r\n\r\n" + json
@@ -182,35 +182,35 @@
                 new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
     }
 
-    private static ServerSocket peer(Script script) throws IOException {
+    private static ServerSocket startServer(ResponseScript script) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         start(
                 () -> {
                     while (true) {
                         Socket socket = server.accept();
-                        start(() -> converse(socket, script));
+                        start(() -> serveConnection(socket, script));
                     }
                 });
         return server;
     }
 
-    private static void converse(Socket socket, Script script) throws IOException {
+    private static void serveConnection(Socket socket, ResponseScript script) throws IOException {
         try (socket) {
             BufferedReader in = reader(socket);
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                String answer = script.answer(line);
-                if (answer != null) {
-                    socket.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+                String response = script.respond(line);
+                if (response != null) {
+                    socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
         }
     }
 
-    private interface Task {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void start(Task task) {
+    private static void start(IoTask task) {
         Thread thread =
                 new Thread(
                         () -> {
--- a/node/src/main/java/frostrelay/node/Ask.java
+++ b/node/src/main/java/frostrelay/node/ClientRequest.java
@@ -7,7 +7,7 @@
  * What a client asks for, checked, whatever protocol it speaks: as much as a request's life needs
  * to know of it.
  */
-interface Ask {
+interface ClientRequest {
     /** Under which its hosts know the request. */
     String id();
 
@@ -17,22 +17,22 @@
     int tenant();
 
     /** The key as the module's number. */
-    long keyNumber();
+    long numericKey();
 
     /** How long the client waits, in milliseconds. */
-    long waitMs();
+    long clientTimeoutMillis();
 
     /** Expected work in nanoseconds, 0 if not told. */
-    long work();
+    long expectedWorkNanos();
 
     /** Whether the client says that it asks again. */
-    boolean repeat();
+    boolean isClientRetry();
 
-    boolean write();
+    boolean isWrite();
 
     /** Bytes that it holds until it is over. */
-    int bytes();
+    int sizeBytes();
 
     /** As a host is told it, with how long is left to wait. */
-    ByteBuf encode(ByteBufAllocator alloc, long leftMs);
+    ByteBuf encode(ByteBufAllocator alloc, long remainingMillis);
 }
--- a/node/src/main/java/frostrelay/node/Clock.java
+++ b/node/src/main/java/frostrelay/node/Clock.java
@@ -5,13 +5,13 @@
  * offset keeps it from ever falling, and start times told by discovery compare with it directly.
  */
 final class Clock {
-    static final long MILLISECOND = 1_000_000L;
-    static final long SECOND = 1_000_000_000L;
-    private static final long OFFSET = System.currentTimeMillis() * MILLISECOND - System.nanoTime();
+    static final long NANOS_PER_MILLISECOND = 1_000_000L;
+    static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long UNIX_OFFSET_NANOS = System.currentTimeMillis() * NANOS_PER_MILLISECOND - System.nanoTime();
 
     private Clock() {}
 
     static long now() {
-        return System.nanoTime() + OFFSET;
+        return System.nanoTime() + UNIX_OFFSET_NANOS;
     }
 }
--- a/node/src/main/java/frostrelay/node/CloseReason.java
+++ b/node/src/main/java/frostrelay/node/CloseReason.java
@@ -13,9 +13,9 @@
     /** It was closed to make room for another connection. */
     EVICTED,
     /** It came while there was no room for it, was refused, and ended. */
-    SURPLUS,
+    OVER_CONNECTION_LIMIT,
     /** It came while there was not even room to refuse it. */
-    TURNED_AWAY,
+    CONNECTION_REJECTED,
     /** Nothing was asked on it for too long. */
     IDLE,
     /** No command came in time, or one that had begun was not completed. */
@@ -24,9 +24,9 @@
      * The client broke the protocol too often, or in a way that hides where the next command
      * begins.
      */
-    PROTOCOL_FAULT,
+    PROTOCOL_ERROR,
     /** The client leaves too many answers unread. */
-    ANSWERS_UNREAD,
+    RESPONSES_UNREAD,
     /** A long value moved neither at the client nor at the cache for too long. */
     VALUE_STALLED,
     /** The cache ended a long value too early; only a close tells the client so. */
@@ -35,14 +35,14 @@
     CONNECTION_ERROR;
 
     /** Whether this end chose to close, and had to answer what it had read before that. */
-    boolean isOwnChoice() {
+    boolean isInitiatedLocally() {
         return switch (this) {
-            case SHUTTING_DOWN, DRAINING, EVICTED, SURPLUS, IDLE, INCOMPLETE_COMMAND -> true;
+            case SHUTTING_DOWN, DRAINING, EVICTED, OVER_CONNECTION_LIMIT, IDLE, INCOMPLETE_COMMAND -> true;
             case CLIENT_CLOSED,
                     CLIENT_QUIT,
-                    TURNED_AWAY,
-                    PROTOCOL_FAULT,
-                    ANSWERS_UNREAD,
+                    CONNECTION_REJECTED,
+                    PROTOCOL_ERROR,
+                    RESPONSES_UNREAD,
                     VALUE_STALLED,
                     VALUE_BROKEN,
                     CONNECTION_ERROR ->
