--- a/node/src/main/java/frostrelay/node/ConfigFile.java
+++ b/node/src/main/java/frostrelay/node/ConfigFile.java
@@ -11,15 +11,15 @@
 
 /** The configuration file and what was read of it last. Waits for files. Safe for threads. */
 public final class ConfigFile {
-    private record Stamp(FileTime modified, long size) {}
+    private record FileVersion(FileTime modified, long size) {}
 
     private final Path path;
-    private long content;
+    private long loadedChecksum;
 
     /** Of the last look, and of the last that was found to hold nothing new. */
-    private Stamp seen;
+    private FileVersion lastSeenVersion;
 
-    private Stamp settled;
+    private FileVersion lastCheckedVersion;
 
     ConfigFile(String path) {
         if (path == null || path.isEmpty()) {
@@ -32,7 +32,7 @@
     synchronized Map<?, ?> load() {
         try {
             byte[] bytes = Files.readAllBytes(path);
-            content = hash(bytes);
+            loadedChecksum = checksum(bytes);
             return Json.parse(bytes);
         } catch (IOException e) {
             throw new ConfigException("cannot read " + path);
@@ -46,25 +46,25 @@
      * counts once two looks in a row have found the file the same, lest half of it be read while it
      * is written.
      */
-    synchronized boolean changed() {
+    synchronized boolean hasChanged() {
         try {
-            BasicFileAttributes now = Files.readAttributes(path, BasicFileAttributes.class);
-            Stamp stamp = new Stamp(now.lastModifiedTime(), now.size());
-            boolean still = stamp.equals(seen);
-            seen = stamp;
-            if (!still || stamp.equals(settled)) {
+            BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
+            FileVersion version = new FileVersion(attributes.lastModifiedTime(), attributes.size());
+            boolean isUnchangedSinceLastPoll = version.equals(lastSeenVersion);
+            lastSeenVersion = version;
+            if (!isUnchangedSinceLastPoll || version.equals(lastCheckedVersion)) {
                 return false;
             }
-            settled = stamp;
-            return hash(Files.readAllBytes(path)) != content;
+            lastCheckedVersion = version;
+            return checksum(Files.readAllBytes(path)) != loadedChecksum;
         } catch (IOException e) {
             // It is being replaced, or gone for now: the old one stays until there is a new one.
-            seen = null;
+            lastSeenVersion = null;
             return false;
         }
     }
 
-    private static long hash(byte[] bytes) {
+    private static long checksum(byte[] bytes) {
         CRC32C hash = new CRC32C();
         hash.update(bytes);
         return hash.getValue() << Integer.SIZE ^ bytes.length;
@@ -74,16 +74,16 @@
      * Reads a file as a balancer would at its start and tells what holds, a line each. Throws
      * {@link ConfigException} with what is wrong. Nothing is started.
      */
-    public static List<String> check(Path file) {
+    public static List<String> describe(Path file) {
         Config config = Config.read(new ConfigFile(file.toString()));
         return List.of(
                 "name " + config.name(),
-                "listen " + config.listen(),
-                "console " + config.console(),
-                "discovery " + config.discovery(),
-                "descriptors " + config.sockets(),
-                "classes " + String.join(", ", config.site().names()),
-                "attempts " + config.site().settings.maxAttempts(),
-                "caches known " + config.known().members().size());
+                "listen " + config.listenAddress(),
+                "console " + config.adminAddress(),
+                "discovery " + config.discoveryAddress(),
+                "descriptors " + config.descriptorLimit(),
+                "classes " + String.join(", ", config.settings().classNames()),
+                "attempts " + config.settings().policySettings.maxAttempts(),
+                "caches known " + config.initialEndpoints().endpoints().size());
     }
 }
--- a/node/src/main/java/frostrelay/node/ConfigCheck.java
+++ b/node/src/main/java/frostrelay/node/ConfigValidator.java
@@ -9,69 +9,69 @@
  * running one tells the new one must tell too: a default in place of a key that went missing would
  * be nobody's intention.
  */
-final class ConfigCheck {
+final class ConfigValidator {
     /** Only used at a start, and with a life of its own: that it is there is enough. */
-    private static final String KNOWN = "known";
+    private static final String INITIAL_ENDPOINTS_KEY = "known";
 
     private static final List<String> EFFECTS = List.of("retryable", "dedup", "fragile");
 
-    private ConfigCheck() {}
+    private ConfigValidator() {}
 
     /** Throws what is wrong, in one line. */
-    static void replaces(Map<?, ?> running, Map<?, ?> fresh) {
-        compare("", running, fresh);
-        values(fresh);
+    static void checkReplacement(Map<?, ?> running, Map<?, ?> replacement) {
+        requireSameShape("", running, replacement);
+        checkValues(replacement);
     }
 
-    private static void compare(String path, Object running, Object fresh) {
-        if (fresh == null) {
+    private static void requireSameShape(String path, Object running, Object replacement) {
+        if (replacement == null) {
             throw new ConfigException("'" + path + "' is missing");
         }
-        if (running instanceof Map<?, ?> before) {
-            Map<?, ?> now = as(Map.class, path, fresh);
-            before.forEach(
+        if (running instanceof Map<?, ?> oldValue) {
+            Map<?, ?> newValue = requireType(Map.class, path, replacement);
+            oldValue.forEach(
                     (name, value) -> {
                         if (value != null) {
-                            Object other = now.get(name);
-                            compare(
+                            Object replacementValue = newValue.get(name);
+                            requireSameShape(
                                     path.isEmpty() ? (String) name : path + "." + name,
-                                    KNOWN.equals(name) && path.isEmpty() && other != null
-                                            ? other
+                                    INITIAL_ENDPOINTS_KEY.equals(name) && path.isEmpty() && replacementValue != null
+                                            ? replacementValue
                                             : value,
-                                    other);
+                                    replacementValue);
                         }
                     });
-        } else if (running instanceof List<?> before) {
-            List<?> now = as(List.class, path, fresh);
-            if (now.isEmpty() && !before.isEmpty()) {
+        } else if (running instanceof List<?> oldValue) {
+            List<?> newValue = requireType(List.class, path, replacement);
+            if (newValue.isEmpty() && !oldValue.isEmpty()) {
                 throw new ConfigException("'" + path + "' is empty");
             }
-            compareItems(path, before, now);
+            requireSameItemShape(path, oldValue, newValue);
         } else {
             Class<?> type = running instanceof Number ? Number.class : running.getClass();
-            as(type, path, fresh);
+            requireType(type, path, replacement);
         }
     }
 
     /** Each object of a list must tell what all of them told before. */
-    private static void compareItems(String path, List<?> before, List<?> now) {
-        if (!before.stream().allMatch(Map.class::isInstance) || before.isEmpty()) {
+    private static void requireSameItemShape(String path, List<?> oldValue, List<?> newValue) {
+        if (!oldValue.stream().allMatch(Map.class::isInstance) || oldValue.isEmpty()) {
             return;
         }
-        List<Object> common = new ArrayList<>(((Map<?, ?>) before.get(0)).keySet());
-        before.forEach(item -> common.retainAll(((Map<?, ?>) item).keySet()));
-        for (int i = 0; i < now.size(); i++) {
-            Map<?, ?> item = as(Map.class, path + "." + i, now.get(i));
-            for (Object name : common) {
-                compare(
+        List<Object> commonKeys = new ArrayList<>(((Map<?, ?>) oldValue.get(0)).keySet());
+        oldValue.forEach(item -> commonKeys.retainAll(((Map<?, ?>) item).keySet()));
+        for (int i = 0; i < newValue.size(); i++) {
+            Map<?, ?> item = requireType(Map.class, path + "." + i, newValue.get(i));
+            for (Object name : commonKeys) {
+                requireSameShape(
                         path + "." + i + "." + name,
-                        ((Map<?, ?>) before.get(0)).get(name),
+                        ((Map<?, ?>) oldValue.get(0)).get(name),
                         item.get(name));
             }
         }
     }
 
-    private static <T> T as(Class<T> type, String path, Object value) {
+    private static <T> T requireType(Class<T> type, String path, Object value) {
         if (!type.isInstance(value)) {
             throw new ConfigException("'" + path + "' is no " + type.getSimpleName());
         }
@@ -82,11 +82,11 @@
      * Whether what a configuration tells can be meant at all, at a start as well; throws what is
      * wrong, in one line.
      */
-    static void values(Map<?, ?> json) {
-        positive("limits", Json.get(json, "limits", Map.class, Map.of()), "sockets");
+    static void checkValues(Map<?, ?> json) {
+        requirePositive("limits", Json.get(json, "limits", Map.class, Map.of()), "sockets");
         Map<?, ?> settings = Json.get(json, "settings", Map.class);
-        positive("settings", settings, "n-instances");
-        positive(
+        requirePositive("settings", settings, "n-instances");
+        requirePositive(
                 "settings.ceilings",
                 Json.get(settings, "ceilings", Map.class, Map.of()),
                 "max-attempts",
@@ -98,7 +98,7 @@
             if (category.get("deadline-ns") == null) {
                 throw new ConfigException("'" + path + ".deadline-ns' is missing");
             }
-            positive(path, category, "deadline-ns", "goal-time-ns");
+            requirePositive(path, category, "deadline-ns", "goal-time-ns");
             String name = Json.get(category, "name", String.class);
             if (name.isEmpty() || names.contains(name)) {
                 throw new ConfigException(
@@ -118,7 +118,7 @@
         }
     }
 
-    private static void positive(String path, Map<?, ?> object, String... names) {
+    private static void requirePositive(String path, Map<?, ?> object, String... names) {
         for (String name : names) {
             Number number = Json.get(object, name, Number.class, 1);
             if (!(number.doubleValue() >= 1) || Double.isInfinite(number.doubleValue())) {
--- a/node/src/main/java/frostrelay/node/ConnectionLimiter.java
+++ b/node/src/main/java/frostrelay/node/ConnectionLimiter.java
@@ -15,29 +15,29 @@
  * Limits how many clients' connections are open, and decides which quiet one is closed to make room
  * for another. Runs on the event loop.
  */
-final class ConnectionLimiter<C extends ConnectionLimiter.Limited> {
+final class ConnectionLimiter<C extends ConnectionLimiter.LimitedConnection> {
     /** A connection as far as the limiter deals with it. */
-    interface Limited {
+    interface LimitedConnection {
         /** Since when it has been as it is: when it came, fell idle, or began to end. */
-        long since();
+        long stateSinceNanos();
 
         /** It has to go, to make room. */
         void evict();
 
         /** There is no room for it: all it may get is a refusal. */
-        void refuseAll();
+        void rejectRequests();
     }
 
     /**
      * Connections on which nothing is going on, by what they are; in the order in which they make
      * room.
      */
-    enum Quiet {
+    enum IdleState {
         /**
          * This end's output has ended, and only the client's end is waited for: there is nothing on
          * them to lose.
          */
-        ENDING,
+        CLOSING,
         /** They never brought a good command, or brought a bad one. */
         UNPROVEN,
         /** They were served before. */
@@ -48,63 +48,63 @@
      * No connection that has yet to speak is closed sooner to make room: its command may be on its
      * way.
      */
-    private static final long YOUNG_NS = 100 * Clock.MILLISECOND;
+    private static final long MIN_UNPROVEN_AGE_NANOS = 100 * Clock.NANOS_PER_MILLISECOND;
 
     /** So large a part of all connections without a good command is a crowd. */
-    private static final int CROWD_PART = 4;
+    private static final int UNPROVEN_FLOOD_DIVISOR = 4;
 
     private final EventLoop loop;
-    private final int surplus;
-    private final Set<C> open = new LinkedHashSet<>();
+    private final int maxOverflow;
+    private final Set<C> openConnections = new LinkedHashSet<>();
 
     /** Each in the order in which they fell quiet, the first for the longest time. */
-    private final Map<Quiet, Set<C>> quiet = new EnumMap<>(Quiet.class);
+    private final Map<IdleState, Set<C>> idleByState = new EnumMap<>(IdleState.class);
 
     /** Those that came while there was no room, and have not been given any yet. */
-    private final Queue<C> waiting = new ArrayDeque<>();
+    private final Queue<C> awaitingCapacity = new ArrayDeque<>();
 
-    private int most;
+    private int maxConnections;
 
-    /** {@code surplus}: connections over {@code most} that are kept just to be refused. */
-    ConnectionLimiter(EventLoop loop, int most, int surplus) {
+    /** {@code maxOverflow}: connections over {@code maxConnections} that are kept just to be refused. */
+    ConnectionLimiter(EventLoop loop, int maxConnections, int maxOverflow) {
         this.loop = loop;
-        this.most = most;
-        this.surplus = surplus;
-        for (Quiet kind : Quiet.values()) {
-            quiet.put(kind, new LinkedHashSet<>());
+        this.maxConnections = maxConnections;
+        this.maxOverflow = maxOverflow;
+        for (IdleState idleState : IdleState.values()) {
+            idleByState.put(idleState, new LinkedHashSet<>());
         }
     }
 
     /**
      * From now on so many connections are held at most; idle ones make room as further ones come.
      */
-    void limit(int fresh) {
-        most = fresh;
+    void setMaxConnections(int newMax) {
+        maxConnections = newMax;
     }
 
     int size() {
-        return open.size();
+        return openConnections.size();
     }
 
     /** All that are open now, safe against changes. */
-    List<C> all() {
-        return List.copyOf(open);
+    List<C> openConnections() {
+        return List.copyOf(openConnections);
     }
 
     /**
      * Takes a new connection, for which room is looked for if there is none; false if it cannot
      * even be refused.
      */
-    boolean admit(C fresh) {
-        if (open.size() >= most + surplus && !evictFirst(Quiet.ENDING, 0)) {
+    boolean admit(C connection) {
+        if (openConnections.size() >= maxConnections + maxOverflow && !evictFirst(IdleState.CLOSING, 0)) {
             return false;
         }
-        open.add(fresh);
-        becomesQuiet(fresh, Quiet.UNPROVEN);
-        if (open.size() > most) {
-            waiting.add(fresh);
-            if (waiting.size() == 1) {
-                loop.execute(this::makeRoom);
+        openConnections.add(connection);
+        markIdle(connection, IdleState.UNPROVEN);
+        if (openConnections.size() > maxConnections) {
+            awaitingCapacity.add(connection);
+            if (awaitingCapacity.size() == 1) {
+                loop.execute(this::evictForWaiting);
             }
         }
         return true;
@@ -113,19 +113,19 @@
     /**
      * Nothing is going on on a connection; false if that was so before, as it then keeps its place.
      */
-    boolean becomesQuiet(C connection, Quiet kind) {
-        return quiet.get(kind).add(connection);
+    boolean markIdle(C connection, IdleState idleState) {
+        return idleByState.get(idleState).add(connection);
     }
 
     /** Something is going on on a connection, or may be. */
-    void becomesBusy(C connection) {
-        quiet.values().forEach(some -> some.remove(connection));
+    void markBusy(C connection) {
+        idleByState.values().forEach(connections -> connections.remove(connection));
     }
 
     /** A connection is not open any more, or will not be within this turn of the loop. */
     void remove(C connection) {
-        open.remove(connection);
-        becomesBusy(connection);
+        openConnections.remove(connection);
+        markBusy(connection);
     }
 
     /**
@@ -133,10 +133,10 @@
      * loop: a connection whose command was waiting to be read is not idle any more, and would be
      * lost by a close.
      */
-    private void makeRoom() {
-        for (C late = waiting.poll(); late != null; late = waiting.poll()) {
-            if (open.contains(late) && open.size() > most && !evictAny()) {
-                late.refuseAll();
+    private void evictForWaiting() {
+        for (C connection = awaitingCapacity.poll(); connection != null; connection = awaitingCapacity.poll()) {
+            if (openConnections.contains(connection) && openConnections.size() > maxConnections && !evictAny()) {
+                connection.rejectRequests();
             }
         }
     }
@@ -144,19 +144,19 @@
     private boolean evictAny() {
         // In a crowd that says nothing all are young: good idle connections must not make room for
         // it.
-        long least = quiet.get(Quiet.UNPROVEN).size() > most / CROWD_PART ? 0 : YOUNG_NS;
-        return evictFirst(Quiet.ENDING, 0)
-                || evictFirst(Quiet.UNPROVEN, least)
-                || evictFirst(Quiet.IDLE, 0);
+        long minAgeNanos = idleByState.get(IdleState.UNPROVEN).size() > maxConnections / UNPROVEN_FLOOD_DIVISOR ? 0 : MIN_UNPROVEN_AGE_NANOS;
+        return evictFirst(IdleState.CLOSING, 0)
+                || evictFirst(IdleState.UNPROVEN, minAgeNanos)
+                || evictFirst(IdleState.IDLE, 0);
     }
 
-    private boolean evictFirst(Quiet kind, long leastNs) {
-        Iterator<C> longest = quiet.get(kind).iterator();
-        if (!longest.hasNext()) {
+    private boolean evictFirst(IdleState idleState, long minAgeNanos) {
+        Iterator<C> longestIdle = idleByState.get(idleState).iterator();
+        if (!longestIdle.hasNext()) {
             return false;
         }
-        C evicted = longest.next();
-        if (Clock.now() - evicted.since() < leastNs) {
+        C evicted = longestIdle.next();
+        if (Clock.now() - evicted.stateSinceNanos() < minAgeNanos) {
             return false;
         }
         evicted.evict();
--- a/node/src/main/java/frostrelay/node/Dial.java
+++ b/node/src/main/java/frostrelay/node/Connector.java
@@ -9,28 +9,28 @@
 import java.util.function.Consumer;
 
 /** Opens connections. */
-final class Dial {
-    private Dial() {}
+final class Connector {
+    private Connector() {}
 
     /**
-     * Connects. {@code failed} hears on the loop why that came to nothing: where there is not even
+     * Connects. {@code onFailure} hears on the loop why that came to nothing: where there is not even
      * a descriptor, Netty tells it on a thread of its own, and all that hears of it belongs to the
      * loop. May be called back before this returns.
      */
     static Channel connect(
-            Bootstrap bootstrap, InetSocketAddress to, EventLoop loop, Consumer<Throwable> failed) {
-        ChannelFuture up = bootstrap.connect(to);
-        up.addListener(
+            Bootstrap bootstrap, InetSocketAddress address, EventLoop loop, Consumer<Throwable> onFailure) {
+        ChannelFuture connectFuture = bootstrap.connect(address);
+        connectFuture.addListener(
                 done -> {
                     if (done.isSuccess()) {
                         return;
                     }
                     if (loop.inEventLoop()) {
-                        failed.accept(done.cause());
+                        onFailure.accept(done.cause());
                     } else {
-                        loop.execute(() -> failed.accept(done.cause()));
+                        loop.execute(() -> onFailure.accept(done.cause()));
                     }
                 });
-        return up.channel();
+        return connectFuture.channel();
     }
 }
--- a/node/src/main/java/frostrelay/node/Counters.java
+++ b/node/src/main/java/frostrelay/node/Counters.java
@@ -15,85 +15,85 @@
  * Sparse counts for the log, to find causes by: how requests and attempts end, and how late we run.
  */
 final class Counters {
-    private static final long MICROSECOND = 1_000L;
+    private static final long NANOS_PER_MICROSECOND = 1_000L;
 
     /** Lines that peers may cause between two prints, and the length of one. */
-    private static final int MOST_NOISES = 20;
+    private static final int MAX_WARNINGS_PER_REPORT = 20;
 
-    private static final int MOST_NOISE = 200;
-    private static final int MOST_FRAMES = 6;
+    private static final int MAX_WARNING_LENGTH = 200;
+    private static final int MAX_STACK_FRAMES = 6;
 
     /** Twice a large tier: every balancer of it may go and come back between two prints. */
-    private static final int MOST_STATES = 200;
+    private static final int MAX_PEER_STATES_PER_REPORT = 200;
 
     private final long[] outcomes = new long[Reason.values().length];
-    private final long[] refusals = new long[RefusalReason.values().length];
+    private final long[] rejections = new long[RejectionReason.values().length];
     private final long[] closes = new long[CloseReason.values().length];
-    private final long[] violations = new long[Violation.values().length];
-    private final long[] denials = new long[ActionGuard.Verdict.values().length];
+    private final long[] violations = new long[InvariantViolation.values().length];
+    private final long[] denials = new long[ActionGuard.SendDecision.values().length];
 
     /**
      * Further attempts, by how the one before them ended; the last place counts those beside one
      * that is still out.
      */
-    private final long[] repeats = new long[Reason.values().length + 1];
+    private final long[] retries = new long[Reason.values().length + 1];
 
-    long taken;
+    long accepted;
     long served;
     long failed;
-    long clientsGone;
+    long disconnectedClients;
 
     /** Commands whose clients had closed their connections before anything was done. */
-    long departed;
+    long abandonedCommands;
 
     long malformed;
 
     /** Long values whose client got only part of them. */
-    long cutShort;
+    long truncatedValues;
 
     long lastCalls;
     long connects;
 
     /** Attempts for which there was no connection to a cache, nor room for one. */
-    long noLinkRoom;
+    long noConnectionCapacity;
 
     private long timers;
     private long lateTimers;
-    private long latest;
-    private long noises;
-    private int states;
+    private long maxLatenessNanos;
+    private long warnings;
+    private int loggedPeerStates;
 
-    void outcome(Reason reason) {
+    void recordOutcome(Reason reason) {
         outcomes[reason.ordinal()]++;
     }
 
-    void refused(RefusalReason reason) {
-        refusals[reason.ordinal()]++;
+    void rejected(RejectionReason reason) {
+        rejections[reason.ordinal()]++;
     }
 
-    void closed(CloseReason reason) {
+    void recordClose(CloseReason reason) {
         closes[reason.ordinal()]++;
     }
 
     /** The guard kept an attempt from being written. */
-    void denied(ActionGuard.Verdict verdict) {
+    void recordDenial(ActionGuard.SendDecision verdict) {
         denials[verdict.ordinal()]++;
     }
 
     /** An invariant does not hold; {@code what}: whose, and by how much. */
-    void violated(Violation violation, String what) {
+    void recordViolation(InvariantViolation violation, String what) {
         violations[violation.ordinal()]++;
-        if (++noises <= MOST_NOISES) {
-            Log.write(Event.VIOLATION, violation, what);
+        if (++warnings <= MAX_WARNINGS_PER_REPORT) {
+            Log.write(Event.INVARIANT_VIOLATION, violation, what);
         }
     }
 
     /**
-     * One more attempt of a request; {@code last}: how the one before it ended, null while that is
+     * One more attempt of a request; {@code previousOutcome}: how the one before it ended, null while that is
      * still out.
      */
-    void repeated(Reason last) {
-        repeats[last == null ? Reason.values().length : last.ordinal()]++;
+    void recordRetry(Reason previousOutcome) {
+        retries[previousOutcome == null ? Reason.values().length : previousOutcome.ordinal()]++;
     }
 
     private static long sum(long[] counts) {
@@ -105,11 +105,11 @@
     }
 
     /** Requests that were refused. */
-    long refused() {
-        return sum(refusals);
+    long rejected() {
+        return sum(rejections);
     }
 
-    private static String word(Enum<?> constant) {
+    private static String kebabName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
@@ -118,56 +118,56 @@
         Map<String, Object> named = new LinkedHashMap<>();
         for (Enum<?> constant : constants) {
             if (values[constant.ordinal()] > 0) {
-                named.put(word(constant), values[constant.ordinal()]);
+                named.put(kebabName(constant), values[constant.ordinal()]);
             }
         }
         return named;
     }
 
-    private Map<String, Object> repeatsByName() {
-        Map<String, Object> named = byName(Reason.values(), repeats);
-        if (repeats[Reason.values().length] > 0) {
-            named.put("hedged", repeats[Reason.values().length]);
+    private Map<String, Object> retriesByName() {
+        Map<String, Object> named = byName(Reason.values(), retries);
+        if (retries[Reason.values().length] > 0) {
+            named.put("hedged", retries[Reason.values().length]);
         }
         return named;
     }
 
-    void timer(long late) {
+    void recordTimer(long latenessNanos) {
         timers++;
-        lateTimers += late > 5 * Clock.MILLISECOND ? 1 : 0;
-        latest = Math.max(latest, late);
+        lateTimers += latenessNanos > 5 * Clock.NANOS_PER_MILLISECOND ? 1 : 0;
+        maxLatenessNanos = Math.max(maxLatenessNanos, latenessNanos);
     }
 
     /**
      * Writes what has been counted so far. What explains requests without an answer comes first,
      * and what is 0 is left out: where logs are shown, long lines are cut.
      */
-    void print(Map<String, Object> gauges) {
+    void logReport(Map<String, Object> gauges) {
         Map<String, Object> counts = new LinkedHashMap<>();
-        counts.put("taken", taken);
+        counts.put("taken", accepted);
         counts.put("served", served);
-        counts.put("refused", refused());
+        counts.put("refused", rejected());
         counts.put("failed", failed);
-        putUnlessEmpty(counts, "violations", byName(Violation.values(), violations));
-        putUnlessEmpty(counts, "denials", byName(ActionGuard.Verdict.values(), denials));
-        putUnlessEmpty(counts, "refusals", byName(RefusalReason.values(), refusals));
+        putUnlessEmpty(counts, "violations", byName(InvariantViolation.values(), violations));
+        putUnlessEmpty(counts, "denials", byName(ActionGuard.SendDecision.values(), denials));
+        putUnlessEmpty(counts, "refusals", byName(RejectionReason.values(), rejections));
         putUnlessEmpty(counts, "closes", byName(CloseReason.values(), closes));
-        putUnlessEmpty(counts, "repeats", repeatsByName());
-        putUnlessZero(counts, "gone", clientsGone);
-        putUnlessZero(counts, "departed", departed);
+        putUnlessEmpty(counts, "repeats", retriesByName());
+        putUnlessZero(counts, "gone", disconnectedClients);
+        putUnlessZero(counts, "departed", abandonedCommands);
         putUnlessZero(counts, "malformed", malformed);
-        putUnlessZero(counts, "cut-short", cutShort);
+        putUnlessZero(counts, "cut-short", truncatedValues);
         putUnlessZero(counts, "last-calls", lastCalls);
         putUnlessZero(counts, "connects", connects);
-        putUnlessZero(counts, "no-link-room", noLinkRoom);
+        putUnlessZero(counts, "no-link-room", noConnectionCapacity);
         putUnlessZero(counts, "timers", timers);
         putUnlessZero(counts, "timers-late", lateTimers);
-        putUnlessZero(counts, "timer-worst-us", latest / MICROSECOND);
+        putUnlessZero(counts, "timer-worst-us", maxLatenessNanos / NANOS_PER_MICROSECOND);
         counts.putAll(byName(Reason.values(), outcomes));
-        putUnlessZero(counts, "not-logged", Math.max(0, noises - MOST_NOISES));
-        noises = 0;
-        states = 0;
-        latest = 0;
+        putUnlessZero(counts, "not-logged", Math.max(0, warnings - MAX_WARNINGS_PER_REPORT));
+        warnings = 0;
+        loggedPeerStates = 0;
+        maxLatenessNanos = 0;
         Log.write(Event.COUNTS, counts, gauges);
     }
 
@@ -185,30 +185,30 @@
     }
 
     /** What a peer can cause as often as it likes: told in part, so that it cannot fill the log. */
-    void noise(String what) {
-        if (++noises <= MOST_NOISES) {
+    void warn(String what) {
+        if (++warnings <= MAX_WARNINGS_PER_REPORT) {
             Log.write(
-                    Event.PEER,
-                    what.length() > MOST_NOISE ? what.substring(0, MOST_NOISE) + "..." : what);
+                    Event.PROTOCOL_VIOLATION,
+                    what.length() > MAX_WARNING_LENGTH ? what.substring(0, MAX_WARNING_LENGTH) + "..." : what);
         }
     }
 
     /** Whether one more change of a peer's state may be told before the next print. */
-    boolean mayTell() {
-        return ++states <= MOST_STATES;
+    boolean mayLogPeerState() {
+        return ++loggedPeerStates <= MAX_PEER_STATES_PER_REPORT;
     }
 
     /** An exception that nobody expected: the place where it arose is what finds its cause. */
-    void unexpected(String where, Throwable cause) {
-        if (++noises > MOST_NOISES) {
+    void logUnexpected(String where, Throwable cause) {
+        if (++warnings > MAX_WARNINGS_PER_REPORT) {
             return;
         }
         List<String> trace = new ArrayList<>();
         for (StackTraceElement frame : cause.getStackTrace()) {
-            if (trace.size() < MOST_FRAMES) {
+            if (trace.size() < MAX_STACK_FRAMES) {
                 trace.add(frame.toString());
             }
         }
-        Log.write(Event.UNEXPECTED, where, cause.toString(), trace);
+        Log.write(Event.UNEXPECTED_EXCEPTION, where, cause.toString(), trace);
     }
 }
--- /dev/null
+++ b/node/src/main/java/frostrelay/node/DecisionObserver.java
@@ -0,0 +1,58 @@
+package frostrelay.node;
+
+import frostrelay.judgements.AttemptObservation;
+import frostrelay.policy.Api;
+
+import java.util.List;
+import java.util.Set;
+
+/** Hears what a balancer acts on, just before it does, and what it does. On the event loop. */
+interface DecisionObserver {
+    /** Where nobody wants to know. */
+    DecisionObserver NONE = new DecisionObserver() {};
+
+    /** The list is applied; what failed changes nothing. */
+    default void onEndpointList(Api.ListMode mode, long revision, List<EndpointList.Endpoint> members) {}
+
+    default void onConfig(Config config) {}
+
+    /** Operators hold these out of use, by the names that the list has for them. */
+    default void onAdminDrains(Set<String> names) {}
+
+    /** A configuration that was not taken. */
+    default void onConfigRejected(String reason) {}
+
+    /** The number of the stamp that decisions are made under now. */
+    default int versionSequence() {
+        return 0;
+    }
+
+    /** The number that a cache goes by here. */
+    default int cacheNumber(String uid) {
+        return 0;
+    }
+
+    /**
+     * An attempt is written; {@code versionSequence}: the stamp it was decided on under; {@code hedged}:
+     * another is still out.
+     */
+    default void onAttemptSent(int versionSequence, int cache, int attempt, boolean hedged, ClientRequest request) {}
+
+    /**
+     * An attempt at a cache, begun at {@code sentAtNanos}, has ended and told this of it; {@code cache}:
+     * its number on the list.
+     */
+    default void onAttemptObserved(long cache, AttemptObservation observation, long sentAtNanos) {}
+
+    /** A request is taken; {@code clientRetry}: its client asked before. */
+    default void onRequestAccepted(boolean clientRetry) {}
+
+    /** An attempt that was written has ended. */
+    default void onAttemptCompleted(Api.Reason result, Api.Source source) {}
+
+    /** A request is refused by decision. */
+    default void onRequestRejected() {}
+
+    /** A request is given up by decision. */
+    default void onRequestFailed() {}
+}
--- a/node/src/main/java/frostrelay/node/Site.java
+++ b/node/src/main/java/frostrelay/node/DeploymentSettings.java
@@ -14,9 +14,9 @@
  * The settings of a site: those of the module, the names that stand on sockets for its numbers, and
  * the figures that only sockets need.
  */
-final class Site {
+final class DeploymentSettings {
     /** Load report fields: their names on sockets and in the settings, where these differ. */
-    private static final Map<String, String> FIELD_NAMES =
+    private static final Map<String, String> REPORT_FIELD_ALIASES =
             Map.of(
                     "inflight",
                     "rif",
@@ -32,20 +32,20 @@
                     "fail_rate");
 
     /** Settings that differ from balancer to balancer. */
-    static final List<String> OWN = List.of("my-zone", "rank");
+    static final List<String> LOCAL_KEYS = List.of("my-zone", "rank");
 
-    private static final float[] NO_REPORT = {};
-    private static final char MOST_ASCII = 0x7f;
-    private static final long DROPPED_NS = 5 * Clock.SECOND;
+    private static final float[] EMPTY_REPORT = {};
+    private static final char MAX_ASCII = 0x7f;
+    private static final long REMOVED_CLASS_GRACE_NANOS = 5 * Clock.NANOS_PER_SECOND;
 
-    final Api.Settings settings;
-    final long idleTime;
-    final int maxOpen;
-    private final Map<String, Integer> classes;
-    private final Map<String, Integer> tenants;
-    private final Map<String, Integer> zones;
-    private final Map<String, Integer> kinds;
-    private final Map<String, Integer> fields;
+    final Api.Settings policySettings;
+    final long idleTimeoutNanos;
+    final int maxOpenRequests;
+    private final Map<String, Integer> classNumbers;
+    private final Map<String, Integer> tenantNumbers;
+    private final Map<String, Integer> zoneNumbers;
+    private final Map<String, Integer> kindNumbers;
+    private final Map<String, Integer> reportFieldNumbers;
 
     /** The settings as they were told, in the numbering of this program's life. */
     private final Map<?, ?> json;
@@ -54,32 +54,32 @@
      * Until when classes that are named no more are still taken: clients hear of new settings
      * later.
      */
-    private final Map<String, Long> droppedUntil;
+    private final Map<String, Long> removedClassUntilNanos;
 
-    Site(Map<?, ?> json) {
+    DeploymentSettings(Map<?, ?> json) {
         this(json, new HashMap<>());
     }
 
-    private Site(Map<?, ?> json, Map<String, Long> droppedUntil) {
+    private DeploymentSettings(Map<?, ?> json, Map<String, Long> removedClassUntilNanos) {
         this.json = json;
-        this.droppedUntil = droppedUntil;
-        Map<String, String> lines = lines(json);
+        this.removedClassUntilNanos = removedClassUntilNanos;
+        Map<String, String> lines = toLines(json);
         try {
-            settings = SettingsParser.parse(text(lines));
+            policySettings = SettingsParser.parse(joinLines(lines));
         } catch (RuntimeException e) {
             throw new ConfigException(e.getMessage());
         }
-        if (settings.classes().isEmpty()) {
+        if (policySettings.classes().isEmpty()) {
             throw new ConfigException("the settings name no request class");
         }
-        idleTime = whole(lines, "ceilings.conn-idle-ns", 10 * Clock.SECOND);
-        maxOpen = (int) whole(lines, "ceilings.max-open", 20_000);
-        classes = numbers(Json.list(json, "categories"), true);
-        tenants = numbers(Json.list(json, "tenants"), true);
-        zones = numbers(Json.list(json, "zones"), false);
-        kinds = numbers(Json.list(json, "kinds"), false);
-        fields =
-                numbers(
+        idleTimeoutNanos = parseLong(lines, "ceilings.conn-idle-ns", 10 * Clock.NANOS_PER_SECOND);
+        maxOpenRequests = (int) parseLong(lines, "ceilings.max-open", 20_000);
+        classNumbers = numberByName(Json.list(json, "categories"), true);
+        tenantNumbers = numberByName(Json.list(json, "tenants"), true);
+        zoneNumbers = numberByName(Json.list(json, "zones"), false);
+        kindNumbers = numberByName(Json.list(json, "kinds"), false);
+        reportFieldNumbers =
+                numberByName(
                         Json.list(Json.get(json, "load-report", Map.class, Map.of()), "fields"),
                         false);
     }
@@ -88,32 +88,32 @@
      * What holds once these settings are told: names keep their numbers, and dropped classes live
      * on for a while.
      */
-    Site succeed(Map<?, ?> fresh, long now) {
-        Map<String, Long> until = new HashMap<>();
-        for (String name : SettingsMerge.dropped(json, fresh, "categories")) {
-            long deadline = settings.classes().get(classes.get(name)).deadline();
-            until.put(name, droppedUntil.getOrDefault(name, now + Math.max(DROPPED_NS, deadline)));
+    DeploymentSettings replacedBy(Map<?, ?> newJson, long now) {
+        Map<String, Long> removedUntilNanos = new HashMap<>();
+        for (String name : SettingsMerge.removedNames(json, newJson, "categories")) {
+            long deadlineNanos = policySettings.classes().get(classNumbers.get(name)).deadlineNanos();
+            removedUntilNanos.put(name, removedClassUntilNanos.getOrDefault(name, now + Math.max(REMOVED_CLASS_GRACE_NANOS, deadlineNanos)));
         }
-        return new Site(SettingsMerge.merge(json, fresh), until);
+        return new DeploymentSettings(SettingsMerge.merge(json, newJson), removedUntilNanos);
     }
 
-    private static Map<String, String> lines(Map<?, ?> json) {
+    private static Map<String, String> toLines(Map<?, ?> json) {
         Map<String, String> lines = new TreeMap<>();
         flatten("", json, lines);
         return lines;
     }
 
-    private static String text(Map<String, String> lines) {
+    private static String joinLines(Map<String, String> lines) {
         StringBuilder text = new StringBuilder();
         lines.forEach((path, value) -> text.append(path).append('=').append(value).append('\n'));
         return text.toString();
     }
 
     /** What settings say to every balancer alike, a sorted line each. */
-    static String shared(Map<?, ?> json) {
-        Map<String, String> lines = lines(json);
-        lines.keySet().removeAll(OWN);
-        return text(lines);
+    static String sharedText(Map<?, ?> json) {
+        Map<String, String> lines = toLines(json);
+        lines.keySet().removeAll(LOCAL_KEYS);
+        return joinLines(lines);
     }
 
     /**
@@ -130,30 +130,30 @@
                 flatten(path + "." + i, list.get(i), lines);
             }
         } else if (value instanceof List<?> list) {
-            lines.put(path, String.join(",", list.stream().map(Site::scalar).toList()));
+            lines.put(path, String.join(",", list.stream().map(DeploymentSettings::formatScalar).toList()));
         } else if (value != null) {
-            lines.put(path, scalar(value));
+            lines.put(path, formatScalar(value));
         }
     }
 
-    private static String scalar(Object value) {
+    private static String formatScalar(Object value) {
         return String.valueOf(value).replaceAll("[\\s,]", "_");
     }
 
-    private static long whole(Map<String, String> lines, String path, long otherwise) {
+    private static long parseLong(Map<String, String> lines, String path, long defaultValue) {
         try {
             String value = lines.get(path);
-            return value == null ? otherwise : (long) Double.parseDouble(value);
+            return value == null ? defaultValue : (long) Double.parseDouble(value);
         } catch (NumberFormatException e) {
             throw new ConfigException("setting " + path + " is no number");
         }
     }
 
-    private static Map<String, Integer> numbers(List<?> list, boolean objects) {
+    private static Map<String, Integer> numberByName(List<?> list, boolean areObjects) {
         List<String> names = new ArrayList<>();
         for (Object item : list) {
             names.add(
-                    objects
+                    areObjects
                             ? Json.get(Json.object(item), "name", String.class)
                             : String.valueOf(item));
         }
@@ -168,9 +168,9 @@
      * A name in the settings' characters, as read from a line byte by byte; most have none beyond
      * ASCII.
      */
-    private static String plain(String line) {
+    private static String decodeName(String line) {
         for (int i = 0; line != null && i < line.length(); i++) {
-            if (line.charAt(i) > MOST_ASCII) {
+            if (line.charAt(i) > MAX_ASCII) {
                 return new String(
                         line.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
             }
@@ -182,67 +182,67 @@
      * The number of a request class, or null for a name that the settings do not hold, or no
      * longer.
      */
-    Integer requestClass(String line) {
-        String name = plain(line);
-        Long until = droppedUntil.get(name);
-        return until == null || Clock.now() < until ? classes.get(name) : null;
+    Integer classNumber(String line) {
+        String name = decodeName(line);
+        Long removedUntilNanos = removedClassUntilNanos.get(name);
+        return removedUntilNanos == null || Clock.now() < removedUntilNanos ? classNumbers.get(name) : null;
     }
 
     /** The longest deadline of a class that the settings name. */
-    long longestDeadline() {
-        return names().stream()
-                .mapToLong(name -> settings.classes().get(classes.get(name)).deadline())
+    long longestDeadlineNanos() {
+        return classNames().stream()
+                .mapToLong(name -> policySettings.classes().get(classNumbers.get(name)).deadlineNanos())
                 .max()
                 .orElse(0);
     }
 
     /** The classes that the settings name, those named no more left out. */
-    List<String> names() {
-        return classes.keySet().stream()
-                .filter(name -> !droppedUntil.containsKey(name))
+    List<String> classNames() {
+        return classNumbers.keySet().stream()
+                .filter(name -> !removedClassUntilNanos.containsKey(name))
                 .sorted()
                 .toList();
     }
 
     /** The number of a tenant; where the site has none, every name is tenant 0. */
-    Integer tenant(String line) {
-        return tenants.isEmpty() ? Integer.valueOf(0) : tenants.get(plain(line));
+    Integer tenantNumber(String line) {
+        return tenantNumbers.isEmpty() ? Integer.valueOf(0) : tenantNumbers.get(decodeName(line));
     }
 
     /** A zone that the settings do not name gets a number of its own: it is nobody's own zone. */
-    int zone(String name) {
-        return zones.computeIfAbsent(name, n -> zones.size());
+    int zoneNumber(String name) {
+        return zoneNumbers.computeIfAbsent(name, n -> zoneNumbers.size());
     }
 
-    int kind(String name) {
-        return kinds.computeIfAbsent(name, n -> kinds.size());
+    int kindNumber(String name) {
+        return kindNumbers.computeIfAbsent(name, n -> kindNumbers.size());
     }
 
     /**
      * The values of a load report, as the settings order them; empty unless it holds all of them.
      */
-    float[] report(String text) {
-        if (text == null || fields.isEmpty()) {
-            return NO_REPORT;
+    float[] parseReport(String text) {
+        if (text == null || reportFieldNumbers.isEmpty()) {
+            return EMPTY_REPORT;
         }
-        float[] report = new float[fields.size()];
-        int found = 0;
+        float[] report = new float[reportFieldNumbers.size()];
+        int foundCount = 0;
         for (String part : text.split(",")) {
             int equals = part.indexOf('=');
             String name = part.substring(0, Math.max(0, equals));
-            Integer at = fields.get(FIELD_NAMES.getOrDefault(name, name));
+            Integer index = reportFieldNumbers.get(REPORT_FIELD_ALIASES.getOrDefault(name, name));
             try {
-                if (at != null) {
-                    report[at] = Float.parseFloat(part.substring(equals + 1));
-                    if (!Float.isFinite(report[at])) {
-                        return NO_REPORT;
+                if (index != null) {
+                    report[index] = Float.parseFloat(part.substring(equals + 1));
+                    if (!Float.isFinite(report[index])) {
+                        return EMPTY_REPORT;
                     }
-                    found++;
+                    foundCount++;
                 }
             } catch (NumberFormatException e) {
-                return NO_REPORT;
+                return EMPTY_REPORT;
             }
         }
-        return found == report.length ? report : NO_REPORT;
+        return foundCount == report.length ? report : EMPTY_REPORT;
     }
 }
--- a/node/src/main/java/frostrelay/node/Discovery.java
+++ b/node/src/main/java/frostrelay/node/DiscoveryClient.java
@@ -31,84 +31,84 @@
 import java.util.concurrent.TimeUnit;
 
 /** Follows discovery's list of cache hosts, from when the module asks until a call fails. */
-final class Discovery {
+final class DiscoveryClient {
     /** Hears every list in order. A failure ends the watch; the module says when to ask again. */
     interface Listener {
-        void onList(ListMode mode, long rev, List<Catalog.Member> members);
+        void onEndpointList(ListMode mode, long revision, List<EndpointList.Endpoint> endpoints);
     }
 
     /**
      * How long a watch may wait for news: what a silent one misses binds 6 s after it fell silent,
      * or 2 s after its wait, so short waits are better; but each call takes room at discovery,
      * which is one for all. Of all instances together at most two calls a second wait in vain,
-     * until {@link #MOST_WAIT_MS}. An agent that lists are pushed to is our own.
+     * until {@link #MAX_WATCH_WAIT_MILLIS}. An agent that lists are pushed to is our own.
      */
-    private static final long WAIT_PER_INSTANCE_MS = 500;
+    private static final long WATCH_WAIT_PER_INSTANCE_MILLIS = 500;
 
-    private static final long LEAST_WAIT_MS = 2_000;
-    private static final long MOST_WAIT_MS = 20_000;
+    private static final long MIN_WATCH_WAIT_MILLIS = 2_000;
+    private static final long MAX_WATCH_WAIT_MILLIS = 20_000;
 
     /**
      * No answer for so long past the wait is silence: half of the 2 s, so that one more call is
      * answered within them.
      */
-    private static final long LATE_MS = 1_000;
+    private static final long RESPONSE_GRACE_MILLIS = 1_000;
 
     /**
      * A call may stand in line at discovery for 3 s before it is refused; given up sooner, it would
      * lose its place.
      */
-    private static final long LINE_MS = 3_500;
+    private static final long QUEUEING_TIMEOUT_MILLIS = 3_500;
 
-    private static final int CONNECT_MS = 1_000;
+    private static final int CONNECTION_TIMEOUT_MILLIS = 1_000;
 
     /**
      * At most one call in this time, should answers come at once for ever; a watch allows 200 ms.
      */
-    private static final long LEAST_MS = 100;
+    private static final long MIN_CALL_INTERVAL_MILLIS = 100;
 
-    private static final int MOST_BYTES = 4 * 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
     private InetSocketAddress address;
-    private final CurrentSite site;
+    private final CurrentSettings currentSettings;
     private final EventLoop loop;
     private final Listener listener;
-    private long rev;
+    private long revision;
 
     /**
      * The next call asks for the whole list, at once: after a move, as versions are one service's
      * own, and at first of an agent.
      */
-    private boolean whole;
+    private boolean needsFullList;
 
-    private boolean moved;
+    private boolean isAddressNew;
 
     /** The call that is out or about to begin; null while nobody watches. */
-    private Call current;
+    private WatchCall currentCall;
 
-    Discovery(Config config, CurrentSite site, EventLoop loop, Listener listener) {
-        this.address = config.discovery();
-        this.site = site;
+    DiscoveryClient(Config config, CurrentSettings currentSettings, EventLoop loop, Listener listener) {
+        this.address = config.discoveryAddress();
+        this.currentSettings = currentSettings;
         this.loop = loop;
         this.listener = listener;
-        this.rev = config.known().rev();
-        this.whole = !site.get().settings.subscribe();
+        this.revision = config.initialEndpoints().revision();
+        this.needsFullList = !currentSettings.get().policySettings.subscribe();
     }
 
-    private long waitMs() {
-        Api.Settings settings = site.get().settings;
+    private long watchWaitMillis() {
+        Api.Settings settings = currentSettings.get().policySettings;
         return settings.subscribe()
                 ? Math.max(
-                        LEAST_WAIT_MS,
-                        Math.min(MOST_WAIT_MS, settings.instances() * WAIT_PER_INSTANCE_MS))
-                : LEAST_WAIT_MS;
+                        MIN_WATCH_WAIT_MILLIS,
+                        Math.min(MAX_WATCH_WAIT_MILLIS, settings.instanceCount() * WATCH_WAIT_PER_INSTANCE_MILLIS))
+                : MIN_WATCH_WAIT_MILLIS;
     }
 
     /** Begins a watch from the last known version, unless one is on. */
     void subscribe() {
-        if (current == null) {
-            current = new Call();
-            current.start();
+        if (currentCall == null) {
+            currentCall = new WatchCall();
+            currentCall.start();
         }
     }
 
@@ -117,10 +117,10 @@
      * been lost.
      */
     void refresh() {
-        if (current != null) {
-            current.drop();
-            current = new Call();
-            current.start();
+        if (currentCall != null) {
+            currentCall.cancel();
+            currentCall = new WatchCall();
+            currentCall.start();
         }
     }
 
@@ -129,45 +129,45 @@
      * its end is no failure that anyone should wait after, and the new address is asked at once:
      * the old one tells nothing any more, and what the new one knows is wanted within seconds.
      */
-    void moveTo(InetSocketAddress fresh) {
-        if (fresh.equals(address)) {
+    void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        Log.write(Event.DISCOVERY_MOVES, address, fresh);
-        address = fresh;
-        moved = true;
-        whole = true;
-        if (current != null) {
-            current.drop();
+        Log.write(Event.DISCOVERY_ADDRESS_CHANGED, address, newAddress);
+        address = newAddress;
+        isAddressNew = true;
+        needsFullList = true;
+        if (currentCall != null) {
+            currentCall.cancel();
         }
-        current = new Call();
-        current.start();
+        currentCall = new WatchCall();
+        currentCall.start();
     }
 
     /**
      * One call, on a connection of its own: what a kept one had in flight when it broke is in
      * doubt.
      */
-    private final class Call extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private long begun;
-        private Future<?> silence;
+    private final class WatchCall extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private long startedAtNanos;
+        private Future<?> timeoutTask;
         private Channel channel;
-        private boolean over;
+        private boolean isFinished;
 
         void start() {
-            if (over) {
+            if (isFinished) {
                 return;
             }
-            begun = Clock.now();
+            startedAtNanos = Clock.now();
             // Before the connection: a refused one may fail within this very call.
-            long patience = whole ? LINE_MS : Math.max(LINE_MS, waitMs() + LATE_MS);
-            silence = loop.schedule(this::giveUp, patience, TimeUnit.MILLISECONDS);
+            long timeoutMillis = needsFullList ? QUEUEING_TIMEOUT_MILLIS : Math.max(QUEUEING_TIMEOUT_MILLIS, watchWaitMillis() + RESPONSE_GRACE_MILLIS);
+            timeoutTask = loop.schedule(this::onTimeout, timeoutMillis, TimeUnit.MILLISECONDS);
             Bootstrap bootstrap =
                     new Bootstrap()
                             .group(loop)
                             .channel(NioSocketChannel.class)
                             .option(ChannelOption.TCP_NODELAY, true)
-                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECTION_TIMEOUT_MILLIS)
                             .handler(
                                     new ChannelInitializer<>() {
                                         @Override
@@ -175,12 +175,12 @@
                                             fresh.pipeline()
                                                     .addLast(
                                                             new HttpClientCodec(),
-                                                            new HttpObjectAggregator(MOST_BYTES),
-                                                            Call.this);
+                                                            new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                                            WatchCall.this);
                                         }
                                     });
             channel =
-                    Dial.connect(
+                    Connector.connect(
                             bootstrap,
                             address,
                             loop,
@@ -194,7 +194,7 @@
                             HttpVersion.HTTP_1_1,
                             HttpMethod.GET,
                             "/catalog/members"
-                                    + (whole ? "" : "?since=" + rev + "&timeout_ms=" + waitMs()));
+                                    + (needsFullList ? "" : "?since=" + revision + "&timeout_ms=" + watchWaitMillis()));
             request.headers()
                     .set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort())
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -204,7 +204,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             ctx.close();
-            if (over) {
+            if (isFinished) {
                 return;
             }
             if (!response.status().equals(HttpResponseStatus.OK)
@@ -212,30 +212,30 @@
                 fail("status " + response.status().code());
                 return;
             }
-            Catalog catalog;
+            EndpointList endpointList;
             try {
-                catalog =
-                        Catalog.parse(
-                                Json.parse(ByteBufUtil.getBytes(response.content())), site.get());
+                endpointList =
+                        EndpointList.parse(
+                                Json.parse(ByteBufUtil.getBytes(response.content())), currentSettings.get());
             } catch (ConfigException e) {
                 fail(e.getMessage());
                 return;
             }
-            end();
-            if (moved) {
-                Log.write(Event.DISCOVERY_MOVED, address, catalog.rev(), rev);
+            finish();
+            if (isAddressNew) {
+                Log.write(Event.DISCOVERY_ADDRESS_CONNECTED, address, endpointList.revision(), revision);
             }
-            moved = false;
-            whole = false;
-            rev = catalog.rev();
-            Call next = new Call();
-            current = next;
-            long wait = Math.max(0, LEAST_MS - (Clock.now() - begun) / Clock.MILLISECOND);
-            loop.schedule(next::start, wait, TimeUnit.MILLISECONDS);
-            listener.onList(
-                    catalog.all() ? ListMode.FULL : ListMode.DELTA,
-                    catalog.rev(),
-                    catalog.members());
+            isAddressNew = false;
+            needsFullList = false;
+            revision = endpointList.revision();
+            WatchCall nextCall = new WatchCall();
+            currentCall = nextCall;
+            long delayMillis = Math.max(0, MIN_CALL_INTERVAL_MILLIS - (Clock.now() - startedAtNanos) / Clock.NANOS_PER_MILLISECOND);
+            loop.schedule(nextCall::start, delayMillis, TimeUnit.MILLISECONDS);
+            listener.onEndpointList(
+                    endpointList.isFull() ? ListMode.FULL : ListMode.DELTA,
+                    endpointList.revision(),
+                    endpointList.endpoints());
         }
 
         @Override
@@ -248,16 +248,16 @@
             fail(cause.toString());
         }
 
-        private void end() {
-            over = true;
-            if (silence != null) {
-                silence.cancel(false);
+        private void finish() {
+            isFinished = true;
+            if (timeoutTask != null) {
+                timeoutTask.cancel(false);
             }
         }
 
         /** Ends the call, or keeps it from starting, and tells nobody. */
-        void drop() {
-            end();
+        void cancel() {
+            finish();
             if (channel != null) {
                 channel.close();
             }
@@ -267,19 +267,19 @@
          * Discovery may be well and only this call's connection dead: another one is opened at
          * once, without a pause.
          */
-        private void giveUp() {
+        private void onTimeout() {
             Log.write(Event.DISCOVERY_FAILED, "silence");
             refresh();
         }
 
-        private void fail(String why) {
-            if (over) {
+        private void fail(String reason) {
+            if (isFinished) {
                 return;
             }
-            drop();
-            current = null;
-            Log.write(Event.DISCOVERY_FAILED, why);
-            listener.onList(ListMode.FAILED, rev, List.of());
+            cancel();
+            currentCall = null;
+            Log.write(Event.DISCOVERY_FAILED, reason);
+            listener.onEndpointList(ListMode.FAILED, revision, List.of());
         }
     }
 }
--- a/node/src/main/java/frostrelay/node/Catalog.java
+++ b/node/src/main/java/frostrelay/node/EndpointList.java
@@ -13,31 +13,31 @@
 import java.util.Map;
 
 /** A list of cache hosts in discovery's form: all of them, or those that changed. */
-record Catalog(long rev, boolean all, List<Member> members) {
-    private static final int MOST_PORT = 0xffff;
+record EndpointList(long revision, boolean isFull, List<Endpoint> endpoints) {
+    private static final int MAX_PORT = 0xffff;
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
     /** A host as the module knows it, and where it is reached from here. */
-    record Member(String uid, Api.Server server, InetSocketAddress endpoint) {}
+    record Endpoint(String uid, Api.Server server, InetSocketAddress address) {}
 
-    static Catalog parse(Map<?, ?> json, Site site) {
-        List<Member> members = new ArrayList<>();
+    static EndpointList parse(Map<?, ?> json, DeploymentSettings settings) {
+        List<Endpoint> endpoints = new ArrayList<>();
         for (Object target : Json.list(json, "targets")) {
-            members.add(member(Json.object(target), site));
+            endpoints.add(parseEndpoint(Json.object(target), settings));
         }
-        return new Catalog(
+        return new EndpointList(
                 Json.get(json, "rev", Number.class).longValue(),
                 Json.get(json, "all", Boolean.class),
-                members);
+                endpoints);
     }
 
-    private static Member member(Map<?, ?> json, Site site) {
+    private static Endpoint parseEndpoint(Map<?, ?> json, DeploymentSettings settings) {
         Api.State state =
                 switch (Json.get(json, "state", String.class)) {
                     case "Ready" -> Api.State.READY;
                     case "Terminating" -> Api.State.DRAINING;
-                    case "Gone" -> Api.State.GONE;
+                    case "Gone" -> Api.State.REMOVED;
                     default ->
                             throw new ConfigException(
                                     "unknown state of a cache host: " + json.get("state"));
@@ -48,18 +48,18 @@
         String uid = Json.get(json, "uid", String.class);
         Api.Server server =
                 new Api.Server(
-                        hash(uid),
-                        site.zone(Json.get(json, "az", String.class, "")),
-                        site.kind(Json.get(json, "model", String.class, "")),
+                        serverId(uid),
+                        settings.zoneNumber(Json.get(json, "az", String.class, "")),
+                        settings.kindNumber(Json.get(json, "model", String.class, "")),
                         Json.get(json, "pod_group", Number.class, 0).intValue(),
                         state,
                         Json.get(json, "capacity_hint", Number.class, 1).doubleValue(),
-                        Json.get(json, "boot_ms", Number.class, 0).longValue() * Clock.MILLISECOND);
-        return new Member(uid, server, address(Json.get(json, "endpoint", String.class)));
+                        Json.get(json, "boot_ms", Number.class, 0).longValue() * Clock.NANOS_PER_MILLISECOND);
+        return new Endpoint(uid, server, parseAddress(Json.get(json, "endpoint", String.class)));
     }
 
     /** FNV-1a: the same 64-bit number for a text at every balancer. */
-    static long hash(String text) {
+    static long serverId(String text) {
         long hash = FNV_OFFSET;
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
             hash = (hash ^ (b & 0xff)) * FNV_PRIME;
@@ -68,7 +68,7 @@
     }
 
     /** Reads ADDRESS:PORT; names are not looked up, as there is no DNS. */
-    static InetSocketAddress address(String text) {
+    static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] address =
                 colon < 0
@@ -76,7 +76,7 @@
                         : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
             int port = address == null ? -1 : Integer.parseInt(text.substring(colon + 1));
-            if (port >= 0 && port <= MOST_PORT) {
+            if (port >= 0 && port <= MAX_PORT) {
                 return new InetSocketAddress(InetAddress.getByAddress(address), port);
             }
         } catch (NumberFormatException | UnknownHostException e) {
--- a/node/src/main/java/frostrelay/node/PeerPort.java
+++ b/node/src/main/java/frostrelay/node/GossipTransport.java
@@ -2,7 +2,7 @@
 
 import frostrelay.log.Event;
 import frostrelay.log.Log;
-import frostrelay.peers.Peers;
+import frostrelay.peers.GossipNode;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -25,43 +25,43 @@
 import java.util.function.Function;
 
 /**
- * The datagrams of one balancer: hands them to {@link Peers} and keeps its time. On the event loop.
+ * The datagrams of one balancer: hands them to {@link GossipNode} and keeps its time. On the event loop.
  */
-final class PeerPort extends SimpleChannelInboundHandler<DatagramPacket> implements Peers.Actions {
+final class GossipTransport extends SimpleChannelInboundHandler<DatagramPacket> implements GossipNode.Actions {
     /** One byte more than is ever valid, so that what is longer shows as such. */
-    private static final int READ = 257;
+    private static final int RECEIVE_BUFFER_BYTES = 257;
 
     private final EventLoop loop;
-    private final InetSocketAddress listen;
+    private final InetSocketAddress listenAddress;
     private final List<InetSocketAddress> addresses;
-    private final Map<InetSocketAddress, Integer> ranks = new HashMap<>();
-    private final byte[] bytes = new byte[READ];
-    private final Function<Peers.Actions, Peers> maker;
+    private final Map<InetSocketAddress, Integer> rankByAddress = new HashMap<>();
+    private final byte[] receiveBuffer = new byte[RECEIVE_BUFFER_BYTES];
+    private final Function<GossipNode.Actions, GossipNode> nodeFactory;
     private Channel channel;
-    private Peers peers;
-    private Future<?> wake;
-    private long wakeAt = Long.MAX_VALUE;
-    private long foreign;
+    private GossipNode node;
+    private Future<?> wakeTimer;
+    private long wakeAtNanos = Long.MAX_VALUE;
+    private long foreignDatagrams;
 
     /**
-     * {@code addresses}: of all balancers of the tier in their order; {@code maker}: of a talk from
+     * {@code addresses}: of all balancers of the tier in their order; {@code nodeFactory}: of a talk from
      * its begin on.
      */
-    PeerPort(
+    GossipTransport(
             EventLoop loop,
-            InetSocketAddress listen,
+            InetSocketAddress listenAddress,
             List<InetSocketAddress> addresses,
-            Function<Peers.Actions, Peers> maker) {
+            Function<GossipNode.Actions, GossipNode> nodeFactory) {
         this.loop = loop;
-        this.listen = listen;
+        this.listenAddress = listenAddress;
         this.addresses = addresses;
-        this.maker = maker;
+        this.nodeFactory = nodeFactory;
         for (int i = 0; i < addresses.size(); i++) {
-            ranks.put(addresses.get(i), i);
+            rankByAddress.put(addresses.get(i), i);
         }
     }
 
-    /** Begins to talk, unless it does; {@code peers} hears of it as an incarnation of its own. */
+    /** Begins to talk, unless it does; {@code node} hears of it as an incarnation of its own. */
     void open() {
         if (channel != null) {
             return;
@@ -73,38 +73,38 @@
                         // During an upgrade the older process has the address until it sees the
                         // younger one.
                         .option(ChannelOption.SO_REUSEADDR, true)
-                        .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(READ))
+                        .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES))
                         .handler(this)
-                        .bind(listen)
+                        .bind(listenAddress)
                         .addListener(
                                 bound -> {
                                     if (!bound.isSuccess()) {
                                         Log.write(
-                                                Event.PEERS_SILENT,
+                                                Event.GOSSIP_DISABLED,
                                                 String.valueOf(bound.cause().getMessage()));
                                         close();
                                     }
                                 })
                         .channel();
-        peers = maker.apply(this);
+        node = nodeFactory.apply(this);
         schedule();
     }
 
-    /** Ends the talk: {@code leaving} says so to some first. */
-    void close(boolean leaving) {
-        if (peers != null && leaving) {
-            peers.leave(Clock.now());
+    /** Ends the talk: {@code announce} says so to some first. */
+    void close(boolean announce) {
+        if (node != null && announce) {
+            node.leave(Clock.now());
         }
         close();
     }
 
     private void close() {
-        peers = null;
-        if (wake != null) {
-            wake.cancel(false);
-            wake = null;
+        node = null;
+        if (wakeTimer != null) {
+            wakeTimer.cancel(false);
+            wakeTimer = null;
         }
-        wakeAt = Long.MAX_VALUE;
+        wakeAtNanos = Long.MAX_VALUE;
         if (channel != null) {
             channel.flush();
             channel.close();
@@ -113,16 +113,16 @@
     }
 
     /** The talk that goes on, or null. */
-    Peers peers() {
-        return peers;
+    GossipNode node() {
+        return node;
     }
 
     /**
      * A module's cargo holds news: it goes out when it is due, not when the next datagram comes.
      */
-    void cargoChanged() {
-        if (peers != null) {
-            peers.cargoChanged(Clock.now());
+    void onPayloadChanged() {
+        if (node != null) {
+            node.announcePayloadChange(Clock.now());
             schedule();
         }
     }
@@ -131,50 +131,50 @@
      * Sends one section of a module to a balancer now; false where the bounds on talk do not let it
      * through.
      */
-    boolean post(int to, int type, ByteBuffer section) {
-        return peers != null && peers.post(Clock.now(), to, type, section);
+    boolean sendSection(int to, int type, ByteBuffer section) {
+        return node != null && node.send(Clock.now(), to, type, section);
     }
 
     /** Datagrams from addresses that are no peer's. */
-    long foreign() {
-        return foreign;
+    long foreignDatagrams() {
+        return foreignDatagrams;
     }
 
     /** Something is to be told: it goes out when it is due, not when the next datagram comes. */
     void schedule() {
-        if (peers == null) {
+        if (node == null) {
             return;
         }
-        long next = peers.next();
-        if (next < wakeAt) {
-            if (wake != null) {
-                wake.cancel(false);
+        long nextNanos = node.nextTimerAtNanos();
+        if (nextNanos < wakeAtNanos) {
+            if (wakeTimer != null) {
+                wakeTimer.cancel(false);
             }
-            wakeAt = next;
-            wake = loop.schedule(this::wake, Math.max(0, next - Clock.now()), TimeUnit.NANOSECONDS);
+            wakeAtNanos = nextNanos;
+            wakeTimer = loop.schedule(this::onTimer, Math.max(0, nextNanos - Clock.now()), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void wake() {
-        wakeAt = Long.MAX_VALUE;
-        wake = null;
-        if (peers != null) {
-            peers.onWake(Clock.now());
+    private void onTimer() {
+        wakeAtNanos = Long.MAX_VALUE;
+        wakeTimer = null;
+        if (node != null) {
+            node.onTimer(Clock.now());
             schedule();
         }
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-        Integer rank = ranks.get(packet.sender());
-        if (peers == null || rank == null) {
-            foreign++;
+        Integer rank = rankByAddress.get(packet.sender());
+        if (node == null || rank == null) {
+            foreignDatagrams++;
             return;
         }
         ByteBuf content = packet.content();
-        int length = Math.min(READ, content.readableBytes());
-        content.readBytes(bytes, 0, length);
-        peers.onDatagram(Clock.now(), rank, bytes, length);
+        int length = Math.min(RECEIVE_BUFFER_BYTES, content.readableBytes());
+        content.readBytes(receiveBuffer, 0, length);
+        node.onDatagram(Clock.now(), rank, receiveBuffer, length);
         schedule();
     }
 
--- a/node/src/main/java/frostrelay/node/Violation.java
+++ b/node/src/main/java/frostrelay/node/InvariantViolation.java
@@ -1,7 +1,7 @@
 package frostrelay.node;
 
 /** What must never happen and is looked for while the program runs: each is counted and logged. */
-enum Violation {
+enum InvariantViolation {
     /** A request had no final answer when it was due, or this process ended. */
     UNANSWERED,
     /** A connection was closed from this end with a request on it that had no answer. */
@@ -12,5 +12,5 @@
      */
     WRITTEN_AGAINST_GUARD,
     /** A server was told more time than the client has left. */
-    TIME_OVERSTATED
+    DEADLINE_OVERSTATED
 }
--- a/node/src/main/java/frostrelay/node/Json.java
+++ b/node/src/main/java/frostrelay/node/Json.java
@@ -11,9 +11,9 @@
 final class Json {
     private Json() {}
 
-    static Map<?, ?> parse(byte[] text) {
+    static Map<?, ?> parse(byte[] utf8) {
         try {
-            return JSON.std.mapFrom(new String(text, StandardCharsets.UTF_8));
+            return JSON.std.mapFrom(new String(utf8, StandardCharsets.UTF_8));
         } catch (IOException e) {
             String reason = String.valueOf(e.getMessage());
             throw new ConfigException("no JSON object: " + reason.lines().findFirst().orElse(""));
@@ -28,8 +28,8 @@
         return type.cast(value);
     }
 
-    static <T> T get(Map<?, ?> object, String name, Class<T> type, T otherwise) {
-        return object.get(name) == null ? otherwise : get(object, name, type);
+    static <T> T get(Map<?, ?> object, String name, Class<T> type, T defaultValue) {
+        return object.get(name) == null ? defaultValue : get(object, name, type);
     }
 
     static Map<?, ?> object(Object value) {
--- a/node/src/main/java/frostrelay/node/Main.java
+++ b/node/src/main/java/frostrelay/node/Main.java
@@ -5,10 +5,10 @@
     private Main() {}
 
     /**
-     * Takes no arguments; {@code GW_CONFIG} names the configuration; {@link FleetOptions} its
+     * Takes no arguments; {@code GW_CONFIG} names the configuration; {@link ClusterOptions} its
      * properties.
      */
     public static void main(String[] args) {
-        Program.start(System.getenv("GW_CONFIG"), Options::ofProperties);
+        NodeProcess.start(System.getenv("GW_CONFIG"), Options::fromSystemProperties);
     }
 }
--- /dev/null
+++ b/node/src/main/java/frostrelay/node/MemoryLimiter.java
@@ -0,0 +1,32 @@
+package frostrelay.node;
+
+/**
+ * Bytes of values that may be held at one time, those of open requests and those still coming in
+ * alike. What peers announce costs nothing; what they have sent counts, so that no crowd of them
+ * can fill the heap.
+ */
+final class MemoryLimiter {
+    private final long limitBytes;
+    private long reservedBytes;
+
+    MemoryLimiter(long limitBytes) {
+        this.limitBytes = limitBytes;
+    }
+
+    /** Takes some; false, and nothing taken, if there is no room. */
+    boolean tryReserve(int bytes) {
+        if (bytes > 0 && reservedBytes + bytes > limitBytes) {
+            return false;
+        }
+        reservedBytes += bytes;
+        return true;
+    }
+
+    void release(int bytes) {
+        reservedBytes -= bytes;
+    }
+
+    long reservedBytes() {
+        return reservedBytes;
+    }
+}
--- a/node/src/main/java/frostrelay/node/MetaDecoder.java
+++ b/node/src/main/java/frostrelay/node/MetaDecoder.java
@@ -17,121 +17,121 @@
  */
 final class MetaDecoder extends ByteToMessageDecoder {
     /** Far above the longest honest line: a key of 250 bytes, an id and a list of figures. */
-    static final int MOST_LINE = 2048;
+    static final int MAX_LINE_BYTES = 2048;
 
-    private static final int MOST_DIGITS = 9;
-    private static final int CRLF = 2;
+    private static final int MAX_LENGTH_DIGITS = 9;
+    private static final int CRLF_BYTES = 2;
 
     /** A value's buffer begins this small and grows with what arrives. */
-    private static final int FIRST_BYTES = 1024;
+    private static final int INITIAL_BUFFER_BYTES = 1024;
 
-    private static final String BAD_CHUNK = "CLIENT_ERROR bad data chunk";
+    private static final String BAD_CHUNK_RESPONSE = "CLIENT_ERROR bad data chunk";
 
     /**
      * Commands of the classic protocol that bring data: they are not served, and their data are no
      * commands.
      */
-    private static final Set<String> CLASSIC_DATA =
+    private static final Set<String> CLASSIC_STORAGE_COMMANDS =
             Set.of("set", "add", "replace", "append", "prepend", "cas");
 
-    private final String dataWord;
-    private final int lengthAt;
-    private final int mostValue;
-    private final Budget budget;
+    private final String dataCommand;
+    private final int lengthTokenIndex;
+    private final int maxValueBytes;
+    private final MemoryLimiter memoryLimiter;
 
     /** The line whose data block is coming in, null between frames. */
-    private List<String> words;
+    private List<String> pendingTokens;
 
     private byte[] data;
-    private int length;
-    private int filled;
+    private int dataLength;
+    private int receivedBytes;
 
     /** The data block is handed on piece by piece. */
     private boolean streaming;
 
-    private boolean broken;
+    private boolean failed;
 
-    private MetaDecoder(String dataWord, int lengthAt, int mostValue, Budget budget) {
-        this.mostValue = mostValue;
-        this.dataWord = dataWord;
-        this.lengthAt = lengthAt;
-        this.budget = budget;
+    private MetaDecoder(String dataCommand, int lengthTokenIndex, int maxValueBytes, MemoryLimiter memoryLimiter) {
+        this.maxValueBytes = maxValueBytes;
+        this.dataCommand = dataCommand;
+        this.lengthTokenIndex = lengthTokenIndex;
+        this.memoryLimiter = memoryLimiter;
     }
 
     /** Reads what clients send: {@code ms} brings data. */
-    static MetaDecoder ofCommands(Budget budget) {
-        return new MetaDecoder("ms", 2, MetaFrame.MOST_GATHERED, budget);
+    static MetaDecoder forCommands(MemoryLimiter memoryLimiter) {
+        return new MetaDecoder("ms", 2, MetaFrame.MAX_BUFFERED_VALUE_BYTES, memoryLimiter);
     }
 
     /** Reads what cache hosts answer: {@code VA} brings data. */
-    static MetaDecoder ofAnswers(Budget budget) {
-        return new MetaDecoder("VA", 1, MetaFrame.MOST_VALUE, budget);
+    static MetaDecoder forResponses(MemoryLimiter memoryLimiter) {
+        return new MetaDecoder("VA", 1, MetaFrame.MAX_VALUE_BYTES, memoryLimiter);
     }
 
     /** Whether the stream stands right between two frames, with not a byte of the next one here. */
-    boolean isClean() {
-        return !broken && words == null && actualReadableBytes() == 0;
+    boolean isAtFrameBoundary() {
+        return !failed && pendingTokens == null && actualReadableBytes() == 0;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (broken) {
+        if (failed) {
             in.skipBytes(in.readableBytes());
         } else if (streaming) {
-            readPiece(in, out);
-        } else if (words != null) {
+            readChunk(in, out);
+        } else if (pendingTokens != null) {
             readData(in, out);
         } else {
             readLine(in, out);
         }
     }
 
-    private void breakOff(String answer, ByteBuf in, List<Object> out) {
-        broken = true;
+    private void failStream(String errorResponse, ByteBuf in, List<Object> out) {
+        failed = true;
         in.skipBytes(in.readableBytes());
         dropData();
-        out.add(MetaFrame.fault(answer, true));
+        out.add(MetaFrame.fault(errorResponse, true));
     }
 
     private void readLine(ByteBuf in, List<Object> out) {
-        int end = in.bytesBefore((byte) '\n');
-        if (end > MOST_LINE || end < 0 && in.readableBytes() > MOST_LINE) {
-            breakOff("CLIENT_ERROR line too long", in, out);
+        int lineEnd = in.bytesBefore((byte) '\n');
+        if (lineEnd > MAX_LINE_BYTES || lineEnd < 0 && in.readableBytes() > MAX_LINE_BYTES) {
+            failStream("CLIENT_ERROR line too long", in, out);
             return;
         }
-        if (end < 0) {
+        if (lineEnd < 0) {
             return;
         }
-        String line = in.readCharSequence(end, StandardCharsets.ISO_8859_1).toString();
+        String line = in.readCharSequence(lineEnd, StandardCharsets.ISO_8859_1).toString();
         in.skipBytes(1);
         if (!line.endsWith("\r")) {
-            breakOff("CLIENT_ERROR lines end in CRLF", in, out);
+            failStream("CLIENT_ERROR lines end in CRLF", in, out);
         } else {
-            take(line.substring(0, end - 1), in, out);
+            parseLine(line.substring(0, lineEnd - 1), in, out);
         }
     }
 
-    private void take(String line, ByteBuf in, List<Object> out) {
+    private void parseLine(String line, ByteBuf in, List<Object> out) {
         List<String> tokens = new ArrayList<>();
-        int begun = 0;
+        int tokenStart = 0;
         for (int i = 0; i <= line.length(); i++) {
             char c = i < line.length() ? line.charAt(i) : ' ';
             if (c < ' ' || c == 0x7f) {
-                breakOff("CLIENT_ERROR control character in line", in, out);
+                failStream("CLIENT_ERROR control character in line", in, out);
                 return;
             }
             if (c == ' ') {
-                if (i > begun) {
-                    tokens.add(line.substring(begun, i));
+                if (i > tokenStart) {
+                    tokens.add(line.substring(tokenStart, i));
                 }
-                begun = i + 1;
+                tokenStart = i + 1;
             }
         }
         if (tokens.isEmpty()) {
             out.add(MetaFrame.fault("ERROR", false));
-        } else if (CLASSIC_DATA.contains(tokens.get(0))) {
-            breakOff("ERROR", in, out);
-        } else if (!tokens.get(0).equals(dataWord)) {
+        } else if (CLASSIC_STORAGE_COMMANDS.contains(tokens.get(0))) {
+            failStream("ERROR", in, out);
+        } else if (!tokens.get(0).equals(dataCommand)) {
             out.add(MetaFrame.of(tokens, null));
         } else {
             startData(tokens, in, out);
@@ -139,74 +139,74 @@
     }
 
     private void startData(List<String> tokens, ByteBuf in, List<Object> out) {
-        String text = tokens.size() > lengthAt ? tokens.get(lengthAt) : "";
-        if (text.isEmpty() || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            breakOff(BAD_CHUNK, in, out);
-        } else if (text.length() > MOST_DIGITS || Integer.parseInt(text) > mostValue) {
-            breakOff("CLIENT_ERROR value too large", in, out);
+        String lengthText = tokens.size() > lengthTokenIndex ? tokens.get(lengthTokenIndex) : "";
+        if (lengthText.isEmpty() || !lengthText.chars().allMatch(c -> c >= '0' && c <= '9')) {
+            failStream(BAD_CHUNK_RESPONSE, in, out);
+        } else if (lengthText.length() > MAX_LENGTH_DIGITS || Integer.parseInt(lengthText) > maxValueBytes) {
+            failStream("CLIENT_ERROR value too large", in, out);
         } else {
-            words = tokens;
-            length = Integer.parseInt(text);
+            pendingTokens = tokens;
+            dataLength = Integer.parseInt(lengthText);
             data = new byte[0];
-            filled = 0;
-            streaming = length > MetaFrame.MOST_GATHERED;
+            receivedBytes = 0;
+            streaming = dataLength > MetaFrame.MAX_BUFFERED_VALUE_BYTES;
             if (streaming) {
                 out.add(MetaFrame.streamed(tokens));
             }
         }
     }
 
-    private void readPiece(ByteBuf in, List<Object> out) {
-        int some = Math.min(length - filled, in.readableBytes());
-        if (some > 0) {
-            filled += some;
-            out.add(in.readRetainedSlice(some));
-        } else if (filled == length && in.readableBytes() >= CRLF) {
-            if (endsBlock(in)) {
+    private void readChunk(ByteBuf in, List<Object> out) {
+        int chunkBytes = Math.min(dataLength - receivedBytes, in.readableBytes());
+        if (chunkBytes > 0) {
+            receivedBytes += chunkBytes;
+            out.add(in.readRetainedSlice(chunkBytes));
+        } else if (receivedBytes == dataLength && in.readableBytes() >= CRLF_BYTES) {
+            if (consumeBlockEnd(in)) {
                 dropData();
-                out.add(MetaFrame.END);
+                out.add(MetaFrame.END_OF_VALUE);
             } else {
-                breakOff(BAD_CHUNK, in, out);
+                failStream(BAD_CHUNK_RESPONSE, in, out);
             }
         }
     }
 
-    private static boolean endsBlock(ByteBuf in) {
+    private static boolean consumeBlockEnd(ByteBuf in) {
         return in.readByte() == '\r' & in.readByte() == '\n';
     }
 
     private void readData(ByteBuf in, List<Object> out) {
-        int some = Math.min(length - filled, in.readableBytes());
-        if (filled + some > data.length && !grow(filled + some)) {
-            breakOff("SERVER_ERROR out of memory", in, out);
+        int chunkBytes = Math.min(dataLength - receivedBytes, in.readableBytes());
+        if (receivedBytes + chunkBytes > data.length && !grow(receivedBytes + chunkBytes)) {
+            failStream("SERVER_ERROR out of memory", in, out);
             return;
         }
-        in.readBytes(data, filled, some);
-        filled += some;
-        if (filled < length || in.readableBytes() < CRLF) {
+        in.readBytes(data, receivedBytes, chunkBytes);
+        receivedBytes += chunkBytes;
+        if (receivedBytes < dataLength || in.readableBytes() < CRLF_BYTES) {
             return;
         }
-        if (!endsBlock(in)) {
-            breakOff(BAD_CHUNK, in, out);
+        if (!consumeBlockEnd(in)) {
+            failStream(BAD_CHUNK_RESPONSE, in, out);
             return;
         }
-        out.add(MetaFrame.of(words, data.length == length ? data : Arrays.copyOf(data, length)));
+        out.add(MetaFrame.of(pendingTokens, data.length == dataLength ? data : Arrays.copyOf(data, dataLength)));
         dropData();
     }
 
-    private boolean grow(int least) {
-        int size = Math.min(length, Math.max(least, Math.max(FIRST_BYTES, 2 * data.length)));
-        if (!budget.take(size - data.length)) {
+    private boolean grow(int minBytes) {
+        int newBytes = Math.min(dataLength, Math.max(minBytes, Math.max(INITIAL_BUFFER_BYTES, 2 * data.length)));
+        if (!memoryLimiter.tryReserve(newBytes - data.length)) {
             return false;
         }
-        data = Arrays.copyOf(data, size);
+        data = Arrays.copyOf(data, newBytes);
         return true;
     }
 
     private void dropData() {
-        if (words != null) {
-            budget.giveBack(data.length);
-            words = null;
+        if (pendingTokens != null) {
+            memoryLimiter.release(data.length);
+            pendingTokens = null;
             data = null;
             streaming = false;
         }
--- a/node/src/main/java/frostrelay/node/Node.java
+++ b/node/src/main/java/frostrelay/node/Node.java
@@ -1,14 +1,14 @@
 package frostrelay.node;
 
-import frostrelay.console.ConsoleServer;
-import frostrelay.console.Operations;
+import frostrelay.console.AdminServer;
+import frostrelay.console.AdminOperations;
 import frostrelay.lifecycle.ActionGuard;
 import frostrelay.lifecycle.DrainSchedule;
-import frostrelay.lifecycle.SharedFolder;
-import frostrelay.lifecycle.Usage;
+import frostrelay.lifecycle.SharedDirectory;
+import frostrelay.lifecycle.DescriptorUsage;
 import frostrelay.log.Event;
 import frostrelay.log.Log;
-import frostrelay.peers.Stamp;
+import frostrelay.peers.AppliedVersions;
 import frostrelay.policy.Api;
 
 import io.netty.channel.ChannelFuture;
@@ -26,25 +26,25 @@
  * One balancer, put together: everything it has lives on one event loop, but for the looks at its
  * shared folder.
  */
-final class Node implements Operations {
-    private static final long LOOK_MS = 10;
+final class Node implements AdminOperations {
+    private static final long SHUTDOWN_POLL_MILLIS = 10;
 
     /** A shutdown tells how far it is so often, and names so many open requests. */
-    private static final long PROGRESS_NS = 500 * Clock.MILLISECOND;
+    private static final long PROGRESS_INTERVAL_NANOS = 500 * Clock.NANOS_PER_MILLISECOND;
 
-    private static final int MOST_NAMED = 10;
-    private static final long SWEEP_MS = 250;
+    private static final int MAX_LISTED_REQUESTS = 10;
+    private static final long SWEEP_INTERVAL_MILLIS = 250;
 
     /** An operator's call must be whole within this time. */
-    private static final long CALL_MS = 2_000;
+    private static final long ADMIN_CALL_TIMEOUT_MILLIS = 2_000;
 
     /**
      * Descriptors kept for the JVM itself (11 when idle), discovery, the console, the listening
      * sockets and accepts.
      */
-    private static final int RESERVE = 48;
+    private static final int MAX_RESERVED_DESCRIPTORS = 48;
 
-    private static final int RESERVE_PART = 4;
+    private static final int RESERVED_DESCRIPTORS_DIVISOR = 4;
 
     /**
      * Clients hold a third of the descriptors at most for requests. At just that many, each
@@ -52,14 +52,14 @@
      * some more for these, for those that only say nothing, and for those that are kept just to be
      * refused.
      */
-    private static final int REQUESTS_PART = 3;
+    private static final int REQUEST_CLIENTS_DIVISOR = 3;
 
-    private static final int FURTHER_PART = 8;
-    private static final int SURPLUS_PART = 16;
-    private static final int MOST_SURPLUS = 16;
+    private static final int EXTRA_CLIENTS_DIVISOR = 8;
+    private static final int SURPLUS_CLIENTS_DIVISOR = 16;
+    private static final int MAX_SURPLUS_CLIENTS = 16;
 
     /** Bytes of values that may be held together; the heap has room for a few times that. */
-    private static final long MOST_HELD = 8L * 1024 * 1024;
+    private static final long MAX_VALUE_BYTES = 8L * 1024 * 1024;
 
     private enum Phase {
         STARTING,
@@ -70,151 +70,151 @@
 
     private Config config;
     private final EventLoop loop;
-    private final SharedFolder folder;
+    private final SharedDirectory sharedDirectory;
     private final Counters counters = new Counters();
-    private final Budget budget = new Budget(MOST_HELD);
-    private final ActionGuard guard = new ActionGuard();
-    private final Balancer balancer;
-    private final ClientServer server;
-    private final Fleet fleet;
+    private final MemoryLimiter memoryLimiter = new MemoryLimiter(MAX_VALUE_BYTES);
+    private final ActionGuard actionGuard = new ActionGuard();
+    private final RequestDispatcher dispatcher;
+    private final ClientListener clientListener;
+    private final ClusterMembership membership;
 
     /** Reads the configuration's file again, elsewhere than on this loop. */
-    private Runnable reread = () -> {};
+    private Runnable rereadAction = () -> {};
 
     /** It drains because it lags behind. */
-    private boolean aside;
+    private boolean isDrainedAsStale;
 
     private Phase phase = Phase.STARTING;
 
     /** Further processes of this balancer: descriptors are shared with them. */
-    private int others;
+    private int peerProcessCount;
 
     /** What this process had in use lately; read by the folder's thread. */
-    private volatile Usage usage = new Usage(0, 0);
+    private volatile DescriptorUsage descriptorUsage = new DescriptorUsage(0, 0);
 
     /** Descriptors for clients and for hosts, over all processes. */
-    private final int clients;
+    private final int maxClientDescriptors;
 
-    private final int links;
+    private final int maxUpstreamDescriptors;
 
     /** What operators hold out of use. */
-    private Set<String> holds;
+    private Set<String> adminDrains;
 
     /** What operators decided in place of the program. */
     private Set<String> overrides;
 
-    private int sweeps;
-    private int sweepsPerPrint;
+    private int sweepCount;
+    private int sweepsPerReport;
 
     /**
      * The longest deadline of a request, under the settings of this life that have the shortest
      * such: a kill may go by either.
      */
-    private long longestDeadline;
+    private long longestDeadlineNanos;
 
     /** When the shutdown began, and how far into it its progress was told last. */
-    private long stopAt;
+    private long shutdownRequestedAtNanos;
 
-    private long progressTold;
+    private long progressLoggedAtNanos;
 
-    /** To be called on the loop, as all of this class. {@code shared}: what the folder showed. */
+    /** To be called on the loop, as all of this class. {@code sharedState}: what the folder showed. */
     Node(
             Config config,
             EventLoop loop,
-            Balancer.Module module,
-            SharedFolder folder,
-            SharedFolder.Look shared,
+            RequestDispatcher.PolicyFactory module,
+            SharedDirectory sharedDirectory,
+            SharedDirectory.Snapshot sharedState,
             Options options,
-            Seams seams) {
+            TestHooks hooks) {
         this.config = config;
-        longestDeadline = config.site().longestDeadline();
-        countEvery(options.counts());
-        this.fleet =
-                Fleet.of(
+        longestDeadlineNanos = config.settings().longestDeadlineNanos();
+        setReportInterval(options.reportIntervalNanos());
+        this.membership =
+                ClusterMembership.of(
                         config,
-                        options.fleet(),
-                        seams,
+                        options.cluster(),
+                        hooks,
                         loop,
                         counters,
-                        new Fleet.Lead() {
+                        new ClusterMembership.Actions() {
                             @Override
-                            public void refresh() {
-                                balancer.refresh();
+                            public void refreshEndpoints() {
+                                dispatcher.refresh();
                             }
 
                             @Override
-                            public void reread() {
-                                reread.run();
+                            public void rereadConfig() {
+                                rereadAction.run();
                             }
 
                             @Override
-                            public void avoid(Set<Long> caches, Set<Long> held) {
-                                balancer.onAvoid(caches, held);
+                            public void setAvoidedCaches(Set<Long> caches, Set<Long> drainedIds) {
+                                dispatcher.onPeerDrains(caches, drainedIds);
                             }
 
                             @Override
-                            public void aside(boolean on) {
-                                stepAside(on);
+                            public void setWithdrawn(boolean isActive) {
+                                setDrainedAsStale(isActive);
                             }
 
                             @Override
-                            public void lower(Set<Long> caches) {
-                                balancer.onLower(caches);
+                            public void setOutliers(Set<Long> caches) {
+                                dispatcher.onPeerHealthReports(caches);
                             }
 
                             @Override
-                            public byte[] settings() {
-                                return SettingsPack.pack(Node.this.config.json());
+                            public byte[] encodeSettings() {
+                                return SharedSettingsCodec.encode(Node.this.config.json());
                             }
 
                             @Override
-                            public boolean take(long digest, byte[] packed) {
-                                return takeSettings(digest, packed);
+                            public boolean applySettings(long digest, byte[] packed) {
+                                return applyPeerSettings(digest, packed);
                             }
                         });
         this.loop = loop;
-        this.folder = folder;
-        int all = config.sockets();
-        int surplus = Math.min(MOST_SURPLUS, all / SURPLUS_PART);
-        others = shared.others();
-        holds = shared.holds();
-        overrides = shared.overrides();
-        clients = Math.max(1, all / REQUESTS_PART + all / FURTHER_PART);
-        links = Math.max(1, all - reserve() - clients - surplus);
-        balancer =
-                new Balancer(
+        this.sharedDirectory = sharedDirectory;
+        int descriptorLimit = config.descriptorLimit();
+        int maxSurplusClients = Math.min(MAX_SURPLUS_CLIENTS, descriptorLimit / SURPLUS_CLIENTS_DIVISOR);
+        peerProcessCount = sharedState.peerProcessCount();
+        adminDrains = sharedState.adminDrains();
+        overrides = sharedState.overrides();
+        maxClientDescriptors = Math.max(1, descriptorLimit / REQUEST_CLIENTS_DIVISOR + descriptorLimit / EXTRA_CLIENTS_DIVISOR);
+        maxUpstreamDescriptors = Math.max(1, descriptorLimit - reservedDescriptors() - maxClientDescriptors - maxSurplusClients);
+        dispatcher =
+                new RequestDispatcher(
                         config,
                         loop,
                         counters,
                         module,
-                        (site, listener) ->
-                                new HostPool(site, loop, counters, mostLinks(shared), listener),
-                        budget,
-                        guard,
-                        shared,
-                        fleet.witness(),
-                        seams.wall());
-        if (options.fleet().stragglers()) {
-            balancer.catchUpFirst();
+                        (currentSettings, listener) ->
+                                new UpstreamConnectionPool(currentSettings, loop, counters, maxUpstreamConnections(sharedState), listener),
+                        memoryLimiter,
+                        actionGuard,
+                        sharedState,
+                        membership.observer(),
+                        hooks.wallClock());
+        if (options.cluster().stalenessDetection()) {
+            dispatcher.enableCatchUp();
         }
-        server =
-                new ClientServer(
-                        balancer, loop, counters, budget, guard, mostClients(shared), surplus);
+        clientListener =
+                new ClientListener(
+                        dispatcher, loop, counters, memoryLimiter, actionGuard, maxClients(sharedState), maxSurplusClients);
     }
 
-    private int reserve() {
-        return Math.min(RESERVE, config.sockets() / RESERVE_PART);
+    private int reservedDescriptors() {
+        return Math.min(MAX_RESERVED_DESCRIPTORS, config.descriptorLimit() / RESERVED_DESCRIPTORS_DIVISOR);
     }
 
     /** What the other processes have in use is theirs, but for a part that is always ours. */
-    private int mostClients(SharedFolder.Look look) {
-        return Math.max(clients / (1 + look.others()), clients - look.usage().clients());
+    private int maxClients(SharedDirectory.Snapshot sharedState) {
+        return Math.max(maxClientDescriptors / (1 + sharedState.peerProcessCount()), maxClientDescriptors - sharedState.peerUsage().clients());
     }
 
     /** Likewise; each further process has a reserve of its own. */
-    private int mostLinks(SharedFolder.Look look) {
-        int all = Math.max(1 + look.others(), links - look.others() * reserve());
-        return Math.max(all / (1 + look.others()), all - look.usage().hosts());
+    private int maxUpstreamConnections(SharedDirectory.Snapshot sharedState) {
+        int availableDescriptors = Math.max(1 + sharedState.peerProcessCount(), maxUpstreamDescriptors - sharedState.peerProcessCount() * reservedDescriptors());
+        return Math.max(availableDescriptors / (1 + sharedState.peerProcessCount()), availableDescriptors - sharedState.peerUsage().upstreams());
     }
 
     /**
@@ -222,17 +222,17 @@
      * clients' channel.
      */
     Future<ChannelFuture> start() {
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         Promise<ChannelFuture> started = loop.newPromise();
-        if (config.console() == null) {
-            open(started);
+        if (config.adminAddress() == null) {
+            listenOnceEndpointsKnown(started);
         } else {
-            new ConsoleServer(loop, this, CALL_MS)
-                    .listen(config.console())
+            new AdminServer(loop, this, ADMIN_CALL_TIMEOUT_MILLIS)
+                    .listen(config.adminAddress())
                     .addListener(
                             bound -> {
                                 if (bound.isSuccess()) {
-                                    open(started);
+                                    listenOnceEndpointsKnown(started);
                                 } else {
                                     started.setFailure(bound.cause());
                                 }
@@ -241,89 +241,89 @@
         return started;
     }
 
-    private void open(Promise<ChannelFuture> started) {
-        balancer.heard().addListener(heard -> listen(started));
+    private void listenOnceEndpointsKnown(Promise<ChannelFuture> started) {
+        dispatcher.heard().addListener(endpointsKnown -> listen(started));
     }
 
     private void listen(Promise<ChannelFuture> started) {
-        if (guard.isShuttingDown()) {
+        if (actionGuard.isShuttingDown()) {
             // Asked to end before it served at all: the process ends, and nobody waits for this.
             return;
         }
-        ChannelFuture clients = server.listen(config.listen());
-        clients.addListener(
+        ChannelFuture bindFuture = clientListener.listen(config.listenAddress());
+        bindFuture.addListener(
                 bound -> {
-                    if (bound.isSuccess() && !guard.isShuttingDown()) {
+                    if (bound.isSuccess() && !actionGuard.isShuttingDown()) {
                         phase = Phase.SERVING;
-                        fleet.serve();
-                        fleet.overrides(overrides);
-                        folder.serve(() -> usage, look -> loop.execute(() -> share(look)));
-                        started.setSuccess(clients);
+                        membership.onServing();
+                        membership.setOverrides(overrides);
+                        sharedDirectory.announceAndPoll(() -> descriptorUsage, sharedState -> loop.execute(() -> applySharedState(sharedState)));
+                        started.setSuccess(bindFuture);
                     } else if (!bound.isSuccess()) {
                         started.setFailure(bound.cause());
                     }
                 });
     }
 
-    private void share(SharedFolder.Look look) {
-        keep(look.holds());
-        if (!look.overrides().equals(overrides)) {
-            overrides = look.overrides();
+    private void applySharedState(SharedDirectory.Snapshot sharedState) {
+        applyAdminDrains(sharedState.adminDrains());
+        if (!sharedState.overrides().equals(overrides)) {
+            overrides = sharedState.overrides();
             Log.write(Event.OVERRIDES, overrides);
-            fleet.overrides(overrides);
+            membership.setOverrides(overrides);
         }
-        int count = look.others();
-        if (count != others) {
-            Log.write(count > others ? Event.SIBLING_SERVES : Event.SIBLING_ENDED, count);
+        int count = sharedState.peerProcessCount();
+        if (count != peerProcessCount) {
+            Log.write(count > peerProcessCount ? Event.PEER_PROCESS_SERVING : Event.PEER_PROCESS_ENDED, count);
             // The younger speaks for both: it is the one that goes on.
-            fleet.speak(count < others);
-            others = count;
-            balancer.onOthers(others);
+            membership.setGossipActive(count < peerProcessCount);
+            peerProcessCount = count;
+            dispatcher.onSiblingProcesses(peerProcessCount);
         }
-        usage = new Usage(server.clients(), balancer.links());
+        descriptorUsage = new DescriptorUsage(clientListener.connectionCount(), dispatcher.connectionCount());
         // Descriptors are counted over all processes of this balancer.
-        server.limit(mostClients(look));
-        balancer.limit(mostLinks(look));
+        clientListener.setMaxConnections(maxClients(sharedState));
+        dispatcher.setMaxConnections(maxUpstreamConnections(sharedState));
     }
 
     /** What operators hold, as kept for all processes of this balancer. */
-    private void keep(Set<String> held) {
-        if (!held.equals(holds)) {
-            Log.write(Event.HOLDS, held);
-            holds = held;
-            balancer.onHolds(held);
+    private void applyAdminDrains(Set<String> drainedIds) {
+        if (!drainedIds.equals(adminDrains)) {
+            Log.write(Event.ADMIN_DRAINS, drainedIds);
+            adminDrains = drainedIds;
+            dispatcher.onAdminDrains(drainedIds);
         }
     }
 
     private void sweep() {
-        balancer.sweep();
-        fleet.tick();
-        server.sweep();
-        if (++sweeps % sweepsPerPrint == 0) {
-            print();
+        dispatcher.sweep();
+        membership.tick();
+        clientListener.closeTimedOut();
+        if (++sweepCount % sweepsPerReport == 0) {
+            logCounters();
         }
     }
 
-    private void print() {
-        counters.print(gauges());
+    private void logCounters() {
+        counters.logReport(gauges());
     }
 
     Map<String, Object> gauges() {
         Map<String, Object> gauges = new LinkedHashMap<>();
-        gauges.put("clients", server.clients());
-        gauges.put("held", budget.held());
-        balancer.gauges(gauges);
+        gauges.put("clients", clientListener.connectionCount());
+        gauges.put("held", memoryLimiter.reservedBytes());
+        dispatcher.collectGauges(gauges);
         return gauges;
     }
 
     /** A list of hosts from elsewhere than discovery. */
-    void onList(Api.ListMode mode, List<Catalog.Member> members) {
-        balancer.onList(mode, 0, members);
+    void onEndpointList(Api.ListMode mode, List<EndpointList.Endpoint> members) {
+        dispatcher.onEndpointList(mode, 0, members);
     }
 
     /** From now on counts are printed every so many nanoseconds. */
-    final void countEvery(long counts) {
-        sweepsPerPrint = (int) Math.max(1, counts / (SWEEP_MS * Clock.MILLISECOND));
+    final void setReportInterval(long intervalNanos) {
+        sweepsPerReport = (int) Math.max(1, intervalNanos / (SWEEP_INTERVAL_MILLIS * Clock.NANOS_PER_MILLISECOND));
     }
 
     String name() {
@@ -336,195 +336,195 @@
      */
     boolean reload(Map<?, ?> json) {
         try {
-            config = config.succeed(json);
-            longestDeadline = Math.min(longestDeadline, config.site().longestDeadline());
-            balancer.reload(config);
+            config = config.replacedBy(json);
+            longestDeadlineNanos = Math.min(longestDeadlineNanos, config.settings().longestDeadlineNanos());
+            dispatcher.reload(config);
             Log.write(
-                    Event.SETTINGS_TAKEN,
-                    config.site().names(),
-                    config.site().settings.maxAttempts());
+                    Event.SETTINGS_APPLIED,
+                    config.settings().classNames(),
+                    config.settings().policySettings.maxAttempts());
             return true;
         } catch (ConfigException e) {
-            Log.write(Event.SETTINGS_REFUSED, e.getMessage());
-            fleet.witness().onRefusedConfig(e.getMessage());
-            fleet.refused(Json.get(json, "version", Number.class, Stamp.NO_NUMBER).longValue());
+            Log.write(Event.SETTINGS_REJECTED, e.getMessage());
+            membership.observer().onConfigRejected(e.getMessage());
+            membership.onConfigRejected(Json.get(json, "version", Number.class, AppliedVersions.NO_NUMBER).longValue());
             return false;
         }
     }
 
     /** Another balancer's settings in place of these, until a file says otherwise. */
-    private boolean takeSettings(long digest, byte[] packed) {
-        Map<?, ?> fresh;
+    private boolean applyPeerSettings(long digest, byte[] packed) {
+        Map<?, ?> newConfig;
         try {
-            fresh = SettingsPack.replace(config.json(), packed, digest);
+            newConfig = SharedSettingsCodec.withSharedSettings(config.json(), packed, digest);
         } catch (ConfigException e) {
-            counters.noise("settings handed over: " + e.getMessage());
+            counters.warn("settings handed over: " + e.getMessage());
             return false;
         }
-        Log.write(Event.SETTINGS_HANDED_OVER, fresh.get("version"));
-        return reload(fresh);
+        Log.write(Event.SETTINGS_RECEIVED_FROM_PEER, newConfig.get("version"));
+        return reload(newConfig);
     }
 
     /** What is to be done where others act on a later configuration; must not wait. */
-    void onReread(Runnable action) {
-        reread = action;
+    void setRereadAction(Runnable action) {
+        rereadAction = action;
     }
 
     @Override
-    public Future<Boolean> override(String word, boolean on) {
-        if (!fleet.minds()) {
+    public Future<Boolean> setOverride(String decision, boolean isActive) {
+        if (!membership.detectsStaleness()) {
             return loop.newSucceededFuture(false);
         }
-        Promise<Boolean> done = loop.newPromise();
-        folder.override(
-                word,
-                on,
-                (decided, failure) ->
+        Promise<Boolean> completion = loop.newPromise();
+        sharedDirectory.setOverride(
+                decision,
+                isActive,
+                (activeOverrides, failure) ->
                         loop.execute(
                                 () -> {
                                     if (failure == null) {
-                                        fleet.overrides(decided);
-                                        done.setSuccess(true);
+                                        membership.setOverrides(activeOverrides);
+                                        completion.setSuccess(true);
                                     } else {
-                                        done.setFailure(failure);
+                                        completion.setFailure(failure);
                                     }
                                 }));
-        return done;
+        return completion;
     }
 
     /** A replaced configuration that is none at all. */
-    void refuse(String reason) {
-        fleet.witness().onRefusedConfig(reason);
+    void onUnreadableConfig(String reason) {
+        membership.observer().onConfigRejected(reason);
     }
 
     @Override
-    public byte[] audit() {
-        return fleet.statement();
+    public byte[] auditStatement() {
+        return membership.statusJson();
     }
 
     @Override
     public byte[] auditRecord() {
-        return fleet.record();
+        return membership.auditRecord();
     }
 
     /** As a drain does, but an operators' drain is theirs to end. */
-    private void stepAside(boolean on) {
-        if (on && phase == Phase.SERVING) {
-            aside = true;
+    private void setDrainedAsStale(boolean isActive) {
+        if (isActive && phase == Phase.SERVING) {
+            isDrainedAsStale = true;
             startDrain();
-        } else if (!on && aside) {
+        } else if (!isActive && isDrainedAsStale) {
             stopDrain();
         }
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return phase == Phase.SERVING;
     }
 
     @Override
     public void startDrain() {
         if (phase == Phase.SERVING) {
-            Log.write(Event.DRAIN_BEGINS);
+            Log.write(Event.DRAIN_STARTED);
             phase = Phase.DRAINING;
-            guard.follow(DrainSchedule.forDrain(Clock.now()));
+            actionGuard.setSchedule(DrainSchedule.forDrain(Clock.now()));
         }
     }
 
     @Override
     public void stopDrain() {
-        aside = false;
+        isDrainedAsStale = false;
         if (phase == Phase.DRAINING) {
-            Log.write(Event.DRAIN_ENDS);
+            Log.write(Event.DRAIN_ENDED);
             phase = Phase.SERVING;
-            guard.follow(null);
+            actionGuard.setSchedule(null);
         }
     }
 
     @Override
-    public Future<Boolean> hold(String id, boolean out) {
-        if (!balancer.knows(id) && !holds.contains(id)) {
+    public Future<Boolean> setAdminDrain(String id, boolean isDrained) {
+        if (!dispatcher.isKnownServer(id) && !adminDrains.contains(id)) {
             return loop.newSucceededFuture(false);
         }
-        Promise<Boolean> done = loop.newPromise();
+        Promise<Boolean> completion = loop.newPromise();
         // The yes comes once it is kept: a new process that starts right behind it must find it.
-        folder.hold(
+        sharedDirectory.setAdminDrain(
                 id,
-                out,
-                (held, failure) ->
+                isDrained,
+                (drainedIds, failure) ->
                         loop.execute(
                                 () -> {
                                     if (failure == null) {
-                                        keep(held);
-                                        done.setSuccess(true);
+                                        applyAdminDrains(drainedIds);
+                                        completion.setSuccess(true);
                                     } else {
-                                        done.setFailure(failure);
+                                        completion.setFailure(failure);
                                     }
                                 }));
-        return done;
+        return completion;
     }
 
     /**
      * Stops in order; the future is done when every request has been answered and every client is
-     * gone. {@code replaced}: another process of this balancer listens, so that new clients need
-     * not be waited for; {@code signalledAt}: when it was asked for, from which on the time until a
+     * gone. {@code isReplaced}: another process of this balancer listens, so that new clients need
+     * not be waited for; {@code signalledAtNanos}: when it was asked for, from which on the time until a
      * kill runs.
      */
-    Future<Void> stop(boolean replaced, long signalledAt) {
-        stopAt = signalledAt;
-        DrainSchedule schedule = DrainSchedule.forShutdown(signalledAt, longestDeadline);
+    Future<Void> stop(boolean isReplaced, long signalledAtNanos) {
+        shutdownRequestedAtNanos = signalledAtNanos;
+        DrainSchedule schedule = DrainSchedule.forShutdown(signalledAtNanos, longestDeadlineNanos);
         Log.write(
-                Event.STOPS,
-                replaced,
-                (schedule.acceptUntil() - signalledAt) / Clock.MILLISECOND,
-                (schedule.answerUntil() - signalledAt) / Clock.MILLISECOND);
+                Event.SHUTDOWN_STARTED,
+                isReplaced,
+                (schedule.acceptUntilNanos() - signalledAtNanos) / Clock.NANOS_PER_MILLISECOND,
+                (schedule.answerUntilNanos() - signalledAtNanos) / Clock.NANOS_PER_MILLISECOND);
         phase = Phase.STOPPING;
-        guard.follow(schedule);
-        balancer.answerAllBy(schedule.answerUntil());
-        fleet.leave(replaced);
-        Promise<Void> done = loop.newPromise();
+        actionGuard.setSchedule(schedule);
+        dispatcher.capDeadlines(schedule.answerUntilNanos());
+        membership.onShutdown(isReplaced);
+        Promise<Void> completion = loop.newPromise();
         // What has already been accepted by the system is read first: it would be reset with the
         // socket.
-        long listenOn =
-                replaced ? LOOK_MS * Clock.MILLISECOND : schedule.acceptUntil() - Clock.now();
+        long listenForNanos =
+                isReplaced ? SHUTDOWN_POLL_MILLIS * Clock.NANOS_PER_MILLISECOND : schedule.acceptUntilNanos() - Clock.now();
         loop.schedule(
                 () -> {
-                    server.stopListening();
-                    await(done, schedule.exitAt());
+                    clientListener.stopListening();
+                    awaitQuiescence(completion, schedule.exitAtNanos());
                 },
-                Math.max(0, listenOn),
+                Math.max(0, listenForNanos),
                 TimeUnit.NANOSECONDS);
-        return done;
+        return completion;
     }
 
-    private void await(Promise<Void> done, long end) {
+    private void awaitQuiescence(Promise<Void> completion, long deadlineNanos) {
         // By the end every request is answered: only a client that does not read can still be
         // there.
-        if (server.clients() == 0 && balancer.open() == 0 || Clock.now() >= end) {
-            if (balancer.open() > 0) {
-                counters.violated(
-                        Violation.UNANSWERED,
-                        "at the end of the process: " + balancer.openRequests(MOST_NAMED));
+        if (clientListener.connectionCount() == 0 && dispatcher.openRequestCount() == 0 || Clock.now() >= deadlineNanos) {
+            if (dispatcher.openRequestCount() > 0) {
+                counters.recordViolation(
+                        InvariantViolation.UNANSWERED,
+                        "at the end of the process: " + dispatcher.openRequests(MAX_LISTED_REQUESTS));
             }
-            print();
-            fleet.close();
-            done.setSuccess(null);
+            logCounters();
+            membership.close();
+            completion.setSuccess(null);
         } else {
-            tellProgress();
-            loop.schedule(() -> await(done, end), LOOK_MS, TimeUnit.MILLISECONDS);
+            logProgress();
+            loop.schedule(() -> awaitQuiescence(completion, deadlineNanos), SHUTDOWN_POLL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void tellProgress() {
-        long elapsed = Clock.now() - stopAt;
-        if (elapsed >= progressTold + PROGRESS_NS) {
-            progressTold = elapsed;
+    private void logProgress() {
+        long elapsedNanos = Clock.now() - shutdownRequestedAtNanos;
+        if (elapsedNanos >= progressLoggedAtNanos + PROGRESS_INTERVAL_NANOS) {
+            progressLoggedAtNanos = elapsedNanos;
             Log.write(
                     Event.SHUTDOWN_PROGRESS,
-                    elapsed / Clock.MILLISECOND,
-                    server.clients(),
-                    balancer.open(),
-                    balancer.openRequests(MOST_NAMED));
+                    elapsedNanos / Clock.NANOS_PER_MILLISECOND,
+                    clientListener.connectionCount(),
+                    dispatcher.openRequestCount(),
+                    dispatcher.openRequests(MAX_LISTED_REQUESTS));
         }
     }
 }
--- /dev/null
+++ b/node/src/main/java/frostrelay/node/NodeProcess.java
@@ -0,0 +1,189 @@
+package frostrelay.node;
+
+import frostrelay.lifecycle.SharedDirectory;
+import frostrelay.log.Event;
+import frostrelay.log.Log;
+import frostrelay.log.LogSetup;
+import frostrelay.policy.Router;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.nio.NioEventLoopGroup;
+import io.netty.util.concurrent.DefaultThreadFactory;
+
+import java.nio.file.Path;
+import java.util.Map;
+import java.util.concurrent.Executors;
+import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * The real balancer's life: it reads its configuration, at a signal again, serves until SIGTERM and
+ * ends with 0.
+ */
+public final class NodeProcess {
+    /** Where the signal for a replaced configuration is ignored, the file is looked at so often. */
+    private static final long DEFAULT_POLL_INTERVAL_NANOS = Clock.NANOS_PER_SECOND;
+
+    /** A shutdown does not wait longer for its folder. */
+    private static final long SHARED_DIRECTORY_TIMEOUT_MILLIS = 100;
+
+    /** Nobody takes longer than this between two pieces of a file that he writes. */
+    private static final long STABLE_FILE_DELAY_NANOS = 300 * Clock.NANOS_PER_MILLISECOND;
+
+    /** Where operators' own settings come from; read at the start and at each reload. */
+    public interface OptionsSource {
+        /**
+         * What is set now; throws an exception whose message says what is wrong, and then nothing
+         * changes.
+         */
+        Options read();
+    }
+
+    private final ConfigFile configFile;
+    private final OptionsSource optionsSource;
+    private final Node node;
+    private final EventLoop loop;
+    private final SharedDirectory sharedDirectory;
+
+    private NodeProcess(ConfigFile configFile, OptionsSource optionsSource, Node node, EventLoop loop, SharedDirectory sharedDirectory) {
+        this.configFile = configFile;
+        this.optionsSource = optionsSource;
+        this.node = node;
+        this.loop = loop;
+        this.sharedDirectory = sharedDirectory;
+    }
+
+    /**
+     * Starts to serve and returns; the process ends with 1 if that fails. {@code configPath}: of the
+     * configuration.
+     */
+    public static void start(String configPath, OptionsSource optionsSource) {
+        start(configPath, optionsSource, TestHooks.NONE);
+    }
+
+    /** Likewise with what a test build puts in between. */
+    public static void start(String configPath, OptionsSource optionsSource, TestHooks hooks) {
+        try {
+            ReloadSignal reloadSignal = ReloadSignal.install();
+            Options options = optionsSource.read();
+            ConfigFile configFile = new ConfigFile(configPath);
+            Config config = Config.read(configFile);
+            LogSetup.apply(options.logFormat(), options.logLevel(), config.name());
+            EventLoop loop = new NioEventLoopGroup(1, new DefaultThreadFactory("loop")).next();
+            SharedDirectory sharedDirectory =
+                    new SharedDirectory(temporaryDirectory(), Long.toString(ProcessHandle.current().pid()));
+            SharedDirectory.Snapshot sharedState = sharedDirectory.snapshot();
+            Node node =
+                    loop.submit(
+                                    () ->
+                                            new Node(
+                                                    config,
+                                                    loop,
+                                                    Router::new,
+                                                    sharedDirectory,
+                                                    sharedState,
+                                                    options,
+                                                    hooks))
+                            .get();
+            NodeProcess process = new NodeProcess(configFile, optionsSource, node, loop, sharedDirectory);
+            // A JVM that SIGTERM ends exits with 143; halting at the end of its hook makes that 0.
+            Runtime.getRuntime().addShutdownHook(new Thread(process::stop, "stop"));
+            if (options.cluster().stalenessDetection()) {
+                ScheduledExecutorService rereadExecutor =
+                        Executors.newSingleThreadScheduledExecutor(
+                                new DefaultThreadFactory("reread", true));
+                loop.submit(() -> node.setRereadAction(() -> process.reloadOnceStable(rereadExecutor))).get();
+            }
+            loop.submit(node::start).get().sync();
+            reloadSignal.setReloadAction(process::reload);
+            process.watchConfigFile(reloadSignal.isIgnored(), options.configPollNanos());
+            Log.write(Event.SERVING, config.listenAddress(), config.adminAddress());
+        } catch (ConfigException e) {
+            fail(e.getMessage());
+        } catch (Exception e) {
+            fail(e.toString());
+        }
+    }
+
+    private static void fail(String reason) {
+        Log.write(Event.CANNOT_START, reason);
+        Runtime.getRuntime().halt(1);
+    }
+
+    /**
+     * Looks at the file now and then where operators want that, or where no signal would be heard.
+     */
+    private void watchConfigFile(boolean isSignalIgnored, long requestedIntervalNanos) {
+        long intervalNanos = requestedIntervalNanos > 0 ? requestedIntervalNanos : DEFAULT_POLL_INTERVAL_NANOS;
+        if (isSignalIgnored) {
+            Log.write(Event.SIGNAL_IGNORED, "HUP", intervalNanos / Clock.NANOS_PER_MILLISECOND);
+        }
+        if (isSignalIgnored || requestedIntervalNanos > 0) {
+            ScheduledExecutorService watchExecutor =
+                    Executors.newSingleThreadScheduledExecutor(
+                            new DefaultThreadFactory("config", true));
+            watchExecutor.scheduleWithFixedDelay(
+                    () -> {
+                        if (configFile.hasChanged()) {
+                            reload();
+                        }
+                    },
+                    intervalNanos,
+                    intervalNanos,
+                    TimeUnit.NANOSECONDS);
+        }
+    }
+
+    /**
+     * Takes what the file holds where that is something else: a change counts once two looks have
+     * found the file the same.
+     */
+    private void reloadOnceStable(ScheduledExecutorService executor) {
+        executor.execute(configFile::hasChanged);
+        executor.schedule(
+                () -> {
+                    if (configFile.hasChanged()) {
+                        reload();
+                    }
+                },
+                STABLE_FILE_DELAY_NANOS,
+                TimeUnit.NANOSECONDS);
+    }
+
+    /** Reads on the caller's thread. One at a time, so that what was read last is taken last. */
+    private synchronized void reload() {
+        try {
+            Map<?, ?> json = configFile.load();
+            Options options = optionsSource.read();
+            loop.execute(
+                    () -> {
+                        if (node.reload(json)) {
+                            LogSetup.apply(options.logFormat(), options.logLevel(), node.name());
+                            node.setReportInterval(options.reportIntervalNanos());
+                        }
+                    });
+        } catch (RuntimeException e) {
+            Log.write(Event.SETTINGS_REJECTED, e.getMessage());
+            loop.execute(() -> node.onUnreadableConfig(e.getMessage()));
+        }
+    }
+
+    /** The folder that all processes of this balancer share, and no other balancer. */
+    private static Path temporaryDirectory() {
+        String configuredPath = System.getenv("TMPDIR");
+        return Path.of(
+                configuredPath == null || configuredPath.isEmpty() ? System.getProperty("java.io.tmpdir") : configuredPath);
+    }
+
+    private void stop() {
+        long signalledAtNanos = Clock.now();
+        try {
+            boolean isReplaced = sharedDirectory.hasServingPeers(SHARED_DIRECTORY_TIMEOUT_MILLIS);
+            loop.submit(() -> node.stop(isReplaced, signalledAtNanos)).get().await();
+            sharedDirectory.close();
+        } catch (Exception e) {
+            Log.write(Event.SHUTDOWN_FAILED, e.toString());
+        }
+        Runtime.getRuntime().halt(0);
+    }
+}
--- a/node/src/main/java/frostrelay/node/Options.java
+++ b/node/src/main/java/frostrelay/node/Options.java
@@ -5,27 +5,27 @@
 import org.slf4j.event.Level;
 
 /**
- * What operators set beyond the platform's configuration. {@code look}: nanoseconds between looks
+ * What operators set beyond the platform's configuration. {@code configPollNanos}: nanoseconds between looks
  * at the configuration file for a change, 0 to look only where the signal for it is ignored; {@code
- * counts}: nanoseconds between two lines of counts; {@code fleet}: what it has to do with others of
+ * counts}: nanoseconds between two lines of counts; {@code cluster}: what it has to do with others of
  * its tier.
  */
 public record Options(
-        LogSetup.Format logFormat, Level logLevel, long look, long counts, FleetOptions fleet) {
+        LogSetup.Format logFormat, Level logLevel, long configPollNanos, long reportIntervalNanos, ClusterOptions cluster) {
     /** What holds where nothing is set: on the platform. */
-    public static final Options STANDARD =
-            new Options(LogSetup.Format.AUTO, Level.INFO, 0, 10 * Clock.SECOND, FleetOptions.OFF);
+    public static final Options DEFAULTS =
+            new Options(LogSetup.Format.AUTO, Level.INFO, 0, 10 * Clock.NANOS_PER_SECOND, ClusterOptions.OFF);
 
     /**
      * The standard with what the JVM's own properties ask for; throws {@link ConfigException} for
      * what they cannot.
      */
-    public static Options ofProperties() {
+    public static Options fromSystemProperties() {
         return new Options(
-                STANDARD.logFormat,
-                STANDARD.logLevel,
-                STANDARD.look,
-                STANDARD.counts,
-                FleetOptions.of(System::getProperty));
+                DEFAULTS.logFormat,
+                DEFAULTS.logLevel,
+                DEFAULTS.configPollNanos,
+                DEFAULTS.reportIntervalNanos,
+                ClusterOptions.of(System::getProperty));
     }
 }
--- a/node/src/main/java/frostrelay/node/ReadAhead.java
+++ b/node/src/main/java/frostrelay/node/ReadAhead.java
@@ -19,88 +19,88 @@
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
     /** Far more than honest clients send at once: hundreds of commands. */
-    private static final int MOST = 128 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 128 * 1024;
 
     /** Handed on at a time: as few commands as can be are cut apart before their turn. */
-    private static final int PIECE = 4 * 1024;
+    private static final int CHUNK_BYTES = 4 * 1024;
 
     /** The loop reads before it runs what falls due after this. */
-    private static final long NEXT_TURN_MS = 1;
+    private static final long NEXT_TURN_MILLIS = 1;
 
     /** Bytes that come within this of one another count as having come with the first of them. */
-    private static final long AT_ONCE_NS = 5 * Clock.MILLISECOND;
+    private static final long SAME_ARRIVAL_NANOS = 5 * Clock.NANOS_PER_MILLISECOND;
 
     /**
      * What waited while the connection was not read is read within this of its being read again.
      */
-    private static final long RESUME_NS = 20 * Clock.MILLISECOND;
+    private static final long RESUME_WINDOW_NANOS = 20 * Clock.NANOS_PER_MILLISECOND;
 
     /** Bytes that have come together. */
     private static final class Arrival {
-        final long at;
-        int left;
+        final long atNanos;
+        int remainingBytes;
 
-        Arrival(long at, int bytes) {
-            this.at = at;
-            this.left = bytes;
+        Arrival(long atNanos, int bytes) {
+            this.atNanos = atNanos;
+            this.remainingBytes = bytes;
         }
     }
 
     /** Hears of what has come. */
     interface Listener {
-        /** Some bytes wait to be {@link #feed fed}. */
-        void onBytes();
+        /** Some bytes wait to be {@link #feedDecoder fed}. */
+        void onBytesBuffered();
 
         /**
-         * All that had come has been read, or what one turn may read and the next; {@code bytes}:
+         * All that had come has been read, or what one turn may read and the next; {@code hasBytes}:
          * something was.
          */
-        void onRead(boolean bytes);
+        void onReadComplete(boolean hasBytes);
     }
 
     /** Bytes that wait, over all connections. */
-    static final class Total {
-        private static final long MOST_ALL = 2L * 1024 * 1024;
+    static final class BufferedTotal {
+        private static final long MAX_TOTAL_BYTES = 2L * 1024 * 1024;
         private long bytes;
     }
 
     private final Listener listener;
-    private final Total total;
+    private final BufferedTotal bufferedTotal;
 
     /** Reads of one turn of the loop; after so many there may be more. */
-    private final int readsAtOnce;
+    private final int maxReadsPerTurn;
 
     private ChannelHandlerContext context;
-    private ByteBuf held = Unpooled.EMPTY_BUFFER;
+    private ByteBuf buffer = Unpooled.EMPTY_BUFFER;
 
     /** When the held bytes came, in their order. */
     private final Deque<Arrival> arrivals = new ArrayDeque<>(1);
 
     /** When the piece came that was handed on last. */
-    private long arrivedAt;
+    private long arrivedAtNanos;
 
     /**
      * Since when nothing was read on purpose, and when that ended; what is read right behind may
      * have come at the first. 0 for neither.
      */
-    private long restsSince;
+    private long pausedSinceNanos;
 
-    private long resumedAt;
+    private long resumedAtNanos;
 
     /** Since when more may have come than was read; 0 while all has been. */
-    private long behindSince;
+    private long behindSinceNanos;
 
-    private int reads;
+    private int readsThisTurn;
 
     /** Turns of the loop in which it was read. */
-    private long turns;
+    private long turnCount;
 
-    private boolean discards;
+    private boolean discarding;
 
-    ReadAhead(Listener listener, Total total, int readsAtOnce) {
+    ReadAhead(Listener listener, BufferedTotal bufferedTotal, int maxReadsPerTurn) {
         this.listener = listener;
-        this.total = total;
-        this.readsAtOnce = readsAtOnce;
+        this.bufferedTotal = bufferedTotal;
+        this.maxReadsPerTurn = maxReadsPerTurn;
     }
 
     @Override
@@ -110,69 +110,69 @@
 
     @Override
     public void handlerRemoved(ChannelHandlerContext ctx) {
-        drop();
+        releaseBuffer();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf bytes = (ByteBuf) message;
-        reads++;
-        behindSince = behindSince == 0 ? Clock.now() : behindSince;
-        if (discards) {
+        readsThisTurn++;
+        behindSinceNanos = behindSinceNanos == 0 ? Clock.now() : behindSinceNanos;
+        if (discarding) {
             bytes.release();
             return;
         }
-        total.bytes += bytes.readableBytes();
-        note(bytes.readableBytes());
-        held = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(ctx.alloc(), held, bytes);
-        listener.onBytes();
+        bufferedTotal.bytes += bytes.readableBytes();
+        recordArrival(bytes.readableBytes());
+        buffer = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(ctx.alloc(), buffer, bytes);
+        listener.onBytesBuffered();
     }
 
-    private void note(int bytes) {
+    private void recordArrival(int bytes) {
         long now = Clock.now();
-        if (resumedAt != 0 && now - resumedAt > RESUME_NS) {
-            forgetRest();
+        if (resumedAtNanos != 0 && now - resumedAtNanos > RESUME_WINDOW_NANOS) {
+            clearPause();
         }
-        long at = restsSince == 0 ? now : restsSince;
+        long arrivalNanos = pausedSinceNanos == 0 ? now : pausedSinceNanos;
         Arrival last = arrivals.peekLast();
-        if (last != null && at - last.at < AT_ONCE_NS) {
-            last.left += bytes;
+        if (last != null && arrivalNanos - last.atNanos < SAME_ARRIVAL_NANOS) {
+            last.remainingBytes += bytes;
         } else {
-            arrivals.add(new Arrival(at, bytes));
+            arrivals.add(new Arrival(arrivalNanos, bytes));
         }
     }
 
     /** The connection is not read for now: what comes meanwhile has come before it is read. */
-    void rests() {
-        restsSince = restsSince == 0 ? Clock.now() : restsSince;
-        resumedAt = 0;
+    void markPaused() {
+        pausedSinceNanos = pausedSinceNanos == 0 ? Clock.now() : pausedSinceNanos;
+        resumedAtNanos = 0;
     }
 
     /** It is read again; true if it was not until now. */
-    boolean resumes() {
-        boolean rested = restsSince != 0 && resumedAt == 0;
-        resumedAt = rested ? Clock.now() : resumedAt;
-        return rested;
+    boolean markResumed() {
+        boolean wasPaused = pausedSinceNanos != 0 && resumedAtNanos == 0;
+        resumedAtNanos = wasPaused ? Clock.now() : resumedAtNanos;
+        return wasPaused;
     }
 
     /**
      * Since when the end of the connection would not be seen; {@link ActionGuard#NEVER} while it
      * would.
      */
-    long unseenSince(long now) {
-        boolean rested = restsSince != 0 && (resumedAt == 0 || now - resumedAt <= RESUME_NS);
-        long since = rested ? restsSince : ActionGuard.NEVER;
-        return behindSince == 0 ? since : Math.min(since, behindSince);
+    long disconnectUndetectableSince(long now) {
+        boolean wasPaused = pausedSinceNanos != 0 && (resumedAtNanos == 0 || now - resumedAtNanos <= RESUME_WINDOW_NANOS);
+        long sinceNanos = wasPaused ? pausedSinceNanos : ActionGuard.NEVER;
+        return behindSinceNanos == 0 ? sinceNanos : Math.min(sinceNanos, behindSinceNanos);
     }
 
-    private void forgetRest() {
-        restsSince = 0;
-        resumedAt = 0;
+    private void clearPause() {
+        pausedSinceNanos = 0;
+        resumedAtNanos = 0;
     }
 
     /** When the bytes came that were handed on last. */
-    long arrivedAt() {
-        return arrivedAt;
+    long arrivedAtNanos() {
+        return arrivedAtNanos;
     }
 
     /**
@@ -181,17 +181,17 @@
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        boolean more = reads >= readsAtOnce && hasRoom();
-        boolean some = reads > 0;
-        if (reads < readsAtOnce) {
-            caughtUp();
+        boolean mayHaveMore = readsThisTurn >= maxReadsPerTurn && hasCapacity();
+        boolean hasRead = readsThisTurn > 0;
+        if (readsThisTurn < maxReadsPerTurn) {
+            markCaughtUp();
         }
-        reads = 0;
-        turns++;
-        if (more) {
-            awaitNextTurn(turns);
+        readsThisTurn = 0;
+        turnCount++;
+        if (mayHaveMore) {
+            awaitNextTurn(turnCount);
         } else {
-            listener.onRead(some);
+            listener.onReadComplete(hasRead);
         }
     }
 
@@ -206,20 +206,20 @@
                                 context.executor()
                                         .schedule(
                                                 () -> {
-                                                    if (turn == turns) {
-                                                        caughtUp();
-                                                        listener.onRead(true);
+                                                    if (turn == turnCount) {
+                                                        markCaughtUp();
+                                                        listener.onReadComplete(true);
                                                     }
                                                 },
-                                                NEXT_TURN_MS,
+                                                NEXT_TURN_MILLIS,
                                                 TimeUnit.MILLISECONDS),
-                        NEXT_TURN_MS,
+                        NEXT_TURN_MILLIS,
                         TimeUnit.MILLISECONDS);
     }
 
-    private void caughtUp() {
-        forgetRest();
-        behindSince = 0;
+    private void markCaughtUp() {
+        clearPause();
+        behindSinceNanos = 0;
     }
 
     /**
@@ -227,50 +227,50 @@
      * behind.
      */
     boolean isBehind() {
-        return behindSince != 0 && restsSince == 0;
+        return behindSinceNanos != 0 && pausedSinceNanos == 0;
     }
 
     /** Whether to read on: one connection alone, or all together, may leave so much unserved. */
-    boolean hasRoom() {
-        return !held.isReadable() || held.readableBytes() < MOST && total.bytes < Total.MOST_ALL;
+    boolean hasCapacity() {
+        return !buffer.isReadable() || buffer.readableBytes() < MAX_BUFFERED_BYTES && bufferedTotal.bytes < BufferedTotal.MAX_TOTAL_BYTES;
     }
 
     boolean isEmpty() {
-        return !held.isReadable();
+        return !buffer.isReadable();
     }
 
     /** Hands some bytes on to be decoded; false if there are none. */
-    boolean feed() {
+    boolean feedDecoder() {
         if (isEmpty()) {
             return false;
         }
         Arrival first = arrivals.peek();
-        int some = Math.min(PIECE, first.left);
-        arrivedAt = first.at;
-        first.left -= some;
-        if (first.left == 0) {
+        int chunkBytes = Math.min(CHUNK_BYTES, first.remainingBytes);
+        arrivedAtNanos = first.atNanos;
+        first.remainingBytes -= chunkBytes;
+        if (first.remainingBytes == 0) {
             arrivals.poll();
         }
-        ByteBuf piece = held.readRetainedSlice(some);
-        total.bytes -= some;
+        ByteBuf chunk = buffer.readRetainedSlice(chunkBytes);
+        bufferedTotal.bytes -= chunkBytes;
         if (isEmpty()) {
-            drop();
+            releaseBuffer();
         }
-        context.fireChannelRead(piece);
+        context.fireChannelRead(chunk);
         context.fireChannelReadComplete();
         return true;
     }
 
     /** From now on nothing that comes is handed on any more, as nothing will be answered. */
     void discard() {
-        discards = true;
-        drop();
+        discarding = true;
+        releaseBuffer();
     }
 
-    private void drop() {
-        total.bytes -= held.readableBytes();
-        held.release();
-        held = Unpooled.EMPTY_BUFFER;
+    private void releaseBuffer() {
+        bufferedTotal.bytes -= buffer.readableBytes();
+        buffer.release();
+        buffer = Unpooled.EMPTY_BUFFER;
         arrivals.clear();
     }
 }
--- a/node/src/main/java/frostrelay/node/Hangup.java
+++ b/node/src/main/java/frostrelay/node/ReloadSignal.java
@@ -8,51 +8,51 @@
  * this is installed before anything else; signals that come before there is anything to reload are
  * kept until then.
  */
-final class Hangup {
-    private final CompletableFuture<Runnable> reload = new CompletableFuture<>();
-    private boolean ignored;
+final class ReloadSignal {
+    private final CompletableFuture<Runnable> reloadAction = new CompletableFuture<>();
+    private boolean isIgnored;
 
-    private Hangup() {}
+    private ReloadSignal() {}
 
     /**
      * Signals are heard through {@code sun.misc.Signal} alone, the API of module jdk.unsupported.
      * It is reached by reflection, as the compiler's warning of it can be silenced by nothing else.
      */
-    static Hangup install() throws ReflectiveOperationException {
-        Hangup hangup = new Hangup();
-        Class<?> signal = Class.forName("sun.misc.Signal");
-        Class<?> handler = Class.forName("sun.misc.SignalHandler");
-        Object hears =
+    static ReloadSignal install() throws ReflectiveOperationException {
+        ReloadSignal reloadSignal = new ReloadSignal();
+        Class<?> signalClass = Class.forName("sun.misc.Signal");
+        Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+        Object handlerProxy =
                 Proxy.newProxyInstance(
-                        Hangup.class.getClassLoader(),
-                        new Class<?>[] {handler},
+                        ReloadSignal.class.getClassLoader(),
+                        new Class<?>[] {handlerClass},
                         (proxy, method, arguments) -> {
                             // Its other methods are those of Object, which nobody calls.
-                            hangup.reload.thenAccept(Runnable::run);
+                            reloadSignal.reloadAction.thenAccept(Runnable::run);
                             return null;
                         });
-        Object before =
-                signal.getMethod("handle", signal, handler)
+        Object previousHandler =
+                signalClass.getMethod("handle", signalClass, handlerClass)
                         .invoke(
                                 null,
-                                signal.getConstructor(String.class).newInstance("HUP"),
-                                hears);
+                                signalClass.getConstructor(String.class).newInstance("HUP"),
+                                handlerProxy);
         // Started where the signal is ignored, the JVM leaves it so and says nothing: only the old
         // handler shows it.
-        hangup.ignored = before == handler.getField("SIG_IGN").get(null);
-        return hangup;
+        reloadSignal.isIgnored = previousHandler == handlerClass.getField("SIG_IGN").get(null);
+        return reloadSignal;
     }
 
     /** Whether the signal will never come, as whoever started this program ignores it. */
     boolean isIgnored() {
-        return ignored;
+        return isIgnored;
     }
 
     /**
      * From now on each signal is handed on, on a thread of the JVM's own: {@code action} passes it
      * to the loop.
      */
-    void serve(Runnable action) {
-        reload.complete(action);
+    void setReloadAction(Runnable action) {
+        reloadAction.complete(action);
     }
 }
--- a/node/src/main/java/frostrelay/node/SettingsMerge.java
+++ b/node/src/main/java/frostrelay/node/SettingsMerge.java
@@ -15,14 +15,14 @@
 final class SettingsMerge {
     private SettingsMerge() {}
 
-    static Map<String, Object> merge(Map<?, ?> former, Map<?, ?> fresh) {
-        Map<String, Object> merged = copy(fresh);
+    static Map<String, Object> merge(Map<?, ?> current, Map<?, ?> replacement) {
+        Map<String, Object> merged = copy(replacement);
         for (String list : List.of("categories", "tenants")) {
-            merged.put(list, named(Json.list(former, list), Json.list(fresh, list)));
+            merged.put(list, mergeByName(Json.list(current, list), Json.list(replacement, list)));
         }
-        renumber(merged, former, fresh, "zones", "my-zone");
-        Map<String, Object> family = copy(Json.get(fresh, "family-info", Map.class, Map.of()));
-        renumber(family, former, fresh, "kinds", "origin-kind");
+        renumber(merged, current, replacement, "zones", "my-zone");
+        Map<String, Object> family = copy(Json.get(replacement, "family-info", Map.class, Map.of()));
+        renumber(family, current, replacement, "kinds", "origin-kind");
         merged.put("kinds", family.remove("kinds"));
         merged.put("family-info", family);
         return merged;
@@ -35,10 +35,10 @@
     }
 
     /** Names that the former settings hold and the fresh ones do not. */
-    static Set<String> dropped(Map<?, ?> former, Map<?, ?> fresh, String list) {
-        Set<String> dropped = new HashSet<>(names(Json.list(former, list)));
-        names(Json.list(fresh, list)).forEach(dropped::remove);
-        return dropped;
+    static Set<String> removedNames(Map<?, ?> current, Map<?, ?> replacement, String list) {
+        Set<String> removed = new HashSet<>(names(Json.list(current, list)));
+        names(Json.list(replacement, list)).forEach(removed::remove);
+        return removed;
     }
 
     private static List<String> names(List<?> list) {
@@ -47,48 +47,48 @@
         return names;
     }
 
-    private static List<Object> named(List<?> former, List<?> fresh) {
+    private static List<Object> mergeByName(List<?> current, List<?> replacement) {
         Map<String, Object> merged = new LinkedHashMap<>();
-        List<String> before = names(former);
-        for (int i = 0; i < before.size(); i++) {
-            merged.put(before.get(i), former.get(i));
+        List<String> currentNames = names(current);
+        for (int i = 0; i < currentNames.size(); i++) {
+            merged.put(currentNames.get(i), current.get(i));
         }
-        List<String> now = names(fresh);
-        for (int i = 0; i < now.size(); i++) {
-            merged.put(now.get(i), fresh.get(i));
+        List<String> newNames = names(replacement);
+        for (int i = 0; i < newNames.size(); i++) {
+            merged.put(newNames.get(i), replacement.get(i));
         }
         return List.copyOf(merged.values());
     }
 
     /**
-     * Puts the merged list into an object, and into its {@code place} where that points to in the
+     * Puts the merged list into an object, and into its {@code indexKey} where that points to in the
      * list.
      */
     private static void renumber(
             Map<String, Object> object,
-            Map<?, ?> former,
-            Map<?, ?> fresh,
+            Map<?, ?> current,
+            Map<?, ?> replacement,
             String list,
-            String place) {
-        object.computeIfPresent(place, (name, at) -> place(former, fresh, list, at));
-        object.put(list, words(former, fresh, list));
+            String indexKey) {
+        object.computeIfPresent(indexKey, (name, oldIndex) -> mergedIndex(current, replacement, list, oldIndex));
+        object.put(list, mergeValues(current, replacement, list));
     }
 
-    private static List<Object> words(Map<?, ?> former, Map<?, ?> fresh, String list) {
-        List<Object> words = new ArrayList<>(Json.list(former, list));
-        Json.list(fresh, list).stream().filter(word -> !words.contains(word)).forEach(words::add);
-        return words;
+    private static List<Object> mergeValues(Map<?, ?> current, Map<?, ?> replacement, String list) {
+        List<Object> merged = new ArrayList<>(Json.list(current, list));
+        Json.list(replacement, list).stream().filter(value -> !merged.contains(value)).forEach(merged::add);
+        return merged;
     }
 
     /**
      * Where what stands at a place of the fresh list stands in the merged one; a place outside it
      * stays.
      */
-    private static Object place(Map<?, ?> former, Map<?, ?> fresh, String list, Object at) {
-        List<?> now = Json.list(fresh, list);
-        int place = at instanceof Number number ? number.intValue() : -1;
-        return place >= 0 && place < now.size()
-                ? words(former, fresh, list).indexOf(now.get(place))
-                : at;
+    private static Object mergedIndex(Map<?, ?> current, Map<?, ?> replacement, String list, Object oldIndex) {
+        List<?> newValues = Json.list(replacement, list);
+        int index = oldIndex instanceof Number number ? number.intValue() : -1;
+        return index >= 0 && index < newValues.size()
+                ? mergeValues(current, replacement, list).indexOf(newValues.get(index))
+                : oldIndex;
     }
 }
--- a/node/src/main/java/frostrelay/node/SettingsPack.java
+++ b/node/src/main/java/frostrelay/node/SharedSettingsCodec.java
@@ -16,26 +16,26 @@
  * What all balancers of a tier share of a configuration, the settings but for those of one balancer
  * and the operators' number, as bytes that can be handed to another.
  */
-final class SettingsPack {
+final class SharedSettingsCodec {
     /** A hundred times what a configuration has: what unpacks to more is none. */
-    private static final int MOST = 512 * 1024;
+    private static final int MAX_INFLATED_BYTES = 512 * 1024;
 
-    private static final int PIECE = 4096;
+    private static final int BUFFER_BYTES = 4096;
 
-    private SettingsPack() {}
+    private SharedSettingsCodec() {}
 
-    static byte[] pack(Map<?, ?> json) {
+    static byte[] encode(Map<?, ?> json) {
         Map<String, Object> shared = new TreeMap<>();
         shared.put("version", json.get("version"));
         Map<String, Object> settings = copy(Json.get(json, "settings", Map.class));
-        settings.keySet().removeAll(Site.OWN);
+        settings.keySet().removeAll(DeploymentSettings.LOCAL_KEYS);
         shared.put("settings", settings);
         Deflater deflater = new Deflater(Deflater.BEST_COMPRESSION);
         try {
-            byte[] plain = JSON.std.asBytes(shared);
-            deflater.setInput(plain);
+            byte[] jsonBytes = JSON.std.asBytes(shared);
+            deflater.setInput(jsonBytes);
             deflater.finish();
-            byte[] out = new byte[plain.length + PIECE];
+            byte[] out = new byte[jsonBytes.length + BUFFER_BYTES];
             int length = 0;
             while (!deflater.finished()) {
                 length += deflater.deflate(out, length, out.length - length);
@@ -52,37 +52,37 @@
      * A running configuration with what another balancer packed in place of its own; throws {@link
      * ConfigException} where that is nothing of the kind or has another digest.
      */
-    static Map<?, ?> replace(Map<?, ?> running, byte[] packed, long digest) {
-        Map<?, ?> shared = Json.parse(unpack(packed));
+    static Map<?, ?> withSharedSettings(Map<?, ?> running, byte[] encoded, long digest) {
+        Map<?, ?> shared = Json.parse(inflate(encoded));
         Map<String, Object> settings = copy(Json.get(shared, "settings", Map.class));
-        settings.keySet().removeAll(Site.OWN);
-        if (Digests.of(Site.shared(settings)) != digest) {
+        settings.keySet().removeAll(DeploymentSettings.LOCAL_KEYS);
+        if (Digests.of(DeploymentSettings.sharedText(settings)) != digest) {
             throw new ConfigException(
                     "the settings that were handed over are not those that were asked for");
         }
-        Map<?, ?> own = Json.get(running, "settings", Map.class);
-        for (String name : Site.OWN) {
-            if (own.get(name) != null) {
-                settings.put(name, own.get(name));
+        Map<?, ?> localSettings = Json.get(running, "settings", Map.class);
+        for (String name : DeploymentSettings.LOCAL_KEYS) {
+            if (localSettings.get(name) != null) {
+                settings.put(name, localSettings.get(name));
             }
         }
-        Map<String, Object> fresh = copy(running);
-        fresh.put("settings", settings);
-        fresh.put("version", Json.get(shared, "version", Number.class));
-        return fresh;
+        Map<String, Object> newConfig = copy(running);
+        newConfig.put("settings", settings);
+        newConfig.put("version", Json.get(shared, "version", Number.class));
+        return newConfig;
     }
 
-    private static byte[] unpack(byte[] packed) {
+    private static byte[] inflate(byte[] deflated) {
         Inflater inflater = new Inflater();
         try {
-            inflater.setInput(packed);
-            byte[] out = new byte[PIECE];
+            inflater.setInput(deflated);
+            byte[] out = new byte[BUFFER_BYTES];
             int length = 0;
             while (!inflater.finished()) {
-                int got = inflater.inflate(out, length, out.length - length);
-                length += got;
-                if (got == 0 && (inflater.needsInput() || inflater.needsDictionary())
-                        || length >= MOST) {
+                int inflatedBytes = inflater.inflate(out, length, out.length - length);
+                length += inflatedBytes;
+                if (inflatedBytes == 0 && (inflater.needsInput() || inflater.needsDictionary())
+                        || length >= MAX_INFLATED_BYTES) {
                     throw new ConfigException("what was handed over cannot be unpacked");
                 }
                 out = length == out.length ? Arrays.copyOf(out, out.length * 2) : out;
--- a/node/src/main/java/frostrelay/node/Backend.java
+++ b/node/src/main/java/frostrelay/node/Upstream.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** Where attempts go: hosts of one kind, and the connections to them. Runs on the event loop. */
-interface Backend {
+interface Upstream {
     /**
      * Hears how attempts end, but for those that were abandoned; {@code value}: what is still
      * coming, or null.
@@ -17,63 +17,63 @@
     interface Listener {
         /**
          * Whether an attempt may be written now to a host to which the last send may begin by
-         * {@code hostUntil}.
+         * {@code sendAllowedUntilNanos}.
          */
-        ActionGuard.Verdict maySend(Attempt attempt, long hostUntil);
+        ActionGuard.SendDecision maySend(Attempt attempt, long sendAllowedUntilNanos);
 
         /**
          * How long the host of an attempt is told that it is waited for, in nanoseconds, if it is
          * written now.
          */
-        long tellableWait(Attempt attempt);
+        long remainingTimeoutNanos(Attempt attempt);
 
         /** An attempt is written to the host that the listener numbered so. */
-        void onWrite(Attempt attempt, int host);
+        void onWriteStarted(Attempt attempt, int serverNumber);
 
         /** The write of an attempt has been handed to the system. */
-        void onWritten(Attempt attempt, long hostUntil);
+        void onWritten(Attempt attempt, long sendAllowedUntilNanos);
 
         /** The number that a host is to be told of by, {@code uid} being its name in the list. */
-        int number(String uid);
+        int serverNumber(String uid);
 
-        void onAnswer(Attempt attempt, Reason reason, Reply answer, ValueStream value);
+        void onAttemptCompleted(Attempt attempt, Reason reason, UpstreamResponse response, ValueStream value);
     }
 
     /** Makes a backend for a balancer's hosts. */
-    interface Maker {
-        Backend create(CurrentSite site, Listener listener);
+    interface Factory {
+        Upstream create(CurrentSettings currentSettings, Listener listener);
     }
 
     /** What carries an attempt. */
-    interface Carrier {
+    interface AttemptConnection {
         /** Whether the attempt's last byte has left: from then on it may run. */
-        boolean written();
+        boolean isWritten();
     }
 
     /** Applies a list before the module sees it, so that every host it may name is known here. */
-    void update(Api.ListMode mode, List<Catalog.Member> members);
+    void update(Api.ListMode mode, List<EndpointList.Endpoint> members);
 
     /** Operators hold these hosts out of use, all of them and no others. */
-    void hold(Set<Long> servers);
+    void setDrainedServers(Set<Long> servers);
 
     /** Whether the list names the host, or did so within the last minute. */
-    boolean knows(long server);
+    boolean isKnown(long serverId);
 
-    void send(Attempt attempt, long server);
+    void send(Attempt attempt, long serverId);
 
     /** Ends the wait for an attempt. */
     void abandon(Attempt attempt);
 
-    void closeIdle(long server);
+    void closeIdleConnections(long serverId);
 
     /** From now on so many connections are held at most; idle ones make room. */
-    void limit(int most);
+    void setMaxConnections(int maxConnections);
 
     /** Retires what was idle for too long; called once in a while. */
     void sweep();
 
     /** Connections that are held. */
-    int links();
+    int connectionCount();
 
-    void gauges(Map<String, Object> into);
+    void collectGauges(Map<String, Object> gauges);
 }
--- a/node/src/main/java/frostrelay/node/Reply.java
+++ b/node/src/main/java/frostrelay/node/UpstreamResponse.java
@@ -3,12 +3,12 @@
 import frostrelay.policy.Api;
 
 /** What a host served a request with, whatever protocol it speaks. */
-interface Reply {
+interface UpstreamResponse {
     /** The value of a read; null where it is still coming, in pieces. */
     byte[] data();
 
     /** Bytes of the value, whole. */
-    long length();
+    long valueBytes();
 
     /** What a write was confirmed with. */
     String receipt();
@@ -17,5 +17,5 @@
     Api.Source source();
 
     /** What the host says of its load; null if it says nothing. */
-    String report();
+    String loadReport();
 }
--- a/node/src/main/java/frostrelay/node/ValueStream.java
+++ b/node/src/main/java/frostrelay/node/ValueStream.java
@@ -14,7 +14,7 @@
     /** The host's end. */
     interface Source {
         /** Whether further pieces are wanted now. */
-        void demand(boolean more);
+        void setDemand(boolean wantsMore);
 
         /** Nobody wants the rest. */
         void cancel();
@@ -23,82 +23,82 @@
     /** The client's end. */
     interface Sink {
         /** Takes over a piece. */
-        void piece(ByteBuf piece);
+        void onChunk(ByteBuf chunk);
 
         /** The value is whole. */
-        void end();
+        void onStreamComplete();
 
         /** The rest will never come: the client must be able to tell. */
-        void broken();
+        void onStreamFailed();
     }
 
     private enum State {
         OPEN,
-        WHOLE,
-        BROKEN
+        COMPLETE,
+        FAILED
     }
 
     private final Source source;
-    private final Queue<ByteBuf> early = new ArrayDeque<>();
+    private final Queue<ByteBuf> bufferedChunks = new ArrayDeque<>();
     private Sink sink;
     private State state = State.OPEN;
     private boolean cancelled;
 
     ValueStream(Source source) {
         this.source = source;
-        source.demand(false);
+        source.setDemand(false);
     }
 
     // From the host's end.
 
     /** Takes over a piece. */
-    void piece(ByteBuf piece) {
+    void addChunk(ByteBuf chunk) {
         if (cancelled) {
-            piece.release();
+            chunk.release();
         } else if (sink == null) {
-            early.add(piece);
+            bufferedChunks.add(chunk);
         } else {
-            sink.piece(piece);
+            sink.onChunk(chunk);
         }
     }
 
-    void end() {
-        finish(State.WHOLE);
+    void complete() {
+        finish(State.COMPLETE);
     }
 
-    void broken() {
-        finish(State.BROKEN);
+    void fail() {
+        finish(State.FAILED);
     }
 
-    private void finish(State end) {
+    private void finish(State finalState) {
         if (state == State.OPEN) {
-            state = end;
-            tellEnd();
+            state = finalState;
+            notifyEnd();
         }
     }
 
-    private void tellEnd() {
-        if (sink != null && !cancelled && state == State.WHOLE) {
-            sink.end();
-        } else if (sink != null && !cancelled && state == State.BROKEN) {
-            sink.broken();
+    private void notifyEnd() {
+        if (sink != null && !cancelled && state == State.COMPLETE) {
+            sink.onStreamComplete();
+        } else if (sink != null && !cancelled && state == State.FAILED) {
+            sink.onStreamFailed();
         }
     }
 
     // From the client's end.
 
     /** The client's turn has come: from now on pieces go there. */
-    void attach(Sink to) {
-        sink = to;
-        for (ByteBuf piece = early.poll(); piece != null; piece = early.poll()) {
-            to.piece(piece);
+    void attach(Sink newSink) {
+        sink = newSink;
+        for (ByteBuf chunk = bufferedChunks.poll(); chunk != null; chunk = bufferedChunks.poll()) {
+            newSink.onChunk(chunk);
         }
-        tellEnd();
+        notifyEnd();
     }
 
-    void demand(boolean more) {
+    void setDemand(boolean wantsMore) {
         if (state == State.OPEN && !cancelled) {
-            source.demand(more);
+            source.setDemand(wantsMore);
         }
     }
 
@@ -108,8 +108,8 @@
             return;
         }
         cancelled = true;
-        early.forEach(ByteBuf::release);
-        early.clear();
+        bufferedChunks.forEach(ByteBuf::release);
+        bufferedChunks.clear();
         if (state == State.OPEN) {
             source.cancel();
         }
--- a/node/src/test/java/frostrelay/lifecycle/ActionGuardTest.java
+++ b/node/src/test/java/frostrelay/lifecycle/ActionGuardTest.java
@@ -4,82 +4,82 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostrelay.lifecycle.ActionGuard.Send;
-import frostrelay.lifecycle.ActionGuard.Verdict;
+import frostrelay.lifecycle.ActionGuard.PendingSend;
+import frostrelay.lifecycle.ActionGuard.SendDecision;
 
 import org.junit.jupiter.api.Test;
 
 /** Each thing that forbids an act does so by itself, from its moment on. */
 class ActionGuardTest {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLISECOND = 1_000_000L;
     private static final long NEVER = ActionGuard.NEVER;
     private final ActionGuard guard = new ActionGuard();
 
-    private static Send send(
-            long unseenSince, long cutAt, long answerBy, long serverUntil, long repeatUntil) {
-        return new Send(false, unseenSince, cutAt, answerBy, serverUntil, repeatUntil);
+    private static PendingSend pendingSend(
+            long unseenSince, long abandonAt, long answerBy, long serverUntil, long repeatUntil) {
+        return new PendingSend(false, unseenSince, abandonAt, answerBy, serverUntil, repeatUntil);
     }
 
     @Test
     void anAttemptIsWrittenOnlyWhileAllAllowIt() {
-        assertEquals(Verdict.ALLOWED, guard.maySend(0, send(NEVER, 1, 1, 1, 1)));
+        assertEquals(SendDecision.ALLOWED, guard.checkSend(0, pendingSend(NEVER, 1, 1, 1, 1)));
         assertEquals(
-                Verdict.REQUEST_OVER,
-                guard.maySend(0, new Send(true, NEVER, NEVER, NEVER, NEVER, NEVER)));
-        assertEquals(Verdict.ALLOWED, guard.maySend(75 * MS, send(0, NEVER, NEVER, NEVER, NEVER)));
+                SendDecision.REQUEST_OVER,
+                guard.checkSend(0, new PendingSend(true, NEVER, NEVER, NEVER, NEVER, NEVER)));
+        assertEquals(SendDecision.ALLOWED, guard.checkSend(75 * NANOS_PER_MILLISECOND, pendingSend(0, NEVER, NEVER, NEVER, NEVER)));
         assertEquals(
-                Verdict.CLIENT_UNSEEN, guard.maySend(76 * MS, send(0, NEVER, NEVER, NEVER, NEVER)));
-        assertEquals(Verdict.TIME_UP, guard.maySend(1, send(NEVER, 1, NEVER, NEVER, NEVER)));
-        assertEquals(Verdict.TIME_UP, guard.maySend(1, send(NEVER, NEVER, 1, NEVER, NEVER)));
-        assertEquals(Verdict.SERVER_LEFT, guard.maySend(1, send(NEVER, NEVER, NEVER, 1, NEVER)));
-        assertEquals(Verdict.MAY_HAVE_RUN, guard.maySend(1, send(NEVER, NEVER, NEVER, NEVER, 1)));
+                SendDecision.CLIENT_UNOBSERVED, guard.checkSend(76 * NANOS_PER_MILLISECOND, pendingSend(0, NEVER, NEVER, NEVER, NEVER)));
+        assertEquals(SendDecision.TIME_UP, guard.checkSend(1, pendingSend(NEVER, 1, NEVER, NEVER, NEVER)));
+        assertEquals(SendDecision.TIME_UP, guard.checkSend(1, pendingSend(NEVER, NEVER, 1, NEVER, NEVER)));
+        assertEquals(SendDecision.SERVER_UNAVAILABLE, guard.checkSend(1, pendingSend(NEVER, NEVER, NEVER, 1, NEVER)));
+        assertEquals(SendDecision.MAY_HAVE_RUN, guard.checkSend(1, pendingSend(NEVER, NEVER, NEVER, NEVER, 1)));
     }
 
     @Test
-    void aServerIsToldLessThanTheClientHasLeft() {
-        assertEquals(1_940 * MS, guard.tellableWait(1_000 * MS, 3_000 * MS, 3_000 * MS));
+    void aServerIsSentAShorterTimeoutThanTheClientHasLeft() {
+        assertEquals(1_940 * NANOS_PER_MILLISECOND, guard.forwardedTimeoutNanos(1_000 * NANOS_PER_MILLISECOND, 3_000 * NANOS_PER_MILLISECOND, 3_000 * NANOS_PER_MILLISECOND));
         assertEquals(
-                140 * MS,
-                guard.tellableWait(0, 160 * MS, 160 * MS),
+                140 * NANOS_PER_MILLISECOND,
+                guard.forwardedTimeoutNanos(0, 160 * NANOS_PER_MILLISECOND, 160 * NANOS_PER_MILLISECOND),
                 "of a short wait an eighth is taken off");
         assertEquals(
-                500 * MS,
-                guard.tellableWait(0, 500 * MS, 3_000 * MS),
+                500 * NANOS_PER_MILLISECOND,
+                guard.forwardedTimeoutNanos(0, 500 * NANOS_PER_MILLISECOND, 3_000 * NANOS_PER_MILLISECOND),
                 "an attempt that is cut earlier is waited for until then");
     }
 
     @Test
     void aShutdownCutsWhatIsPromisedAndNothingEndsIt() {
-        assertEquals(9_000 * MS, guard.answerBy(0, 9_000 * MS));
-        guard.follow(DrainSchedule.forDrain(0));
+        assertEquals(9_000 * NANOS_PER_MILLISECOND, guard.requestDeadlineNanos(0, 9_000 * NANOS_PER_MILLISECOND));
+        guard.setSchedule(DrainSchedule.forDrain(0));
         assertEquals(
-                9_000 * MS, guard.answerBy(0, 9_000 * MS), "a drain leaves the process running");
-        DrainSchedule shutdown = DrainSchedule.forShutdown(0, 1_000 * MS);
-        guard.follow(shutdown);
-        assertEquals(shutdown.answerUntil(), guard.answerBy(0, 9_000 * MS));
-        assertEquals(100 * MS, guard.answerBy(0, 100 * MS));
-        guard.follow(null);
-        guard.follow(DrainSchedule.forDrain(0));
+                9_000 * NANOS_PER_MILLISECOND, guard.requestDeadlineNanos(0, 9_000 * NANOS_PER_MILLISECOND), "a drain leaves the process running");
+        DrainSchedule shutdown = DrainSchedule.forShutdown(0, 1_000 * NANOS_PER_MILLISECOND);
+        guard.setSchedule(shutdown);
+        assertEquals(shutdown.answerUntilNanos(), guard.requestDeadlineNanos(0, 9_000 * NANOS_PER_MILLISECOND));
+        assertEquals(100 * NANOS_PER_MILLISECOND, guard.requestDeadlineNanos(0, 100 * NANOS_PER_MILLISECOND));
+        guard.setSchedule(null);
+        guard.setSchedule(DrainSchedule.forDrain(0));
         assertTrue(guard.isShuttingDown());
-        assertTrue(guard.mayAccept(shutdown.acceptUntil() - 1));
-        assertFalse(guard.mayAccept(shutdown.acceptUntil()));
+        assertTrue(guard.mayAccept(shutdown.acceptUntilNanos() - 1));
+        assertFalse(guard.mayAccept(shutdown.acceptUntilNanos()));
     }
 
     @Test
-    void aQuietConnectionIsClosedWhenNothingIsOnItsWay() {
-        assertFalse(guard.mayCloseQuiet(NEVER - 1, true, 0, false), "clients are welcome");
-        DrainSchedule shutdown = DrainSchedule.forShutdown(0, 3_000 * MS);
-        guard.follow(shutdown);
-        long idle = shutdown.idleUntil();
-        assertFalse(guard.mayCloseQuiet(idle - 1, true, 0, false));
-        assertTrue(guard.mayCloseQuiet(idle, true, 0, false));
-        assertFalse(guard.mayCloseQuiet(idle, true, 0, true), "a request has come in part");
+    void anIdleConnectionIsClosedWhenNothingIsOnItsWay() {
+        assertFalse(guard.mayCloseIdle(NEVER - 1, true, 0, false), "clients are welcome");
+        DrainSchedule shutdown = DrainSchedule.forShutdown(0, 3_000 * NANOS_PER_MILLISECOND);
+        guard.setSchedule(shutdown);
+        long idleUntil = shutdown.idleUntilNanos();
+        assertFalse(guard.mayCloseIdle(idleUntil - 1, true, 0, false));
+        assertTrue(guard.mayCloseIdle(idleUntil, true, 0, false));
+        assertFalse(guard.mayCloseIdle(idleUntil, true, 0, true), "a request has come in part");
         assertFalse(
-                guard.mayCloseQuiet(idle, false, idle - 299 * MS, false),
+                guard.mayCloseIdle(idleUntil, false, idleUntil - 299 * NANOS_PER_MILLISECOND, false),
                 "its first request is on its way");
-        assertTrue(guard.mayCloseQuiet(idle, false, idle - 300 * MS, false));
+        assertTrue(guard.mayCloseIdle(idleUntil, false, idleUntil - 300 * NANOS_PER_MILLISECOND, false));
         assertTrue(
-                guard.mayCloseQuiet(shutdown.answerUntil(), false, shutdown.answerUntil(), true),
+                guard.mayCloseIdle(shutdown.answerUntilNanos(), false, shutdown.answerUntilNanos(), true),
                 "the end");
     }
 }
--- a/node/src/test/java/frostrelay/lifecycle/HoldStoreTest.java
+++ b/node/src/test/java/frostrelay/lifecycle/AdminStateStoreTest.java
@@ -14,25 +14,25 @@
 /**
  * Holds outlast the process, reach the other one, and survive a file that is not what it should be.
  */
-class HoldStoreTest {
+class AdminStateStoreTest {
     @TempDir Path folder;
 
     @Test
-    void anotherProcessFindsWhatIsHeldAndChangesIt() throws Exception {
-        HoldStore old = new HoldStore(folder, "holds");
-        assertEquals(Set.of(), old.read());
-        old.change("s-1", true);
-        old.change("s-1", true);
-        assertEquals(Set.of("s-1", "odd \"id\""), old.change("odd \"id\"", true));
-        HoldStore fresh = new HoldStore(folder, "holds");
-        assertEquals(Set.of("s-1", "odd \"id\""), fresh.read());
-        assertEquals(Set.of("odd \"id\""), fresh.change("s-1", false));
-        assertEquals(Set.of("odd \"id\""), old.read());
+    void anotherProcessReadsAndChangesTheAdminDrains() throws Exception {
+        AdminStateStore oldStore = new AdminStateStore(folder, "holds");
+        assertEquals(Set.of(), oldStore.read());
+        oldStore.change("s-1", true);
+        oldStore.change("s-1", true);
+        assertEquals(Set.of("s-1", "odd \"id\""), oldStore.change("odd \"id\"", true));
+        AdminStateStore newStore = new AdminStateStore(folder, "holds");
+        assertEquals(Set.of("s-1", "odd \"id\""), newStore.read());
+        assertEquals(Set.of("odd \"id\""), newStore.change("s-1", false));
+        assertEquals(Set.of("odd \"id\""), oldStore.read());
     }
 
     @Test
     void aTornOrForeignFileIsNoHarm() throws Exception {
-        HoldStore store = new HoldStore(folder, "holds");
+        AdminStateStore store = new AdminStateStore(folder, "holds");
         store.change("s-1", true);
         for (String text :
                 new String[] {
@@ -40,18 +40,18 @@
                 }) {
             Files.writeString(folder.resolve("holds.json"), text);
             assertEquals(Set.of("s-1"), store.read(), text);
-            assertEquals(Set.of(), new HoldStore(folder, "holds").read(), text);
+            assertEquals(Set.of(), new AdminStateStore(folder, "holds").read(), text);
         }
         assertEquals(Set.of("s-1", "s-2"), store.change("s-2", true));
         assertEquals(
                 Set.of("s-1", "s-2"),
-                new HoldStore(folder, "holds").read(),
+                new AdminStateStore(folder, "holds").read(),
                 "replaced by the next change");
     }
 
     @Test
-    void whatCannotBeKeptIsToldSo() {
-        HoldStore store = new HoldStore(folder.resolve("missing"), "holds");
+    void aFailedWriteIsReported() {
+        AdminStateStore store = new AdminStateStore(folder.resolve("missing"), "holds");
         assertThrows(IOException.class, () -> store.change("s-1", true));
     }
 }
--- a/node/src/test/java/frostrelay/lifecycle/DrainScheduleTest.java
+++ b/node/src/test/java/frostrelay/lifecycle/DrainScheduleTest.java
@@ -12,16 +12,16 @@
 
 /** The schedules keep what operators and the system allow. */
 class DrainScheduleTest {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLISECOND = 1_000_000L;
 
     @Test
     void aDrainIsOverBeforeOperatorsLook() {
-        DrainSchedule drain = DrainSchedule.forDrain(100 * MS);
-        assertFalse(drain.shutdown());
+        DrainSchedule drain = DrainSchedule.forDrain(100 * NANOS_PER_MILLISECOND);
+        assertFalse(drain.isShutdown());
         assertTrue(
-                drain.acceptUntil() <= 100 * MS + 2_000 * MS, "no request of the last 2 s at 4 s");
-        assertTrue(drain.idleUntil() < drain.acceptUntil());
-        assertTrue(drain.incompleteUntil() <= 100 * MS + 3_000 * MS, "and a second to linger");
+                drain.acceptUntilNanos() <= 100 * NANOS_PER_MILLISECOND + 2_000 * NANOS_PER_MILLISECOND, "no request of the last 2 s at 4 s");
+        assertTrue(drain.idleUntilNanos() < drain.acceptUntilNanos());
+        assertTrue(drain.partialRequestUntilNanos() <= 100 * NANOS_PER_MILLISECOND + 3_000 * NANOS_PER_MILLISECOND, "and a second to linger");
     }
 
     /**
@@ -29,28 +29,28 @@
      * SIGKILL may come.
      */
     @Property
-    void whatIsTakenBeforeAnEndCanBeAnsweredBeforeIt(
-            @ForAll @LongRange(min = 1, max = 60_000) long longest,
-            @ForAll @LongRange(min = -1_000_000_000, max = 1_000_000_000) long at) {
-        long kill = at + (Math.min(3_000, longest) + 700) * MS;
-        DrainSchedule shutdown = DrainSchedule.forShutdown(at, longest * MS);
-        assertTrue(shutdown.shutdown());
-        assertTrue(shutdown.answerUntil() + 250 * MS <= kill);
-        assertTrue(shutdown.acceptUntil() <= shutdown.answerUntil());
+    void whatIsAcceptedBeforeShutdownCanBeAnsweredBeforeTheKill(
+            @ForAll @LongRange(min = 1, max = 60_000) long longestDeadlineMillis,
+            @ForAll @LongRange(min = -1_000_000_000, max = 1_000_000_000) long signalNanos) {
+        long killAtNanos = signalNanos + (Math.min(3_000, longestDeadlineMillis) + 700) * NANOS_PER_MILLISECOND;
+        DrainSchedule shutdown = DrainSchedule.forShutdown(signalNanos, longestDeadlineMillis * NANOS_PER_MILLISECOND);
+        assertTrue(shutdown.isShutdown());
+        assertTrue(shutdown.answerUntilNanos() + 250 * NANOS_PER_MILLISECOND <= killAtNanos);
+        assertTrue(shutdown.acceptUntilNanos() <= shutdown.answerUntilNanos());
         assertTrue(
-                shutdown.acceptUntil() < at + 700 * MS,
+                shutdown.acceptUntilNanos() < signalNanos + 700 * NANOS_PER_MILLISECOND,
                 "what SIGKILL finds of later requests is lost");
-        assertTrue(shutdown.incompleteUntil() <= shutdown.answerUntil());
-        assertTrue(shutdown.exitAt() > kill, "it does not end while it may still serve");
+        assertTrue(shutdown.partialRequestUntilNanos() <= shutdown.answerUntilNanos());
+        assertTrue(shutdown.exitAtNanos() > killAtNanos, "it does not end while it may still serve");
     }
 
     @Test
     void clientsComeOnForAWhileInAnyCase() {
-        for (long longest : new long[] {300, 1_000, 1_670, 3_000, 10_000}) {
+        for (long longestDeadlineMillis : new long[] {300, 1_000, 1_670, 3_000, 10_000}) {
             assertEquals(
-                    600 * MS,
-                    DrainSchedule.forShutdown(0, longest * MS).acceptUntil(),
-                    "deadline " + longest);
+                    600 * NANOS_PER_MILLISECOND,
+                    DrainSchedule.forShutdown(0, longestDeadlineMillis * NANOS_PER_MILLISECOND).acceptUntilNanos(),
+                    "deadline " + longestDeadlineMillis);
         }
     }
 }
--- a/node/src/test/java/frostrelay/log/LogTest.java
+++ b/node/src/test/java/frostrelay/log/LogTest.java
@@ -25,10 +25,10 @@
  * what there is.
  */
 class LogTest {
-    private static String line(
+    private static String encodeLine(
             boolean json, String logger, String message, KeyValuePair... fields) {
         LoggerContext context = new LoggerContext();
-        context.putProperty(LogSetup.BALANCER, "n3");
+        context.putProperty(LogSetup.BALANCER_PROPERTY, "n3");
         LoggingEvent event =
                 new LoggingEvent("", context.getLogger(logger), Level.WARN, message, null, null);
         event.setTimeStamp(0);
@@ -39,26 +39,26 @@
     @Test
     void aPeerCannotBreakALineOrForgeOne() throws Exception {
         String hostile = "x\"}\n{\"level\":\"error\"\u001b[31m" + "y".repeat(10_000);
-        String json = line(true, Log.NAME, "peer", new KeyValuePair("what", hostile));
+        String json = encodeLine(true, Log.NAME, "peer", new KeyValuePair("what", hostile));
         assertEquals(1, json.lines().count());
-        Map<String, Object> read = JSON.std.mapFrom(json);
-        assertEquals("peer", read.get("event"));
-        assertEquals("n3", read.get("balancer"));
-        assertEquals("1970-01-01T00:00:00Z", read.get("time"));
+        Map<String, Object> parsed = JSON.std.mapFrom(json);
+        assertEquals("peer", parsed.get("event"));
+        assertEquals("n3", parsed.get("balancer"));
+        assertEquals("1970-01-01T00:00:00Z", parsed.get("time"));
         assertTrue(
-                ((String) read.get("what")).startsWith("x\"}\n{"),
+                ((String) parsed.get("what")).startsWith("x\"}\n{"),
                 "as it came, but for its length");
         assertTrue(json.length() < 2_200);
-        String text = line(false, Log.NAME, "peer", new KeyValuePair("what", hostile));
+        String text = encodeLine(false, Log.NAME, "peer", new KeyValuePair("what", hostile));
         assertEquals(1, text.lines().count());
         assertFalse(text.contains("\u001b"));
     }
 
     @Test
     void fieldsKeepTheirTypes() throws Exception {
-        Map<String, Object> read =
+        Map<String, Object> parsed =
                 JSON.std.mapFrom(
-                        line(
+                        encodeLine(
                                 true,
                                 Log.NAME,
                                 "counts",
@@ -69,19 +69,19 @@
                                         "listen",
                                         new java.net.InetSocketAddress("127.0.0.1", 11211)),
                                 new KeyValuePair("classes", List.of("a", "b"))));
-        assertEquals(Map.of("taken", 7), read.get("counts"));
-        assertEquals(0.5, read.get("part"));
-        assertEquals(true, read.get("replaced"));
-        assertEquals("127.0.0.1:11211", read.get("listen"));
-        assertEquals(List.of("a", "b"), read.get("classes"));
+        assertEquals(Map.of("taken", 7), parsed.get("counts"));
+        assertEquals(0.5, parsed.get("part"));
+        assertEquals(true, parsed.get("replaced"));
+        assertEquals("127.0.0.1:11211", parsed.get("listen"));
+        assertEquals(List.of("a", "b"), parsed.get("classes"));
         assertEquals(
                 "io.netty.x",
-                JSON.std.mapFrom(line(true, "io.netty.x", "no {} there")).get("logger"));
+                JSON.std.mapFrom(encodeLine(true, "io.netty.x", "no {} there")).get("logger"));
     }
 
     @Test
-    void anEventIsWrittenWithItsOwnFieldsOnly() {
-        assertThrows(IllegalArgumentException.class, () -> Log.write(Event.SERVES, "a"));
+    void anEventIsWrittenWithItsDeclaredFieldsOnly() {
+        assertThrows(IllegalArgumentException.class, () -> Log.write(Event.SERVING, "a"));
     }
 
     /** {@code -Dfrostrelay.write-pages=true} writes the page anew. */
@@ -89,8 +89,8 @@
     void thePageNamesEveryEvent() throws Exception {
         Path page = Path.of("../docs/events.md");
         if (Boolean.getBoolean("frostrelay.write-pages")) {
-            Files.writeString(page, Event.page());
+            Files.writeString(page, Event.renderDocumentation());
         }
-        assertEquals(Event.page(), Files.readString(page));
+        assertEquals(Event.renderDocumentation(), Files.readString(page));
     }
 }
--- a/node/src/test/java/frostrelay/node/BadInputTest.java
+++ b/node/src/test/java/frostrelay/node/BadInputTest.java
@@ -16,10 +16,10 @@
 
 /** What breaks the protocol is answered, and harms no other request. */
 class BadInputTest {
-    private static void assertFault(String answer, String command) {
+    private static void assertProtocolError(String response, String command) {
         assertTrue(
-                answer != null && (answer.startsWith("CLIENT_ERROR ") || answer.equals("ERROR")),
-                command + ": " + answer);
+                response != null && (response.startsWith("CLIENT_ERROR ") || response.equals("ERROR")),
+                command + ": " + response);
     }
 
     @Test
@@ -55,16 +55,16 @@
                         "mg a v O1 Pc=read,t=acme,d=99999999999999999999",
                         "ms a 1 O1 Pc=none,t=acme,d=5\r\nx",
                         "ms a 1 O1 Pc=put,t=acme,d=5\r\nx");
-        try (Rig rig = new Rig(FakeHost.serving()).start()) {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start()) {
             for (String command : malformed) {
-                try (Peer client = rig.client()) {
-                    assertFault(client.ask(command), command);
-                    assertEquals("HD O2 c77", client.ask(Rig.COPY), "after " + command);
+                try (TestConnection client = fixture.client()) {
+                    assertProtocolError(client.request(command), command);
+                    assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE), "after " + command);
                 }
             }
             assertEquals(
                     malformed.size(),
-                    rig.hosts.get(0).commands.size(),
+                    fixture.fakeServers.get(0).commands.size(),
                     "none of them was passed on");
         }
     }
@@ -74,8 +74,8 @@
      * data, and was once served as the request that it looked like.
      */
     @Test
-    void behindAFaultOfFramingNothingIsServed() throws Exception {
-        List<String> broken =
+    void nothingIsServedAfterAFramingError() throws Exception {
+        List<String> framingErrors =
                 List.of(
                         "ms",
                         "ms a",
@@ -89,15 +89,15 @@
                         "mg \u0001 v O1 Pc=read,t=acme,d=5",
                         "mn\n",
                         "set a 0 0 5");
-        try (Rig rig = new Rig(FakeHost.serving()).start()) {
-            for (String command : broken) {
-                try (Peer client = rig.client()) {
-                    client.write(command + "\r\n" + Rig.COPY + "\r\n");
-                    assertFault(client.line(), command);
-                    assertNull(client.line(), "closed behind the answer to " + command);
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start()) {
+            for (String command : framingErrors) {
+                try (TestConnection client = fixture.client()) {
+                    client.write(command + "\r\n" + NodeTestFixture.NON_IDEMPOTENT_WRITE + "\r\n");
+                    assertProtocolError(client.readLine(), command);
+                    assertNull(client.readLine(), "closed behind the answer to " + command);
                 }
             }
-            assertEquals(0, rig.hosts.get(0).commands.size());
+            assertEquals(0, fixture.fakeServers.get(0).commands.size());
         }
     }
 
@@ -106,58 +106,58 @@
      * the first.
      */
     @Test
-    void theIdOfAnOpenRequestIsRefusedToOthers() throws Exception {
+    void theIdOfAnOpenRequestIsRejectedForOtherRequests() throws Exception {
         Semaphore gate = new Semaphore(0);
-        FakeHost host =
-                FakeHost.answering(
+        FakeServer fakeServer =
+                FakeServer.respondingWith(
                         command -> {
                             gate.acquireUninterruptibly();
-                            return FakeHost.served(command);
+                            return FakeServer.successResponse(command);
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client();
-                Peer other = rig.client()) {
-            client.write(Rig.COPY + "\r\n");
-            host.command();
-            assertEquals("CLIENT_ERROR id is in use", other.ask(Rig.COPY));
-            assertEquals("CLIENT_ERROR id is in use", other.ask("mg 1 v O2 Pc=read,t=acme,d=5000"));
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client();
+                TestConnection otherClient = fixture.client()) {
+            client.write(NodeTestFixture.NON_IDEMPOTENT_WRITE + "\r\n");
+            fakeServer.awaitCommand();
+            assertEquals("CLIENT_ERROR id is in use", otherClient.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
+            assertEquals("CLIENT_ERROR id is in use", otherClient.request("mg 1 v O2 Pc=read,t=acme,d=5000"));
             gate.release(2);
-            assertEquals("HD O2 c77", client.line());
-            assertEquals("HD O2 c77", other.ask(Rig.COPY), "free again once it is answered");
+            assertEquals("HD O2 c77", client.readLine());
+            assertEquals("HD O2 c77", otherClient.request(NodeTestFixture.NON_IDEMPOTENT_WRITE), "free again once it is answered");
         }
     }
 
     /** An hour asked for would hold its place and its timer for an hour. */
     @Test
-    void aWaitIsBoundedByTheDeadlineOfItsClass() throws Exception {
-        try (Rig rig = new Rig(FakeHost.answering(c -> null))) {
-            rig.deadlineMs = 200;
-            rig.start();
-            try (Peer client = rig.client()) {
+    void aTimeoutIsBoundedByTheDeadlineOfItsClass() throws Exception {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.respondingWith(c -> null))) {
+            fixture.deadlineMillis = 200;
+            fixture.start();
+            try (TestConnection client = fixture.client()) {
                 assertEquals(
                         "SERVER_ERROR failed",
-                        client.ask("ms 1 1 O2 Pc=copy,t=acme,d=3600000\r\nx"));
+                        client.request("ms 1 1 O2 Pc=copy,t=acme,d=3600000\r\nx"));
             }
         }
     }
 
     /** Silent connections and half commands hold descriptors; good ones may be idle for longer. */
     @Test
-    void clientsThatSayNothingOrStopHalfwayAreClosed() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start();
-                Peer silent = rig.client();
-                Peer half = rig.client();
-                Peer good = rig.client();
-                Peer goodThenHalf = rig.client()) {
-            assertEquals("MN", good.ask("mn"));
-            assertEquals("MN", goodThenHalf.ask("mn"));
-            half.write("ms 1 100 O1 Pc=copy,t=acme,d=5000\r\nhalf");
-            goodThenHalf.write("mg 1 v O1");
-            assertNull(silent.line());
-            assertNull(half.line());
-            assertNull(goodThenHalf.line());
-            ServingTest.awaitGauge(rig, "clients 1 held 0 ");
-            assertEquals("MN", good.ask("mn"));
+    void clientsThatSendNothingOrAnIncompleteCommandAreClosed() throws Exception {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
+                TestConnection idleClient = fixture.client();
+                TestConnection incompleteClient = fixture.client();
+                TestConnection goodClient = fixture.client();
+                TestConnection laterIncompleteClient = fixture.client()) {
+            assertEquals("MN", goodClient.request("mn"));
+            assertEquals("MN", laterIncompleteClient.request("mn"));
+            incompleteClient.write("ms 1 100 O1 Pc=copy,t=acme,d=5000\r\nhalf");
+            laterIncompleteClient.write("mg 1 v O1");
+            assertNull(idleClient.readLine());
+            assertNull(incompleteClient.readLine());
+            assertNull(laterIncompleteClient.readLine());
+            ServingTest.awaitGauge(fixture, "clients 1 held 0 ");
+            assertEquals("MN", goodClient.request("mn"));
         }
     }
 
@@ -166,16 +166,16 @@
      * it.
      */
     @Test
-    void aClientThatGoesOnSendingFaultsIsClosed() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start();
-                Peer client = rig.client()) {
+    void aClientThatKeepsSendingMalformedCommandsIsClosed() throws Exception {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
             client.write("nonsense\r\n".repeat(500));
-            int answers = 0;
-            for (String line = client.line(); line != null; line = client.line()) {
+            int responseCount = 0;
+            for (String line = client.readLine(); line != null; line = client.readLine()) {
                 assertEquals("ERROR", line);
-                answers++;
+                responseCount++;
             }
-            assertTrue(answers > 0 && answers < 500, "answers: " + answers);
+            assertTrue(responseCount > 0 && responseCount < 500, "answers: " + responseCount);
         }
     }
 
@@ -187,51 +187,51 @@
      * What is announced costs nothing: many such lines once filled the heap without a byte of data.
      */
     @Test
-    void memoryIsTakenForWhatArrivesAndNoMore() throws Exception {
-        Budget budget = new Budget(70_000);
-        EmbeddedChannel channel = new EmbeddedChannel(MetaDecoder.ofCommands(budget));
+    void memoryIsReservedOnlyForWhatArrives() throws Exception {
+        MemoryLimiter memoryLimiter = new MemoryLimiter(70_000);
+        EmbeddedChannel channel = new EmbeddedChannel(MetaDecoder.forCommands(memoryLimiter));
         write(channel, "ms 1 65536 O1\r\n");
-        assertEquals(0, budget.held());
+        assertEquals(0, memoryLimiter.reservedBytes());
         write(channel, "x".repeat(3_000));
-        assertEquals(3_000, budget.held());
-        EmbeddedChannel other = new EmbeddedChannel(MetaDecoder.ofCommands(budget));
-        write(other, "ms 1 65536 O1\r\n" + "y".repeat(40_000));
+        assertEquals(3_000, memoryLimiter.reservedBytes());
+        EmbeddedChannel otherChannel = new EmbeddedChannel(MetaDecoder.forCommands(memoryLimiter));
+        write(otherChannel, "ms 1 65536 O1\r\n" + "y".repeat(40_000));
         write(channel, "x".repeat(62_536) + "\r\n");
         MetaFrame frame = channel.readInbound();
         assertEquals("SERVER_ERROR out of memory", frame.fault());
         assertTrue(frame.last());
-        write(other, "y".repeat(25_536) + "\r\n");
-        frame = other.readInbound();
+        write(otherChannel, "y".repeat(25_536) + "\r\n");
+        frame = otherChannel.readInbound();
         assertEquals(65_536, frame.data().length);
-        other.finishAndReleaseAll();
-        assertEquals(0, budget.held());
+        otherChannel.finishAndReleaseAll();
+        assertEquals(0, memoryLimiter.reservedBytes());
         channel.finishAndReleaseAll();
     }
 
     @Test
     void commandsMayComeByteByByte() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start();
-                Peer client = rig.client()) {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
             for (byte b :
-                    (Rig.PUT + "\r\n" + Rig.READ + "\r\n").getBytes(StandardCharsets.US_ASCII)) {
+                    (NodeTestFixture.IDEMPOTENT_WRITE + "\r\n" + NodeTestFixture.READ + "\r\n").getBytes(StandardCharsets.US_ASCII)) {
                 client.write(new byte[] {b});
                 Thread.yield();
             }
-            assertEquals("HD O3 c77", client.line());
-            assertEquals("VA 16 O1", client.line());
+            assertEquals("HD O3 c77", client.readLine());
+            assertEquals("VA 16 O1", client.readLine());
         }
     }
 
     @Test
     void quitClosesBehindTheAnswers() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start();
-                Peer client = rig.client()) {
-            assertEquals("HD O2 c77", client.ask(Rig.COPY + "\r\nquit"));
-            assertEquals(null, client.line());
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE + "\r\nquit"));
+            assertEquals(null, client.readLine());
         }
     }
 
-    private static void bad(String json) {
+    private static void assertInvalidConfig(String json) {
         assertThrows(
                 ConfigException.class,
                 () -> Config.parse(Json.parse(json.getBytes(StandardCharsets.UTF_8))),
@@ -239,25 +239,25 @@
     }
 
     @Test
-    void badConfigurationIsToldAsSuch() throws Exception {
-        String good;
-        try (Rig rig = new Rig()) {
-            good = rig.config("127.0.0.1:0");
+    void badConfigurationIsReportedAsSuch() throws Exception {
+        String validConfig;
+        try (NodeTestFixture fixture = new NodeTestFixture()) {
+            validConfig = fixture.config("127.0.0.1:0");
         }
-        Config config = Config.parse(Json.parse(good.getBytes(StandardCharsets.UTF_8)));
-        assertEquals(3, config.site().settings.classes().size());
-        assertEquals(7, config.known().rev());
-        assertEquals(1_000_000_000L, config.site().settings.drainGrace());
-        bad("");
-        bad("[]");
-        bad("{}");
-        bad(good.replace("127.0.0.1:0", "localhost:0"));
-        bad(good.replace("127.0.0.1:0", "127.0.0.1:99999"));
-        bad(good.replace("8c1f30d27a5be964", "no seed"));
-        bad(good.replace("\"settings\"", "\"settings-x\""));
-        bad(good.replace("\"categories\"", "\"categories-x\""));
-        bad(good.replace("\"multiplex\":1", "\"multiplex\":0"));
-        bad(good.replace("0.2", "\"cold\""));
+        Config config = Config.parse(Json.parse(validConfig.getBytes(StandardCharsets.UTF_8)));
+        assertEquals(3, config.settings().policySettings.classes().size());
+        assertEquals(7, config.initialEndpoints().revision());
+        assertEquals(1_000_000_000L, config.settings().policySettings.drainGraceNanos());
+        assertInvalidConfig("");
+        assertInvalidConfig("[]");
+        assertInvalidConfig("{}");
+        assertInvalidConfig(validConfig.replace("127.0.0.1:0", "localhost:0"));
+        assertInvalidConfig(validConfig.replace("127.0.0.1:0", "127.0.0.1:99999"));
+        assertInvalidConfig(validConfig.replace("8c1f30d27a5be964", "no seed"));
+        assertInvalidConfig(validConfig.replace("\"settings\"", "\"settings-x\""));
+        assertInvalidConfig(validConfig.replace("\"categories\"", "\"categories-x\""));
+        assertInvalidConfig(validConfig.replace("\"multiplex\":1", "\"multiplex\":0"));
+        assertInvalidConfig(validConfig.replace("0.2", "\"cold\""));
         assertThrows(ConfigException.class, () -> new ConfigFile(null));
         assertThrows(
                 ConfigException.class,
