--- a/node/src/test/java/frostrelay/node/RehearsalTest.java
+++ b/node/src/test/java/frostrelay/node/ClassArchiveTrainingTest.java
@@ -8,9 +8,9 @@
  * The build archives the classes that this loads; one that goes wrong would leave a start slow
  * unseen.
  */
-class RehearsalTest {
+class ClassArchiveTrainingTest {
     @Test
-    void everyCommandOfTheRehearsalIsAnswered() throws Exception {
-        assertEquals(109, Rehearsal.play());
+    void everyCommandOfTheTrainingRunIsAnswered() throws Exception {
+        assertEquals(109, ClassArchiveTraining.run());
     }
 }
--- a/node/src/test/java/frostrelay/node/ConnectingTest.java
+++ b/node/src/test/java/frostrelay/node/ConnectingTest.java
@@ -20,27 +20,27 @@
      * A listening socket whose accept queue is full: connections to it come up only when it
      * accepts.
      */
-    private static final class FullHost implements AutoCloseable {
+    private static final class FullBacklogServer implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         final List<Socket> fillers = new ArrayList<>();
 
-        FullHost() throws IOException {
+        FullBacklogServer() throws IOException {
             for (int i = 0; i < 2; i++) {
                 fillers.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
             }
         }
 
         String target() {
-            return Rig.target("s-full", "127.0.0.1:" + server.getLocalPort(), "Ready");
+            return NodeTestFixture.target("s-full", "127.0.0.1:" + server.getLocalPort(), "Ready");
         }
 
-        Peer accept() throws IOException {
-            server.setSoTimeout(Peer.LIMIT_MS);
+        TestConnection accept() throws IOException {
+            server.setSoTimeout(TestConnection.TIMEOUT_MILLIS);
             while (!fillers.isEmpty()) {
                 server.accept().close();
                 fillers.remove(0).close();
             }
-            return new Peer(server.accept());
+            return new TestConnection(server.accept());
         }
 
         @Override
@@ -53,41 +53,41 @@
     }
 
     @Test
-    void whatWasCutWhileItsConnectionCameUpIsNeverWritten() throws Exception {
-        try (FullHost host = new FullHost();
-                Rig rig = new Rig()) {
-            rig.extraTargets.add(host.target());
-            rig.connectMs = Peer.LIMIT_MS;
-            rig.start();
-            try (Peer client = rig.client()) {
+    void anAttemptThatTimesOutWhileConnectingIsNeverWritten() throws Exception {
+        try (FullBacklogServer fullServer = new FullBacklogServer();
+                NodeTestFixture fixture = new NodeTestFixture()) {
+            fixture.extraTargets.add(fullServer.target());
+            fixture.connectTimeoutMillis = TestConnection.TIMEOUT_MILLIS;
+            fixture.start();
+            try (TestConnection client = fixture.client()) {
                 assertEquals(
                         "SERVER_ERROR busy 2000",
-                        client.ask("ms 1 1 O1 Pc=copy,t=acme,d=100\r\nx"),
+                        client.request("ms 1 1 O1 Pc=copy,t=acme,d=100\r\nx"),
                         "never written, so never run: trying again is harmless");
-                try (Peer leaver = rig.client()) {
-                    leaver.write("ms 1 1 O2 Pc=copy,t=acme,d=9000\r\nx\r\n");
-                    ServingTest.awaitGauge(rig, " links 2 ");
+                try (TestConnection disconnectingClient = fixture.client()) {
+                    disconnectingClient.write("ms 1 1 O2 Pc=copy,t=acme,d=9000\r\nx\r\n");
+                    ServingTest.awaitGauge(fixture, " links 2 ");
                 }
                 // On a slow machine the module has tried once more before the leaver was seen to
                 // go.
-                int links = (int) rig.loop.submit(rig.node::gauges).get().get("links");
-                List<Peer> peers = new ArrayList<>();
+                int connectionCount = (int) fixture.loop.submit(fixture.node::gauges).get().get("links");
+                List<TestConnection> serverConnections = new ArrayList<>();
                 try {
                     // All connections come up now, and the first command on each is one sent later.
-                    for (int i = 0; i < links; i++) {
-                        peers.add(host.accept());
+                    for (int i = 0; i < connectionCount; i++) {
+                        serverConnections.add(fullServer.accept());
                     }
-                    ServingTest.awaitGauge(rig, "idle " + links);
-                    for (int i = 0; i < links; i++) {
+                    ServingTest.awaitGauge(fixture, "idle " + connectionCount);
+                    for (int i = 0; i < connectionCount; i++) {
                         client.write("ms 1 1 Olater" + i + " Pc=copy,t=acme,d=9000\r\nx\r\n");
                     }
-                    for (Peer peer : peers) {
-                        String command = peer.line();
+                    for (TestConnection serverConnection : serverConnections) {
+                        String command = serverConnection.readLine();
                         assertTrue(command.contains(" Olater"), command);
                     }
                 } finally {
-                    for (Peer peer : peers) {
-                        peer.close();
+                    for (TestConnection serverConnection : serverConnections) {
+                        serverConnection.close();
                     }
                 }
             }
@@ -99,24 +99,24 @@
      * seconds after its client left.
      */
     @Test
-    void whatItsClientLeftWhileItsConnectionCameUpIsNotSentWhereNothingMayBeCancelled()
+    void anAttemptWhoseClientDisconnectsWhileConnectingIsNotSentWhereCancellationIsNotAllowed()
             throws Exception {
-        try (FullHost host = new FullHost();
-                Rig rig = new Rig()) {
-            rig.extraTargets.add(host.target());
-            rig.connectMs = Peer.LIMIT_MS;
-            rig.cancelling = false;
-            rig.start();
-            try (Peer client = rig.client()) {
-                try (Peer leaver = rig.client()) {
-                    leaver.write("ms 1 1 Oleft Pc=copy,t=acme,d=9000\r\nx\r\n");
-                    ServingTest.awaitGauge(rig, "links 1 open 1");
+        try (FullBacklogServer fullServer = new FullBacklogServer();
+                NodeTestFixture fixture = new NodeTestFixture()) {
+            fixture.extraTargets.add(fullServer.target());
+            fixture.connectTimeoutMillis = TestConnection.TIMEOUT_MILLIS;
+            fixture.cancellationAllowed = false;
+            fixture.start();
+            try (TestConnection client = fixture.client()) {
+                try (TestConnection disconnectingClient = fixture.client()) {
+                    disconnectingClient.write("ms 1 1 Oleft Pc=copy,t=acme,d=9000\r\nx\r\n");
+                    ServingTest.awaitGauge(fixture, "links 1 open 1");
                 }
-                ServingTest.awaitGauge(rig, "open 0");
-                try (Peer peer = host.accept()) {
-                    ServingTest.awaitGauge(rig, "idle 1 ledger 0");
+                ServingTest.awaitGauge(fixture, "open 0");
+                try (TestConnection serverConnection = fullServer.accept()) {
+                    ServingTest.awaitGauge(fixture, "idle 1 ledger 0");
                     client.write("ms 1 1 Olater Pc=copy,t=acme,d=9000\r\nx\r\n");
-                    String command = peer.line();
+                    String command = serverConnection.readLine();
                     assertTrue(command.contains(" Olater "), command);
                 }
             }
@@ -125,48 +125,48 @@
 
     @Test
     void aConnectionThatNeverComesUpIsGivenUpInTime() throws Exception {
-        try (FullHost host = new FullHost();
-                Rig rig = new Rig()) {
-            rig.extraTargets.add(host.target());
-            rig.connectMs = 50;
-            rig.start();
-            try (Peer client = rig.client()) {
-                assertEquals("SERVER_ERROR busy", client.ask(Rig.COPY));
-                ServingTest.awaitGauge(rig, " links 0 ");
+        try (FullBacklogServer fullServer = new FullBacklogServer();
+                NodeTestFixture fixture = new NodeTestFixture()) {
+            fixture.extraTargets.add(fullServer.target());
+            fixture.connectTimeoutMillis = 50;
+            fixture.start();
+            try (TestConnection client = fixture.client()) {
+                assertEquals("SERVER_ERROR busy", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
+                ServingTest.awaitGauge(fixture, " links 0 ");
             }
         }
     }
 
     @Test
     void noSendStartsPastTheDrainGrace() throws Exception {
-        try (FullHost host = new FullHost();
-                Rig rig = new Rig()) {
-            rig.extraTargets.add(host.target());
-            rig.connectMs = Peer.LIMIT_MS;
-            rig.graceMs = 0;
-            rig.start();
-            try (Peer client = rig.client()) {
-                client.write(Rig.COPY + "\r\n");
-                ServingTest.awaitGauge(rig, " links 1 ");
-                Catalog drained =
-                        Catalog.parse(
+        try (FullBacklogServer fullServer = new FullBacklogServer();
+                NodeTestFixture fixture = new NodeTestFixture()) {
+            fixture.extraTargets.add(fullServer.target());
+            fixture.connectTimeoutMillis = TestConnection.TIMEOUT_MILLIS;
+            fixture.drainGraceMillis = 0;
+            fixture.start();
+            try (TestConnection client = fixture.client()) {
+                client.write(NodeTestFixture.NON_IDEMPOTENT_WRITE + "\r\n");
+                ServingTest.awaitGauge(fixture, " links 1 ");
+                EndpointList endpointList =
+                        EndpointList.parse(
                                 Json.parse(
                                         ("{\"rev\":8,\"all\":false,\"targets\":["
-                                                        + host.target()
+                                                        + fullServer.target()
                                                                 .replace("Ready", "Terminating")
                                                         + "]}")
                                                 .getBytes()),
-                                rig.site());
-                rig.loop
+                                fixture.deploymentSettings());
+                fixture.loop
                         .submit(
                                 () ->
-                                        rig.node.onList(
+                                        fixture.node.onEndpointList(
                                                 frostrelay.policy.Api.ListMode.DELTA,
-                                                drained.members()))
+                                                endpointList.endpoints()))
                         .get();
-                try (Peer peer = host.accept()) {
-                    assertEquals("SERVER_ERROR busy", client.line());
-                    assertEquals(null, peer.line(), "closed without a command");
+                try (TestConnection serverConnection = fullServer.accept()) {
+                    assertEquals("SERVER_ERROR busy", client.readLine());
+                    assertEquals(null, serverConnection.readLine(), "closed without a command");
                 }
             }
         }
--- a/node/src/test/java/frostrelay/node/DialTest.java
+++ b/node/src/test/java/frostrelay/node/ConnectorTest.java
@@ -16,19 +16,19 @@
 import java.util.concurrent.TimeUnit;
 
 /** How a connection that comes to nothing is told. */
-class DialTest {
-    private static boolean toldOnTheLoop(EventLoop loop, Bootstrap bootstrap) throws Exception {
-        CompletableFuture<Boolean> told = new CompletableFuture<>();
-        Bootstrap dial = bootstrap.group(loop).handler(new ChannelInboundHandlerAdapter());
+class ConnectorTest {
+    private static boolean isReportedOnTheLoop(EventLoop loop, Bootstrap bootstrap) throws Exception {
+        CompletableFuture<Boolean> reportedOnLoop = new CompletableFuture<>();
+        Bootstrap configuredBootstrap = bootstrap.group(loop).handler(new ChannelInboundHandlerAdapter());
         loop.submit(
                         () ->
-                                Dial.connect(
-                                        dial,
+                                Connector.connect(
+                                        configuredBootstrap,
                                         new InetSocketAddress("127.0.0.1", 1),
                                         loop,
-                                        cause -> told.complete(loop.inEventLoop())))
+                                        cause -> reportedOnLoop.complete(loop.inEventLoop())))
                 .get();
-        return told.get(Peer.LIMIT_MS, TimeUnit.MILLISECONDS);
+        return reportedOnLoop.get(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -36,11 +36,11 @@
      * the module were run on two.
      */
     @Test
-    void aFailureIsToldOnTheLoopAlsoWhereNoDescriptorIsLeft() throws Exception {
+    void aFailureIsReportedOnTheLoopAlsoWhereNoDescriptorIsLeft() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try {
             assertTrue(
-                    toldOnTheLoop(
+                    isReportedOnTheLoop(
                             group.next(),
                             new Bootstrap()
                                     .channelFactory(
@@ -48,7 +48,7 @@
                                                 throw new ChannelException("Too many open files");
                                             })));
             assertTrue(
-                    toldOnTheLoop(group.next(), new Bootstrap().channel(NioSocketChannel.class)),
+                    isReportedOnTheLoop(group.next(), new Bootstrap().channel(NioSocketChannel.class)),
                     "refused");
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
--- a/node/src/test/java/frostrelay/node/FakeHost.java
+++ b/node/src/test/java/frostrelay/node/FakeServer.java
@@ -10,15 +10,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A tiny peer on an ephemeral port: does what the test says with each connection. */
-final class FakeHost implements AutoCloseable {
+final class FakeServer implements AutoCloseable {
     /** What happens on one connection, from its start to its end. */
-    interface Script {
-        void run(Peer peer) throws IOException;
+    interface ConnectionScript {
+        void run(TestConnection connection) throws IOException;
     }
 
     /** What is answered to one command; nothing if null. */
-    interface Answer {
-        String to(String command);
+    interface Responder {
+        String respondTo(String command);
     }
 
     final AtomicInteger connections = new AtomicInteger();
@@ -27,34 +27,34 @@
     final BlockingQueue<String> commands = new LinkedBlockingQueue<>();
 
     /** Takes an element for every connection that its far end has closed. */
-    final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
 
     private final ServerSocket server;
     private final Thread acceptor;
 
-    FakeHost(Script script) throws IOException {
+    FakeServer(ConnectionScript script) throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         acceptor =
-                thread(
+                startThread(
                         () -> {
                             while (true) {
                                 Socket socket = server.accept();
                                 connections.incrementAndGet();
-                                thread(
+                                startThread(
                                         () -> {
-                                            try (Peer peer = new Peer(socket)) {
-                                                script.run(peer);
+                                            try (TestConnection connection = new TestConnection(socket)) {
+                                                script.run(connection);
                                             }
                                         });
                             }
                         });
     }
 
-    private interface Task {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static Thread thread(Task task) {
+    private static Thread startThread(IoTask task) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -70,37 +70,37 @@
     }
 
     /** A host that answers every command. */
-    static FakeHost answering(Answer answer) throws IOException {
-        FakeHost[] self = new FakeHost[1];
-        self[0] =
-                new FakeHost(
-                        peer -> {
-                            String command = self[0].next(peer);
+    static FakeServer respondingWith(Responder responder) throws IOException {
+        FakeServer[] fakeServer = new FakeServer[1];
+        fakeServer[0] =
+                new FakeServer(
+                        connection -> {
+                            String command = fakeServer[0].readCommand(connection);
                             while (command != null) {
-                                String text = answer.to(command);
+                                String text = responder.respondTo(command);
                                 if (text != null) {
-                                    peer.write(text);
+                                    connection.write(text);
                                 }
-                                command = self[0].next(peer);
+                                command = fakeServer[0].readCommand(connection);
                             }
-                            self[0].ends.add("end");
+                            fakeServer[0].closedConnections.add("end");
                         });
-        return self[0];
+        return fakeServer[0];
     }
 
     /** A host that serves: the value of a read is its key, the receipt of a write its data. */
-    static FakeHost serving() throws IOException {
-        return answering(FakeHost::served);
+    static FakeServer servingAnyCommand() throws IOException {
+        return respondingWith(FakeServer::successResponse);
     }
 
-    static String served(String command) {
+    static String successResponse(String command) {
         String[] words = command.split(" ");
         return words[0].equals("mg")
-                ? value(command, words[1])
+                ? valueResponse(command, words[1])
                 : "HD " + opaque(command) + " c77\r\n";
     }
 
-    static String value(String command, String value) {
+    static String valueResponse(String command, String value) {
         return "VA "
                 + value.length()
                 + " "
@@ -120,12 +120,12 @@
     }
 
     /** Reads a command with its data, notes it, and returns its line; null at the end. */
-    String next(Peer peer) throws IOException {
-        String line = peer.line();
+    String readCommand(TestConnection connection) throws IOException {
+        String line = connection.readLine();
         if (line != null) {
             String[] words = line.split(" ");
             if (words[0].equals("ms")) {
-                line += " data=" + peer.data(Integer.parseInt(words[2]));
+                line += " data=" + connection.readData(Integer.parseInt(words[2]));
             }
             commands.add(line);
         }
@@ -133,12 +133,12 @@
     }
 
     /** The next command that came, waited for. */
-    String command() throws InterruptedException {
-        return commands.poll(Peer.LIMIT_MS, TimeUnit.MILLISECONDS);
+    String awaitCommand() throws InterruptedException {
+        return commands.poll(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    String awaitEnd() throws InterruptedException {
-        return ends.poll(Peer.LIMIT_MS, TimeUnit.MILLISECONDS);
+    String awaitClose() throws InterruptedException {
+        return closedConnections.poll(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     String endpoint() {
@@ -146,10 +146,10 @@
     }
 
     /** Refuses connections from now on. */
-    void stop() throws IOException, InterruptedException {
+    void stopListening() throws IOException, InterruptedException {
         server.close();
         // The kernel keeps listening while a thread is still inside its accept.
-        acceptor.join(Peer.LIMIT_MS);
+        acceptor.join(TestConnection.TIMEOUT_MILLIS);
     }
 
     @Override
--- a/node/src/test/java/frostrelay/node/LateWorkTest.java
+++ b/node/src/test/java/frostrelay/node/LateWorkTest.java
@@ -29,19 +29,19 @@
  * process has left.
  */
 class LateWorkTest {
-    private static final String COPY_HEAD = "ms 7f3a9c21e0b4d655 5 O";
+    private static final String NON_IDEMPOTENT_WRITE_HEAD = "ms 7f3a9c21e0b4d655 5 O";
     @TempDir Path folder;
 
-    private static String copy(String id, int waitMs) {
-        return COPY_HEAD + id + " Pc=copy,t=acme,d=" + waitMs + "\r\nhello\r\n";
+    private static String nonIdempotentWrite(String id, int timeoutMillis) {
+        return NON_IDEMPOTENT_WRITE_HEAD + id + " Pc=copy,t=acme,d=" + timeoutMillis + "\r\nhello\r\n";
     }
 
-    private static Future<Void> stop(Rig rig) throws Exception {
-        return rig.loop.submit(() -> rig.node.stop(false, Clock.now())).get();
+    private static Future<Void> startShutdown(NodeTestFixture fixture) throws Exception {
+        return fixture.loop.submit(() -> fixture.node.stop(false, Clock.now())).get();
     }
 
-    private static long msSince(long start) {
-        return (System.nanoTime() - start) / Clock.MILLISECOND;
+    private static long millisSince(long startNanos) {
+        return (System.nanoTime() - startNanos) / Clock.NANOS_PER_MILLISECOND;
     }
 
     // Shutdown.
@@ -51,37 +51,37 @@
      * before the kill all the same.
      */
     @Test
-    void whatWasOpenBeforeAShutdownIsAnsweredBeforeTheKillHoweverLongItsClientWaits()
+    void requestsOpenBeforeAShutdownAreAnsweredBeforeTheKillHoweverLongTheirClientsWait()
             throws Exception {
-        try (Rig rig = new Rig(FakeHost.answering(command -> null)).start();
-                Peer client = rig.client()) {
-            client.write(copy("long", 9_000));
-            assertTrue(rig.hosts.get(0).command() != null);
-            long begun = System.nanoTime();
-            Future<Void> stopped = stop(rig);
-            assertEquals("SERVER_ERROR failed", client.line(), "it may have run");
-            assertTrue(msSince(begun) < 3_700, "in " + msSince(begun) + " ms");
-            client.leave();
-            assertTrue(stopped.await(Peer.LIMIT_MS));
-            assertTrue(msSince(begun) < 3_700, "and then the process is done");
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.respondingWith(command -> null)).start();
+                TestConnection client = fixture.client()) {
+            client.write(nonIdempotentWrite("long", 9_000));
+            assertTrue(fixture.fakeServers.get(0).awaitCommand() != null);
+            long startNanos = System.nanoTime();
+            Future<Void> stopped = startShutdown(fixture);
+            assertEquals("SERVER_ERROR failed", client.readLine(), "it may have run");
+            assertTrue(millisSince(startNanos) < 3_700, "in " + millisSince(startNanos) + " ms");
+            client.disconnect();
+            assertTrue(stopped.await(TestConnection.TIMEOUT_MILLIS));
+            assertTrue(millisSince(startNanos) < 3_700, "and then the process is done");
         }
     }
 
     @Test
-    void aRequestThatHadComeInPartBeforeAShutdownIsRefusedOnceItIsWhole() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start();
-                Peer client = rig.client()) {
-            assertEquals("HD O2 c77", client.ask(Rig.COPY));
-            rig.hosts.get(0).command();
-            client.write(COPY_HEAD);
-            ServingTest.awaitGauge(rig, "clients 1 open 0");
+    void aRequestReceivedInPartBeforeAShutdownIsRejectedOnceComplete() throws Exception {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
+            fixture.fakeServers.get(0).awaitCommand();
+            client.write(NON_IDEMPOTENT_WRITE_HEAD);
+            ServingTest.awaitGauge(fixture, "clients 1 open 0");
             Thread.sleep(50);
-            stop(rig);
+            startShutdown(fixture);
             Thread.sleep(1_500);
             client.write("slow Pc=copy,t=acme,d=9000\r\nhello\r\n");
-            assertEquals("SERVER_ERROR busy", client.line());
-            assertNull(client.line());
-            assertEquals(0, rig.hosts.get(0).commands.size());
+            assertEquals("SERVER_ERROR busy", client.readLine());
+            assertNull(client.readLine());
+            assertEquals(0, fixture.fakeServers.get(0).commands.size());
         }
     }
 
@@ -90,19 +90,19 @@
      * the process never.
      */
     @Test
-    void aProcessThatIsAskedToEndBeforeItServesEnds() throws Exception {
-        try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-                Rig rig = new Rig(FakeHost.serving())) {
-            rig.pushed = true;
-            rig.discovery = "127.0.0.1:" + silent.getLocalPort();
+    void aProcessThatIsTerminatedBeforeItServesExits() throws Exception {
+        try (ServerSocket unresponsiveSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+                NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
+            fixture.endpointsPushed = true;
+            fixture.discovery = "127.0.0.1:" + unresponsiveSocket.getLocalPort();
             Path config =
                     Files.writeString(
                             folder.resolve("config.json"),
-                            rig.config("127.0.0.1:" + StopTest.freePort()));
-            Process process = StopTest.start(config.toString(), folder);
+                            fixture.config("127.0.0.1:" + StopTest.freePort()));
+            Process process = StopTest.startProcess(config.toString(), folder);
             try {
-                silent.setSoTimeout(Peer.LIMIT_MS);
-                silent.accept();
+                unresponsiveSocket.setSoTimeout(TestConnection.TIMEOUT_MILLIS);
+                unresponsiveSocket.accept();
                 process.destroy();
                 assertTrue(process.waitFor(3_700, TimeUnit.MILLISECONDS), "before SIGKILL");
                 assertEquals(0, process.exitValue());
@@ -118,13 +118,13 @@
      */
     @Test
     void aShutdownIsNotEndedByTheEndOfADrain() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start();
-                Peer client = rig.client()) {
-            assertEquals("HD O2 c77", client.ask(Rig.COPY));
-            rig.loop.submit(rig.node::startDrain).get();
-            Future<Void> stopped = stop(rig);
-            rig.loop.submit(rig.node::stopDrain).get();
-            assertFalse(rig.node.ready());
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
+            fixture.loop.submit(fixture.node::startDrain).get();
+            Future<Void> stopped = startShutdown(fixture);
+            fixture.loop.submit(fixture.node::stopDrain).get();
+            assertFalse(fixture.node.isReady());
             assertTrue(stopped.await(3_700));
         }
     }
@@ -132,25 +132,25 @@
     /** A class that a new configuration does not name any more is none of its longest deadlines. */
     @Test
     void theKillIsExpectedByTheDeadlinesOfTheClassesThatAreNamed() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.deadlineMs = 1_000;
+        try (NodeTestFixture fixture = new NodeTestFixture()) {
+            fixture.deadlineMillis = 1_000;
             Object before =
                     Json.parse(
-                            rig.settings()
+                            fixture.settings()
                                     .replaceFirst(
                                             "\"deadline-ns\":1000000000",
                                             "\"deadline-ns\":2500000000")
                                     .getBytes());
-            Site site = new Site(Json.object(before));
-            assertEquals(2_500 * Clock.MILLISECOND, site.longestDeadline());
+            DeploymentSettings site = new DeploymentSettings(Json.object(before));
+            assertEquals(2_500 * Clock.NANOS_PER_MILLISECOND, site.longestDeadlineNanos());
             Object after =
                     Json.parse(
-                            rig.settings()
+                            fixture.settings()
                                     .replaceFirst("\\{\"name\":\"read\"[^}]*},", "")
                                     .getBytes());
             assertEquals(
-                    1_000 * Clock.MILLISECOND,
-                    site.succeed(Json.object(after), Clock.now()).longestDeadline());
+                    1_000 * Clock.NANOS_PER_MILLISECOND,
+                    site.replacedBy(Json.object(after), Clock.now()).longestDeadlineNanos());
         }
     }
 
@@ -161,26 +161,26 @@
      * late its turn came.
      */
     @Test
-    void timeInLineIsTakenOffWhatAServerIsTold() throws Exception {
+    void queueingTimeIsSubtractedFromTheTimeoutSentToAServer() throws Exception {
         CountDownLatch gate = new CountDownLatch(1);
-        FakeHost host =
-                FakeHost.answering(
+        FakeServer fakeServer =
+                FakeServer.respondingWith(
                         command -> {
                             await(gate);
-                            return FakeHost.served(command);
+                            return FakeServer.successResponse(command);
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            client.write(reads(65));
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            client.write(pipelinedReads(65));
             for (int i = 0; i < 64; i++) {
-                assertTrue(host.command() != null);
+                assertTrue(fakeServer.awaitCommand() != null);
             }
             Thread.sleep(800);
             gate.countDown();
-            String last = host.command();
+            String last = fakeServer.awaitCommand();
             assertTrue(last.contains(" O64 "), last);
-            int told = Integer.parseInt(last.replaceAll(".*d=", ""));
-            assertTrue(told <= 9_000 - 800 + 150, "told " + told);
+            int announcedTimeout = Integer.parseInt(last.replaceAll(".*d=", ""));
+            assertTrue(announcedTimeout <= 9_000 - 800 + 150, "told " + announcedTimeout);
         }
     }
 
@@ -189,17 +189,17 @@
      * than the terms allow.
      */
     @Test
-    void aServerIsToldLessThanItsClientWaits() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start();
-                Peer client = rig.client()) {
-            assertEquals("HD Oa c77", client.ask(copy("a", 4_000).stripTrailing()));
-            int told =
-                    Integer.parseInt(rig.hosts.get(0).command().replaceAll(".*d=(\\d+).*", "$1"));
-            assertTrue(told <= 3_940 && told > 3_000, "told " + told);
+    void theTimeoutSentToAServerIsShorterThanTheClients() throws Exception {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("HD Oa c77", client.request(nonIdempotentWrite("a", 4_000).stripTrailing()));
+            int announcedTimeout =
+                    Integer.parseInt(fixture.fakeServers.get(0).awaitCommand().replaceAll(".*d=(\\d+).*", "$1"));
+            assertTrue(announcedTimeout <= 3_940 && announcedTimeout > 3_000, "told " + announcedTimeout);
         }
     }
 
-    private static String reads(int count) {
+    private static String pipelinedReads(int count) {
         StringBuilder commands = new StringBuilder();
         for (int i = 0; i < count; i++) {
             commands.append("mg ")
@@ -213,7 +213,7 @@
 
     private static void await(CountDownLatch gate) {
         try {
-            gate.await(Peer.LIMIT_MS, TimeUnit.MILLISECONDS);
+            gate.await(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -224,37 +224,37 @@
      * not begun long after that.
      */
     @Test
-    void whatAClientLeftBehindMoreThanIsReadAheadIsNotBegun() throws Exception {
-        List<Long> begunAt = new ArrayList<>();
-        FakeHost host =
-                FakeHost.answering(
+    void commandsBeyondTheReadAheadOfADisconnectedClientAreNotStarted() throws Exception {
+        List<Long> startTimesNanos = new ArrayList<>();
+        FakeServer fakeServer =
+                FakeServer.respondingWith(
                         command -> {
-                            synchronized (begunAt) {
-                                begunAt.add(System.nanoTime());
+                            synchronized (startTimesNanos) {
+                                startTimesNanos.add(System.nanoTime());
                             }
                             pause(400);
-                            return FakeHost.served(command);
+                            return FakeServer.successResponse(command);
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer first = rig.client()) {
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection first = fixture.client()) {
             // Brings up connections, and a program that has run before.
-            first.write(reads(64));
+            first.write(pipelinedReads(64));
             for (int i = 0; i < 64; i++) {
-                first.line();
-                first.line();
+                first.readLine();
+                first.readLine();
             }
-            begunAt.clear();
-            String commands = reads(8_000);
-            long left;
-            try (Peer client = rig.client()) {
+            startTimesNanos.clear();
+            String commands = pipelinedReads(8_000);
+            long disconnectedAtNanos;
+            try (TestConnection client = fixture.client()) {
                 client.write(commands);
-                left = System.nanoTime();
+                disconnectedAtNanos = System.nanoTime();
             }
-            ServingTest.awaitGauge(rig, "open 0 clients 1");
-            synchronized (begunAt) {
-                long late =
-                        begunAt.stream().filter(at -> at - left > 100 * Clock.MILLISECOND).count();
-                assertEquals(0, late, "of " + begunAt.size() + " begun");
+            ServingTest.awaitGauge(fixture, "open 0 clients 1");
+            synchronized (startTimesNanos) {
+                long lateStarts =
+                        startTimesNanos.stream().filter(startedAtNanos -> startedAtNanos - disconnectedAtNanos > 100 * Clock.NANOS_PER_MILLISECOND).count();
+                assertEquals(0, lateStarts, "of " + startTimesNanos.size() + " begun");
             }
         }
     }
@@ -262,41 +262,41 @@
     // Sends and repeats.
 
     /** Sends the first request once more as soon as it is told of, whatever its class. */
-    private static final class Repeating extends Scripted {
-        private long server;
+    private static final class ResendingPolicy extends NoOpPolicy {
+        private long serverId;
 
-        Repeating(Api.Actions actions) {
+        ResendingPolicy(Api.Actions actions) {
             super(actions);
         }
 
         @Override
-        public void onList(long now, Api.ListMode mode, List<Api.Server> servers) {
-            server = servers.isEmpty() ? server : servers.get(0).id();
+        public void onEndpointUpdate(long now, Api.ListMode mode, List<Api.Server> servers) {
+            serverId = servers.isEmpty() ? serverId : servers.get(0).id();
         }
 
         @Override
         public void onRequest(long now, Api.Request request) {
-            actions.send(request.id(), server, request.deadline());
-            actions.wakeAt(now + 700 * Clock.MILLISECOND, (int) request.id());
+            actions.send(request.id(), serverId, request.deadlineNanos());
+            actions.scheduleTimer(now + 700 * Clock.NANOS_PER_MILLISECOND, (int) request.id());
         }
 
         @Override
         public void onTimer(long now, int token) {
-            actions.send(token, server, 0);
+            actions.send(token, serverId, 0);
         }
     }
 
-    private static int sends(String command, UnaryOperator<String> settings) throws Exception {
-        FakeHost host = FakeHost.answering(c -> null);
-        try (Rig rig = new Rig(host)) {
-            rig.module = (parsed, seed, actions) -> new Repeating(actions);
-            rig.rewrite = settings;
-            rig.start();
-            try (Peer client = rig.client()) {
+    private static int countSends(String command, UnaryOperator<String> settingsTransform) throws Exception {
+        FakeServer fakeServer = FakeServer.respondingWith(c -> null);
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer)) {
+            fixture.policyFactory = (parsed, seed, actions) -> new ResendingPolicy(actions);
+            fixture.settingsTransform = settingsTransform;
+            fixture.start();
+            try (TestConnection client = fixture.client()) {
                 client.write(command);
-                assertTrue(host.command() != null);
+                assertTrue(fakeServer.awaitCommand() != null);
                 Thread.sleep(1_000);
-                return 1 + host.commands.size();
+                return 1 + fakeServer.commands.size();
             }
         }
     }
@@ -306,14 +306,14 @@
      * second effect.
      */
     @Test
-    void whatMayHaveRunIsNotWrittenAgainIfThatCouldDoHarm() throws Exception {
-        assertEquals(1, sends(copy("u", 9_000), UnaryOperator.identity()), "never twice");
-        String keyed = Rig.PUT + "\r\n";
-        assertEquals(2, sends(keyed, UnaryOperator.identity()), "within its window");
+    void aNonIdempotentAttemptThatMayHaveRunIsNotResent() throws Exception {
+        assertEquals(1, countSends(nonIdempotentWrite("u", 9_000), UnaryOperator.identity()), "never twice");
+        String idempotentWrite = NodeTestFixture.IDEMPOTENT_WRITE + "\r\n";
+        assertEquals(2, countSends(idempotentWrite, UnaryOperator.identity()), "within its window");
         assertEquals(
                 1,
-                sends(
-                        keyed,
+                countSends(
+                        idempotentWrite,
                         text ->
                                 text.replace(
                                         "\"window-ns\":5000000000", "\"window-ns\":800000000")),
@@ -325,28 +325,28 @@
      * write there might be lost.
      */
     @Test
-    void connectionsThatWereIdleForTooLongAreNotUsedBehindAPause() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving())) {
-            rig.idleMs = 1_000;
-            rig.start();
-            try (Peer client = rig.client()) {
-                assertEquals("HD O2 c77", client.ask(Rig.COPY));
+    void connectionsThatWereIdleForTooLongAreNotUsedAfterAPause() throws Exception {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
+            fixture.idleTimeoutMillis = 1_000;
+            fixture.start();
+            try (TestConnection client = fixture.client()) {
+                assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
                 BlockingQueue<String> paused = new LinkedBlockingQueue<>();
-                rig.loop.execute(
+                fixture.loop.execute(
                         () -> {
                             paused.add("now");
                             pause(900);
                         });
                 paused.take();
-                assertEquals("HD O2 c77", client.ask(Rig.COPY));
-                assertEquals(2, rig.hosts.get(0).connections.get());
+                assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
+                assertEquals(2, fixture.fakeServers.get(0).connections.get());
             }
         }
     }
 
-    private static void pause(long ms) {
+    private static void pause(long millis) {
         try {
-            Thread.sleep(ms);
+            Thread.sleep(millis);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/node/src/test/java/frostrelay/node/LimitsTest.java
+++ b/node/src/test/java/frostrelay/node/LimitsTest.java
@@ -12,29 +12,29 @@
  * Running out of connections or room refuses; it neither ends the process nor loses what was taken.
  */
 class LimitsTest {
-    private static final int SOCKETS = 64;
+    private static final int SOCKET_LIMIT = 64;
 
     /** What the limit of 64 leaves: 48 after the reserve, 29 of them for clients, 15 for hosts. */
-    private static final int CLIENTS = 29;
+    private static final int CLIENT_LIMIT = 29;
 
-    private static final int HOSTS = 15;
+    private static final int SERVER_CONNECTION_LIMIT = 15;
 
     @Test
-    void idleClientsMakeRoomForNewOnes() throws Exception {
-        List<Peer> peers = new ArrayList<>();
-        try (Rig rig = new Rig(FakeHost.serving())) {
-            rig.sockets = SOCKETS;
-            rig.start();
-            for (int i = 0; i < 3 * CLIENTS; i++) {
-                peers.add(rig.client());
-                assertEquals("HD O2 c77", peers.get(i).ask(Rig.COPY));
+    void idleClientsAreEvictedForNewOnes() throws Exception {
+        List<TestConnection> clientConnections = new ArrayList<>();
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
+            fixture.socketLimit = SOCKET_LIMIT;
+            fixture.start();
+            for (int i = 0; i < 3 * CLIENT_LIMIT; i++) {
+                clientConnections.add(fixture.client());
+                assertEquals("HD O2 c77", clientConnections.get(i).request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
             }
-            assertEquals(null, peers.get(0).line(), "idle for longest, closed first");
-            assertEquals("MN", peers.get(peers.size() - 1).ask("mn"));
-            ServingTest.awaitGauge(rig, "clients " + CLIENTS + " ");
+            assertEquals(null, clientConnections.get(0).readLine(), "idle for longest, closed first");
+            assertEquals("MN", clientConnections.get(clientConnections.size() - 1).request("mn"));
+            ServingTest.awaitGauge(fixture, "clients " + CLIENT_LIMIT + " ");
         } finally {
-            for (Peer peer : peers) {
-                peer.close();
+            for (TestConnection connection : clientConnections) {
+                connection.close();
             }
         }
     }
@@ -43,36 +43,36 @@
      * Hundreds that connect at once and say nothing once cost good clients their idle connections.
      */
     @Test
-    void aSilentCrowdDoesNotPushOutGoodClients() throws Exception {
-        List<Peer> peers = new ArrayList<>();
-        try (Rig rig = new Rig(FakeHost.serving())) {
-            rig.sockets = SOCKETS;
-            rig.start();
-            for (int i = 0; i < CLIENTS / 2; i++) {
-                peers.add(rig.client());
-                assertEquals("HD O2 c77", peers.get(i).ask(Rig.COPY));
+    void manyClientsThatSendNothingDoNotEvictGoodClients() throws Exception {
+        List<TestConnection> clientConnections = new ArrayList<>();
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
+            fixture.socketLimit = SOCKET_LIMIT;
+            fixture.start();
+            for (int i = 0; i < CLIENT_LIMIT / 2; i++) {
+                clientConnections.add(fixture.client());
+                assertEquals("HD O2 c77", clientConnections.get(i).request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
             }
-            for (int i = 0; i < 5 * CLIENTS; i++) {
-                peers.add(rig.client());
+            for (int i = 0; i < 5 * CLIENT_LIMIT; i++) {
+                clientConnections.add(fixture.client());
             }
-            for (int i = 0; i < CLIENTS / 2; i++) {
+            for (int i = 0; i < CLIENT_LIMIT / 2; i++) {
                 assertEquals(
-                        "HD O2 c77", peers.get(i).ask(Rig.COPY), "on the connection that it had");
+                        "HD O2 c77", clientConnections.get(i).request(NodeTestFixture.NON_IDEMPOTENT_WRITE), "on the connection that it had");
             }
         } finally {
-            for (Peer peer : peers) {
-                peer.close();
+            for (TestConnection connection : clientConnections) {
+                connection.close();
             }
         }
     }
 
     @Test
-    void clientsPastTheLimitAreRefusedAndThoseInsideAreNot() throws Exception {
-        List<Peer> peers = new ArrayList<>();
+    void clientsPastTheLimitAreRejectedAndThoseInsideAreNot() throws Exception {
+        List<TestConnection> clientConnections = new ArrayList<>();
         boolean[] release = new boolean[1];
         Object gate = new Object();
-        FakeHost host =
-                FakeHost.answering(
+        FakeServer fakeServer =
+                FakeServer.respondingWith(
                         command -> {
                             synchronized (gate) {
                                 while (!release[0]) {
@@ -83,40 +83,40 @@
                                     }
                                 }
                             }
-                            return FakeHost.served(command);
+                            return FakeServer.successResponse(command);
                         });
-        try (Rig rig = new Rig(host)) {
-            rig.sockets = SOCKETS;
-            rig.start();
-            for (int i = 0; i < CLIENTS; i++) {
-                Peer peer = rig.client();
-                peers.add(peer);
-                peer.write(Rig.COPY.replace("O2", "Oc" + i) + "\r\n");
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer)) {
+            fixture.socketLimit = SOCKET_LIMIT;
+            fixture.start();
+            for (int i = 0; i < CLIENT_LIMIT; i++) {
+                TestConnection connection = fixture.client();
+                clientConnections.add(connection);
+                connection.write(NodeTestFixture.NON_IDEMPOTENT_WRITE.replace("O2", "Oc" + i) + "\r\n");
             }
-            for (int i = 0; i < HOSTS; i++) {
-                assertTrue(host.command() != null);
+            for (int i = 0; i < SERVER_CONNECTION_LIMIT; i++) {
+                assertTrue(fakeServer.awaitCommand() != null);
             }
             // The others found no free connection: refused at once, and the hosts bear no blame for
             // it.
-            ServingTest.awaitGauge(rig, "open " + HOSTS + " ");
-            Peer late = rig.client();
-            peers.add(late);
-            assertEquals("SERVER_ERROR busy", late.ask(Rig.COPY));
+            ServingTest.awaitGauge(fixture, "open " + SERVER_CONNECTION_LIMIT + " ");
+            TestConnection lateClient = fixture.client();
+            clientConnections.add(lateClient);
+            assertEquals("SERVER_ERROR busy", lateClient.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
             synchronized (gate) {
                 release[0] = true;
                 gate.notifyAll();
             }
-            ServingTest.awaitGauge(rig, "open 0 ");
-            assertEquals("HD O2 c77", late.ask(Rig.COPY));
-            int served = 0;
-            for (int i = 0; i < CLIENTS; i++) {
-                String answer = peers.get(i).line();
-                served += answer != null && answer.equals("HD Oc" + i + " c77") ? 1 : 0;
+            ServingTest.awaitGauge(fixture, "open 0 ");
+            assertEquals("HD O2 c77", lateClient.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
+            int servedCount = 0;
+            for (int i = 0; i < CLIENT_LIMIT; i++) {
+                String response = clientConnections.get(i).readLine();
+                servedCount += response != null && response.equals("HD Oc" + i + " c77") ? 1 : 0;
             }
-            assertEquals(HOSTS, served);
+            assertEquals(SERVER_CONNECTION_LIMIT, servedCount);
         } finally {
-            for (Peer peer : peers) {
-                peer.close();
+            for (TestConnection connection : clientConnections) {
+                connection.close();
             }
         }
     }
@@ -133,8 +133,8 @@
                     .append(i)
                     .append(" Pc=read,t=acme,d=9000\r\n");
         }
-        try (Rig rig = new Rig(FakeHost.serving()).start();
-                Peer client = rig.client()) {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
             Thread writer =
                     new Thread(
                             () -> {
@@ -147,13 +147,13 @@
             writer.start();
             for (int i = 0; i < requests; i++) {
                 String value = Integer.toString(i);
-                assertEquals("VA " + value.length() + " O" + i, client.line());
-                assertEquals(value, client.data(value.length()));
+                assertEquals("VA " + value.length() + " O" + i, client.readLine());
+                assertEquals(value, client.readData(value.length()));
             }
             writer.join();
             // As many as one connection may have open, and those whose answer's read is not over
             // yet.
-            assertTrue(rig.hosts.get(0).connections.get() <= 2 * 64);
+            assertTrue(fixture.fakeServers.get(0).connections.get() <= 2 * 64);
         }
     }
 
@@ -163,7 +163,7 @@
      * were over, and the others were begun then.
      */
     @Test
-    void aClientThatLeavesBehindMoreThanItMayHaveOpenIsSeenToGo() throws Exception {
+    void theDisconnectOfAClientThatPipelinedMoreThanTheLimitIsDetected() throws Exception {
         int requests = 1_000;
         StringBuilder commands = new StringBuilder();
         for (int i = 0; i < requests; i++) {
@@ -173,22 +173,22 @@
                     .append(i)
                     .append(" Pc=read,t=acme,d=9000\r\n");
         }
-        try (Rig rig = new Rig(FakeHost.answering(command -> null)).start()) {
-            long begun;
-            try (Peer client = rig.client()) {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.respondingWith(command -> null)).start()) {
+            long startNanos;
+            try (TestConnection client = fixture.client()) {
                 client.write(commands.toString());
                 for (int i = 0; i < 60; i++) {
-                    assertTrue(rig.hosts.get(0).command() != null);
+                    assertTrue(fixture.fakeServers.get(0).awaitCommand() != null);
                 }
-                begun = System.nanoTime();
+                startNanos = System.nanoTime();
             }
-            ServingTest.awaitGauge(rig, "open 0 clients 0");
-            long ms = (System.nanoTime() - begun) / 1_000_000;
-            assertTrue(ms < 3_000, "seen by its end and not by their deadlines: " + ms);
-            ServingTest.awaitGauge(rig, "ledger 0");
+            ServingTest.awaitGauge(fixture, "open 0 clients 0");
+            long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
+            assertTrue(elapsedMillis < 3_000, "seen by its end and not by their deadlines: " + elapsedMillis);
+            ServingTest.awaitGauge(fixture, "ledger 0");
             assertTrue(
-                    rig.hosts.get(0).commands.size() <= 4,
-                    "begun: 60 and " + rig.hosts.get(0).commands.size());
+                    fixture.fakeServers.get(0).commands.size() <= 4,
+                    "begun: 60 and " + fixture.fakeServers.get(0).commands.size());
         }
     }
 
@@ -197,18 +197,18 @@
      * still held of an answer that its client reads slowly.
      */
     @Test
-    void whoSendsOnBehindAFaultGetsItsAnswersWhole() throws Exception {
+    void aClientThatSendsOnAfterAProtocolErrorGetsCompleteResponses() throws Exception {
         String value = "v".repeat(60_000);
-        try (Rig rig = new Rig(FakeHost.answering(c -> FakeHost.value(c, value))).start();
-                Peer client = rig.slowClient()) {
-            client.write(Rig.READ + "\r\nms k x\r\n" + "y".repeat(150_000));
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.respondingWith(c -> FakeServer.valueResponse(c, value))).start();
+                TestConnection client = fixture.slowClient()) {
+            client.write(NodeTestFixture.READ + "\r\nms k x\r\n" + "y".repeat(150_000));
             // It reads nothing before we have closed.
-            ServingTest.awaitGauge(rig, "clients 1");
-            ServingTest.awaitGauge(rig, "clients 0");
-            assertEquals("VA 60000 O1", client.line());
-            assertEquals(value, client.data(value.length()));
-            assertEquals("CLIENT_ERROR bad data chunk", client.line());
-            assertEquals(null, client.line());
+            ServingTest.awaitGauge(fixture, "clients 1");
+            ServingTest.awaitGauge(fixture, "clients 0");
+            assertEquals("VA 60000 O1", client.readLine());
+            assertEquals(value, client.readData(value.length()));
+            assertEquals("CLIENT_ERROR bad data chunk", client.readLine());
+            assertEquals(null, client.readLine());
         }
     }
 
@@ -217,18 +217,18 @@
      * asks again elsewhere.
      */
     @Test
-    void whatComesBehindTheEndOfOurOutputIsNotSentOn() throws Exception {
-        FakeHost host = FakeHost.serving();
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            assertEquals("HD O2 c77", client.ask(Rig.COPY));
-            rig.loop.submit(rig.node::startDrain).get();
-            assertEquals("HD O2 c77", client.ask(Rig.COPY));
-            assertEquals(null, client.line(), "closed behind its answer");
-            client.write(Rig.COPY + "\r\n");
-            client.leave();
-            ServingTest.awaitGauge(rig, "clients 0");
-            assertEquals(2, host.commands.size());
+    void inputAfterOutputShutdownIsNotForwarded() throws Exception {
+        FakeServer fakeServer = FakeServer.servingAnyCommand();
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
+            fixture.loop.submit(fixture.node::startDrain).get();
+            assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
+            assertEquals(null, client.readLine(), "closed behind its answer");
+            client.write(NodeTestFixture.NON_IDEMPOTENT_WRITE + "\r\n");
+            client.disconnect();
+            ServingTest.awaitGauge(fixture, "clients 0");
+            assertEquals(2, fakeServer.commands.size());
         }
     }
 
@@ -239,21 +239,21 @@
     @Test
     void aClientThatDoesNotReadStopsBeingReadItself() throws Exception {
         String value = "v".repeat(60_000);
-        FakeHost host = FakeHost.answering(c -> FakeHost.value(c, value));
-        try (Rig rig = new Rig(host).start();
-                Peer slow = rig.slowClient();
-                Peer client = rig.client()) {
+        FakeServer fakeServer = FakeServer.respondingWith(c -> FakeServer.valueResponse(c, value));
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection slowClient = fixture.slowClient();
+                TestConnection client = fixture.client()) {
             for (int i = 0; i < 500; i++) {
-                slow.write("mg 1 v Oslow" + i + " Pc=read,t=acme,d=9000\r\n");
+                slowClient.write("mg 1 v Oslow" + i + " Pc=read,t=acme,d=9000\r\n");
             }
             for (int i = 0; i < 20; i++) {
-                assertEquals("VA 60000 O1", client.ask(Rig.READ));
-                assertEquals(value, client.data(value.length()));
+                assertEquals("VA 60000 O1", client.request(NodeTestFixture.READ));
+                assertEquals(value, client.readData(value.length()));
             }
-            assertTrue(host.commands.size() < 400, "read: " + host.commands.size());
+            assertTrue(fakeServer.commands.size() < 400, "read: " + fakeServer.commands.size());
             for (int i = 0; i < 500; i++) {
-                assertEquals("VA 60000 Oslow" + i, slow.line());
-                slow.data(60_000);
+                assertEquals("VA 60000 Oslow" + i, slowClient.readLine());
+                slowClient.readData(60_000);
             }
         }
     }
--- /dev/null
+++ b/node/src/test/java/frostrelay/node/LocalLatenessTest.java
@@ -0,0 +1,228 @@
+package frostrelay.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import frostrelay.policy.Api;
+import frostrelay.policy.Router;
+
+import org.junit.jupiter.api.Test;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.CyclicBarrier;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * What a balancer that is late itself, on a cold start or a small share of a core, must not take
+ * for load.
+ */
+class LocalLatenessTest {
+    private static final int READ_COUNT = 60;
+    private static final long LATENCY_OBJECTIVE_MILLIS = 2_000;
+
+    private static void assertServed(TestConnection client, int from, int to) throws IOException {
+        for (int i = from; i < to; i++) {
+            assertEquals(
+                    "VA 1 O" + i, client.request("mg " + i + " v O" + i + " Pc=read,t=acme,d=9000"));
+            client.readData(1);
+        }
+    }
+
+    /**
+     * A host turns away a request whose client has gone meanwhile, and reports no load with that.
+     */
+    @Test
+    void rejectionsWithoutTheReportThatOtherAnswersBringShedNothing() throws Exception {
+        FakeServer fakeServer =
+                FakeServer.respondingWith(
+                        c ->
+                                c.startsWith("mg over")
+                                        ? "SERVER_ERROR busy\r\n"
+                                        : FakeServer.valueResponse(c, "x"));
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            assertServed(client, 0, 1);
+            for (int i = 0; i < 60; i++) {
+                assertEquals(
+                        "SERVER_ERROR busy",
+                        client.request("mg over" + i + " v Oover Pc=read,t=acme,d=9000"));
+            }
+            assertServed(client, 1, 40);
+        }
+    }
+
+    /**
+     * The module, on a loop that stands still while it takes the last of {@code READ_COUNT} requests. As
+     * many before them only bring up connections and are kept from the module.
+     */
+    private static final class StallingPolicy extends NoOpPolicy {
+        private final Router router;
+        private final CountDownLatch answered;
+        private long serverId;
+        private int requestCount;
+
+        StallingPolicy(Api.Settings settings, long seed, Api.Actions actions, CountDownLatch answered) {
+            super(actions);
+            this.router = new Router(settings, seed, actions);
+            this.answered = answered;
+        }
+
+        @Override
+        public void onEndpointUpdate(long now, Api.ListMode mode, List<Api.Server> servers) {
+            serverId = servers.isEmpty() ? serverId : servers.get(0).id();
+            router.onEndpointUpdate(now, mode, servers);
+        }
+
+        @Override
+        public void onRequest(long now, Api.Request request) {
+            requestCount++;
+            if (requestCount <= READ_COUNT) {
+                actions.send(request.id(), serverId, request.deadlineNanos());
+                return;
+            }
+            router.onRequest(now, request);
+            if (requestCount == 2 * READ_COUNT) {
+                try {
+                    answered.await(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                } catch (InterruptedException e) {
+                    Thread.currentThread().interrupt();
+                }
+                sleep(LATENCY_OBJECTIVE_MILLIS);
+            }
+        }
+
+        private static void sleep(long millis) {
+            try {
+                Thread.sleep(millis);
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+            }
+        }
+
+        @Override
+        public void onAttemptOutcome(long now, Api.Outcome outcome) {
+            router.onAttemptOutcome(now, outcome);
+        }
+
+        @Override
+        public void onTimer(long now, int token) {
+            router.onTimer(now, token);
+        }
+    }
+
+    private static void assertPipelinedReadsServed(TestConnection client) throws IOException {
+        client.write(pipelinedReads());
+        for (int i = 0; i < READ_COUNT; i++) {
+            assertEquals("VA 1 Or" + i, client.readLine());
+            client.readData(1);
+        }
+    }
+
+    private static String pipelinedReads() {
+        StringBuilder commands = new StringBuilder();
+        for (int i = 0; i < READ_COUNT; i++) {
+            commands.append("mg ")
+                    .append(i)
+                    .append(" v Or")
+                    .append(i)
+                    .append(" Pc=read,t=acme,d=9000\r\n");
+        }
+        return commands.toString();
+    }
+
+    /**
+     * Tries multiplied as more of them were refused, since nothing told clients when to come again.
+     */
+    @Test
+    void theMoreIsShedTheLongerTheRetryAfter() throws Exception {
+        FakeServer overloadedServer = FakeServer.respondingWith(c -> "SERVER_ERROR busy Lutil=1.0\r\n");
+        try (NodeTestFixture fixture = new NodeTestFixture(overloadedServer).start();
+                TestConnection client = fixture.client()) {
+            int rejectionsWithRetryAfter = 0;
+            for (int i = 0; i < 200; i++) {
+                String response = client.request("mg " + i + " v O" + i + " Pc=read,t=acme,d=9000");
+                assertTrue(response.startsWith("SERVER_ERROR busy"), response);
+                rejectionsWithRetryAfter += response.length() > "SERVER_ERROR busy".length() ? 1 : 0;
+            }
+            assertTrue(rejectionsWithRetryAfter > 100, "refusals with a wait: " + rejectionsWithRetryAfter);
+        }
+    }
+
+    /**
+     * Answers that came while the loop stood still had not been read when the timers that miss them
+     * ran.
+     */
+    @Test
+    void unreadResponsesAreNotCountedAsSlow() throws Exception {
+        CyclicBarrier allArrived = new CyclicBarrier(READ_COUNT);
+        CountDownLatch answered = new CountDownLatch(2 * READ_COUNT);
+        FakeServer fakeServer =
+                FakeServer.respondingWith(
+                        command -> {
+                            try {
+                                if (answered.getCount() > READ_COUNT) {
+                                    allArrived.await(
+                                            TestConnection.TIMEOUT_MILLIS,
+                                            TimeUnit.MILLISECONDS); // so that each read has a
+                                    // connection to itself
+                                }
+                            } catch (Exception e) {
+                                return null;
+                            }
+                            answered.countDown();
+                            return FakeServer.valueResponse(command, "x");
+                        });
+        NodeTestFixture unstartedFixture = new NodeTestFixture(fakeServer);
+        unstartedFixture.latencyObjectiveMillis = LATENCY_OBJECTIVE_MILLIS;
+        unstartedFixture.policyFactory = (settings, seed, actions) -> new StallingPolicy(settings, seed, actions, answered);
+        try (NodeTestFixture fixture = unstartedFixture.start();
+                TestConnection client = fixture.client()) {
+            assertPipelinedReadsServed(client);
+            assertPipelinedReadsServed(client);
+            assertServed(client, 0, 20);
+        }
+    }
+
+    /**
+     * All that waits behind a stall may be dead by its end, and would be served before the living.
+     */
+    @Test
+    void aCommandWhoseClientHasDisconnectedIsNotAccepted() throws Exception {
+        List<Long> acceptedRequests = new CopyOnWriteArrayList<>();
+        CountDownLatch stalled = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        NodeTestFixture unstartedFixture = new NodeTestFixture();
+        unstartedFixture.policyFactory =
+                (settings, seed, actions) ->
+                        new NoOpPolicy(actions) {
+                            @Override
+                            public void onRequest(long now, Api.Request request) {
+                                acceptedRequests.add(request.key());
+                                stalled.countDown();
+                                try {
+                                    release.await(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                                actions.reject(request.id(), 0);
+                            }
+                        };
+        try (NodeTestFixture fixture = unstartedFixture.start();
+                TestConnection first = fixture.client()) {
+            first.write("mg 1 v O1 Pc=read,t=acme,d=9000\r\n");
+            stalled.await();
+            try (TestConnection disconnectingClient = fixture.client()) {
+                disconnectingClient.write("mg 2 v O2 Pc=read,t=acme,d=9000\r\n");
+            }
+            release.countDown();
+            assertEquals("SERVER_ERROR busy", first.readLine());
+            try (TestConnection last = fixture.client()) {
+                assertEquals("SERVER_ERROR busy", last.request("mg 3 v O3 Pc=read,t=acme,d=9000"));
+            }
+            assertEquals(List.of(1L, 3L), acceptedRequests);
+        }
+    }
+}
--- a/node/src/test/java/frostrelay/node/LongValuesTest.java
+++ b/node/src/test/java/frostrelay/node/LongValuesTest.java
@@ -18,9 +18,9 @@
  * cannot be finished.
  */
 class LongValuesTest {
-    private static final int LONG = MetaFrame.MOST_VALUE;
+    private static final int MAX_VALUE_BYTES = MetaFrame.MAX_VALUE_BYTES;
 
-    private static String text(int length) {
+    private static String sampleText(int length) {
         StringBuilder text = new StringBuilder(length);
         while (text.length() < length) {
             text.append(text.length()).append(' ');
@@ -29,63 +29,63 @@
     }
 
     @Test
-    void theLongestValueArrivesWholeAndTheConnectionsGoOn() throws Exception {
-        String value = text(LONG);
-        FakeHost host = FakeHost.answering(command -> FakeHost.value(command, value));
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.slowClient()) {
+    void theLongestValueArrivesCompleteAndTheConnectionsGoOn() throws Exception {
+        String value = sampleText(MAX_VALUE_BYTES);
+        FakeServer fakeServer = FakeServer.respondingWith(command -> FakeServer.valueResponse(command, value));
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.slowClient()) {
             for (int i = 0; i < 3; i++) {
-                assertEquals("VA " + LONG + " O1", client.ask(Rig.READ));
-                assertEquals(value, client.data(LONG));
+                assertEquals("VA " + MAX_VALUE_BYTES + " O1", client.request(NodeTestFixture.READ));
+                assertEquals(value, client.readData(MAX_VALUE_BYTES));
             }
-            assertEquals(1, host.connections.get());
-            ServingTest.awaitGauge(rig, "open 0 ");
+            assertEquals(1, fakeServer.connections.get());
+            ServingTest.awaitGauge(fixture, "open 0 ");
         }
     }
 
     @Test
     void piecesOfAnySizeAreAValue() throws Exception {
-        String value = text(MetaFrame.MOST_GATHERED + 1);
-        FakeHost[] host = new FakeHost[1];
-        host[0] =
-                new FakeHost(
-                        peer -> {
-                            String whole = FakeHost.value(host[0].next(peer), value);
+        String value = sampleText(MetaFrame.MAX_BUFFERED_VALUE_BYTES + 1);
+        FakeServer[] fakeServer = new FakeServer[1];
+        fakeServer[0] =
+                new FakeServer(
+                        connection -> {
+                            String completeResponse = FakeServer.valueResponse(fakeServer[0].readCommand(connection), value);
                             for (int at = 0, size = 1;
-                                    at < whole.length();
+                                    at < completeResponse.length();
                                     at += size, size = size * 3 % 9973 + 1) {
-                                peer.write(
-                                        whole.substring(at, Math.min(whole.length(), at + size)));
+                                connection.write(
+                                        completeResponse.substring(at, Math.min(completeResponse.length(), at + size)));
                             }
-                            host[0].next(peer);
+                            fakeServer[0].readCommand(connection);
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            assertEquals("VA " + value.length() + " O1", client.ask(Rig.READ));
-            assertEquals(value, client.data(value.length()));
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("VA " + value.length() + " O1", client.request(NodeTestFixture.READ));
+            assertEquals(value, client.readData(value.length()));
         }
     }
 
     /** The first bytes are passed on before the last have come. */
     @Test
-    void whatHasComeIsNotHeldBack() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
-        String value = text(LONG);
-        FakeHost[] host = new FakeHost[1];
-        host[0] =
-                new FakeHost(
-                        peer -> {
-                            String whole = FakeHost.value(host[0].next(peer), value);
-                            peer.write(whole.substring(0, 100_000));
-                            await(seen);
-                            peer.write(whole.substring(100_000));
-                            host[0].next(peer);
+    void receivedDataIsForwardedAtOnce() throws Exception {
+        CountDownLatch firstPartReceived = new CountDownLatch(1);
+        String value = sampleText(MAX_VALUE_BYTES);
+        FakeServer[] fakeServer = new FakeServer[1];
+        fakeServer[0] =
+                new FakeServer(
+                        connection -> {
+                            String completeResponse = FakeServer.valueResponse(fakeServer[0].readCommand(connection), value);
+                            connection.write(completeResponse.substring(0, 100_000));
+                            await(firstPartReceived);
+                            connection.write(completeResponse.substring(100_000));
+                            fakeServer[0].readCommand(connection);
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            assertEquals("VA " + LONG + " O1", client.ask(Rig.READ));
-            seen.countDown();
-            assertEquals(value, client.data(LONG));
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("VA " + MAX_VALUE_BYTES + " O1", client.request(NodeTestFixture.READ));
+            firstPartReceived.countDown();
+            assertEquals(value, client.readData(MAX_VALUE_BYTES));
         }
     }
 
@@ -98,48 +98,48 @@
     }
 
     @Test
-    void aValueThatBreaksOffEndsTheClientsConnection() throws Exception {
-        String value = text(LONG);
-        FakeHost[] host = new FakeHost[1];
-        host[0] =
-                new FakeHost(
-                        peer ->
-                                peer.write(
-                                        FakeHost.value(host[0].next(peer), value)
+    void aTruncatedValueClosesTheClientsConnection() throws Exception {
+        String value = sampleText(MAX_VALUE_BYTES);
+        FakeServer[] fakeServer = new FakeServer[1];
+        fakeServer[0] =
+                new FakeServer(
+                        connection ->
+                                connection.write(
+                                        FakeServer.valueResponse(fakeServer[0].readCommand(connection), value)
                                                 .substring(0, 200_000)));
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            assertEquals("VA " + LONG + " O1", client.ask(Rig.READ));
-            assertTrue(client.data(LONG).length() < LONG, "the client can tell");
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("VA " + MAX_VALUE_BYTES + " O1", client.request(NodeTestFixture.READ));
+            assertTrue(client.readData(MAX_VALUE_BYTES).length() < MAX_VALUE_BYTES, "the client can tell");
         }
     }
 
     @Test
-    void aValueWithoutItsEndIsNotPassedOffAsWhole() throws Exception {
-        String value = text(LONG);
-        FakeHost host =
-                FakeHost.answering(
+    void aTruncatedValueIsNotPassedOffAsComplete() throws Exception {
+        String value = sampleText(MAX_VALUE_BYTES);
+        FakeServer fakeServer =
+                FakeServer.respondingWith(
                         command -> {
-                            String whole = FakeHost.value(command, value);
-                            return whole.substring(0, whole.length() - 2) + "xx";
+                            String completeResponse = FakeServer.valueResponse(command, value);
+                            return completeResponse.substring(0, completeResponse.length() - 2) + "xx";
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            assertEquals("VA " + LONG + " O1", client.ask(Rig.READ));
-            client.data(LONG);
-            assertEquals(null, client.line(), "the connection ends where the block should");
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("VA " + MAX_VALUE_BYTES + " O1", client.request(NodeTestFixture.READ));
+            client.readData(MAX_VALUE_BYTES);
+            assertEquals(null, client.readLine(), "the connection ends where the block should");
         }
     }
 
     @Test
     void aTooLongValueIsAFailedAttempt() throws Exception {
-        FakeHost host =
-                FakeHost.answering(
-                        command -> "VA " + (LONG + 1) + " " + FakeHost.opaque(command) + "\r\nx");
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            assertTrue(client.ask(Rig.READ).startsWith("SERVER_ERROR"));
-            assertEquals("MN", client.ask("mn"));
+        FakeServer fakeServer =
+                FakeServer.respondingWith(
+                        command -> "VA " + (MAX_VALUE_BYTES + 1) + " " + FakeServer.opaque(command) + "\r\nx");
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            assertTrue(client.request(NodeTestFixture.READ).startsWith("SERVER_ERROR"));
+            assertEquals("MN", client.request("mn"));
         }
     }
 
@@ -147,106 +147,106 @@
     @Test
     void aValueWaitsForItsTurn() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        String value = text(LONG);
-        FakeHost[] host = new FakeHost[1];
-        host[0] =
-                new FakeHost(
-                        peer -> {
-                            String command = host[0].next(peer);
+        String value = sampleText(MAX_VALUE_BYTES);
+        FakeServer[] fakeServer = new FakeServer[1];
+        fakeServer[0] =
+                new FakeServer(
+                        connection -> {
+                            String command = fakeServer[0].readCommand(connection);
                             if (command.contains(" O2 ")) {
                                 await(release);
-                                peer.write(FakeHost.served(command));
+                                connection.write(FakeServer.successResponse(command));
                             } else {
-                                peer.write(FakeHost.value(command, value));
+                                connection.write(FakeServer.valueResponse(command, value));
                             }
-                            host[0].next(peer);
+                            fakeServer[0].readCommand(connection);
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            client.write(Rig.COPY + "\r\n");
-            host[0].command();
-            client.write(Rig.READ + "\r\n");
-            host[0].command();
-            ServingTest.awaitGauge(rig, "open 1 ");
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            client.write(NodeTestFixture.NON_IDEMPOTENT_WRITE + "\r\n");
+            fakeServer[0].awaitCommand();
+            client.write(NodeTestFixture.READ + "\r\n");
+            fakeServer[0].awaitCommand();
+            ServingTest.awaitGauge(fixture, "open 1 ");
             release.countDown();
-            assertEquals("HD O2 c77", client.line());
-            assertEquals("VA " + LONG + " O1", client.line());
-            assertEquals(value, client.data(LONG));
-            assertEquals("MN", client.ask("mn"));
+            assertEquals("HD O2 c77", client.readLine());
+            assertEquals("VA " + MAX_VALUE_BYTES + " O1", client.readLine());
+            assertEquals(value, client.readData(MAX_VALUE_BYTES));
+            assertEquals("MN", client.request("mn"));
         }
     }
 
     @Test
-    void aClientThatLeavesEndsTheHostsPart() throws Exception {
-        String value = text(LONG);
-        CountDownLatch ended = new CountDownLatch(1);
-        FakeHost[] host = new FakeHost[1];
-        host[0] =
-                new FakeHost(
-                        peer -> {
-                            String whole = FakeHost.value(host[0].next(peer), value);
-                            peer.write(whole.substring(0, 100_000));
-                            peer.awaitEnd();
-                            ended.countDown();
+    void aClientThatDisconnectsEndsTheServersTransfer() throws Exception {
+        String value = sampleText(MAX_VALUE_BYTES);
+        CountDownLatch transferEnded = new CountDownLatch(1);
+        FakeServer[] fakeServer = new FakeServer[1];
+        fakeServer[0] =
+                new FakeServer(
+                        connection -> {
+                            String completeResponse = FakeServer.valueResponse(fakeServer[0].readCommand(connection), value);
+                            connection.write(completeResponse.substring(0, 100_000));
+                            connection.awaitClose();
+                            transferEnded.countDown();
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            assertEquals("VA " + LONG + " O1", client.ask(Rig.READ));
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("VA " + MAX_VALUE_BYTES + " O1", client.request(NodeTestFixture.READ));
             client.reset();
-            await(ended);
-            ServingTest.awaitGauge(rig, "clients 0 ");
+            await(transferEnded);
+            ServingTest.awaitGauge(fixture, "clients 0 ");
         }
     }
 
     /** What a host may still send is asked for by the client's end alone. */
     @Test
-    void aHostIsReadOnlyWhileItsClientTakesWhatComes() {
-        List<String> told = new ArrayList<>();
+    void aServerIsReadOnlyWhileItsClientAcceptsData() {
+        List<String> sourceCalls = new ArrayList<>();
         ValueStream stream =
                 new ValueStream(
                         new ValueStream.Source() {
                             @Override
-                            public void demand(boolean more) {
-                                told.add("demand " + more);
+                            public void setDemand(boolean more) {
+                                sourceCalls.add("demand " + more);
                             }
 
                             @Override
                             public void cancel() {
-                                told.add("cancel");
+                                sourceCalls.add("cancel");
                             }
                         });
-        assertEquals(List.of("demand false"), told, "not before its turn");
-        stream.piece(Unpooled.wrappedBuffer(new byte[] {1}));
-        StringBuilder got = new StringBuilder();
+        assertEquals(List.of("demand false"), sourceCalls, "not before its turn");
+        stream.addChunk(Unpooled.wrappedBuffer(new byte[] {1}));
+        StringBuilder received = new StringBuilder();
         ValueStream.Sink sink =
                 new ValueStream.Sink() {
                     @Override
-                    public void piece(ByteBuf piece) {
-                        got.append(piece.readByte());
+                    public void onChunk(ByteBuf piece) {
+                        received.append(piece.readByte());
                         piece.release();
                     }
 
                     @Override
-                    public void end() {
-                        got.append("end");
+                    public void onStreamComplete() {
+                        received.append("end");
                     }
 
                     @Override
-                    public void broken() {
-                        got.append("broken");
+                    public void onStreamFailed() {
+                        received.append("broken");
                     }
                 };
         stream.attach(sink);
-        stream.demand(true);
-        stream.piece(Unpooled.wrappedBuffer(new byte[] {2}));
-        stream.demand(false);
-        stream.end();
-        stream.demand(true);
+        stream.setDemand(true);
+        stream.addChunk(Unpooled.wrappedBuffer(new byte[] {2}));
+        stream.setDemand(false);
+        stream.complete();
+        stream.setDemand(true);
         stream.cancel();
-        assertEquals("12end", got.toString());
+        assertEquals("12end", received.toString());
         assertEquals(
                 List.of("demand false", "demand true", "demand false"),
-                told,
+                sourceCalls,
                 "nothing is asked of what is over");
     }
 }
--- a/node/src/test/java/frostrelay/node/Rig.java
+++ b/node/src/test/java/frostrelay/node/NodeTestFixture.java
@@ -1,6 +1,6 @@
 package frostrelay.node;
 
-import frostrelay.lifecycle.SharedFolder;
+import frostrelay.lifecycle.SharedDirectory;
 import frostrelay.policy.Router;
 
 import io.netty.channel.EventLoop;
@@ -20,10 +20,10 @@
 import java.util.stream.Stream;
 
 /** A balancer on an ephemeral port, with the hosts and settings that a test gives it. */
-final class Rig implements AutoCloseable {
+final class NodeTestFixture implements AutoCloseable {
     static final String READ = "mg 7f3a9c21e0b4d655 v O1 Pc=read,t=acme,d=5000";
-    static final String COPY = "ms 7f3a9c21e0b4d655 5 O2 Pc=copy,t=acme,d=5000\r\nhello";
-    static final String PUT = "ms 7f3a9c21e0b4d655 5 O3 Pc=put,t=acme,d=5000,k=5c0f6e1a\r\nhello";
+    static final String NON_IDEMPOTENT_WRITE = "ms 7f3a9c21e0b4d655 5 O2 Pc=copy,t=acme,d=5000\r\nhello";
+    static final String IDEMPOTENT_WRITE = "ms 7f3a9c21e0b4d655 5 O3 Pc=put,t=acme,d=5000,k=5c0f6e1a\r\nhello";
 
     private static final String SETTINGS =
             """
@@ -44,43 +44,43 @@
                "stop-sending-within-ns":%5$d,"tip-multiple":4.0,"warm-within-ns":20000000000}}
             """;
 
-    final List<FakeHost> hosts = new ArrayList<>();
+    final List<FakeServer> fakeServers = new ArrayList<>();
 
     /** Further hosts, as discovery lists them. */
     final List<String> extraTargets = new ArrayList<>();
 
-    long deadlineMs = 10_000;
-    long aimMs = 5_000;
-    long idleMs = 30_000;
-    long connectMs = 5_000;
-    int maxOpen = 1_000;
-    long graceMs = 1_000;
-    int sockets = 1024;
-    boolean cancelling = true;
+    long deadlineMillis = 10_000;
+    long latencyObjectiveMillis = 5_000;
+    long idleTimeoutMillis = 30_000;
+    long connectTimeoutMillis = 5_000;
+    int maxOpenRequests = 1_000;
+    long drainGraceMillis = 1_000;
+    int socketLimit = 1024;
+    boolean cancellationAllowed = true;
 
     /** Lists are pushed to an agent beside the balancer, in place of being asked for. */
-    boolean pushed;
+    boolean endpointsPushed;
 
     String discovery = "127.0.0.1:1";
 
     /** Where operators call; nowhere if null. */
-    String console;
+    String adminAddress;
 
-    Balancer.Module module = Router::new;
-    Seams seams = Seams.NONE;
+    RequestDispatcher.PolicyFactory policyFactory = Router::new;
+    TestHooks testHooks = TestHooks.NONE;
 
     /** What is done to the text of the settings. */
-    UnaryOperator<String> rewrite = UnaryOperator.identity();
+    UnaryOperator<String> settingsTransform = UnaryOperator.identity();
 
     Node node;
     EventLoop loop;
     private NioEventLoopGroup group;
-    private InetSocketAddress address;
-    private SharedFolder folder;
-    private Path temporary;
+    private InetSocketAddress clientAddress;
+    private SharedDirectory sharedDirectory;
+    private Path temporaryDirectory;
 
-    Rig(FakeHost... hosts) {
-        this.hosts.addAll(List.of(hosts));
+    NodeTestFixture(FakeServer... fakeServers) {
+        this.fakeServers.addAll(List.of(fakeServers));
     }
 
     static String target(String uid, String endpoint, String state) {
@@ -99,32 +99,32 @@
                 String.format(
                                 Locale.ROOT,
                                 SETTINGS,
-                                deadlineMs,
-                                idleMs,
-                                connectMs,
-                                maxOpen,
-                                graceMs * Clock.MILLISECOND,
-                                aimMs)
-                        .replace("\"cancelling\":true", "\"cancelling\":" + cancelling)
+                                deadlineMillis,
+                                idleTimeoutMillis,
+                                connectTimeoutMillis,
+                                maxOpenRequests,
+                                drainGraceMillis * Clock.NANOS_PER_MILLISECOND,
+                                latencyObjectiveMillis)
+                        .replace("\"cancelling\":true", "\"cancelling\":" + cancellationAllowed)
                         .replace(
                                 "\"discovery\":\"subscribe\"",
-                                "\"discovery\":\"" + (pushed ? "automatic" : "subscribe") + "\"");
-        return rewrite.apply(text);
+                                "\"discovery\":\"" + (endpointsPushed ? "automatic" : "subscribe") + "\"");
+        return settingsTransform.apply(text);
     }
 
-    String config(String listen) {
+    String config(String listenAddress) {
         List<String> targets = new ArrayList<>(extraTargets);
-        for (FakeHost host : hosts) {
-            targets.add(target("s-" + targets.size(), host.endpoint(), "Ready"));
+        for (FakeServer fakeServer : fakeServers) {
+            targets.add(target("s-" + targets.size(), fakeServer.endpoint(), "Ready"));
         }
         return "{\"name\":\"n1\",\"listen\":\""
-                + listen
+                + listenAddress
                 + "\","
-                + (console == null ? "" : "\"console\":\"" + console + "\",")
+                + (adminAddress == null ? "" : "\"console\":\"" + adminAddress + "\",")
                 + "\"discovery\":\""
                 + discovery
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":"
-                + sockets
+                + socketLimit
                 + "},\"known\":{\"rev\":7,\"all\":true,\"targets\":["
                 + String.join(",", targets)
                 + "]},\"settings\":"
@@ -132,67 +132,67 @@
                 + "}";
     }
 
-    Site site() {
-        return new Site(Json.parse(settings().getBytes(StandardCharsets.UTF_8)));
+    DeploymentSettings deploymentSettings() {
+        return new DeploymentSettings(Json.parse(settings().getBytes(StandardCharsets.UTF_8)));
     }
 
-    Rig start() throws Exception {
+    NodeTestFixture start() throws Exception {
         group = new NioEventLoopGroup(1);
         loop = group.next();
         Config config =
                 Config.parse(Json.parse(config("127.0.0.1:0").getBytes(StandardCharsets.UTF_8)));
-        temporary = Files.createTempDirectory("rig");
-        folder = new SharedFolder(temporary, "rig");
-        SharedFolder.Look look = folder.look();
+        temporaryDirectory = Files.createTempDirectory("rig");
+        sharedDirectory = new SharedDirectory(temporaryDirectory, "rig");
+        SharedDirectory.Snapshot sharedState = sharedDirectory.snapshot();
         node =
                 loop.submit(
                                 () ->
                                         new Node(
                                                 config,
                                                 loop,
-                                                module,
-                                                folder,
-                                                look,
-                                                Options.STANDARD,
-                                                seams))
+                                                policyFactory,
+                                                sharedDirectory,
+                                                sharedState,
+                                                Options.DEFAULTS,
+                                                testHooks))
                         .get();
-        address =
+        clientAddress =
                 (InetSocketAddress)
                         loop.submit(node::start).get().sync().getNow().channel().localAddress();
         return this;
     }
 
-    Peer client() throws IOException {
-        return new Peer(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
+    TestConnection client() throws IOException {
+        return new TestConnection(new Socket(InetAddress.getLoopbackAddress(), clientAddress.getPort()));
     }
 
     /** A client that leaves its answers unread, with a small receive buffer. */
-    Peer slowClient() throws IOException {
+    TestConnection slowClient() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4096);
-        socket.connect(address);
-        return new Peer(socket);
+        socket.connect(clientAddress);
+        return new TestConnection(socket);
     }
 
     @Override
     public void close() throws IOException {
-        if (folder != null) {
-            folder.close();
+        if (sharedDirectory != null) {
+            sharedDirectory.close();
         }
         if (group != null) {
             group.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.SECONDS)
                     .syncUninterruptibly();
         }
-        for (FakeHost host : hosts) {
-            host.close();
+        for (FakeServer fakeServer : fakeServers) {
+            fakeServer.close();
         }
-        if (folder != null) {
-            try (Stream<Path> files = Files.list(temporary)) {
+        if (sharedDirectory != null) {
+            try (Stream<Path> files = Files.list(temporaryDirectory)) {
                 for (Path file : files.toList()) {
                     Files.delete(file);
                 }
             }
-            Files.delete(temporary);
+            Files.delete(temporaryDirectory);
         }
     }
 }
--- a/node/src/test/java/frostrelay/node/OrderTest.java
+++ b/node/src/test/java/frostrelay/node/OrderTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import frostrelay.lifecycle.ActionGuard;
-import frostrelay.lifecycle.SharedFolder;
-import frostrelay.lifecycle.Usage;
+import frostrelay.lifecycle.SharedDirectory;
+import frostrelay.lifecycle.DescriptorUsage;
 import frostrelay.policy.Api;
 import frostrelay.policy.Api.Reason;
 import frostrelay.policy.Router;
@@ -30,14 +30,14 @@
  * returned.
  */
 class OrderTest {
-    private static final long MS = Clock.MILLISECOND;
+    private static final long NANOS_PER_MILLISECOND = Clock.NANOS_PER_MILLISECOND;
     private final BlockingQueue<Api.Outcome> outcomes = new LinkedBlockingQueue<>();
-    private volatile boolean reentered;
-    private volatile Api.Request taken;
+    private volatile boolean wasReentered;
+    private volatile Api.Request acceptedRequest;
 
     /** Writes down outcomes, and whether one came while the module was still at work. */
-    private class Recording extends Scripted {
-        private boolean busy;
+    private class Recording extends NoOpPolicy {
+        private boolean isActing;
         List<Api.Server> servers = List.of();
 
         Recording(Api.Actions actions) {
@@ -45,132 +45,132 @@
         }
 
         @Override
-        public void onList(long now, Api.ListMode mode, List<Api.Server> list) {
+        public void onEndpointUpdate(long now, Api.ListMode mode, List<Api.Server> list) {
             servers = list;
         }
 
         @Override
         public final void onRequest(long now, Api.Request request) {
-            busy = true;
-            taken = request;
+            isActing = true;
+            acceptedRequest = request;
             act(now, request, servers.isEmpty() ? 0 : servers.get(0).id());
-            busy = false;
+            isActing = false;
         }
 
-        void act(long now, Api.Request request, long host) {}
+        void act(long now, Api.Request request, long serverId) {}
 
         @Override
-        public void onOutcome(long now, Api.Outcome outcome) {
-            reentered |= busy;
+        public void onAttemptOutcome(long now, Api.Outcome outcome) {
+            wasReentered |= isActing;
             outcomes.add(outcome);
         }
     }
 
-    private interface Act {
-        void run(Api.Actions actions, long now, Api.Request request, long host);
+    private interface RequestAction {
+        void run(Api.Actions actions, long now, Api.Request request, long serverId);
     }
 
-    private Rig rig(Act act, FakeHost... hosts) {
-        Rig rig = new Rig(hosts);
-        rig.module =
+    private NodeTestFixture fixture(RequestAction action, FakeServer... hosts) {
+        NodeTestFixture fixture = new NodeTestFixture(hosts);
+        fixture.policyFactory =
                 (settings, seed, actions) ->
                         new Recording(actions) {
                             @Override
-                            void act(long now, Api.Request request, long host) {
-                                act.run(actions, now, request, host);
+                            void act(long now, Api.Request request, long serverId) {
+                                action.run(actions, now, request, serverId);
                             }
                         };
-        return rig;
+        return fixture;
     }
 
-    private Api.Outcome outcome() throws InterruptedException {
-        return outcomes.poll(Peer.LIMIT_MS, TimeUnit.MILLISECONDS);
+    private Api.Outcome awaitOutcome() throws InterruptedException {
+        return outcomes.poll(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void expect(int attempt, Reason reason, boolean closed) throws InterruptedException {
-        Api.Outcome outcome = outcome();
+    private void assertNextOutcome(int attempt, Reason reason, boolean closed) throws InterruptedException {
+        Api.Outcome outcome = awaitOutcome();
         assertEquals(attempt, outcome.attempt());
-        assertEquals(reason, outcome.reason());
-        assertEquals(closed, outcome.closed(), "closed");
+        assertEquals(reason, outcome.result());
+        assertEquals(closed, outcome.requestCompleted(), "closed");
     }
 
     @Test
     void outcomesOfActionsAreDeliveredWhenTheModuleHasReturned() throws Exception {
-        try (Rig rig =
-                        rig(
-                                        (actions, now, request, host) -> {
-                                            actions.send(request.id(), host, 0);
+        try (NodeTestFixture fixture =
+                        fixture(
+                                        (actions, now, request, serverId) -> {
+                                            actions.send(request.id(), serverId, 0);
                                             actions.cancel(request.id(), 0);
                                             actions.send(request.id(), 4711, 0);
-                                            actions.send(request.id(), host, now - 1);
-                                            actions.refuse(request.id(), 0);
-                                            actions.send(request.id(), host, 0);
+                                            actions.send(request.id(), serverId, now - 1);
+                                            actions.reject(request.id(), 0);
+                                            actions.send(request.id(), serverId, 0);
                                             actions.cancel(request.id(), 0);
                                             actions.cancel(request.id(), 99);
                                         },
-                                        FakeHost.serving())
+                                        FakeServer.servingAnyCommand())
                                 .start();
-                Peer client = rig.client()) {
-            assertEquals("SERVER_ERROR busy", client.ask(Rig.READ));
-            expect(0, Reason.CANCELLED, true);
-            expect(1, Reason.MOOT, true);
-            expect(2, Reason.TIMEOUT, true);
-            expect(3, Reason.MOOT, true);
-            assertFalse(reentered);
-            assertEquals("MN", client.ask("mn"));
+                TestConnection client = fixture.client()) {
+            assertEquals("SERVER_ERROR busy", client.request(NodeTestFixture.READ));
+            assertNextOutcome(0, Reason.CANCELLED, true);
+            assertNextOutcome(1, Reason.SUPERSEDED, true);
+            assertNextOutcome(2, Reason.TIMEOUT, true);
+            assertNextOutcome(3, Reason.SUPERSEDED, true);
+            assertFalse(wasReentered);
+            assertEquals("MN", client.request("mn"));
             assertNull(outcomes.poll(), "one outcome for each send");
             assertEquals(
                     0,
-                    rig.hosts.get(0).commands.size(),
+                    fixture.fakeServers.get(0).commands.size(),
                     "nothing goes out for a request that is over");
         }
     }
 
     @Test
-    void attemptsPastTheMostAllowedAreNotSent() throws Exception {
-        try (Rig rig =
-                        rig(
-                                        (actions, now, request, host) -> {
+    void attemptsPastTheMaximumAreNotSent() throws Exception {
+        try (NodeTestFixture fixture =
+                        fixture(
+                                        (actions, now, request, serverId) -> {
                                             for (int i = 0; i < 5; i++) {
-                                                actions.send(request.id(), host, 0);
+                                                actions.send(request.id(), serverId, 0);
                                             }
                                         },
-                                        FakeHost.answering(c -> null))
+                                        FakeServer.respondingWith(c -> null))
                                 .start();
-                Peer client = rig.client()) {
-            client.write(Rig.READ + "\r\n");
-            expect(4, Reason.MOOT, false);
+                TestConnection client = fixture.client()) {
+            client.write(NodeTestFixture.READ + "\r\n");
+            assertNextOutcome(4, Reason.SUPERSEDED, false);
             for (int i = 0; i < 4; i++) {
-                rig.hosts.get(0).command();
+                fixture.fakeServers.get(0).awaitCommand();
             }
             assertEquals(
-                    4, rig.hosts.get(0).connections.get(), "one request on a connection at a time");
+                    4, fixture.fakeServers.get(0).connections.get(), "one request on a connection at a time");
         }
     }
 
     @Test
     void theFirstAnswerIsTheFinalOne() throws Exception {
-        int[] number = new int[1];
-        FakeHost host = FakeHost.answering(c -> number[0]++ == 0 ? null : FakeHost.value(c, "v"));
-        try (Rig rig =
-                rig(
+        int[] commandCount = new int[1];
+        FakeServer serverId = FakeServer.respondingWith(c -> commandCount[0]++ == 0 ? null : FakeServer.valueResponse(c, "v"));
+        try (NodeTestFixture fixture =
+                fixture(
                         (actions, now, request, server) -> {
                             actions.send(request.id(), server, 0);
-                            actions.wakeAt(now + MS, 1);
+                            actions.scheduleTimer(now + NANOS_PER_MILLISECOND, 1);
                         },
-                        host)) {
-            Balancer.Module inner = rig.module;
-            rig.module =
+                        serverId)) {
+            RequestDispatcher.PolicyFactory innerFactory = fixture.policyFactory;
+            fixture.policyFactory =
                     (settings, seed, actions) -> {
-                        Api.Events events = inner.create(settings, seed, actions);
-                        return new Scripted(actions) {
+                        Api.Events events = innerFactory.create(settings, seed, actions);
+                        return new NoOpPolicy(actions) {
                             private long id;
                             private long server;
 
                             @Override
-                            public void onList(
+                            public void onEndpointUpdate(
                                     long now, Api.ListMode mode, List<Api.Server> servers) {
-                                events.onList(now, mode, servers);
+                                events.onEndpointUpdate(now, mode, servers);
                                 server = servers.isEmpty() ? server : servers.get(0).id();
                             }
 
@@ -182,58 +182,58 @@
 
                             @Override
                             public void onTimer(long now, int token) {
-                                if (number[0] == 0) {
-                                    actions.wakeAt(now + MS, token);
+                                if (commandCount[0] == 0) {
+                                    actions.scheduleTimer(now + NANOS_PER_MILLISECOND, token);
                                 } else {
                                     actions.send(id, server, 0);
                                 }
                             }
 
                             @Override
-                            public void onOutcome(long now, Api.Outcome outcome) {
+                            public void onAttemptOutcome(long now, Api.Outcome outcome) {
                                 actions.fail(id);
                                 actions.cancel(id, 0);
-                                events.onOutcome(now, outcome);
+                                events.onAttemptOutcome(now, outcome);
                             }
                         };
                     };
-            rig.start();
-            try (Peer client = rig.client()) {
-                assertEquals("VA 1 O1", client.ask(Rig.READ));
-                client.data(1);
-                expect(1, Reason.OK, true);
-                expect(0, Reason.CANCELLED, true);
-                assertEquals("MN", client.ask("mn"), "no second answer");
+            fixture.start();
+            try (TestConnection client = fixture.client()) {
+                assertEquals("VA 1 O1", client.request(NodeTestFixture.READ));
+                client.readData(1);
+                assertNextOutcome(1, Reason.OK, true);
+                assertNextOutcome(0, Reason.CANCELLED, true);
+                assertEquals("MN", client.request("mn"), "no second answer");
             }
         }
     }
 
     @Test
-    void aRequestIsMappedAsTheSimulatorWouldSayIt() throws Exception {
-        try (Rig rig =
-                        rig(
-                                        (actions, now, request, host) ->
-                                                actions.send(request.id(), host, 0),
-                                        FakeHost.serving())
+    void aRequestIsMappedAsInTheSimulator() throws Exception {
+        try (NodeTestFixture fixture =
+                        fixture(
+                                        (actions, now, request, serverId) ->
+                                                actions.send(request.id(), serverId, 0),
+                                        FakeServer.servingAnyCommand())
                                 .start();
-                Peer client = rig.client()) {
-            long before = Clock.now();
-            client.ask("ms 00000000000000ff 1 O1 Pc=put,t=acme,d=4000,k=1,r=1,h=250,size=12\r\nx");
-            assertEquals(255, taken.key());
-            assertEquals(2, taken.requestClass());
-            assertEquals(0, taken.tenant());
-            assertEquals(250_000, taken.work());
-            assertTrue(taken.repeat() && taken.write());
+                TestConnection client = fixture.client()) {
+            long beforeNanos = Clock.now();
+            client.request("ms 00000000000000ff 1 O1 Pc=put,t=acme,d=4000,k=1,r=1,h=250,size=12\r\nx");
+            assertEquals(255, acceptedRequest.key());
+            assertEquals(2, acceptedRequest.requestClass());
+            assertEquals(0, acceptedRequest.tenant());
+            assertEquals(250_000, acceptedRequest.work());
+            assertTrue(acceptedRequest.clientRetry() && acceptedRequest.write());
             assertTrue(
-                    taken.deadline() > before && taken.deadline() < Clock.now() + 4000 * MS,
+                    acceptedRequest.deadlineNanos() > beforeNanos && acceptedRequest.deadlineNanos() < Clock.now() + 4000 * NANOS_PER_MILLISECOND,
                     "the client counts from when it sent");
-            assertEquals(Api.Source.UNKNOWN, outcome().source(), "a write comes from nowhere");
-            client.ask(Rig.READ);
-            Api.Outcome read = outcome();
-            assertEquals(0.5f, read.report()[0], "util on sockets is busy in the settings");
+            assertEquals(Api.Source.UNKNOWN, awaitOutcome().source(), "a write comes from nowhere");
+            client.request(NodeTestFixture.READ);
+            Api.Outcome read = awaitOutcome();
+            assertEquals(0.5f, read.loadReport()[0], "util on sockets is busy in the settings");
             assertEquals(Api.Source.CACHE, read.source(), "h1: a hit");
             assertEquals(
-                    Api.Source.FETCH,
+                    Api.Source.ORIGIN,
                     new MetaFrame(List.of("VA", "1", "O1", "h0", "Z"), null, null, false, false)
                             .source());
         }
@@ -244,42 +244,42 @@
      */
     @Test
     void aRequestThatTheModuleFailsOnIsAnsweredByTheRules() throws Exception {
-        try (Rig rig =
-                        rig(
-                                        (actions, now, request, host) -> {
+        try (NodeTestFixture fixture =
+                        fixture(
+                                        (actions, now, request, serverId) -> {
                                             if (request.requestClass() == 0) {
                                                 throw new IllegalStateException(
                                                         "a fault before the send");
                                             }
-                                            actions.send(request.id(), host, 0);
+                                            actions.send(request.id(), serverId, 0);
                                         },
-                                        FakeHost.serving())
+                                        FakeServer.servingAnyCommand())
                                 .start();
-                Peer client = rig.client()) {
-            assertEquals("SERVER_ERROR busy", client.ask(Rig.READ));
-            assertEquals("HD O2 c77", client.ask(Rig.COPY));
+                TestConnection client = fixture.client()) {
+            assertEquals("SERVER_ERROR busy", client.request(NodeTestFixture.READ));
+            assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
         }
     }
 
     /** The module's silence must not become the client's. */
     @Test
     void aRequestThatTheModuleForgetsIsAnsweredAtItsDeadline() throws Exception {
-        try (Rig rig = rig((actions, now, request, host) -> {}, FakeHost.serving()).start();
-                Peer client = rig.client()) {
-            assertEquals("SERVER_ERROR busy", client.ask("mg 1 v O1 Pc=read,t=acme,d=60"));
+        try (NodeTestFixture fixture = fixture((actions, now, request, serverId) -> {}, FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("SERVER_ERROR busy", client.request("mg 1 v O1 Pc=read,t=acme,d=60"));
         }
     }
 
     /** Holds all that it is to send: no connection ever comes up. */
-    private static final class NeverUp implements Backend {
+    private static final class NeverConnectingUpstream implements Upstream {
         @Override
-        public void update(Api.ListMode mode, List<Catalog.Member> members) {}
+        public void update(Api.ListMode mode, List<EndpointList.Endpoint> members) {}
 
         @Override
-        public void hold(Set<Long> servers) {}
+        public void setDrainedServers(Set<Long> servers) {}
 
         @Override
-        public boolean knows(long server) {
+        public boolean isKnown(long server) {
             return false;
         }
 
@@ -290,21 +290,21 @@
         public void abandon(Attempt attempt) {}
 
         @Override
-        public void closeIdle(long server) {}
+        public void closeIdleConnections(long server) {}
 
         @Override
-        public void limit(int most) {}
+        public void setMaxConnections(int maxConnections) {}
 
         @Override
         public void sweep() {}
 
         @Override
-        public int links() {
+        public int connectionCount() {
             return 0;
         }
 
         @Override
-        public void gauges(Map<String, Object> into) {}
+        public void collectGauges(Map<String, Object> into) {}
     }
 
     /**
@@ -313,18 +313,18 @@
      * the module's answer that came first.
      */
     @Test
-    void whatNeverLeftIsRefusedAlsoWhereTheLastCallComesBeforeTheCut() throws Exception {
-        Rig rig = new Rig();
-        rig.extraTargets.add(Rig.target("s-1", "127.0.0.1:1", "Ready"));
+    void anUnsentRequestIsRejectedEvenIfTheDeadlineFallbackRunsBeforeTheAttemptTimeout() throws Exception {
+        NodeTestFixture fixture = new NodeTestFixture();
+        fixture.extraTargets.add(NodeTestFixture.target("s-1", "127.0.0.1:1", "Ready"));
         Config config =
                 Config.parse(
-                        Json.parse(rig.config("127.0.0.1:0").getBytes(StandardCharsets.UTF_8)));
+                        Json.parse(fixture.config("127.0.0.1:0").getBytes(StandardCharsets.UTF_8)));
         // Asked between the two: the cut is set later than it was meant by as much as this takes.
-        Witness slow =
-                new Witness() {
+        DecisionObserver slowObserver =
+                new DecisionObserver() {
                     @Override
-                    public int sequence() {
-                        for (long end = Clock.now() + 20 * MS; Clock.now() < end; ) {
+                    public int versionSequence() {
+                        for (long end = Clock.now() + 20 * NANOS_PER_MILLISECOND; Clock.now() < end; ) {
                             Thread.onSpinWait();
                         }
                         return 0;
@@ -332,54 +332,54 @@
                 };
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         EventLoop loop = group.next();
-        BlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        Exchange.Client client =
-                new Exchange.Client() {
+        BlockingQueue<String> responses = new LinkedBlockingQueue<>();
+        ActiveRequest.ResponseListener client =
+                new ActiveRequest.ResponseListener() {
                     @Override
-                    public void served(Reply reply, ValueStream value) {
-                        answers.add("served");
+                    public void onServed(UpstreamResponse response, ValueStream value) {
+                        responses.add("served");
                     }
 
                     @Override
-                    public void refused(long retryAfterMs) {
-                        answers.add("refused");
+                    public void onRejected(long retryAfterMillis) {
+                        responses.add("refused");
                     }
 
                     @Override
-                    public void failed() {
-                        answers.add("failed");
+                    public void onFailed() {
+                        responses.add("failed");
                     }
 
                     @Override
-                    public long unseenSince(long now) {
+                    public long disconnectUndetectableSince(long now) {
                         return ActionGuard.NEVER;
                     }
                 };
         try {
-            Command command =
-                    new Command(
+            MetaCommand command =
+                    new MetaCommand(
                             MetaFrame.of(
                                     List.of("ms", "1", "1", "O1", "Pc=copy,t=acme,d=100"),
                                     new byte[] {'x'}),
-                            config.site());
+                            config.settings());
             loop.submit(
                             () ->
-                                    new Balancer(
+                                    new RequestDispatcher(
                                                     config,
                                                     loop,
                                                     new Counters(),
                                                     Router::new,
-                                                    (site, listener) -> new NeverUp(),
-                                                    new Budget(1_000),
+                                                    (site, listener) -> new NeverConnectingUpstream(),
+                                                    new MemoryLimiter(1_000),
                                                     new ActionGuard(),
-                                                    new SharedFolder.Look(
-                                                            Set.of(), Set.of(), 0, new Usage(0, 0)),
-                                                    slow,
+                                                    new SharedDirectory.Snapshot(
+                                                            Set.of(), Set.of(), 0, new DescriptorUsage(0, 0)),
+                                                    slowObserver,
                                                     System::currentTimeMillis)
-                                            .take(command, Clock.now(), client))
+                                            .accept(command, Clock.now(), client))
                     .get();
-            assertEquals("refused", answers.poll(Peer.LIMIT_MS, TimeUnit.MILLISECONDS));
-            assertNull(answers.poll(100, TimeUnit.MILLISECONDS), "one answer");
+            assertEquals("refused", responses.poll(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+            assertNull(responses.poll(100, TimeUnit.MILLISECONDS), "one answer");
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
         }
--- a/node/src/test/java/frostrelay/node/ServingTest.java
+++ b/node/src/test/java/frostrelay/node/ServingTest.java
@@ -12,172 +12,172 @@
 
 /** A client's request and its one final answer. */
 class ServingTest {
-    private static int wait(String command) {
-        String figures = command.substring(command.indexOf(" P") + 2).split(" ")[0];
-        for (String figure : figures.split(",")) {
-            if (figure.startsWith("d=")) {
-                return Integer.parseInt(figure.substring(2));
+    private static int timeoutMillis(String command) {
+        String parameters = command.substring(command.indexOf(" P") + 2).split(" ")[0];
+        for (String parameter : parameters.split(",")) {
+            if (parameter.startsWith("d=")) {
+                return Integer.parseInt(parameter.substring(2));
             }
         }
         return -1;
     }
 
     @Test
-    void aReadIsServedWithTheHostsValueAndNothingMeantForBalancers() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start();
-                Peer client = rig.client()) {
-            assertEquals("MN", client.ask("mn"));
-            assertEquals("VA 16 O1", client.ask(Rig.READ));
-            assertEquals("7f3a9c21e0b4d655", client.data(16));
-            String command = rig.hosts.get(0).command();
+    void aReadIsServedWithTheServersValueAndNothingMeantForBalancers() throws Exception {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("MN", client.request("mn"));
+            assertEquals("VA 16 O1", client.request(NodeTestFixture.READ));
+            assertEquals("7f3a9c21e0b4d655", client.readData(16));
+            String command = fixture.fakeServers.get(0).awaitCommand();
             assertTrue(command.startsWith("mg 7f3a9c21e0b4d655 v O1 Pc=read,t=acme,d="), command);
             assertTrue(
-                    wait(command) < 5000 && wait(command) > 0,
+                    timeoutMillis(command) < 5000 && timeoutMillis(command) > 0,
                     "told what is left to wait: " + command);
         }
     }
 
     @Test
-    void aWriteIsPassedOnWithItsValueAndKeyAndGetsItsReceipt() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start();
-                Peer client = rig.client()) {
-            assertEquals("HD O3 c77", client.ask(Rig.PUT));
-            String command = rig.hosts.get(0).command();
+    void aWriteIsForwardedWithItsValueAndKeyAndGetsItsReceipt() throws Exception {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("HD O3 c77", client.request(NodeTestFixture.IDEMPOTENT_WRITE));
+            String command = fixture.fakeServers.get(0).awaitCommand();
             assertTrue(command.startsWith("ms 7f3a9c21e0b4d655 5 O3 Pc=put,t=acme,d="), command);
             assertTrue(command.endsWith(",k=5c0f6e1a data=hello"), command);
         }
     }
 
     @Test
-    void keptConnectionsAreUsedAgain() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start();
-                Peer client = rig.client()) {
+    void pooledConnectionsAreReused() throws Exception {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
             for (int i = 0; i < 5; i++) {
-                assertEquals("HD O2 c77", client.ask(Rig.COPY));
+                assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
             }
-            assertEquals(1, rig.hosts.get(0).connections.get());
+            assertEquals(1, fixture.fakeServers.get(0).connections.get());
         }
     }
 
     @Test
     void answersComeInTheOrderOfTheCommands() throws Exception {
-        Object first = new Object();
+        Object lock = new Object();
         boolean[] release = new boolean[1];
-        FakeHost host =
-                FakeHost.answering(
+        FakeServer fakeServer =
+                FakeServer.respondingWith(
                         command -> {
                             if (command.contains(" Oslow ")) {
-                                synchronized (first) {
+                                synchronized (lock) {
                                     while (!release[0]) {
                                         try {
-                                            first.wait();
+                                            lock.wait();
                                         } catch (InterruptedException e) {
                                             return null;
                                         }
                                     }
                                 }
                             }
-                            return FakeHost.value(command, "x");
+                            return FakeServer.valueResponse(command, "x");
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
             client.write(
                     "mg 1 v Oslow Pc=read,t=acme,d=9000\r\nnonsense\r\nmg 2 v Oquick Pc=read,t=acme,d=9000\r\n");
-            host.command();
-            host.command();
-            synchronized (first) {
+            fakeServer.awaitCommand();
+            fakeServer.awaitCommand();
+            synchronized (lock) {
                 release[0] = true;
-                first.notifyAll();
+                lock.notifyAll();
             }
-            assertEquals("VA 1 Oslow", client.line());
-            client.data(1);
-            assertEquals("ERROR", client.line());
-            assertEquals("VA 1 Oquick", client.line());
+            assertEquals("VA 1 Oslow", client.readLine());
+            client.readData(1);
+            assertEquals("ERROR", client.readLine());
+            assertEquals("VA 1 Oquick", client.readLine());
         }
     }
 
     @Test
-    void aHostThatTurnsAwayCausesARefusal() throws Exception {
-        try (Rig rig = new Rig(FakeHost.answering(c -> "SERVER_ERROR busy Lutil=1.0\r\n")).start();
-                Peer client = rig.client()) {
-            assertEquals("SERVER_ERROR busy", client.ask(Rig.COPY));
+    void aServerThatRejectsCausesARejection() throws Exception {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.respondingWith(c -> "SERVER_ERROR busy Lutil=1.0\r\n")).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("SERVER_ERROR busy", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
         }
     }
 
     @Test
-    void anUnsafeWriteThatMayHaveRunIsFailedNotRefused() throws Exception {
-        FakeHost[] host = new FakeHost[1];
-        host[0] =
-                new FakeHost(
-                        peer -> {
-                            host[0].next(peer);
-                            peer.reset();
+    void aNonIdempotentWriteThatMayHaveRunIsFailedNotRejected() throws Exception {
+        FakeServer[] fakeServer = new FakeServer[1];
+        fakeServer[0] =
+                new FakeServer(
+                        connection -> {
+                            fakeServer[0].readCommand(connection);
+                            connection.reset();
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            assertEquals("SERVER_ERROR failed", client.ask(Rig.COPY));
-            assertEquals(1, host[0].commands.size(), "never sent again");
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("SERVER_ERROR failed", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
+            assertEquals(1, fakeServer[0].commands.size(), "never sent again");
         }
     }
 
     @Test
-    void anUnsafeWriteThatNeverLeftIsRefused() throws Exception {
-        FakeHost dead = FakeHost.serving();
-        try (Rig rig = new Rig(dead)) {
-            rig.start();
-            dead.stop();
-            try (Peer client = rig.client()) {
-                assertEquals("SERVER_ERROR busy", client.ask(Rig.COPY));
+    void aNonIdempotentWriteThatWasNeverSentIsRejected() throws Exception {
+        FakeServer stoppedServer = FakeServer.servingAnyCommand();
+        try (NodeTestFixture fixture = new NodeTestFixture(stoppedServer)) {
+            fixture.start();
+            stoppedServer.stopListening();
+            try (TestConnection client = fixture.client()) {
+                assertEquals("SERVER_ERROR busy", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
             }
         }
     }
 
     @Test
-    void aReadThatBreaksIsTriedAtAnotherHost() throws Exception {
-        FakeHost.Script breaks =
-                peer -> {
-                    peer.line();
-                    peer.reset();
+    void aReadThatFailsIsRetriedAtAnotherServer() throws Exception {
+        FakeServer.ConnectionScript resetAfterCommand =
+                connection -> {
+                    connection.readLine();
+                    connection.reset();
                 };
-        try (Rig rig = new Rig(new FakeHost(breaks), FakeHost.serving()).start();
-                Peer client = rig.client()) {
+        try (NodeTestFixture fixture = new NodeTestFixture(new FakeServer(resetAfterCommand), FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
             for (int i = 0; i < 8; i++) {
                 assertEquals(
                         "VA 2 O" + i,
-                        client.ask("mg 1" + i + " v O" + i + " Pc=read,t=acme,d=5000"));
-                client.data(2);
+                        client.request("mg 1" + i + " v O" + i + " Pc=read,t=acme,d=5000"));
+                client.readData(2);
             }
         }
     }
 
     @Test
-    void aSilentHostsRequestIsAnsweredBeforeTheClientGivesUpAndToldWhenToComeBack()
+    void anUnresponsiveServersRequestIsAnsweredBeforeTheClientTimesOutWithRetryAfter()
             throws Exception {
-        FakeHost host = FakeHost.answering(c -> null);
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            assertEquals("SERVER_ERROR busy 2000", client.ask("mg 1 v O1 Pc=read,t=acme,d=150"));
-            assertEquals("SERVER_ERROR failed", client.ask("ms 1 1 O2 Pc=copy,t=acme,d=150\r\nx"));
-            assertEquals("end", host.awaitEnd(), "an attempt given up costs its connection");
-            assertEquals("end", host.awaitEnd());
+        FakeServer fakeServer = FakeServer.respondingWith(c -> null);
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("SERVER_ERROR busy 2000", client.request("mg 1 v O1 Pc=read,t=acme,d=150"));
+            assertEquals("SERVER_ERROR failed", client.request("ms 1 1 O2 Pc=copy,t=acme,d=150\r\nx"));
+            assertEquals("end", fakeServer.awaitClose(), "an attempt given up costs its connection");
+            assertEquals("end", fakeServer.awaitClose());
         }
     }
 
     @Test
-    void aClientThatLeavesEndsItsAttempts() throws Exception {
-        FakeHost host = FakeHost.answering(c -> null);
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            client.write(Rig.READ + "\r\n");
-            host.command();
-            client.leave();
-            assertEquals("end", host.awaitEnd());
+    void aClientThatDisconnectsEndsItsAttempts() throws Exception {
+        FakeServer fakeServer = FakeServer.respondingWith(c -> null);
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            client.write(NodeTestFixture.READ + "\r\n");
+            fakeServer.awaitCommand();
+            client.disconnect();
+            assertEquals("end", fakeServer.awaitClose());
         }
     }
 
     @Test
-    void whatAHostMayNotAnswerEndsThatAttemptOnly() throws Exception {
-        String[] garbage = {
+    void anInvalidServerResponseEndsThatAttemptOnly() throws Exception {
+        String[] invalidResponses = {
             "VA 1 Oother\r\nx\r\n",
             "HD O1 c9\r\n",
             "VA x O1\r\n",
@@ -189,14 +189,14 @@
             "MN\r\n",
             "a".repeat(5000)
         };
-        int[] turn = new int[1];
-        try (Rig rig = new Rig(FakeHost.answering(c -> garbage[turn[0]])).start();
-                Peer client = rig.client()) {
-            for (turn[0] = 0; turn[0] < garbage.length; turn[0]++) {
-                assertEquals("SERVER_ERROR busy", client.ask(Rig.READ), garbage[turn[0]]);
+        int[] index = new int[1];
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.respondingWith(c -> invalidResponses[index[0]])).start();
+                TestConnection client = fixture.client()) {
+            for (index[0] = 0; index[0] < invalidResponses.length; index[0]++) {
+                assertEquals("SERVER_ERROR busy", client.request(NodeTestFixture.READ), invalidResponses[index[0]]);
             }
-            turn[0] = 1;
-            assertEquals("SERVER_ERROR failed", client.ask(Rig.COPY), "it may have run");
+            index[0] = 1;
+            assertEquals("SERVER_ERROR failed", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE), "it may have run");
         }
     }
 
@@ -205,17 +205,17 @@
      * rest, whole or in part, was once taken for the answer to the next request.
      */
     @Test
-    void whatComesBehindAGoodAnswerSpoilsNoOther() throws Exception {
-        String[] behind = {"HD O9 c9\r\n", "noise\r\n", "no end", "\r", "VA 9 O1\r\nhalf"};
-        int[] turn = new int[1];
-        FakeHost host = FakeHost.answering(c -> FakeHost.served(c) + behind[turn[0]]);
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            for (turn[0] = 0; turn[0] < behind.length; turn[0]++) {
-                assertEquals("HD O2 c77", client.ask(Rig.COPY), behind[turn[0]]);
-                assertEquals("end", host.awaitEnd(), "closed after " + behind[turn[0]]);
+    void bytesAfterAGoodResponseAffectNoOther() throws Exception {
+        String[] trailingBytes = {"HD O9 c9\r\n", "noise\r\n", "no end", "\r", "VA 9 O1\r\nhalf"};
+        int[] index = new int[1];
+        FakeServer fakeServer = FakeServer.respondingWith(c -> FakeServer.successResponse(c) + trailingBytes[index[0]]);
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            for (index[0] = 0; index[0] < trailingBytes.length; index[0]++) {
+                assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE), trailingBytes[index[0]]);
+                assertEquals("end", fakeServer.awaitClose(), "closed after " + trailingBytes[index[0]]);
             }
-            assertEquals(behind.length, host.connections.get());
+            assertEquals(trailingBytes.length, fakeServer.connections.get());
         }
     }
 
@@ -228,51 +228,51 @@
      * may not run twice.
      */
     @Test
-    void anAnswerThatComesAgainBehindTheNextCommandSpoilsItNot() throws Exception {
-        FakeHost[] host = new FakeHost[1];
-        host[0] =
-                new FakeHost(
-                        peer -> {
-                            String before = "";
-                            for (String command = host[0].next(peer);
+    void aDuplicateResponseAfterTheNextCommandDoesNotFailIt() throws Exception {
+        FakeServer[] fakeServer = new FakeServer[1];
+        fakeServer[0] =
+                new FakeServer(
+                        connection -> {
+                            String previousResponse = "";
+                            for (String command = fakeServer[0].readCommand(connection);
                                     command != null;
-                                    command = host[0].next(peer)) {
-                                String answer = FakeHost.served(command);
-                                peer.write(before + answer);
-                                before = answer;
+                                    command = fakeServer[0].readCommand(connection)) {
+                                String response = FakeServer.successResponse(command);
+                                connection.write(previousResponse + response);
+                                previousResponse = response;
                             }
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
             for (int i = 0; i < 5; i++) {
-                assertEquals("HD Ow" + i + " c77", client.ask(Rig.COPY.replace("O2", "Ow" + i)));
-                assertEquals("VA 16 Or" + i, client.ask(Rig.READ.replace("O1", "Or" + i)));
-                assertEquals("7f3a9c21e0b4d655", client.data(16));
+                assertEquals("HD Ow" + i + " c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE.replace("O2", "Ow" + i)));
+                assertEquals("VA 16 Or" + i, client.request(NodeTestFixture.READ.replace("O1", "Or" + i)));
+                assertEquals("7f3a9c21e0b4d655", client.readData(16));
             }
-            assertEquals(1, host[0].connections.get());
+            assertEquals(1, fakeServer[0].connections.get());
         }
     }
 
     @Test
     void anyByteOnAnIdleConnectionEndsIt() throws Exception {
-        FakeHost[] host = new FakeHost[1];
+        FakeServer[] fakeServer = new FakeServer[1];
         Semaphore gate = new Semaphore(0);
-        host[0] =
-                new FakeHost(
-                        peer -> {
-                            peer.write(FakeHost.served(host[0].next(peer)));
+        fakeServer[0] =
+                new FakeServer(
+                        connection -> {
+                            connection.write(FakeServer.successResponse(fakeServer[0].readCommand(connection)));
                             gate.acquireUninterruptibly();
-                            peer.write("x");
-                            peer.awaitEnd();
-                            host[0].ends.add("end");
+                            connection.write("x");
+                            connection.awaitClose();
+                            fakeServer[0].closedConnections.add("end");
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            assertEquals("HD O2 c77", client.ask(Rig.COPY));
-            awaitGauge(rig, " links 1 idle 1");
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
+            awaitGauge(fixture, " links 1 idle 1");
             gate.release();
-            assertEquals("end", host[0].awaitEnd());
-            awaitGauge(rig, " links 0 idle 0");
+            assertEquals("end", fakeServer[0].awaitClose());
+            awaitGauge(fixture, " links 0 idle 0");
         }
     }
 
@@ -282,103 +282,103 @@
      */
     @Test
     void loadReportsThatCannotBeReadAreDropped() throws Exception {
-        try (Rig rig = new Rig()) {
-            Site site = rig.site();
-            for (String bad :
+        try (NodeTestFixture fixture = new NodeTestFixture()) {
+            DeploymentSettings settings = fixture.deploymentSettings();
+            for (String malformed :
                     new String[] {
                         "util=NaN", "util=Infinity", "util=-1e99", "util=", "util", "=", "", "x=1"
                     }) {
-                assertEquals(0, site.report(bad).length, bad);
+                assertEquals(0, settings.parseReport(malformed).length, malformed);
             }
-            assertEquals(0.5f, site.report("util=0.5")[0]);
+            assertEquals(0.5f, settings.parseReport("util=0.5")[0]);
         }
-        FakeHost host =
-                FakeHost.answering(c -> "HD " + FakeHost.opaque(c) + " c77 Lutil=oops,=,\r\n");
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            assertEquals("HD O2 c77", client.ask(Rig.COPY));
+        FakeServer fakeServer =
+                FakeServer.respondingWith(c -> "HD " + FakeServer.opaque(c) + " c77 Lutil=oops,=,\r\n");
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
         }
     }
 
     @Test
-    void aConnectionThatItsHostClosedIsNotUsedAgain() throws Exception {
-        FakeHost[] host = new FakeHost[1];
-        host[0] = new FakeHost(peer -> peer.write(FakeHost.served(host[0].next(peer))));
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
+    void aConnectionClosedByItsServerIsNotReused() throws Exception {
+        FakeServer[] fakeServer = new FakeServer[1];
+        fakeServer[0] = new FakeServer(connection -> connection.write(FakeServer.successResponse(fakeServer[0].readCommand(connection))));
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
             for (int i = 1; i <= 3; i++) {
-                assertEquals("HD O2 c77", client.ask(Rig.COPY));
-                awaitGauge(rig, " links 0 ");
-                assertEquals(i, host[0].connections.get());
+                assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
+                awaitGauge(fixture, " links 0 ");
+                assertEquals(i, fakeServer[0].connections.get());
             }
         }
     }
 
     /** Waits until gauges stand at values: "links 2 idle 0". */
-    static void awaitGauge(Rig rig, String gauge) throws Exception {
-        String[] words = gauge.trim().split(" ");
-        Map<String, Object> now = Map.of();
-        for (long end = System.nanoTime() + Peer.LIMIT_MS * 1_000_000L;
-                System.nanoTime() < end;
+    static void awaitGauge(NodeTestFixture fixture, String expected) throws Exception {
+        String[] namesAndValues = expected.trim().split(" ");
+        Map<String, Object> gauges = Map.of();
+        for (long endNanos = System.nanoTime() + TestConnection.TIMEOUT_MILLIS * 1_000_000L;
+                System.nanoTime() < endNanos;
                 Thread.sleep(2)) {
-            now = rig.loop.submit(rig.node::gauges).get();
-            boolean all = true;
-            for (int i = 0; i < words.length; i += 2) {
-                all &= String.valueOf(now.get(words[i])).equals(words[i + 1]);
+            gauges = fixture.loop.submit(fixture.node::gauges).get();
+            boolean allMatch = true;
+            for (int i = 0; i < namesAndValues.length; i += 2) {
+                allMatch &= String.valueOf(gauges.get(namesAndValues[i])).equals(namesAndValues[i + 1]);
             }
-            if (all) {
+            if (allMatch) {
                 return;
             }
         }
-        fail(gauge + " expected, " + now + " found");
+        fail(expected + " expected, " + gauges + " found");
     }
 
     @Test
-    void idleConnectionsAreRetiredBeforeTheirHostClosesThem() throws Exception {
-        FakeHost host = FakeHost.serving();
-        try (Rig rig = new Rig(host)) {
-            rig.idleMs = 2;
-            rig.start();
-            try (Peer client = rig.client()) {
-                assertEquals("HD O2 c77", client.ask(Rig.COPY));
-                assertEquals("end", host.awaitEnd());
-                assertEquals("HD O2 c77", client.ask(Rig.COPY));
+    void idleConnectionsAreRetiredBeforeTheirServerClosesThem() throws Exception {
+        FakeServer fakeServer = FakeServer.servingAnyCommand();
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer)) {
+            fixture.idleTimeoutMillis = 2;
+            fixture.start();
+            try (TestConnection client = fixture.client()) {
+                assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
+                assertEquals("end", fakeServer.awaitClose());
+                assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
             }
         }
     }
 
     @Test
-    void theLongestValueIsServedWhole() throws Exception {
-        String value = "v".repeat(MetaFrame.MOST_GATHERED);
-        try (Rig rig = new Rig(FakeHost.answering(c -> FakeHost.value(c, value))).start();
-                Peer client = rig.client()) {
-            assertEquals("VA 65536 O1", client.ask(Rig.READ));
-            assertEquals(value, client.data(value.length()));
+    void theLongestBufferedValueIsServedCompletely() throws Exception {
+        String value = "v".repeat(MetaFrame.MAX_BUFFERED_VALUE_BYTES);
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.respondingWith(c -> FakeServer.valueResponse(c, value))).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("VA 65536 O1", client.request(NodeTestFixture.READ));
+            assertEquals(value, client.readData(value.length()));
         }
     }
 
     @Test
-    void overMaxOpenIsRefused() throws Exception {
-        FakeHost host = FakeHost.answering(c -> null);
-        try (Rig rig = new Rig(host)) {
-            rig.maxOpen = 1;
-            rig.start();
-            try (Peer first = rig.client();
-                    Peer second = rig.client()) {
-                first.write(Rig.READ + "\r\n");
-                host.command();
-                assertEquals("SERVER_ERROR busy", second.ask(Rig.COPY));
+    void requestsOverMaxOpenAreRejected() throws Exception {
+        FakeServer fakeServer = FakeServer.respondingWith(c -> null);
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer)) {
+            fixture.maxOpenRequests = 1;
+            fixture.start();
+            try (TestConnection first = fixture.client();
+                    TestConnection second = fixture.client()) {
+                first.write(NodeTestFixture.READ + "\r\n");
+                fakeServer.awaitCommand();
+                assertEquals("SERVER_ERROR busy", second.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
             }
         }
     }
 
     @Test
     void aKeyMayBeAnyWord() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start();
-                Peer client = rig.client()) {
-            assertEquals("VA 11 O1", client.ask("mg member:2026 v O1 Pc=read,t=acme,d=5000"));
-            assertEquals("member:2026", client.data(11));
-            assertNull(rig.hosts.get(0).ends.poll());
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
+                TestConnection client = fixture.client()) {
+            assertEquals("VA 11 O1", client.request("mg member:2026 v O1 Pc=read,t=acme,d=5000"));
+            assertEquals("member:2026", client.readData(11));
+            assertNull(fixture.fakeServers.get(0).closedConnections.poll());
         }
     }
 }
--- a/node/src/test/java/frostrelay/node/StopTest.java
+++ b/node/src/test/java/frostrelay/node/StopTest.java
@@ -27,22 +27,22 @@
 
 /** An orderly stop loses nothing that was taken. */
 class StopTest {
-    private static final String SERVES = "\"event\":\"serves\"";
+    private static final String SERVES_EVENT = "\"event\":\"serves\"";
 
     /** SIGKILL may follow SIGTERM so long after the longest deadline. */
-    private static final int KILL_AFTER_LONGEST_MS = 700;
+    private static final int KILL_AFTER_LONGEST_MILLIS = 700;
 
-    private static final int[] LATE_MS = {50, 300, 500, 650, 750, 840, 1_000, 1_200, 1_350};
+    private static final int[] LATE_REQUEST_DELAYS_MILLIS = {50, 300, 500, 650, 750, 840, 1_000, 1_200, 1_350};
     @TempDir Path folder;
 
     @Test
     void aStopServesOnForAWhileThenFinishesWhatIsOpen() throws Exception {
-        String value = "v".repeat(MetaFrame.MOST_GATHERED);
-        FakeHost[] host = new FakeHost[1];
-        host[0] =
-                new FakeHost(
-                        peer -> {
-                            String command = host[0].next(peer);
+        String value = "v".repeat(MetaFrame.MAX_BUFFERED_VALUE_BYTES);
+        FakeServer[] fakeServer = new FakeServer[1];
+        fakeServer[0] =
+                new FakeServer(
+                        connection -> {
+                            String command = fakeServer[0].readCommand(connection);
                             while (command != null) {
                                 if (command.contains(" Olong ")) {
                                     try {
@@ -51,32 +51,32 @@
                                         return;
                                     }
                                 }
-                                peer.write(FakeHost.value(command, value));
-                                command = host[0].next(peer);
+                                connection.write(FakeServer.valueResponse(command, value));
+                                command = fakeServer[0].readCommand(connection);
                             }
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer idle = rig.client();
-                Peer busy = rig.slowClient()) {
-            assertEquals("MN", idle.ask("mn"));
-            busy.write("mg 1 v Olong Pc=read,t=acme,d=9000\r\n");
-            host[0].command();
-            Future<?> stopped = rig.loop.submit(() -> rig.node.stop(false, Clock.now())).get();
-            try (Peer late = rig.client()) {
-                assertEquals("VA 65536 O1", late.ask(Rig.READ), "clients still come for a while");
-                late.data(value.length());
-                assertEquals(null, late.line(), "closed when idle");
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection idleClient = fixture.client();
+                TestConnection busyClient = fixture.slowClient()) {
+            assertEquals("MN", idleClient.request("mn"));
+            busyClient.write("mg 1 v Olong Pc=read,t=acme,d=9000\r\n");
+            fakeServer[0].awaitCommand();
+            Future<?> stopped = fixture.loop.submit(() -> fixture.node.stop(false, Clock.now())).get();
+            try (TestConnection lateClient = fixture.client()) {
+                assertEquals("VA 65536 O1", lateClient.request(NodeTestFixture.READ), "clients still come for a while");
+                lateClient.readData(value.length());
+                assertEquals(null, lateClient.readLine(), "closed when idle");
             }
-            assertEquals(null, idle.line());
+            assertEquals(null, idleClient.readLine());
             assertFalse(stopped.isDone(), "a request is open");
-            assertEquals("VA 65536 Olong", busy.line());
+            assertEquals("VA 65536 Olong", busyClient.readLine());
             assertEquals(
                     value,
-                    busy.data(value.length()),
+                    busyClient.readData(value.length()),
                     "whole, though the connection closes behind it");
-            assertEquals(null, busy.line());
-            assertTrue(stopped.await(Peer.LIMIT_MS));
-            assertThrows(IOException.class, rig::client);
+            assertEquals(null, busyClient.readLine());
+            assertTrue(stopped.await(TestConnection.TIMEOUT_MILLIS));
+            assertThrows(IOException.class, fixture::client);
         }
     }
 
@@ -85,41 +85,41 @@
      * alone was told so.
      */
     @Test
-    void allThatIsReadTooLateBeforeAnEndIsRefused() throws Exception {
+    void allThatIsReadTooLateBeforeTheExitIsRejected() throws Exception {
         BlockingQueue<String> gate = new LinkedBlockingQueue<>();
-        FakeHost host =
-                FakeHost.answering(
+        FakeServer fakeServer =
+                FakeServer.respondingWith(
                         command -> {
                             try {
                                 gate.take();
-                                return FakeHost.served(command);
+                                return FakeServer.successResponse(command);
                             } catch (InterruptedException e) {
                                 return null;
                             }
                         });
-        try (Rig rig = new Rig(host).start();
-                Peer client = rig.client()) {
-            client.write(Rig.COPY.replace("O2", "Oheld") + "\r\n");
-            assertTrue(host.command() != null);
-            rig.loop.submit(() -> rig.node.stop(false, Clock.now())).get();
+        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
+                TestConnection client = fixture.client()) {
+            client.write(NodeTestFixture.NON_IDEMPOTENT_WRITE.replace("O2", "Oheld") + "\r\n");
+            assertTrue(fakeServer.awaitCommand() != null);
+            fixture.loop.submit(() -> fixture.node.stop(false, Clock.now())).get();
             // With deadlines of 10 s what comes more than 600 ms behind the call could not be
             // answered in time.
             Thread.sleep(800);
-            client.write(Rig.COPY + "\r\n" + Rig.PUT + "\r\n");
+            client.write(NodeTestFixture.NON_IDEMPOTENT_WRITE + "\r\n" + NodeTestFixture.IDEMPOTENT_WRITE + "\r\n");
             gate.add("go on");
-            assertEquals("HD Oheld c77", client.line());
-            assertEquals("SERVER_ERROR busy", client.line());
-            assertEquals("SERVER_ERROR busy", client.line());
-            assertTrue(client.endsInOrder());
-            assertEquals(0, host.commands.size());
+            assertEquals("HD Oheld c77", client.readLine());
+            assertEquals("SERVER_ERROR busy", client.readLine());
+            assertEquals("SERVER_ERROR busy", client.readLine());
+            assertTrue(client.closesGracefully());
+            assertEquals(0, fakeServer.commands.size());
         }
     }
 
-    private Process start(String config) throws IOException {
-        return start(config, folder);
+    private Process startProcess(String config) throws IOException {
+        return startProcess(config, folder);
     }
 
-    static Process start(String config, Path shared) throws IOException {
+    static Process startProcess(String config, Path sharedDirectory) throws IOException {
         ProcessBuilder builder =
                 new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -129,21 +129,21 @@
                         System.getProperty("java.class.path"),
                         "frostrelay.node.Main");
         builder.environment().remove("GW_CONFIG");
-        builder.environment().put("TMPDIR", shared.toString());
+        builder.environment().put("TMPDIR", sharedDirectory.toString());
         if (config != null) {
             builder.environment().put("GW_CONFIG", config);
         }
         return builder.start();
     }
 
-    private static BufferedReader log(Process process) {
+    private static BufferedReader openLog(Process process) {
         return new BufferedReader(
                 new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8));
     }
 
-    private static int exit(Process process) throws InterruptedException {
+    private static int awaitExitCode(Process process) throws InterruptedException {
         try {
-            assertTrue(process.waitFor(Peer.LIMIT_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             return process.exitValue();
         } finally {
             process.destroyForcibly();
@@ -158,23 +158,23 @@
 
     @Test
     void theProgramServesAndEndsWithZeroOnSigterm() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving())) {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             int port = freePort();
             Path config =
                     Files.writeString(
-                            folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
-            Process process = start(config.toString());
+                            folder.resolve("config.json"), fixture.config("127.0.0.1:" + port));
+            Process process = startProcess(config.toString());
             try {
-                awaitLine(log(process), SERVES);
-                try (Peer client = new Peer(new Socket(InetAddress.getLoopbackAddress(), port))) {
-                    assertEquals("MN", client.ask("mn"));
-                    assertEquals("HD O2 c77", client.ask(Rig.COPY));
+                awaitLine(openLog(process), SERVES_EVENT);
+                try (TestConnection client = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
+                    assertEquals("MN", client.request("mn"));
+                    assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
                     process.destroy();
-                    assertEquals("HD O2 c77", client.ask(Rig.COPY), "served after SIGTERM too");
-                    client.awaitEnd();
+                    assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE), "served after SIGTERM too");
+                    client.awaitClose();
                 }
             } finally {
-                assertEquals(0, exit(process));
+                assertEquals(0, awaitExitCode(process));
             }
         }
     }
@@ -185,61 +185,61 @@
      */
     @Test
     void everyRequestThatComesDuringAShutdownIsAnsweredBeforeTheKill() throws Exception {
-        FakeHost hung = FakeHost.answering(command -> null);
-        try (Rig rig = new Rig(hung)) {
-            rig.deadlineMs = 1_500;
-            rig.aimMs = 1_500;
+        FakeServer unresponsiveServer = FakeServer.respondingWith(command -> null);
+        try (NodeTestFixture fixture = new NodeTestFixture(unresponsiveServer)) {
+            fixture.deadlineMillis = 1_500;
+            fixture.latencyObjectiveMillis = 1_500;
             int port = freePort();
             Path config =
                     Files.writeString(
-                            folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
-            Process process = start(config.toString());
-            List<Peer> clients = new ArrayList<>();
+                            folder.resolve("config.json"), fixture.config("127.0.0.1:" + port));
+            Process process = startProcess(config.toString());
+            List<TestConnection> clients = new ArrayList<>();
             try {
-                awaitLine(log(process), SERVES);
-                for (int i = 0; i < LATE_MS.length; i++) {
-                    Peer client = new Peer(new Socket(InetAddress.getLoopbackAddress(), port));
+                awaitLine(openLog(process), SERVES_EVENT);
+                for (int i = 0; i < LATE_REQUEST_DELAYS_MILLIS.length; i++) {
+                    TestConnection client = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
                     clients.add(client);
                     // Holds the connection open: what follows on it crosses no close.
-                    client.write(unsafeWrite("early" + i));
+                    client.write(nonIdempotentWrite("early" + i));
                 }
-                for (int i = 0; i < LATE_MS.length; i++) {
-                    assertTrue(hung.command() != null, "all early ones are out");
+                for (int i = 0; i < LATE_REQUEST_DELAYS_MILLIS.length; i++) {
+                    assertTrue(unresponsiveServer.awaitCommand() != null, "all early ones are out");
                 }
                 process.destroy();
-                long told = System.nanoTime();
-                for (int i = 0; i < LATE_MS.length; i++) {
-                    sleepUntil(told, LATE_MS[i]);
-                    clients.get(i).write(unsafeWrite("late" + i));
+                long signalledAtNanos = System.nanoTime();
+                for (int i = 0; i < LATE_REQUEST_DELAYS_MILLIS.length; i++) {
+                    sleepUntil(signalledAtNanos, LATE_REQUEST_DELAYS_MILLIS[i]);
+                    clients.get(i).write(nonIdempotentWrite("late" + i));
                 }
-                sleepUntil(told, rig.deadlineMs + KILL_AFTER_LONGEST_MS);
+                sleepUntil(signalledAtNanos, fixture.deadlineMillis + KILL_AFTER_LONGEST_MILLIS);
                 process.destroyForcibly();
-                for (int i = 0; i < LATE_MS.length; i++) {
+                for (int i = 0; i < LATE_REQUEST_DELAYS_MILLIS.length; i++) {
                     assertTrue(
-                            isFinal(clients.get(i).line()), "the early request on connection " + i);
+                            isFinalResponse(clients.get(i).readLine()), "the early request on connection " + i);
                     assertTrue(
-                            isFinal(clients.get(i).line()),
-                            "a request " + LATE_MS[i] + " ms after SIGTERM");
+                            isFinalResponse(clients.get(i).readLine()),
+                            "a request " + LATE_REQUEST_DELAYS_MILLIS[i] + " ms after SIGTERM");
                 }
             } finally {
                 process.destroyForcibly();
-                for (Peer client : clients) {
+                for (TestConnection client : clients) {
                     client.close();
                 }
             }
         }
     }
 
-    private static String unsafeWrite(String id) {
+    private static String nonIdempotentWrite(String id) {
         return "ms 7f3a9c21e0b4d655 5 O" + id + " Pc=copy,t=acme,d=1500\r\nhello\r\n";
     }
 
-    private static boolean isFinal(String answer) {
-        return answer != null && (answer.startsWith("HD ") || answer.startsWith("SERVER_ERROR "));
+    private static boolean isFinalResponse(String response) {
+        return response != null && (response.startsWith("HD ") || response.startsWith("SERVER_ERROR "));
     }
 
-    private static void sleepUntil(long start, long ms) throws InterruptedException {
-        Thread.sleep(Math.max(0, ms - (System.nanoTime() - start) / Clock.MILLISECOND));
+    private static void sleepUntil(long startNanos, long millis) throws InterruptedException {
+        Thread.sleep(Math.max(0, millis - (System.nanoTime() - startNanos) / Clock.NANOS_PER_MILLISECOND));
     }
 
     /**
@@ -248,13 +248,13 @@
      */
     @Test
     void aFloodOfConnectionsDoesNotRunOutOfDescriptors() throws Exception {
-        List<Peer> flood = new ArrayList<>();
-        try (Rig rig = new Rig(FakeHost.serving())) {
-            rig.sockets = 96;
+        List<TestConnection> floodConnections = new ArrayList<>();
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
+            fixture.socketLimit = 96;
             int port = freePort();
             Path config =
                     Files.writeString(
-                            folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
+                            folder.resolve("config.json"), fixture.config("127.0.0.1:" + port));
             ProcessBuilder builder =
                     new ProcessBuilder(
                             "sh",
@@ -268,27 +268,27 @@
             builder.environment().put("GW_CONFIG", config.toString());
             Process process = builder.start();
             try {
-                awaitLine(log(process), SERVES);
+                awaitLine(openLog(process), SERVES_EVENT);
                 for (int i = 0; i < 600; i++) {
-                    flood.add(new Peer(new Socket(InetAddress.getLoopbackAddress(), port)));
+                    floodConnections.add(new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port)));
                 }
-                String answer = null;
-                long end = System.nanoTime() + Peer.LIMIT_MS * 1_000_000L;
-                while (!"HD O2 c77".equals(answer) && System.nanoTime() < end) {
-                    try (Peer client =
-                            new Peer(new Socket(InetAddress.getLoopbackAddress(), port))) {
-                        answer = client.ask(Rig.COPY);
+                String response = null;
+                long endNanos = System.nanoTime() + TestConnection.TIMEOUT_MILLIS * 1_000_000L;
+                while (!"HD O2 c77".equals(response) && System.nanoTime() < endNanos) {
+                    try (TestConnection client =
+                            new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
+                        response = client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE);
                     } catch (IOException e) {
-                        answer = null;
+                        response = null;
                     }
                 }
-                assertEquals("HD O2 c77", answer);
+                assertEquals("HD O2 c77", response);
                 process.destroy();
             } finally {
-                for (Peer peer : flood) {
-                    peer.close();
+                for (TestConnection connection : floodConnections) {
+                    connection.close();
                 }
-                assertEquals(0, exit(process));
+                assertEquals(0, awaitExitCode(process));
             }
         }
     }
@@ -296,31 +296,31 @@
     /** SIGHUP ends a JVM that has no handler for it, and with it all that was taken. */
     @Test
     void theProgramReadsItsConfigurationAgainOnSighup() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving())) {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             int port = freePort();
             Path config =
                     Files.writeString(
-                            folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
-            Process process = start(config.toString());
+                            folder.resolve("config.json"), fixture.config("127.0.0.1:" + port));
+            Process process = startProcess(config.toString());
             try {
-                BufferedReader log = log(process);
-                awaitLine(log, SERVES);
-                try (Peer client = new Peer(new Socket(InetAddress.getLoopbackAddress(), port))) {
+                BufferedReader log = openLog(process);
+                awaitLine(log, SERVES_EVENT);
+                try (TestConnection client = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
                     for (String broken : new String[] {"{", "", "{\"listen\":\"127.0.0.1:1\"}"}) {
                         Files.writeString(config, broken);
-                        hangUp(process);
+                        sendSighup(process);
                         awaitLine(log, "\"event\":\"settings-refused\"");
                     }
-                    rig.discovery = "127.0.0.1:2";
-                    Files.writeString(config, rig.config("127.0.0.1:" + port));
-                    hangUp(process);
-                    hangUp(process);
+                    fixture.discovery = "127.0.0.1:2";
+                    Files.writeString(config, fixture.config("127.0.0.1:" + port));
+                    sendSighup(process);
+                    sendSighup(process);
                     awaitLine(log, "\"event\":\"discovery-moves\"");
-                    assertEquals("HD O2 c77", client.ask(Rig.COPY));
+                    assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
                     process.destroy();
                 }
             } finally {
-                assertEquals(0, exit(process));
+                assertEquals(0, awaitExitCode(process));
             }
         }
     }
@@ -331,11 +331,11 @@
      */
     @Test
     void whereSighupIsIgnoredTheFileIsLookedAtInstead() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving())) {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             int port = freePort();
             Path config =
                     Files.writeString(
-                            folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
+                            folder.resolve("config.json"), fixture.config("127.0.0.1:" + port));
             ProcessBuilder builder =
                     new ProcessBuilder(
                             "sh",
@@ -350,17 +350,17 @@
             builder.environment().put("TMPDIR", folder.toString());
             Process process = builder.start();
             try {
-                BufferedReader log = log(process);
+                BufferedReader log = openLog(process);
                 awaitLine(log, "\"event\":\"signal-ignored\"");
                 Files.writeString(config, "{");
-                hangUp(process);
+                sendSighup(process);
                 awaitLine(log, "\"event\":\"settings-refused\"");
-                rig.discovery = "127.0.0.1:2";
-                Files.writeString(config, rig.config("127.0.0.1:" + port));
+                fixture.discovery = "127.0.0.1:2";
+                Files.writeString(config, fixture.config("127.0.0.1:" + port));
                 awaitLine(log, "\"event\":\"discovery-moves\"");
                 process.destroy();
             } finally {
-                assertEquals(0, exit(process));
+                assertEquals(0, awaitExitCode(process));
             }
         }
     }
@@ -371,44 +371,44 @@
      */
     @Test
     void aSecondProcessTakesOverWithoutALoss() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving())) {
+        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             int port = freePort();
             Path config =
                     Files.writeString(
-                            folder.resolve("config.json"), rig.config("127.0.0.1:" + port));
-            Path shared = Files.createDirectory(folder.resolve("shared"));
-            Process old = start(config.toString(), shared);
+                            folder.resolve("config.json"), fixture.config("127.0.0.1:" + port));
+            Path sharedDirectory = Files.createDirectory(folder.resolve("shared"));
+            Process oldProcess = startProcess(config.toString(), sharedDirectory);
             try {
-                BufferedReader oldLog = log(old);
-                awaitLine(oldLog, SERVES);
-                Process fresh = start(config.toString(), shared);
+                BufferedReader oldLog = openLog(oldProcess);
+                awaitLine(oldLog, SERVES_EVENT);
+                Process newProcess = startProcess(config.toString(), sharedDirectory);
                 try {
-                    awaitLine(log(fresh), SERVES);
+                    awaitLine(openLog(newProcess), SERVES_EVENT);
                     awaitLine(oldLog, "\"event\":\"sibling-serves\"");
-                    old.destroy();
-                    while (old.isAlive()) {
-                        String answer = askOnce(port);
+                    oldProcess.destroy();
+                    while (oldProcess.isAlive()) {
+                        String response = requestOnce(port);
                         // What the old socket held when it closed is asked again, as clients do.
-                        assertEquals("HD O2 c77", answer == null ? askOnce(port) : answer);
+                        assertEquals("HD O2 c77", response == null ? requestOnce(port) : response);
                     }
-                    assertEquals(0, exit(old));
-                    fresh.destroy();
+                    assertEquals(0, awaitExitCode(oldProcess));
+                    newProcess.destroy();
                 } finally {
-                    assertEquals(0, exit(fresh));
+                    assertEquals(0, awaitExitCode(newProcess));
                 }
             } finally {
-                exit(old);
+                awaitExitCode(oldProcess);
             }
         }
     }
 
-    private static String askOnce(int port) throws IOException {
-        try (Peer client = new Peer(new Socket(InetAddress.getLoopbackAddress(), port))) {
-            return client.ask(Rig.COPY);
+    private static String requestOnce(int port) throws IOException {
+        try (TestConnection client = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
+            return client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE);
         }
     }
 
-    private static void hangUp(Process process) throws Exception {
+    private static void sendSighup(Process process) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
@@ -423,32 +423,32 @@
     }
 
     @Test
-    void withoutConfigurationTheProgramSaysWhyInOneLineAndFails() throws Exception {
+    void withoutConfigurationTheProgramReportsWhyInOneLineAndFails() throws Exception {
         Path broken = Files.writeString(folder.resolve("broken.json"), "{\"listen\":");
         for (String config :
                 new String[] {null, folder.resolve("missing.json").toString(), broken.toString()}) {
-            Process process = start(config);
-            assertEquals(1, log(process).lines().count());
-            assertEquals(1, exit(process));
+            Process process = startProcess(config);
+            assertEquals(1, openLog(process).lines().count());
+            assertEquals(1, awaitExitCode(process));
         }
     }
 
     @Test
-    void anAddressThatIsTakenEndsTheProgram() throws Exception {
-        try (Rig rig = new Rig();
-                ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+    void anAddressInUseEndsTheProgram() throws Exception {
+        try (NodeTestFixture fixture = new NodeTestFixture();
+                ServerSocket occupiedSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Path config =
                     Files.writeString(
                             folder.resolve("config.json"),
-                            rig.config("127.0.0.1:" + taken.getLocalPort()));
-            Process process = start(config.toString());
+                            fixture.config("127.0.0.1:" + occupiedSocket.getLocalPort()));
+            Process process = startProcess(config.toString());
             assertEquals(
                     1,
-                    log(process)
+                    openLog(process)
                             .lines()
                             .filter(line -> line.contains("\"event\":\"cannot-start\""))
                             .count());
-            assertEquals(1, exit(process));
+            assertEquals(1, awaitExitCode(process));
         }
     }
 }
--- a/node/src/test/java/frostrelay/node/Peer.java
+++ b/node/src/test/java/frostrelay/node/TestConnection.java
@@ -7,29 +7,29 @@
 import java.nio.charset.StandardCharsets;
 
 /** The far end of one connection, blocking and with a generous limit on every wait. */
-final class Peer implements AutoCloseable {
-    static final int LIMIT_MS = 20_000;
+final class TestConnection implements AutoCloseable {
+    static final int TIMEOUT_MILLIS = 20_000;
     private final Socket socket;
     private final InputStream in;
 
-    Peer(Socket socket) throws IOException {
+    TestConnection(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(LIMIT_MS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    Peer write(String text) throws IOException {
+    TestConnection write(String text) throws IOException {
         return write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    Peer write(byte[] bytes) throws IOException {
+    TestConnection write(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
         return this;
     }
 
     /** The next line without its CRLF; null at the end of the stream, also after a reset. */
-    String line() throws IOException {
+    String readLine() throws IOException {
         StringBuilder line = new StringBuilder();
         try {
             for (int c = in.read(); c >= 0; c = in.read()) {
@@ -44,19 +44,19 @@
         return null;
     }
 
-    String data(int length) throws IOException {
+    String readData(int length) throws IOException {
         String data = new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
-        line();
+        readLine();
         return data;
     }
 
     /** Asks and reads one line of answer. */
-    String ask(String command) throws IOException {
-        return write(command + "\r\n").line();
+    String request(String command) throws IOException {
+        return write(command + "\r\n").readLine();
     }
 
     /** Waits for the far end to close; whether it did so in order, and not with a reset. */
-    boolean endsInOrder() throws IOException {
+    boolean closesGracefully() throws IOException {
         try {
             while (in.read() >= 0) {
                 // What it still says is passed over.
@@ -68,10 +68,10 @@
     }
 
     /** Waits for the far end to close; what it still says is passed over. */
-    void awaitEnd() throws IOException {
-        String line = line();
+    void awaitClose() throws IOException {
+        String line = readLine();
         while (line != null) {
-            line = line();
+            line = readLine();
         }
     }
 
@@ -82,7 +82,7 @@
     }
 
     /** Closes in the middle of a test. */
-    void leave() throws IOException {
+    void disconnect() throws IOException {
         socket.close();
     }
 
--- a/peers/src/main/java/frostrelay/peers/Datagram.java
+++ b/peers/src/main/java/frostrelay/peers/GossipDatagram.java
@@ -16,57 +16,57 @@
  * builds of other ages read each other as long as the least form allows it. What is read costs time
  * that its 256 bytes bound.
  */
-final class Datagram {
+final class GossipDatagram {
     /** A longer one voids the run on the platform. */
-    static final int MOST = 256;
+    static final int MAX_BYTES = 256;
 
-    static final int HEAD = 20;
-    static final int SUM = Integer.BYTES;
-    static final int SECTION = 2;
-    static final int FORM = 1;
+    static final int HEADER_BYTES = 20;
+    static final int CHECKSUM_BYTES = Integer.BYTES;
+    static final int SECTION_HEADER_BYTES = 2;
+    static final int WIRE_VERSION = 1;
     private static final short MAGIC = (short) 0xF05E;
-    private static final int U16 = 0xffff;
+    private static final int U16_MASK = 0xffff;
 
     /** What it is for. */
     enum Kind {
-        NONE,
+        UNKNOWN,
         PING,
-        PONG,
-        ASK_OTHER,
-        TELL
+        ACK,
+        PING_REQUEST,
+        UPDATE
     }
 
     /** What a section holds. */
-    static final int ROWS = 1;
+    static final int MEMBER_ENTRIES = 1;
 
-    static final int STAMP = 2;
+    static final int APPLIED_VERSIONS = 2;
     static final int SUSPECT = 3;
-    static final int GONE = 4;
+    static final int DEAD = 4;
     static final int LEFT = 5;
-    static final int WANT = 6;
-    static final int CLOCK = 7;
+    static final int VERSIONS_REQUEST = 6;
+    static final int UPTIME = 7;
 
     /** With its head. */
-    static final int CLOCK_BYTES = 6;
+    static final int UPTIME_SECTION_BYTES = 6;
 
-    static final int AWAY = 8;
-    static final int BACK = 9;
+    static final int CACHE_UNAVAILABLE = 8;
+    static final int CACHE_RESTORED = 9;
 
     /** No section of its own: news that other modules' sections have changed. */
-    static final int CARGO = 10;
+    static final int PAYLOAD = 10;
 
-    static final int ROW = 11;
-    static final int CLAIM = 10;
+    static final int MEMBER_ENTRY_BYTES = 11;
+    static final int CLAIM_BYTES = 10;
 
     /** A list's version and a cache. */
-    static final int AWAY_BYTES = 2 * Long.BYTES;
+    static final int CACHE_STATE_BYTES = 2 * Long.BYTES;
 
     /** Why a datagram is passed over. */
-    enum Flaw {
-        DAMAGED,
+    enum RejectionReason {
+        CORRUPT,
         FOREIGN,
         OVERSIZED,
-        NEWER
+        UNSUPPORTED_VERSION
     }
 
     final Kind kind;
@@ -78,7 +78,7 @@
     /** Set to the first section; its limit is the end of the last. */
     final ByteBuffer sections;
 
-    private Datagram(
+    private GossipDatagram(
             Kind kind, int sender, long incarnation, int nonce, int subject, ByteBuffer sections) {
         this.kind = kind;
         this.sender = sender;
@@ -89,49 +89,49 @@
     }
 
     /** Why it cannot be read; null if it can. */
-    static Flaw flaw(byte[] data, int length) {
-        if (length > MOST) {
-            return Flaw.OVERSIZED;
+    static RejectionReason validate(byte[] data, int length) {
+        if (length > MAX_BYTES) {
+            return RejectionReason.OVERSIZED;
         }
         ByteBuffer in = ByteBuffer.wrap(data, 0, length);
         if (length < 2 || in.getShort(0) != MAGIC) {
-            return Flaw.FOREIGN;
+            return RejectionReason.FOREIGN;
         }
-        if (length < HEAD + SUM) {
-            return Flaw.DAMAGED;
+        if (length < HEADER_BYTES + CHECKSUM_BYTES) {
+            return RejectionReason.CORRUPT;
         }
         CRC32C crc = new CRC32C();
-        crc.update(data, 0, length - SUM);
-        if ((int) crc.getValue() != in.getInt(length - SUM)) {
-            return Flaw.DAMAGED;
+        crc.update(data, 0, length - CHECKSUM_BYTES);
+        if ((int) crc.getValue() != in.getInt(length - CHECKSUM_BYTES)) {
+            return RejectionReason.CORRUPT;
         }
-        return (in.get(3) & 0xff) > FORM ? Flaw.NEWER : null;
+        return (in.get(3) & 0xff) > WIRE_VERSION ? RejectionReason.UNSUPPORTED_VERSION : null;
     }
 
     /**
-     * Reads what has no {@link #flaw}. A kind that this build does not know reads as {@link
-     * Kind#NONE}.
+     * Reads what has no {@link #validate}. A kind that this build does not know reads as {@link
+     * Kind#UNKNOWN}.
      */
-    static Datagram read(byte[] data, int length) {
-        ByteBuffer in = ByteBuffer.wrap(data, 0, length - SUM);
+    static GossipDatagram read(byte[] data, int length) {
+        ByteBuffer in = ByteBuffer.wrap(data, 0, length - CHECKSUM_BYTES);
         int kind = in.get(4) & 0xff;
-        in.position(HEAD);
-        return new Datagram(
-                kind < Kind.values().length ? Kind.values()[kind] : Kind.NONE,
-                in.getShort(6) & U16,
-                u48(in, 8),
+        in.position(HEADER_BYTES);
+        return new GossipDatagram(
+                kind < Kind.values().length ? Kind.values()[kind] : Kind.UNKNOWN,
+                in.getShort(6) & U16_MASK,
+                readU48(in, 8),
                 in.getInt(14),
-                in.getShort(18) & U16,
+                in.getShort(18) & U16_MASK,
                 in);
     }
 
-    static long u48(ByteBuffer in, int at) {
-        return (in.getShort(at) & (long) U16) << Integer.SIZE
-                | in.getInt(at + Short.BYTES) & 0xffffffffL;
+    static long readU48(ByteBuffer in, int offset) {
+        return (in.getShort(offset) & (long) U16_MASK) << Integer.SIZE
+                | in.getInt(offset + Short.BYTES) & 0xffffffffL;
     }
 
-    static long u48(ByteBuffer in) {
-        return (in.getShort() & (long) U16) << Integer.SIZE | in.getInt() & 0xffffffffL;
+    static long readU48(ByteBuffer in) {
+        return (in.getShort() & (long) U16_MASK) << Integer.SIZE | in.getInt() & 0xffffffffL;
     }
 
     static void putU48(ByteBuffer out, long value) {
@@ -139,12 +139,12 @@
     }
 
     /**
-     * Begins one, in a writer's form that readers of {@link #FORM} understand: what follows are
+     * Begins one, in a writer's form that readers of {@link #WIRE_VERSION} understand: what follows are
      * sections, then {@link #finish}.
      */
     static void begin(
             ByteBuffer out,
-            int form,
+            int wireVersion,
             Kind kind,
             int sender,
             long incarnation,
@@ -152,8 +152,8 @@
             int subject) {
         out.clear();
         out.putShort(MAGIC)
-                .put((byte) form)
-                .put((byte) FORM)
+                .put((byte) wireVersion)
+                .put((byte) WIRE_VERSION)
                 .put((byte) kind.ordinal())
                 .put((byte) 0)
                 .putShort((short) sender);
@@ -162,8 +162,8 @@
     }
 
     /** Room for the content of one more section, in bytes. */
-    static int room(ByteBuffer out, int most) {
-        return most - SUM - SECTION - out.position();
+    static int availableBytes(ByteBuffer out, int maxBytes) {
+        return maxBytes - CHECKSUM_BYTES - SECTION_HEADER_BYTES - out.position();
     }
 
     /** Adds the checksum; returns the length. */
--- a/peers/src/main/java/frostrelay/peers/State.java
+++ b/peers/src/main/java/frostrelay/peers/MemberState.java
@@ -3,7 +3,7 @@
 /**
  * What is believed of a balancer. {@link #UNKNOWN} is a state of its own: neither fine nor dead.
  */
-public enum State {
+public enum MemberState {
     /** Never heard of since this process began. */
     UNKNOWN,
     /** It said so lately enough that nobody suspects it. */
@@ -16,7 +16,7 @@
     LEFT;
 
     /** Whether it is counted among those that take part. */
-    public boolean takesPart() {
+    public boolean isParticipating() {
         return this == ALIVE || this == SUSPECTED;
     }
 }
--- a/peers/src/main/java/frostrelay/peers/Cargo.java
+++ b/peers/src/main/java/frostrelay/peers/PayloadProvider.java
@@ -5,15 +5,15 @@
  * own, in what room a datagram has left. Loaded anew for each datagram, so that it may differ by
  * receiver.
  */
-public interface Cargo {
+public interface PayloadProvider {
     /**
      * The least type of a section that belongs to other modules; those below are the talk's own.
      */
-    int FIRST_TYPE = 16;
+    int FIRST_SECTION_TYPE = 16;
 
     /** Nothing. */
-    Cargo NONE = (now, to, hold) -> {};
+    PayloadProvider NONE = (now, to, hold) -> {};
 
-    /** Loads sections for the balancer {@code to}, the most urgent first. */
-    void load(long now, int to, Hold hold);
+    /** Loads sections for the balancer {@code destination}, the most urgent first. */
+    void writeSections(long now, int destination, PayloadBuffer payload);
 }
