--- /dev/null
+++ b/peers/src/test/java/frostrelay/peers/GossipNodeTest.java
@@ -0,0 +1,340 @@
+package frostrelay.peers;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import net.jqwik.api.constraints.Size;
+
+import org.junit.jupiter.api.Test;
+
+import java.nio.ByteBuffer;
+import java.util.Arrays;
+import java.util.List;
+import java.util.zip.CRC32C;
+
+/**
+ * Who is there and what each acts on, when datagrams are lost, forged and late and processes die,
+ * freeze and come back.
+ */
+class GossipNodeTest {
+    private final GossipTestNetwork network = new GossipTestNetwork(5);
+
+    private void assertEverybodyKnows(int rank, long listRevision) {
+        for (GossipTestNetwork.Node node : network.nodes) {
+            if (node.rank != rank && !node.isDead) {
+                MemberSnapshot known = node.snapshotOf(rank);
+                assertEquals(MemberState.ALIVE, known.state(), node.rank + " of " + rank);
+                assertEquals(listRevision, known.appliedVersions().listRevision(), node.rank + " of " + rank);
+                assertTrue(known.ageNanos() >= 0 && known.ageNanos() < 30 * GossipTestNetwork.NANOS_PER_SECOND);
+            }
+        }
+    }
+
+    /**
+     * Of 24,000 such looks none came too early; 314 did while those who are told were drawn by
+     * chance.
+     */
+    @Test
+    void aChangeIsKnownEverywhereWithinTwoSecondsAtThirtyPercentLoss() {
+        int uninformedCount = 0;
+        for (int trial = 0; trial < 10; trial++) {
+            GossipTestNetwork lossyNetwork = new GossipTestNetwork(5);
+            for (int skipped = 0; skipped < trial; skipped++) {
+                lossyNetwork.random.nextLong();
+            }
+            lossyNetwork.lossProbability = 0.3;
+            lossyNetwork.run(10);
+            for (int i = 0; i < 20; i++) {
+                lossyNetwork.nodes[i % 5].gossip.updateAppliedVersions(lossyNetwork.nowNanos, GossipTestNetwork.appliedVersions(10 + i), i / 5 + 1);
+                lossyNetwork.run(2);
+                uninformedCount += countUninformed(lossyNetwork, i % 5, 10 + i);
+            }
+            assertTrue(lossyNetwork.maxDatagramBytes <= 256);
+            assertTrue(lossyNetwork.clockSampleCount > 50, "clocks are compared in passing");
+        }
+        assertEquals(0, uninformedCount, "of 800 did not know it within two seconds");
+    }
+
+    private static int countUninformed(GossipTestNetwork network, int rank, long listRevision) {
+        int uninformed = 0;
+        for (GossipTestNetwork.Node node : network.nodes) {
+            MemberSnapshot known = node.snapshotOf(rank);
+            assertEquals(MemberState.ALIVE, known.state(), node.rank + " of " + rank);
+            uninformed += known.appliedVersions() == null || known.appliedVersions().listRevision() != listRevision ? 1 : 0;
+        }
+        return uninformed;
+    }
+
+    @Test
+    void deadMembersAreGoneAndNeverShownAsApplyingAnything() {
+        network.run(5);
+        network.nodes[3].isDead = true;
+        network.run(20);
+        for (GossipTestNetwork.Node node : network.nodes) {
+            if (node.rank != 3) {
+                assertEquals(MemberState.GONE, node.snapshotOf(3).state());
+                assertEquals(
+                        1, node.snapshotOf(3).appliedVersions().listRevision(), "what it last acted on is still known");
+            }
+        }
+        network.nodes[3].start(1_790_000_100_000L, 8);
+        network.run(6);
+        assertEverybodyKnows(3, 8);
+    }
+
+    @Test
+    void anIncarnationWhoseWallClockWasSetBackOvertakesTheEarlierOne() {
+        network.run(5);
+        long before = network.nodes[0].snapshotOf(2).incarnation();
+        network.nodes[2].isDead = true;
+        network.run(1);
+        network.nodes[2].start(1_790_000_000_000L - 10_000, 9);
+        network.run(6);
+        assertEverybodyKnows(2, 9);
+        assertTrue(network.nodes[0].snapshotOf(2).incarnation() > before);
+    }
+
+    @Test
+    void aNodeThatReceivesNothingKnowsNothingAndSuspectsNobody() {
+        network.run(5);
+        network.isLinkUp = (from, to) -> to != 4;
+        network.run(30);
+        for (int peer = 0; peer < 4; peer++) {
+            assertEquals(MemberState.UNKNOWN, network.nodes[4].snapshotOf(peer).state());
+        }
+        assertFalse(
+                network.nodes[4].stateEvents.stream().anyMatch(state -> state.contains("GONE")),
+                network.nodes[4].stateEvents.toString());
+        assertEquals(MemberState.ALIVE, network.nodes[0].snapshotOf(1).state());
+    }
+
+    @Test
+    void aHealedPartitionIsOneClusterAgain() {
+        network.run(5);
+        network.isLinkUp = (from, to) -> from < 2 == to < 2;
+        network.run(30);
+        assertNotEquals(MemberState.ALIVE, network.nodes[0].snapshotOf(4).state());
+        network.nodes[4].gossip.updateAppliedVersions(network.nowNanos, GossipTestNetwork.appliedVersions(77), 1);
+        network.isLinkUp = (from, to) -> true;
+        network.run(30);
+        assertEverybodyKnows(4, 77);
+        assertEverybodyKnows(0, 1);
+    }
+
+    @Test
+    void aProcessThatStoodStillBlamesNobody() {
+        network.run(5);
+        network.nodes[1].isFrozen = true;
+        network.run(20);
+        network.nodes[1].isFrozen = false;
+        network.nodes[1].stateEvents.clear();
+        network.run(1);
+        assertFalse(
+                network.nodes[1].stateEvents.stream()
+                        .anyMatch(state -> state.contains("GONE") || state.contains("SUSPECTED")),
+                network.nodes[1].stateEvents.toString());
+        network.run(20);
+        assertEverybodyKnows(1, 1);
+    }
+
+    /** One peer declares all others dead, again and again; each of them objects. */
+    @Test
+    void aLiarRemovesNobody() {
+        network.run(5);
+        for (int i = 0; i < 20; i++) {
+            for (int to = 0; to < 4; to++) {
+                for (int declaredDead = 0; declaredDead < 4; declaredDead++) {
+                    ByteBuffer datagram = ByteBuffer.allocate(GossipDatagram.MAX_BYTES);
+                    GossipDatagram.begin(
+                            datagram,
+                            GossipDatagram.WIRE_VERSION,
+                            GossipDatagram.Kind.UPDATE,
+                            4,
+                            network.nodes[4].gossip.incarnation(),
+                            i,
+                            0xffff);
+                    datagram.put((byte) GossipDatagram.DEAD).put((byte) GossipDatagram.CLAIM_BYTES).putShort((short) declaredDead);
+                    GossipDatagram.putU48(datagram, network.nodes[declaredDead].gossip.incarnation());
+                    datagram.putShort((short) 4);
+                    network.deliver(to, 4, Arrays.copyOf(datagram.array(), GossipDatagram.finish(datagram)));
+                }
+            }
+            network.run(1);
+        }
+        network.run(3);
+        for (int rank = 0; rank < 4; rank++) {
+            assertEverybodyKnows(rank, 1);
+        }
+    }
+
+    @Test
+    void invalidDatagramsAreCountedAndIgnored() {
+        network.run(5);
+        GossipNode gossip = network.nodes[0].gossip;
+        ByteBuffer datagram = ByteBuffer.allocate(GossipDatagram.MAX_BYTES);
+        GossipDatagram.begin(datagram, GossipDatagram.WIRE_VERSION, GossipDatagram.Kind.UPDATE, 1, 0xffff_ffff_ffffL, 1, 0xffff);
+        gossip.onDatagram(network.nowNanos, 1, datagram.array(), GossipDatagram.finish(datagram));
+        assertEquals(1, gossip.counters().implausible, "an incarnation of the far future");
+        GossipDatagram.begin(
+                datagram,
+                GossipDatagram.WIRE_VERSION,
+                GossipDatagram.Kind.UPDATE,
+                1,
+                network.nodes[1].gossip.incarnation(),
+                1,
+                0xffff);
+        gossip.onDatagram(network.nowNanos, 2, datagram.array(), GossipDatagram.finish(datagram));
+        assertEquals(1, gossip.counters().wrongSender, "from another's address");
+        gossip.onDatagram(network.nowNanos, 1, new byte[257], 257);
+        assertEquals(1, gossip.counters().oversized);
+        gossip.onDatagram(network.nowNanos, 1, new byte[40], 40);
+        assertEquals(1, gossip.counters().foreign);
+        GossipDatagram.begin(
+                datagram,
+                GossipDatagram.WIRE_VERSION,
+                GossipDatagram.Kind.UPDATE,
+                1,
+                network.nodes[1].gossip.incarnation(),
+                1,
+                0xffff);
+        datagram.put(3, (byte) (GossipDatagram.WIRE_VERSION + 1));
+        gossip.onDatagram(network.nowNanos, 1, datagram.array(), GossipDatagram.finish(datagram));
+        assertEquals(1, gossip.counters().unsupportedVersion, "a build that this one is too old for");
+        assertEquals(MemberState.ALIVE, network.nodes[0].snapshotOf(1).state());
+    }
+
+    /** Builds of other ages: a section that nobody knows, and more bytes in one that is known. */
+    @Test
+    void whatALaterBuildAddsIsIgnored() {
+        network.run(5);
+        ByteBuffer datagram = ByteBuffer.allocate(GossipDatagram.MAX_BYTES);
+        GossipDatagram.begin(
+                datagram,
+                GossipDatagram.WIRE_VERSION,
+                GossipDatagram.Kind.UPDATE,
+                1,
+                network.nodes[1].gossip.incarnation(),
+                1,
+                0xffff);
+        datagram.put((byte) 99).put((byte) 5).put(new byte[5]);
+        datagram.put((byte) GossipDatagram.APPLIED_VERSIONS).put((byte) (AppliedVersions.BYTES + 4));
+        GossipTestNetwork.appliedVersions(55).write(datagram);
+        datagram.putInt(123);
+        datagram.put((byte) GossipDatagram.MEMBER_ENTRIES)
+                .put((byte) (Integer.BYTES + GossipDatagram.MEMBER_ENTRY_BYTES))
+                .putInt(GossipTestNetwork.appliedVersions(55).fingerprint())
+                .putShort((short) 1);
+        GossipDatagram.putU48(datagram, network.nodes[1].gossip.incarnation());
+        datagram.putShort((short) 9).put((byte) 0);
+        network.deliver(0, 1, Arrays.copyOf(datagram.array(), GossipDatagram.finish(datagram)));
+        assertEquals(55, network.nodes[0].snapshotOf(1).appliedVersions().listRevision());
+        assertEquals(9, network.nodes[0].snapshotOf(1).sequence());
+    }
+
+    /** Whatever bytes come, also under a right checksum, none is more than counted. */
+    @Property(tries = 2_000)
+    void arbitraryBytesDoNoHarm(
+            @ForAll @Size(max = 232) byte[] body, @ForAll @IntRange(max = 6) int kind) {
+        ByteBuffer datagram = ByteBuffer.allocate(GossipDatagram.MAX_BYTES);
+        GossipDatagram.begin(
+                datagram,
+                GossipDatagram.WIRE_VERSION,
+                GossipDatagram.Kind.UNKNOWN,
+                1,
+                Incarnation.fromUnixMillis(1_790_000_000_000L),
+                1,
+                0xffff);
+        datagram.put(4, (byte) kind);
+        datagram.put(body, 0, Math.min(body.length, 232));
+        CRC32C crc = new CRC32C();
+        crc.update(datagram.array(), 0, datagram.position());
+        datagram.putInt((int) crc.getValue());
+        GossipNode gossip =
+                new GossipNode(
+                        GossipSettings.STANDARD,
+                        0,
+                        5,
+                        0,
+                        Incarnation.fromUnixMillis(1_790_000_000_000L),
+                        1,
+                        GossipTestNetwork.appliedVersions(1),
+                        0,
+                        (to, data, length) -> assertTrue(length <= GossipDatagram.MAX_BYTES),
+                        new GossipTestNetwork(2).nodes[0]);
+        gossip.onDatagram(1, 1, datagram.array(), datagram.position());
+        gossip.onTimer(GossipTestNetwork.NANOS_PER_SECOND);
+        assertEquals(MemberState.ALIVE, gossip.snapshot(GossipTestNetwork.NANOS_PER_SECOND, 0).state());
+    }
+
+    @Property(tries = 500)
+    void oneFlippedBitIsSeen(@ForAll @IntRange(max = 26 * 8 - 1) int bit) {
+        ByteBuffer datagram = ByteBuffer.allocate(GossipDatagram.MAX_BYTES);
+        GossipDatagram.begin(datagram, GossipDatagram.WIRE_VERSION, GossipDatagram.Kind.PING, 1, 77, 1, 0xffff);
+        datagram.put((byte) 9).put((byte) 0);
+        int length = GossipDatagram.finish(datagram);
+        assertEquals(null, GossipDatagram.validate(datagram.array(), length));
+        datagram.array()[bit / 8] ^= (byte) (1 << bit % 8);
+        assertNotEquals(null, GossipDatagram.validate(datagram.array(), length));
+    }
+
+    /** In no second, wherever it begins, is more sent than the ceiling allows. */
+    @Property(tries = 300)
+    void theBandwidthLimitHoldsAtEveryMoment(
+            @ForAll @Size(max = 200) List<@IntRange(min = 1, max = 256) Integer> sizes,
+            @ForAll @IntRange(min = 256, max = 4_096) int maxBytes,
+            @ForAll long seed) {
+        BandwidthLimiter limiter = new BandwidthLimiter(maxBytes);
+        java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
+        long[] sentAtNanos = new long[sizes.size()];
+        boolean[] sent = new boolean[sizes.size()];
+        long now = 0;
+        for (int i = 0; i < sizes.size(); i++) {
+            now += random.nextLong(random.nextBoolean() ? 1_000_000 : 300_000_000);
+            sentAtNanos[i] = now;
+            sent[i] = limiter.tryConsume(now, sizes.get(i));
+        }
+        for (int from = 0; from < sizes.size(); from++) {
+            int sum = 0;
+            for (int i = from; i < sizes.size() && sentAtNanos[i] - sentAtNanos[from] < GossipTestNetwork.NANOS_PER_SECOND; i++) {
+                sum += sent[i] ? sizes.get(i) : 0;
+            }
+            assertTrue(sum <= maxBytes, sum + " of " + maxBytes);
+        }
+    }
+
+    /**
+     * What waits in the socket of a process that is stopped is as old as its writer's clock says,
+     * not new when it is read.
+     */
+    @Test
+    void payloadThatWaitedInTheSocketOfAStoppedProcessIsDated() {
+        GossipTestNetwork network = new GossipTestNetwork(4);
+        for (GossipTestNetwork.Node node : network.nodes) {
+            node.gossip.setPayloadProvider(
+                    (atNanos, to, buffer) ->
+                            buffer.add(
+                                    GossipTestNetwork.PAYLOAD_TYPE,
+                                    ByteBuffer.allocate(Long.BYTES).putLong(atNanos).flip()));
+        }
+        network.run(10);
+        GossipTestNetwork.Node frozenNode = network.nodes[0];
+        frozenNode.isFrozen = true;
+        network.run(20);
+        frozenNode.payloadDelays.clear();
+        frozenNode.isFrozen = false;
+        network.run(0.05);
+        assertTrue(
+                frozenNode.payloadDelays.size() > 10
+                        && frozenNode.payloadDelays.stream().anyMatch(payloadDelay -> payloadDelay[0] > 15 * GossipTestNetwork.NANOS_PER_SECOND),
+                "some waited long");
+        for (long[] payloadDelay : frozenNode.payloadDelays) {
+            // The clocks may part by a hundredth, 0.2 s in all that time.
+            assertEquals(payloadDelay[0] - GossipTestNetwork.ONE_WAY_DELAY_NANOS, payloadDelay[1], 0.25 * GossipTestNetwork.NANOS_PER_SECOND);
+        }
+    }
+}
--- a/policy/src/main/java/frostrelay/policy/Api.java
+++ b/policy/src/main/java/frostrelay/policy/Api.java
@@ -19,14 +19,14 @@
     /** How often a request of a class may take effect. */
     public enum Effect {
         /** Repeats do no harm. */
-        RETRYABLE,
+        IDEMPOTENT,
         /** Servers of one group drop repeats for a while. */
-        DEDUP,
+        IDEMPOTENCY_KEY,
         /** Must never run twice. */
-        FRAGILE
+        NOT_IDEMPOTENT
     }
 
-    /** The servers that drop repeats of a {@link Effect#DEDUP} request for one another. */
+    /** The servers that drop repeats of a {@link Effect#IDEMPOTENCY_KEY} request for one another. */
     public enum Group {
         ALL,
         ZONE,
@@ -37,7 +37,7 @@
     public enum State {
         READY,
         DRAINING,
-        GONE
+        REMOVED
     }
 
     /**
@@ -60,7 +60,7 @@
         CONNECT_FAILED(true),
         RESET(false),
         CANCELLED(false),
-        MOOT(true),
+        SUPERSEDED(true),
         MISS(true);
 
         /** True if the attempt provably never ran. */
@@ -71,7 +71,7 @@
         }
 
         /** True if the attempt may still be running at its server. */
-        public boolean mayRunOn() {
+        public boolean mayStillRun() {
             return this == TIMEOUT || this == RESET || this == CANCELLED;
         }
 
@@ -82,69 +82,69 @@
     }
 
     /**
-     * A request class; times in nanoseconds. {@code inOrder}: requests with one key run one at a
+     * A request class; times in nanoseconds. {@code serializedByKey}: requests with one key run one at a
      * time.
      */
     public record RequestClass(
-            long aim,
-            double aimStretch,
-            long deadline,
-            double worth,
-            double lateWorth,
-            Effect effect,
-            Group group,
-            long window,
+            long latencyObjectiveNanos,
+            double objectiveStretchFactor,
+            long deadlineNanos,
+            double priorityWeight,
+            double latePriorityWeight,
+            Effect idempotency,
+            Group deduplicationScope,
+            long deduplicationWindowNanos,
             boolean stream,
-            boolean inOrder) {}
+            boolean serializedByKey) {}
 
     /**
      * A tenant: requests a second within its share over all balancers, and its fraction of service.
      */
-    public record Tenant(double allowancePerSecond, double fraction) {}
+    public record Tenant(double quotaPerSecond, double serviceFraction) {}
 
     /** Where the values of a load report stand, -1 if absent. */
-    public record ReportLayout(int inFlight, int queue, int busy) {}
+    public record ReportLayout(int inFlight, int queue, int utilization) {}
 
     /**
-     * Further attempts allowed within any span: {@code free} and {@code share} of the requests
+     * Further attempts allowed within any span: {@code minRetries} and {@code retryRatio} of the requests
      * taken.
      */
-    public record Budget(double free, double share, long span) {}
+    public record Budget(double minRetries, double retryRatio, long windowNanos) {}
 
     /**
-     * What a balancer is told at its start; times in nanoseconds. {@code keyQuiet}: how long a key
-     * in order rests after an attempt that may still be running. {@code budget}: null where there
+     * What a balancer is told at its start; times in nanoseconds. {@code keyQuarantineNanos}: how long a key
+     * in order rests after an attempt that may still be running. {@code retryBudget}: null where there
      * is none.
      */
     public record Settings(
             List<RequestClass> classes,
             List<Tenant> tenants,
             int zone,
-            int rank,
-            int instances,
-            boolean aside,
+            int instanceIndex,
+            int instanceCount,
+            boolean lookAside,
             int originKind,
             boolean subscribe,
             int maxAttempts,
-            boolean mayDuplicate,
-            boolean mayCancel,
-            long connectTimeout,
-            boolean retryAfter,
-            long maxRetryAfter,
-            long drainGrace,
-            long askWithin,
-            double coldFrom,
-            long warmWithin,
-            double tipMultiple,
-            long fallTime,
-            double overShareWorth,
-            long keyQuiet,
-            Budget budget,
-            ReportLayout report) {}
+            boolean hedgingAllowed,
+            boolean cancellationAllowed,
+            long connectTimeoutNanos,
+            boolean retryAfterSupported,
+            long maxRetryAfterNanos,
+            long drainGraceNanos,
+            long pollIntervalNanos,
+            double slowStartInitialFraction,
+            long slowStartNanos,
+            double overloadMultiple,
+            long overloadWindowNanos,
+            double overQuotaWeight,
+            long keyQuarantineNanos,
+            Budget retryBudget,
+            ReportLayout loadReportLayout) {}
 
     /** An entry of the server list. */
     public record Server(
-            long id, int zone, int kind, int cell, State state, double weight, long startedAt) {}
+            long id, int zone, int kind, int cell, State state, double weight, long startedAtNanos) {}
 
     /** A client request. A {@code work} of 0 means no hint; a {@code key} of 0 means none. */
     public record Request(
@@ -152,59 +152,59 @@
             int requestClass,
             int tenant,
             long key,
-            long deadline,
+            long deadlineNanos,
             long work,
-            boolean repeat,
+            boolean clientRetry,
             boolean write) {}
 
     /** Where a read's answer came from, for caches that tell. */
     public enum Source {
         UNKNOWN,
         CACHE,
-        FETCH
+        ORIGIN
     }
 
-    /** The end of an attempt. {@code closed}: the request has its final answer. */
+    /** The end of an attempt. {@code requestCompleted}: the request has its final answer. */
     public record Outcome(
-            long request,
+            long requestId,
             int attempt,
-            Reason reason,
-            long took,
-            boolean closed,
+            Reason result,
+            long durationNanos,
+            boolean requestCompleted,
             Source source,
-            float[] report) {}
+            float[] loadReport) {}
 
     /** Events in. All times are nanoseconds of the caller's clock. */
     public interface Events {
         /** The server list changed, or a call for it failed. */
-        void onList(long now, ListMode mode, List<Server> servers);
+        void onEndpointUpdate(long now, ListMode mode, List<Server> servers);
 
         /** A client request arrived; one final answer is owed from here on. */
         void onRequest(long now, Request request);
 
         /** An attempt ended. Unknown requests are passed over. */
-        void onOutcome(long now, Outcome outcome);
+        void onAttemptOutcome(long now, Outcome outcome);
 
         /** A streamed answer began. */
         void onFirstByte(long now, long request, int attempt);
 
         /** The client left; nothing is owed any more. */
-        void onClientGone(long now, long request);
+        void onClientDisconnect(long now, long request);
 
-        /** A timer set by {@link Actions#wakeAt} is due. */
+        /** A timer set by {@link Actions#scheduleTimer} is due. */
         void onTimer(long now, int token);
 
         /**
          * Operators hold these servers out of use, all of them and no others, whatever the list
          * says. One that is let go may have been restarted meanwhile.
          */
-        void onHolds(long now, Set<Long> servers);
+        void onAdminDrains(long now, Set<Long> drainedServers);
 
         /**
          * What the fleet knows of its servers: exactly these are found bad by others, as far as
          * that is to be gone by. Advice: their traffic is lowered, not ended.
          */
-        void onFleet(long now, Set<Long> lowered);
+        void onPeerHealthReports(long now, Set<Long> outliers);
 
         /**
          * New settings hold from now on. A class or tenant keeps its number for the life of the
@@ -216,28 +216,28 @@
          * So many further processes of this balancer serve beside this one: an upgrade is under
          * way.
          */
-        void onOthers(long now, int others);
+        void onSiblingProcesses(long now, int siblingCount);
     }
 
     /** Actions out. */
     public interface Actions {
-        /** Starts the next attempt of a request; it is abandoned at {@code cutAt}. */
-        void send(long request, long server, long cutAt);
+        /** Starts the next attempt of a request; it is abandoned at {@code abandonAtNanos}. */
+        void send(long request, long server, long abandonAtNanos);
 
         /** Ends the wait for one attempt. */
         void cancel(long request, int attempt);
 
         /** Final answer: refused, a client's retry does no harm. */
-        void refuse(long request, long retryAfter);
+        void reject(long request, long retryAfterNanos);
 
         /** Final answer: failed. */
         void fail(long request);
 
         /** Asks for {@link Events#onTimer}. */
-        void wakeAt(long moment, int token);
+        void scheduleTimer(long atNanos, int token);
 
         /** Closes this balancer's idle connections to a server. */
-        void closeIdle(long server);
+        void closeIdleConnections(long server);
 
         /** Subscribes to changes of the server list. */
         void subscribe();
--- a/policy/src/main/java/frostrelay/policy/Router.java
+++ b/policy/src/main/java/frostrelay/policy/Router.java
@@ -1,36 +1,36 @@
 package frostrelay.policy;
 
 import frostrelay.policy.Api.*;
-import frostrelay.policy.HostHealth.Host;
+import frostrelay.policy.ServerHealth.TrackedServer;
 
 import java.util.*;
 
 /** The decision module: the life of each request and the rules. Its interface is Api.java. */
 public final class Router implements Api.Events {
     /** UpTo: attempts of one request, the first included. */
-    private static final int UP_TO = 6;
+    private static final int MAX_ATTEMPTS_LIMIT = 6;
 
     private static final long NEVER = Long.MAX_VALUE;
     private static final int TIMER_ALARM = 1;
-    private static final int TIMER_LIST = 2;
+    private static final int TIMER_SUBSCRIBE = 2;
 
     /**
      * Instances call discovery so far apart, all within the longest: news binds 6 s after a failed
      * call.
      */
-    private static final long TURN_NS = 250_000_000L;
+    private static final long STAGGER_NANOS = 250_000_000L;
 
-    private static final long LONGEST_NS = 4_000_000_000L;
-    private static final long PAUSE_NS = 200_000_000L;
+    private static final long MAX_STAGGER_NANOS = 4_000_000_000L;
+    private static final long FAILURE_PAUSE_NANOS = 200_000_000L;
 
     /** Part of the aim within which the origin answers while it has room. */
-    private static final double QUICK = 0.5;
+    private static final double FAST_FRACTION = 0.5;
 
     /** A host less busy than this that turns work away does so for another cause than load. */
-    private static final double IDLE = 0.5;
+    private static final double IDLE_UTILIZATION = 0.5;
 
     /** Part of the wait for an answer by which timers may be late. */
-    private static final double LATE = 0.125;
+    private static final double LATENESS_FRACTION = 0.125;
 
     /**
      * Part of the window for repeats that is used, less a new connection's time; the rest is for
@@ -40,130 +40,130 @@
 
     /** One send and how it ended. */
     private static final class Attempt {
-        final Host host;
-        final long sentAt;
-        boolean pending = true;
+        final TrackedServer server;
+        final long sentAtNanos;
+        boolean isPending = true;
         boolean neverRan;
 
         /** A copy sent later was answered first. */
-        boolean overtaken;
+        boolean wasOvertaken;
 
-        Attempt(Host host, long sentAt) {
-            this.host = host;
-            this.sentAt = sentAt;
+        Attempt(TrackedServer server, long sentAtNanos) {
+            this.server = server;
+            this.sentAtNanos = sentAtNanos;
         }
     }
 
     /** A request from its arrival until its last attempt has been reported. */
-    private static final class Flight {
+    private static final class RequestState {
         final Request request;
         final RequestClass requestClass;
-        final long usefulUntil;
+        final long usefulUntilNanos;
         final Attempt[] attempts;
-        int sent;
-        int pending;
-        boolean ended;
+        int attemptCount;
+        int pendingCount;
+        boolean isCompleted;
 
         /** Missed at a cache, or sent to the origin: no copy runs beside that. */
-        boolean missed;
+        boolean needsOrigin;
 
-        boolean streaming;
+        boolean isStreaming;
 
         /** Waits for its turn: earlier requests of its key are not over. */
-        boolean held;
+        boolean isQueued;
 
         /**
          * When its copy is due, when it tells of overload, and the earlier of the two or end of its
          * wait.
          */
-        long hedgeAt = NEVER;
+        long hedgeAtNanos = NEVER;
 
-        long slowAt = NEVER;
-        long alarmAt;
+        long slowAtNanos = NEVER;
+        long alarmAtNanos;
 
-        Flight(Request request, RequestClass requestClass, long now, int mostAttempts) {
+        RequestState(Request request, RequestClass requestClass, long now, int maxAttempts) {
             this.request = request;
             this.requestClass = requestClass;
-            long aim = requestClass.aim() + (long) (requestClass.aimStretch() * request.work());
-            this.usefulUntil =
-                    requestClass.lateWorth() > 0 || requestClass.stream()
-                            ? request.deadline()
-                            : Math.min(request.deadline(), now + aim);
-            this.attempts = new Attempt[mostAttempts];
+            long objectiveNanos = requestClass.latencyObjectiveNanos() + (long) (requestClass.objectiveStretchFactor() * request.work());
+            this.usefulUntilNanos =
+                    requestClass.latePriorityWeight() > 0 || requestClass.stream()
+                            ? request.deadlineNanos()
+                            : Math.min(request.deadlineNanos(), now + objectiveNanos);
+            this.attempts = new Attempt[maxAttempts];
         }
 
         /** The earliest attempt that is not known never to have run. */
-        Attempt mayHaveRun() {
-            return Arrays.stream(attempts, 0, sent)
+        Attempt firstPossiblyExecuted() {
+            return Arrays.stream(attempts, 0, attemptCount)
                     .filter(a -> !a.neverRan)
                     .findFirst()
                     .orElse(null);
         }
 
-        boolean ordered() {
-            return requestClass.inOrder() && request.key() != 0;
+        boolean isSerialized() {
+            return requestClass.serializedByKey() && request.key() != 0;
         }
     }
 
     /** Something to look at in a flight; void if the flight has set another since. */
-    private record Alarm(long at, Flight flight) {
-        boolean isVoid() {
-            return flight.ended || flight.alarmAt != at;
+    private record Alarm(long atNanos, RequestState state) {
+        boolean isSuperseded() {
+            return state.isCompleted || state.alarmAtNanos != atNanos;
         }
     }
 
     private Settings settings;
     private final Actions actions;
-    private final HostHealth health;
-    private final Candidates candidates;
-    private final Hedging hedging;
-    private final Admission admission;
-    private final Fills fills = new Fills();
-    private final Map<Long, Flight> flights = new HashMap<>();
-    private final KeyOrder<Flight> order;
+    private final ServerHealth health;
+    private final RendezvousCandidates candidates;
+    private final HedgingPolicy hedging;
+    private final AdmissionControl admission;
+    private final OriginFetchLimiter originFetches = new OriginFetchLimiter();
+    private final Map<Long, RequestState> requestsById = new HashMap<>();
+    private final PerKeyQueue<RequestState> perKeyQueue;
     private final PriorityQueue<Alarm> alarms =
             new PriorityQueue<>(
-                    Comparator.comparingLong(Alarm::at)
-                            .thenComparingLong(alarm -> alarm.flight.request.id()));
-    private int mostAttempts;
-    private long timer;
+                    Comparator.comparingLong(Alarm::atNanos)
+                            .thenComparingLong(alarm -> alarm.state.request.id()));
+    private int maxAttempts;
+    private long timerAtNanos;
 
     /** Further processes of this balancer. */
-    private int others;
+    private int siblingCount;
 
     /** Some answer brought a load report. */
-    private boolean reportsCome;
+    private boolean hasSeenLoadReports;
 
     /**
      * Before that a missing answer tells nothing: it may have come while this balancer did not
      * look.
      */
-    private long awareAt;
+    private long graceUntilNanos;
 
     /** A timer that is later than this is a sign of own lateness. */
-    private long mostLate;
+    private long maxLatenessNanos;
 
     /** Starts an instance; its first list follows as an event. */
     public Router(Settings settings, long seed, Actions actions) {
         this.actions = actions;
-        this.health = new HostHealth(settings, seed);
-        this.candidates = new Candidates(health);
-        this.admission = new Admission(settings);
-        this.hedging = new Hedging(settings.budget());
-        this.order = new KeyOrder<>(settings.keyQuiet());
-        take(settings);
+        this.health = new ServerHealth(settings, seed);
+        this.candidates = new RendezvousCandidates(health);
+        this.admission = new AdmissionControl(settings);
+        this.hedging = new HedgingPolicy(settings.retryBudget());
+        this.perKeyQueue = new PerKeyQueue<>(settings.keyQuarantineNanos());
+        applySettings(settings);
     }
 
-    private void take(Settings fresh) {
-        settings = fresh;
-        mostLate =
+    private void applySettings(Settings newSettings) {
+        settings = newSettings;
+        maxLatenessNanos =
                 (long)
-                        (LATE
-                                * fresh.classes().stream()
-                                        .mapToLong(admission::slowAfter)
+                        (LATENESS_FRACTION
+                                * newSettings.classes().stream()
+                                        .mapToLong(admission::slowAfterNanos)
                                         .min()
                                         .orElse(0));
-        mostAttempts = Math.max(1, Math.min(UP_TO, fresh.maxAttempts()));
+        maxAttempts = Math.max(1, Math.min(MAX_ATTEMPTS_LIMIT, newSettings.maxAttempts()));
     }
 
     /**
@@ -171,36 +171,36 @@
      * by what its class has become as well: clients and hosts may already go by either.
      */
     @Override
-    public void onSettings(long now, Settings fresh) {
-        take(fresh);
-        health.onSettings(fresh);
-        admission.onSettings(fresh);
-        hedging.onSettings(fresh.budget());
-        order.onSettings(fresh.keyQuiet());
+    public void onSettings(long now, Settings newSettings) {
+        applySettings(newSettings);
+        health.onSettings(newSettings);
+        admission.onSettings(newSettings);
+        hedging.onSettings(newSettings.retryBudget());
+        perKeyQueue.onSettings(newSettings.keyQuarantineNanos());
     }
 
     @Override
-    public void onList(long now, ListMode mode, List<Server> servers) {
-        health.onList(now, mode, servers);
+    public void onEndpointUpdate(long now, ListMode mode, List<Server> servers) {
+        health.onEndpointUpdate(now, mode, servers);
         boolean failed = mode == ListMode.FAILED;
         if (settings.subscribe() && (mode == ListMode.CACHED || failed)) {
-            askLater(now, failed);
+            scheduleSubscribe(now, failed);
         }
     }
 
     @Override
-    public void onHolds(long now, Set<Long> servers) {
-        health.onHolds(now, servers);
+    public void onAdminDrains(long now, Set<Long> drainedServers) {
+        health.onAdminDrains(now, drainedServers);
     }
 
     @Override
-    public void onFleet(long now, Set<Long> lowered) {
-        health.onFleet(lowered);
+    public void onPeerHealthReports(long now, Set<Long> outliers) {
+        health.onPeerHealthReports(outliers);
     }
 
     @Override
-    public void onOthers(long now, int others) {
-        this.others = others;
+    public void onSiblingProcesses(long now, int siblingCount) {
+        this.siblingCount = siblingCount;
     }
 
     /**
@@ -208,161 +208,161 @@
      * that takes over from another process starts alone and is held to the list's news at once, so
      * it asks at once.
      */
-    private void askLater(long now, boolean failed) {
-        if (others > 0 && !failed) {
-            actions.wakeAt(now + 1, TIMER_LIST);
+    private void scheduleSubscribe(long now, boolean failed) {
+        if (siblingCount > 0 && !failed) {
+            actions.scheduleTimer(now + 1, TIMER_SUBSCRIBE);
             return;
         }
-        long most = Math.min(LONGEST_NS, settings.askWithin() / 2);
-        double turn = (settings.rank() + health.nextUnit()) / settings.instances();
-        long wait = (long) (turn * Math.min(most, settings.instances() * TURN_NS));
-        actions.wakeAt(now + 1 + wait + (failed ? PAUSE_NS : 0), TIMER_LIST);
+        long maxDelayNanos = Math.min(MAX_STAGGER_NANOS, settings.pollIntervalNanos() / 2);
+        double position = (settings.instanceIndex() + health.nextUniform()) / settings.instanceCount();
+        long delayNanos = (long) (position * Math.min(maxDelayNanos, settings.instanceCount() * STAGGER_NANOS));
+        actions.scheduleTimer(now + 1 + delayNanos + (failed ? FAILURE_PAUSE_NANOS : 0), TIMER_SUBSCRIBE);
     }
 
     @Override
     public void onRequest(long now, Request request) {
-        hedging.taken(now);
+        hedging.recordRequest(now);
         RequestClass requestClass = settings.classes().get(request.requestClass());
-        Flight flight = new Flight(request, requestClass, now, mostAttempts);
-        boolean over = admission.overShare(now, request.tenant());
-        boolean worthless = flight.usefulUntil <= now;
-        boolean fill =
+        RequestState state = new RequestState(request, requestClass, now, maxAttempts);
+        boolean isOverQuota = admission.isOverQuota(now, request.tenant());
+        boolean isTooLate = state.usefulUntilNanos <= now;
+        boolean needsOrigin =
                 request.write()
-                        || !settings.aside() && fills.failing() && !fills.kept(now, request.key());
-        if (worthless
-                || fill && !fills.admits(request.write(), health.nextUnit())
-                || admission.shed(over, request.write(), health.nextUnit())) {
-            actions.refuse(
+                        || !settings.lookAside() && originFetches.isFailing() && !originFetches.mayBeCached(now, request.key());
+        if (isTooLate
+                || needsOrigin && !originFetches.admits(request.write(), health.nextUniform())
+                || admission.shouldShed(isOverQuota, request.write(), health.nextUniform())) {
+            actions.reject(
                     request.id(),
-                    over || worthless
-                            ? settings.maxRetryAfter()
-                            : admission.retryAfter(requestClass, health.nextUnit()));
+                    isOverQuota || isTooLate
+                            ? settings.maxRetryAfterNanos()
+                            : admission.retryAfterNanos(requestClass, health.nextUniform()));
             return;
         }
-        admission.take(request.tenant());
-        flights.put(request.id(), flight);
-        candidates.count(now, request.key());
-        if (!flight.ordered()) {
-            begin(now, flight);
+        admission.consumeQuota(request.tenant());
+        requestsById.put(request.id(), state);
+        candidates.recordArrival(now, request.key());
+        if (!state.isSerialized()) {
+            startFirstAttempt(now, state);
             return;
         }
         // What would wait past its use is refused at once: guards against lines that grow without
         // bound.
-        flight.held = true;
-        if (now + order.enter(now, request.key(), flight) * admission.writeTime
-                < flight.usefulUntil) {
-            takeTurn(now, flight);
+        state.isQueued = true;
+        if (now + perKeyQueue.enqueue(now, request.key(), state) * admission.meanWriteNanos
+                < state.usefulUntilNanos) {
+            startOrKeepWaiting(now, state);
         } else {
-            finish(now, flight);
+            rejectOrFail(now, state);
         }
     }
 
     /** The fifth rule: starts a held request if its turn has come, ends it if it waited in vain. */
-    private void takeTurn(long now, Flight flight) {
-        long turn = order.turn(flight.request.key(), flight);
-        if (now >= flight.usefulUntil) {
-            finish(now, flight);
-        } else if (now >= turn) {
-            flight.held = false;
-            begin(now, flight);
+    private void startOrKeepWaiting(long now, RequestState state) {
+        long startAtNanos = perKeyQueue.earliestStartNanos(state.request.key(), state);
+        if (now >= state.usefulUntilNanos) {
+            rejectOrFail(now, state);
+        } else if (now >= startAtNanos) {
+            state.isQueued = false;
+            startFirstAttempt(now, state);
         } else {
-            wake(now, flight, Math.min(turn, flight.usefulUntil));
+            setAlarm(now, state, Math.min(startAtNanos, state.usefulUntilNanos));
         }
     }
 
-    private void begin(long now, Flight flight) {
-        Host host = null;
-        if (!settings.aside() || !flight.request.write()) {
-            health.wanted(now);
-            search(now, flight);
-            host = candidates.leastInFlight();
+    private void startFirstAttempt(long now, RequestState state) {
+        TrackedServer server = null;
+        if (!settings.lookAside() || !state.request.write()) {
+            health.recordFirstSend(now);
+            findCandidates(now, state);
+            server = candidates.selectLeastLoaded();
         }
-        host = host == null && settings.aside() ? origin() : host;
-        if (host == null) {
-            finish(now, flight);
+        server = server == null && settings.lookAside() ? leastLoadedOrigin() : server;
+        if (server == null) {
+            rejectOrFail(now, state);
             return;
         }
-        send(now, flight, host);
-        long delay = hedging.delay();
-        if (delay >= 0
-                && now + delay < flight.usefulUntil
-                && !flight.request.write()
-                && !flight.missed) {
-            flight.hedgeAt = now + Math.max(1, delay);
+        send(now, state, server);
+        long delayNanos = hedging.hedgeDelayNanos();
+        if (delayNanos >= 0
+                && now + delayNanos < state.usefulUntilNanos
+                && !state.request.write()
+                && !state.needsOrigin) {
+            state.hedgeAtNanos = now + Math.max(1, delayNanos);
         }
-        flight.slowAt = now + admission.slowAfter(flight.requestClass);
-        wake(now, flight, Math.min(flight.hedgeAt, flight.slowAt));
+        state.slowAtNanos = now + admission.slowAfterNanos(state.requestClass);
+        setAlarm(now, state, Math.min(state.hedgeAtNanos, state.slowAtNanos));
     }
 
-    private void search(long now, Flight flight) {
+    private void findCandidates(long now, RequestState state) {
         // Requests without a key spread over all hosts.
         long key =
-                flight.request.key() != 0
-                        ? flight.request.key()
-                        : Candidates.mix(flight.request.id());
-        health.panic = false;
-        double nearness = originQuick(flight) ? health.crowd : 1;
-        candidates.find(now, key, nearness);
-        if (candidates.count == 0) {
-            health.panic = true;
-            candidates.find(now, key, nearness);
-        }
-    }
-
-    private Host origin() {
-        Host best = null;
-        for (Host host : health.origins) {
-            if (best == null || host.inFlight < best.inFlight) {
-                best = host;
+                state.request.key() != 0
+                        ? state.request.key()
+                        : RendezvousCandidates.mix(state.request.id());
+        health.ignoresBreakers = false;
+        double localZoneBoost = isOriginFast(state) ? health.balancersPerServer : 1;
+        candidates.find(now, key, localZoneBoost);
+        if (candidates.rankedCount == 0) {
+            health.ignoresBreakers = true;
+            candidates.find(now, key, localZoneBoost);
+        }
+    }
+
+    private TrackedServer leastLoadedOrigin() {
+        TrackedServer best = null;
+        for (TrackedServer server : health.origins) {
+            if (best == null || server.inFlight < best.inFlight) {
+                best = server;
             }
         }
         return best;
     }
 
-    private boolean originQuick(Flight flight) {
-        Host origin = settings.aside() ? origin() : null;
-        return origin != null && origin.latency < flight.requestClass.aim() * QUICK;
+    private boolean isOriginFast(RequestState state) {
+        TrackedServer origin = settings.lookAside() ? leastLoadedOrigin() : null;
+        return origin != null && origin.latencyNanos < state.requestClass.latencyObjectiveNanos() * FAST_FRACTION;
     }
 
-    private void send(long now, Flight flight, Host host) {
-        flight.missed |= health.isOrigin(host);
-        flight.attempts[flight.sent++] = new Attempt(host, now);
-        flight.pending++;
-        health.onSend(now, host);
-        actions.send(flight.request.id(), host.id, flight.usefulUntil);
+    private void send(long now, RequestState state, TrackedServer server) {
+        state.needsOrigin |= health.isOrigin(server);
+        state.attempts[state.attemptCount++] = new Attempt(server, now);
+        state.pendingCount++;
+        health.onAttemptStarted(now, server);
+        actions.send(state.request.id(), server.id, state.usefulUntilNanos);
     }
 
-    private void wake(long now, Flight flight, long at) {
-        flight.alarmAt = at;
-        if (at != NEVER) {
-            alarms.add(new Alarm(at, flight));
+    private void setAlarm(long now, RequestState state, long atNanos) {
+        state.alarmAtNanos = atNanos;
+        if (atNanos != NEVER) {
+            alarms.add(new Alarm(atNanos, state));
         }
         setTimer(now);
     }
 
     private void setTimer(long now) {
-        while (!alarms.isEmpty() && alarms.peek().isVoid()) {
+        while (!alarms.isEmpty() && alarms.peek().isSuperseded()) {
             alarms.poll();
         }
-        if (!alarms.isEmpty() && (timer <= now || alarms.peek().at < timer)) {
-            timer = Math.max(now + 1, alarms.peek().at);
-            actions.wakeAt(timer, TIMER_ALARM);
+        if (!alarms.isEmpty() && (timerAtNanos <= now || alarms.peek().atNanos < timerAtNanos)) {
+            timerAtNanos = Math.max(now + 1, alarms.peek().atNanos);
+            actions.scheduleTimer(timerAtNanos, TIMER_ALARM);
         }
     }
 
     @Override
     public void onTimer(long now, int token) {
-        if (token == TIMER_LIST) {
+        if (token == TIMER_SUBSCRIBE) {
             actions.subscribe();
             return;
         }
-        noticeLateness(now);
-        while (!alarms.isEmpty() && alarms.peek().at <= now) {
+        recordTimerLateness(now);
+        while (!alarms.isEmpty() && alarms.peek().atNanos <= now) {
             Alarm alarm = alarms.poll();
-            if (!alarm.isVoid() && alarm.flight.held) {
-                takeTurn(now, alarm.flight);
-            } else if (!alarm.isVoid()) {
-                lookAgain(now, alarm.flight);
+            if (!alarm.isSuperseded() && alarm.state.isQueued) {
+                startOrKeepWaiting(now, alarm.state);
+            } else if (!alarm.isSuperseded()) {
+                checkOverdue(now, alarm.state);
             }
         }
         setTimer(now);
@@ -375,10 +375,10 @@
      * all copied. Harm: while this balancer is late all the time, a slow fleet shows in rejections
      * alone.
      */
-    private void noticeLateness(long now) {
-        long late = alarms.isEmpty() ? 0 : now - alarms.peek().at;
-        if (late > mostLate) {
-            awareAt = Math.max(awareAt, now + late);
+    private void recordTimerLateness(long now) {
+        long latenessNanos = alarms.isEmpty() ? 0 : now - alarms.peek().atNanos;
+        if (latenessNanos > maxLatenessNanos) {
+            graceUntilNanos = Math.max(graceUntilNanos, now + latenessNanos);
         }
     }
 
@@ -386,109 +386,109 @@
      * A flight is still out: its copy may be due, and an answer that is late already tells of
      * overload.
      */
-    private void lookAgain(long now, Flight flight) {
-        if (now < awareAt) {
-            flight.slowAt = flight.slowAt == NEVER ? NEVER : Math.max(flight.slowAt, awareAt);
-            flight.hedgeAt = flight.hedgeAt == NEVER ? NEVER : Math.max(flight.hedgeAt, awareAt);
+    private void checkOverdue(long now, RequestState state) {
+        if (now < graceUntilNanos) {
+            state.slowAtNanos = state.slowAtNanos == NEVER ? NEVER : Math.max(state.slowAtNanos, graceUntilNanos);
+            state.hedgeAtNanos = state.hedgeAtNanos == NEVER ? NEVER : Math.max(state.hedgeAtNanos, graceUntilNanos);
         }
-        if (now >= flight.slowAt) {
-            flight.slowAt = NEVER;
-            admission.load(now, flight.missed ? 0 : Admission.SLOWNESS);
+        if (now >= state.slowAtNanos) {
+            state.slowAtNanos = NEVER;
+            admission.recordLoadSignal(now, state.needsOrigin ? 0 : AdmissionControl.SLOWNESS_SIGNAL);
         }
-        if (now >= flight.hedgeAt) {
-            flight.hedgeAt = NEVER;
-            hedge(now, flight);
+        if (now >= state.hedgeAtNanos) {
+            state.hedgeAtNanos = NEVER;
+            hedge(now, state);
         }
-        wake(now, flight, Math.min(flight.hedgeAt, flight.slowAt));
+        setAlarm(now, state, Math.min(state.hedgeAtNanos, state.slowAtNanos));
     }
 
-    private void hedge(long now, Flight flight) {
-        if (flight.streaming
-                || flight.missed
-                || flight.pending != 1
-                || flight.sent >= mostAttempts(flight)) {
+    private void hedge(long now, RequestState state) {
+        if (state.isStreaming
+                || state.needsOrigin
+                || state.pendingCount != 1
+                || state.attemptCount >= maxAttempts(state)) {
             return;
         }
-        search(now, flight);
-        Host host = untried(flight, candidates.width);
-        if (host != null
-                && maySend(now, flight, host)
-                && !admission.overloaded()
-                && !fills.failing()
-                && hedging.spend(now)) {
-            send(now, flight, host);
+        findCandidates(now, state);
+        TrackedServer server = firstUntriedCandidate(state, candidates.candidateCount);
+        if (server != null
+                && maySendAnother(now, state, server)
+                && !admission.isOverloaded()
+                && !originFetches.isFailing()
+                && hedging.trySpendRetry(now)) {
+            send(now, state, server);
         }
     }
 
-    private int mostAttempts(Flight flight) {
-        return Math.min(mostAttempts, flight.attempts.length);
+    private int maxAttempts(RequestState state) {
+        return Math.min(maxAttempts, state.attempts.length);
     }
 
-    private Host untried(Flight flight, int width) {
-        for (int i = 0; i < candidates.count && i < width; i++) {
-            Host host = candidates.top[i];
-            if (Arrays.stream(flight.attempts, 0, flight.sent).noneMatch(a -> a.host == host)) {
-                return host;
+    private TrackedServer firstUntriedCandidate(RequestState state, int limit) {
+        for (int i = 0; i < candidates.rankedCount && i < limit; i++) {
+            TrackedServer server = candidates.ranked[i];
+            if (Arrays.stream(state.attempts, 0, state.attemptCount).noneMatch(a -> a.server == server)) {
+                return server;
             }
         }
         return null;
     }
 
     @Override
-    public void onFirstByte(long now, long request, int attempt) {
-        Flight flight = flights.get(request);
-        if (flight != null && !flight.ended) {
-            flight.streaming = true;
-            cancelPending(flight, attempt);
+    public void onFirstByte(long now, long requestId, int attempt) {
+        RequestState state = requestsById.get(requestId);
+        if (state != null && !state.isCompleted) {
+            state.isStreaming = true;
+            cancelPending(state, attempt);
         }
     }
 
     @Override
-    public void onClientGone(long now, long request) {
-        Flight flight = flights.get(request);
-        if (flight != null && !flight.ended) {
-            cancelPending(flight, -1);
-            end(now, flight);
+    public void onClientDisconnect(long now, long requestId) {
+        RequestState state = requestsById.get(requestId);
+        if (state != null && !state.isCompleted) {
+            cancelPending(state, -1);
+            complete(now, state);
         }
     }
 
     @Override
-    public void onOutcome(long now, Outcome outcome) {
-        Flight flight = flights.get(outcome.request());
-        if (flight == null
-                || outcome.attempt() >= flight.sent
-                || !flight.attempts[outcome.attempt()].pending) {
+    public void onAttemptOutcome(long now, Outcome outcome) {
+        RequestState state = requestsById.get(outcome.requestId());
+        if (state == null
+                || outcome.attempt() >= state.attemptCount
+                || !state.attempts[outcome.attempt()].isPending) {
             return;
         }
-        Attempt attempt = flight.attempts[outcome.attempt()];
-        attempt.pending = false;
-        attempt.neverRan = outcome.reason().neverRan;
-        flight.pending--;
-        if (flight.ordered() && outcome.reason().mayRunOn()) {
-            order.rest(now, flight.request.key());
-        }
-        boolean broken = outcome.reason() == Reason.REJECTED && isIdle(outcome.report());
-        boolean suspect = broken || attempt.overtaken && outcome.reason() == Reason.CANCELLED;
-        health.onEnd(now, attempt.host, outcome.reason(), now - attempt.sentAt, suspect);
-        learn(now, flight, attempt, outcome, broken);
-        if (health.connectFailures > HostHealth.CROWDED) {
-            actions.closeIdle(attempt.host.id);
-        }
-        if (flight.ended) {
-            end(now, flight);
-        } else if (outcome.closed()) {
-            if (outcome.reason() == Reason.OK
-                    && !flight.request.write()
-                    && !health.isOrigin(attempt.host)) {
-                hedging.served(now, now - flight.attempts[0].sentAt);
+        Attempt attempt = state.attempts[outcome.attempt()];
+        attempt.isPending = false;
+        attempt.neverRan = outcome.result().neverRan;
+        state.pendingCount--;
+        if (state.isSerialized() && outcome.result().mayStillRun()) {
+            perKeyQueue.quarantine(now, state.request.key());
+        }
+        boolean idleRejection = outcome.result() == Reason.REJECTED && isIdle(outcome.loadReport());
+        boolean suspect = idleRejection || attempt.wasOvertaken && outcome.result() == Reason.CANCELLED;
+        health.onAttemptCompleted(now, attempt.server, outcome.result(), now - attempt.sentAtNanos, suspect);
+        recordOutcome(now, state, attempt, outcome, idleRejection);
+        if (health.connectFailureRate > ServerHealth.MAX_CONNECT_FAILURE_RATE) {
+            actions.closeIdleConnections(attempt.server.id);
+        }
+        if (state.isCompleted) {
+            complete(now, state);
+        } else if (outcome.requestCompleted()) {
+            if (outcome.result() == Reason.OK
+                    && !state.request.write()
+                    && !health.isOrigin(attempt.server)) {
+                hedging.recordLatency(now, now - state.attempts[0].sentAtNanos);
             }
             for (int i = 0; i < outcome.attempt(); i++) {
-                flight.attempts[i].overtaken = flight.attempts[i].pending;
+                state.attempts[i].wasOvertaken = state.attempts[i].isPending;
             }
-            cancelPending(flight, outcome.attempt());
-            end(now, flight);
+            cancelPending(state, outcome.attempt());
+            complete(now, state);
         } else {
-            goOn(now, flight, outcome.reason(), broken);
+            retryOrFinish(now, state, outcome.result(), idleRejection);
         }
     }
 
@@ -497,9 +497,9 @@
      * for reasons of their own: taken for a sign of load, that has most requests shed while others
      * stand idle.
      */
-    private boolean isIdle(float[] report) {
-        int busy = settings.report().busy();
-        return busy >= 0 && busy < report.length && report[busy] < IDLE;
+    private boolean isIdle(float[] loadReport) {
+        int index = settings.loadReportLayout().utilization();
+        return index >= 0 && index < loadReport.length && loadReport[index] < IDLE_UTILIZATION;
     }
 
     /**
@@ -508,37 +508,37 @@
      * meanwhile, and sheds nearly all. Harm: where hosts report only in spare time, overload shows
      * in slow answers alone.
      */
-    private boolean isUnexplained(float[] report) {
-        reportsCome |= report.length > 0;
-        return reportsCome && report.length == 0;
+    private boolean lacksExpectedLoadReport(float[] loadReport) {
+        hasSeenLoadReports |= loadReport.length > 0;
+        return hasSeenLoadReports && loadReport.length == 0;
     }
 
-    private void learn(long now, Flight flight, Attempt attempt, Outcome outcome, boolean broken) {
-        Reason reason = outcome.reason();
-        long took = now - attempt.sentAt;
-        if (flight.ordered() && !reason.neverRan) {
-            admission.writeTook(took);
+    private void recordOutcome(long now, RequestState state, Attempt attempt, Outcome outcome, boolean idleRejection) {
+        Reason reason = outcome.result();
+        long durationNanos = now - attempt.sentAtNanos;
+        if (state.isSerialized() && !reason.neverRan) {
+            admission.recordWriteDuration(durationNanos);
         }
-        boolean quick = took < admission.slowAfter(flight.requestClass);
-        boolean full = !isUnexplained(outcome.report()) && reason == Reason.REJECTED && !broken;
-        if (!health.isOrigin(attempt.host) && (full || quick && reason.answered())) {
+        boolean isFast = durationNanos < admission.slowAfterNanos(state.requestClass);
+        boolean isFull = !lacksExpectedLoadReport(outcome.loadReport()) && reason == Reason.REJECTED && !idleRejection;
+        if (!health.isOrigin(attempt.server) && (isFull || isFast && reason.answered())) {
             // A full cache while the origin has room tells of a hot key, not of a full fleet.
-            double sign = originQuick(flight) ? Admission.SLOWNESS : Admission.REJECTION;
-            admission.load(now, reason.answered() ? 1 : sign);
+            double loadSignal = isOriginFast(state) ? AdmissionControl.SLOWNESS_SIGNAL : AdmissionControl.REJECTION_SIGNAL;
+            admission.recordLoadSignal(now, reason.answered() ? 1 : loadSignal);
         }
         boolean failed = reason != Reason.OK;
         boolean late =
-                took > flight.requestClass.aim() || outcome.source() == Source.CACHE && !quick;
-        long key = flight.request.key();
-        if (health.isOrigin(attempt.host) && reason != Reason.CANCELLED) {
+                durationNanos > state.requestClass.latencyObjectiveNanos() || outcome.source() == Source.CACHE && !isFast;
+        long key = state.request.key();
+        if (health.isOrigin(attempt.server) && reason != Reason.CANCELLED) {
             // Late counts as failed: guards against a queue that makes every fetch late.
-            fills.ended(failed || late ? Fills.FAILED : Fills.DONE);
-        } else if (!settings.aside()
+            originFetches.scaleAdmittedFraction(failed || late ? OriginFetchLimiter.FAILURE_FACTOR : OriginFetchLimiter.SUCCESS_FACTOR);
+        } else if (!settings.lookAside()
                 && (reason == Reason.ERROR || !failed)) { // a time-out tells nothing
-            if (flight.request.write()) {
-                fills.writeEnded(key, failed);
+            if (state.request.write()) {
+                originFetches.onWriteCompleted(key, failed);
             } else {
-                fills.readEnded(now, key, attempt.host, failed, outcome.source(), late);
+                originFetches.onReadCompleted(now, key, attempt.server, failed, outcome.source(), late);
             }
         }
     }
@@ -547,109 +547,109 @@
      * An attempt ended without an answer: wait for another one, try again, or give the final
      * answer.
      */
-    private void goOn(long now, Flight flight, Reason reason, boolean broken) {
-        flight.missed |= reason == Reason.MISS;
-        if (flight.pending > 0) {
+    private void retryOrFinish(long now, RequestState state, Reason reason, boolean idleRejection) {
+        state.needsOrigin |= reason == Reason.MISS;
+        if (state.pendingCount > 0) {
             return;
         }
-        if (now < flight.usefulUntil
-                && flight.sent < mostAttempts(flight)
-                && reason != Reason.MOOT) {
-            Host host = next(now, flight, reason);
+        if (now < state.usefulUntilNanos
+                && state.attemptCount < maxAttempts(state)
+                && reason != Reason.SUPERSEDED) {
+            TrackedServer server = chooseRetryServer(now, state, reason);
             // The first send after one that reached nobody is no further load, unless there is too
             // much.
-            boolean unmet =
-                    reason == Reason.CONNECT_FAILED && flight.sent == 1 && !admission.overloaded();
-            if (host != null
-                    && maySend(now, flight, host)
+            boolean unreached =
+                    reason == Reason.CONNECT_FAILED && state.attemptCount == 1 && !admission.isOverloaded();
+            if (server != null
+                    && maySendAnother(now, state, server)
                     && (reason == Reason.MISS
-                            || (broken || unmet) && settings.budget() == null
-                            || hedging.spend(now))) {
-                send(now, flight, host);
+                            || (idleRejection || unreached) && settings.retryBudget() == null
+                            || hedging.trySpendRetry(now))) {
+                send(now, state, server);
                 return;
             }
         }
-        finish(now, flight);
+        rejectOrFail(now, state);
     }
 
-    private Host next(long now, Flight flight, Reason reason) {
+    private TrackedServer chooseRetryServer(long now, RequestState state, Reason reason) {
         // Guards against a hot key's hosts passing it round among them, full, while the origin has
         // room.
-        boolean full = reason == Reason.REJECTED && originQuick(flight);
-        if (settings.aside() && (flight.missed || flight.request.write() || full)) {
-            return flight.request.write() || fills.admits(false, health.nextUnit())
-                    ? origin()
+        boolean isFull = reason == Reason.REJECTED && isOriginFast(state);
+        if (settings.lookAside() && (state.needsOrigin || state.request.write() || isFull)) {
+            return state.request.write() || originFetches.admits(false, health.nextUniform())
+                    ? leastLoadedOrigin()
                     : null;
         }
-        search(now, flight);
-        Host host = untried(flight, candidates.count);
-        return host == null && settings.aside() ? origin() : host;
+        findCandidates(now, state);
+        TrackedServer server = firstUntriedCandidate(state, candidates.rankedCount);
+        return server == null && settings.lookAside() ? leastLoadedOrigin() : server;
     }
 
     /** The second rule: whether a further send can cause no second effect. */
-    private boolean maySend(long now, Flight flight, Host host) {
-        if (flight.pending > 0 && !settings.mayDuplicate()) {
+    private boolean maySendAnother(long now, RequestState state, TrackedServer server) {
+        if (state.pendingCount > 0 && !settings.hedgingAllowed()) {
             return false;
         }
-        Attempt first = flight.mayHaveRun();
+        Attempt first = state.firstPossiblyExecuted();
         return first == null
-                || mayRepeat(now, flight.requestClass, first, host)
-                        && mayRepeat(now, classNow(flight), first, host);
+                || mayRetry(now, state.requestClass, first, server)
+                        && mayRetry(now, currentClass(state), first, server);
     }
 
-    private RequestClass classNow(Flight flight) {
-        return settings.classes().get(flight.request.requestClass());
+    private RequestClass currentClass(RequestState state) {
+        return settings.classes().get(state.request.requestClass());
     }
 
-    private boolean mayRepeat(long now, RequestClass c, Attempt first, Host host) {
-        return c.effect() == Effect.RETRYABLE
-                || c.effect() == Effect.DEDUP
-                        && now + settings.connectTimeout() - first.sentAt
-                                <= c.window() * WINDOW_SAFETY
-                        && (c.group() != Group.ZONE || first.host.zone == host.zone)
-                        && (c.group() != Group.CELL || first.host.cell == host.cell);
+    private boolean mayRetry(long now, RequestClass requestClass, Attempt first, TrackedServer server) {
+        return requestClass.idempotency() == Effect.IDEMPOTENT
+                || requestClass.idempotency() == Effect.IDEMPOTENCY_KEY
+                        && now + settings.connectTimeoutNanos() - first.sentAtNanos
+                                <= requestClass.deduplicationWindowNanos() * WINDOW_SAFETY
+                        && (requestClass.deduplicationScope() != Group.ZONE || first.server.zone == server.zone)
+                        && (requestClass.deduplicationScope() != Group.CELL || first.server.cell == server.cell);
     }
 
     /** The second rule: a refusal promises that a client's retry does no harm. */
-    private boolean mayRefuse(Flight flight) {
-        return flight.mayHaveRun() == null
-                || isRepeatable(flight.requestClass) && isRepeatable(classNow(flight));
+    private boolean mayReject(RequestState state) {
+        return state.firstPossiblyExecuted() == null
+                || isSafeForClientRetry(state.requestClass) && isSafeForClientRetry(currentClass(state));
     }
 
-    private static boolean isRepeatable(RequestClass c) {
-        return c.effect() == Effect.RETRYABLE
-                || c.effect() == Effect.DEDUP && c.group() == Group.ALL;
+    private static boolean isSafeForClientRetry(RequestClass requestClass) {
+        return requestClass.idempotency() == Effect.IDEMPOTENT
+                || requestClass.idempotency() == Effect.IDEMPOTENCY_KEY && requestClass.deduplicationScope() == Group.ALL;
     }
 
-    private void finish(long now, Flight flight) {
-        if (mayRefuse(flight)) {
-            actions.refuse(
-                    flight.request.id(), now >= flight.usefulUntil ? settings.maxRetryAfter() : 0);
+    private void rejectOrFail(long now, RequestState state) {
+        if (mayReject(state)) {
+            actions.reject(
+                    state.request.id(), now >= state.usefulUntilNanos ? settings.maxRetryAfterNanos() : 0);
         } else {
-            actions.fail(flight.request.id());
+            actions.fail(state.request.id());
         }
-        cancelPending(flight, -1);
-        end(now, flight);
+        cancelPending(state, -1);
+        complete(now, state);
     }
 
-    private void cancelPending(Flight flight, int except) {
-        for (int i = 0; i < flight.sent && settings.mayCancel(); i++) {
-            if (flight.attempts[i].pending && i != except) {
-                actions.cancel(flight.request.id(), i);
+    private void cancelPending(RequestState state, int exceptAttempt) {
+        for (int i = 0; i < state.attemptCount && settings.cancellationAllowed(); i++) {
+            if (state.attempts[i].isPending && i != exceptAttempt) {
+                actions.cancel(state.request.id(), i);
             }
         }
     }
 
     /** Forgets a request once its last attempt has been reported. */
-    private void end(long now, Flight flight) {
-        flight.ended = true;
-        if (flight.pending > 0) {
+    private void complete(long now, RequestState state) {
+        state.isCompleted = true;
+        if (state.pendingCount > 0) {
             return;
         }
-        flights.remove(flight.request.id());
-        Flight next = flight.ordered() ? order.leave(flight.request.key(), flight) : null;
-        if (next != null && next.held) {
-            takeTurn(now, next);
+        requestsById.remove(state.request.id());
+        RequestState nextRequest = state.isSerialized() ? perKeyQueue.remove(state.request.key(), state) : null;
+        if (nextRequest != null && nextRequest.isQueued) {
+            startOrKeepWaiting(now, nextRequest);
         }
     }
 }
--- a/policy/src/main/java/frostrelay/policy/tally/HotKeys.java
+++ b/policy/src/main/java/frostrelay/policy/tally/HotKeys.java
@@ -8,18 +8,18 @@
     private static final int SLOTS = 256;
 
     /** Requests, or time, after which all counts are halved, and the least that tell a share. */
-    private static final int WINDOW = 256;
+    private static final int MAX_COUNTED = 256;
 
-    private static final long WINDOW_NS = 5_000_000_000L;
-    private static final int LEAST = 16;
+    private static final long WINDOW_NANOS = 5_000_000_000L;
+    private static final int MIN_COUNTED = 16;
 
     private final long[] keys = new long[SLOTS];
     private final int[] counts = new int[SLOTS];
-    private int counted;
-    private long halved;
+    private int arrivalCount;
+    private long halvedAtNanos;
 
     /** An arrival for the key; {@code hash}: of the key, spread over all bits. */
-    public void count(long now, long key, long hash) {
+    public void recordArrival(long now, long key, long hash) {
         int slot = slot(hash);
         if (keys[slot] == key) {
             counts[slot]++;
@@ -27,9 +27,9 @@
             keys[slot] = key;
             counts[slot] = 1;
         }
-        if (++counted >= WINDOW || now - halved > WINDOW_NS && counted > LEAST) {
-            halved = now;
-            counted /= 2;
+        if (++arrivalCount >= MAX_COUNTED || now - halvedAtNanos > WINDOW_NANOS && arrivalCount > MIN_COUNTED) {
+            halvedAtNanos = now;
+            arrivalCount /= 2;
             for (int i = 0; i < SLOTS; i++) {
                 counts[i] /= 2;
             }
@@ -40,9 +40,9 @@
      * The key's part of all arrivals lately, a little less for chance; 0 while too few tell, or
      * others hold its slot.
      */
-    public double share(long key, long hash) {
+    public double trafficFraction(long key, long hash) {
         int slot = slot(hash);
-        return keys[slot] != key || counted < LEAST ? 0 : (counts[slot] - 2.0) / counted;
+        return keys[slot] != key || arrivalCount < MIN_COUNTED ? 0 : (counts[slot] - 2.0) / arrivalCount;
     }
 
     private static int slot(long hash) {
--- a/policy/src/main/java/frostrelay/settings/SettingsParser.java
+++ b/policy/src/main/java/frostrelay/settings/SettingsParser.java
@@ -14,16 +14,16 @@
  * is safe: the strictest effect, no copies, no cancelling, one attempt, the slowest warm-up.
  */
 public final class SettingsParser {
-    private static final long SECOND = 1_000_000_000L;
-    private static final long DEFAULT_DEADLINE = SECOND;
-    private static final double DEFAULT_COLD = 0.1;
-    private static final double DEFAULT_TIP = 2;
-    private static final long DEFAULT_QUIET = SECOND;
-    private static final long DEFAULT_CONNECT = SECOND / 4;
-    private static final long DEFAULT_SPAN = 10 * SECOND;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long DEFAULT_DEADLINE_NANOS = NANOS_PER_SECOND;
+    private static final double DEFAULT_SLOW_START_FRACTION = 0.1;
+    private static final double DEFAULT_OVERLOAD_MULTIPLE = 2;
+    private static final long DEFAULT_KEY_IDLE_NANOS = NANOS_PER_SECOND;
+    private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = NANOS_PER_SECOND / 4;
+    private static final long DEFAULT_RETRY_BUDGET_SPAN_NANOS = 10 * NANOS_PER_SECOND;
 
     /** More items than this in a list are taken for a damaged message. */
-    private static final int MOST_ITEMS = 10_000;
+    private static final int MAX_ITEMS = 10_000;
 
     private final Map<String, String> values = new HashMap<>();
 
@@ -38,123 +38,123 @@
 
     /** Both sides read their settings here, so that the same text means the same to them. */
     public static Api.Settings parse(String text) {
-        return new SettingsParser(text).settings();
+        return new SettingsParser(text).parseSettings();
     }
 
-    private Api.Settings settings() {
+    private Api.Settings parseSettings() {
         List<Api.RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < count("categories.count"); i++) {
-            classes.add(requestClass("categories." + i + "."));
+        for (int i = 0; i < readCount("categories.count"); i++) {
+            classes.add(parseRequestClass("categories." + i + "."));
         }
         List<Api.Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < count("tenants.count"); i++) {
+        for (int i = 0; i < readCount("tenants.count"); i++) {
             tenants.add(
                     new Api.Tenant(
-                            real("tenants." + i + ".allowance-per-s", 0),
-                            real("tenants." + i + ".fraction", 1)));
+                            readDouble("tenants." + i + ".allowance-per-s", 0),
+                            readDouble("tenants." + i + ".fraction", 1)));
         }
-        List<String> fields = Arrays.asList(text("load-report.fields", "").split(","));
+        List<String> loadReportFields = Arrays.asList(readText("load-report.fields", "").split(","));
         return new Api.Settings(
                 List.copyOf(classes),
                 List.copyOf(tenants),
-                (int) whole("my-zone", 0),
-                (int) whole("rank", 0),
-                (int) Math.max(1, whole("n-instances", 1)),
-                text("family-info.mode", "through").equals("aside"),
-                (int) whole("family-info.origin-kind", -1),
-                text("discovery", "automatic").equals("subscribe"),
-                (int) whole("ceilings.max-attempts", 1),
-                flag("ceilings.may-duplicate"),
-                flag("ceilings.cancelling"),
-                whole("ceilings.connect-timeout-ns", DEFAULT_CONNECT),
-                flag("ceilings.retry-after"),
-                whole("ceilings.max-retry-after-ns", 0),
-                whole("guarantees.stop-sending-within-ns", 0),
-                whole("guarantees.ask-within-ns", 10 * SECOND),
-                real("guarantees.cold-from", DEFAULT_COLD),
-                whole("guarantees.warm-within-ns", 30 * SECOND),
-                real("guarantees.tip-multiple", DEFAULT_TIP),
-                Math.max(1, whole("guarantees.fall-ns", SECOND)),
-                real("over-share-worth", 1),
-                whole("guarantees.key-quiet-ns", DEFAULT_QUIET),
-                budget(),
+                (int) readLong("my-zone", 0),
+                (int) readLong("rank", 0),
+                (int) Math.max(1, readLong("n-instances", 1)),
+                readText("family-info.mode", "through").equals("aside"),
+                (int) readLong("family-info.origin-kind", -1),
+                readText("discovery", "automatic").equals("subscribe"),
+                (int) readLong("ceilings.max-attempts", 1),
+                readBoolean("ceilings.may-duplicate"),
+                readBoolean("ceilings.cancelling"),
+                readLong("ceilings.connect-timeout-ns", DEFAULT_CONNECT_TIMEOUT_NANOS),
+                readBoolean("ceilings.retry-after"),
+                readLong("ceilings.max-retry-after-ns", 0),
+                readLong("guarantees.stop-sending-within-ns", 0),
+                readLong("guarantees.ask-within-ns", 10 * NANOS_PER_SECOND),
+                readDouble("guarantees.cold-from", DEFAULT_SLOW_START_FRACTION),
+                readLong("guarantees.warm-within-ns", 30 * NANOS_PER_SECOND),
+                readDouble("guarantees.tip-multiple", DEFAULT_OVERLOAD_MULTIPLE),
+                Math.max(1, readLong("guarantees.fall-ns", NANOS_PER_SECOND)),
+                readDouble("over-share-worth", 1),
+                readLong("guarantees.key-quiet-ns", DEFAULT_KEY_IDLE_NANOS),
+                parseRetryBudget(),
                 new Api.ReportLayout(
-                        fields.indexOf("rif"), fields.indexOf("q"), fields.indexOf("busy")));
+                        loadReportFields.indexOf("rif"), loadReportFields.indexOf("q"), loadReportFields.indexOf("busy")));
     }
 
-    private Api.RequestClass requestClass(String at) {
-        long deadline = whole(at + "deadline-ns", DEFAULT_DEADLINE);
-        Api.Effect effect =
-                switch (text(at + "effect", "fragile")) {
-                    case "retryable" -> Api.Effect.RETRYABLE;
-                    case "dedup" -> Api.Effect.DEDUP;
-                    default -> Api.Effect.FRAGILE;
+    private Api.RequestClass parseRequestClass(String prefix) {
+        long deadlineNanos = readLong(prefix + "deadline-ns", DEFAULT_DEADLINE_NANOS);
+        Api.Effect idempotency =
+                switch (readText(prefix + "effect", "fragile")) {
+                    case "retryable" -> Api.Effect.IDEMPOTENT;
+                    case "dedup" -> Api.Effect.IDEMPOTENCY_KEY;
+                    default -> Api.Effect.NOT_IDEMPOTENT;
                 };
-        Api.Group group =
-                switch (text(at + "group", "cell").toLowerCase(Locale.ROOT)) {
+        Api.Group deduplicationScope =
+                switch (readText(prefix + "group", "cell").toLowerCase(Locale.ROOT)) {
                     case "all" -> Api.Group.ALL;
                     case "zone" -> Api.Group.ZONE;
                     default -> Api.Group.CELL;
                 };
         return new Api.RequestClass(
-                Math.max(1, whole(at + "goal-time-ns", deadline)),
-                real(at + "aim-stretch", 0),
-                deadline,
-                real(at + "worth", 1),
-                real(at + "late-worth", 0),
-                effect,
-                group,
-                whole(at + "window-ns", 0),
-                flag(at + "stream"),
-                flag(at + "serial-by-key"));
+                Math.max(1, readLong(prefix + "goal-time-ns", deadlineNanos)),
+                readDouble(prefix + "aim-stretch", 0),
+                deadlineNanos,
+                readDouble(prefix + "worth", 1),
+                readDouble(prefix + "late-worth", 0),
+                idempotency,
+                deduplicationScope,
+                readLong(prefix + "window-ns", 0),
+                readBoolean(prefix + "stream"),
+                readBoolean(prefix + "serial-by-key"));
     }
 
     /**
      * There is a budget as soon as one of its settings is named; what is left out of it allows
      * nothing.
      */
-    private Api.Budget budget() {
-        boolean stated =
+    private Api.Budget parseRetryBudget() {
+        boolean isConfigured =
                 values.containsKey("guarantees.budget-free")
                         || values.containsKey("guarantees.repeat-ratio")
                         || values.containsKey("guarantees.resend-span-ns");
-        return stated
+        return isConfigured
                 ? new Api.Budget(
-                        real("guarantees.budget-free", 0),
-                        real("guarantees.repeat-ratio", 0),
-                        whole("guarantees.resend-span-ns", DEFAULT_SPAN))
+                        readDouble("guarantees.budget-free", 0),
+                        readDouble("guarantees.repeat-ratio", 0),
+                        readLong("guarantees.resend-span-ns", DEFAULT_RETRY_BUDGET_SPAN_NANOS))
                 : null;
     }
 
-    private int count(String key) {
-        long n = whole(key, 0);
-        if (n < 0 || n > MOST_ITEMS) {
-            throw new SettingsException("setting " + key + " has an impossible value: " + n);
+    private int readCount(String key) {
+        long size = readLong(key, 0);
+        if (size < 0 || size > MAX_ITEMS) {
+            throw new SettingsException("setting " + key + " has an impossible value: " + size);
         }
-        return (int) n;
+        return (int) size;
     }
 
-    private String text(String key, String otherwise) {
-        return values.getOrDefault(key, otherwise);
+    private String readText(String key, String defaultValue) {
+        return values.getOrDefault(key, defaultValue);
     }
 
-    private boolean flag(String key) {
-        return text(key, "false").equals("true");
+    private boolean readBoolean(String key) {
+        return readText(key, "false").equals("true");
     }
 
-    private long whole(String key, long otherwise) {
+    private long readLong(String key, long defaultValue) {
         String value = values.get(key);
         try {
-            return value == null || value.isEmpty() ? otherwise : Long.parseLong(value);
+            return value == null || value.isEmpty() ? defaultValue : Long.parseLong(value);
         } catch (NumberFormatException e) {
-            return (long) real(key, otherwise);
+            return (long) readDouble(key, defaultValue);
         }
     }
 
-    private double real(String key, double otherwise) {
+    private double readDouble(String key, double defaultValue) {
         String value = values.get(key);
         if (value == null || value.isEmpty()) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             double number = Double.parseDouble(value);
--- a/policy/src/test/java/frostrelay/policy/EmbeddingExample.java
+++ b/policy/src/test/java/frostrelay/policy/EmbeddingExample.java
@@ -14,7 +14,7 @@
         Api.Actions actions =
                 new Api.Actions() {
                     @Override
-                    public void send(long request, long server, long cutAt) {
+                    public void send(long request, long server, long abandonAtNanos) {
                         sentTo.add(server); // start the attempt on your own connections
                     }
 
@@ -22,29 +22,29 @@
                     public void cancel(long request, int attempt) {}
 
                     @Override
-                    public void refuse(long request, long retryAfter) {}
+                    public void reject(long request, long retryAfterNanos) {}
 
                     @Override
                     public void fail(long request) {}
 
                     @Override
-                    public void wakeAt(long moment, int token) {}
+                    public void scheduleTimer(long atNanos, int token) {}
 
                     @Override
-                    public void closeIdle(long server) {}
+                    public void closeIdleConnections(long server) {}
 
                     @Override
                     public void subscribe() {}
                 };
-        long ms = 1_000_000L;
+        long nanosPerMilli = 1_000_000L;
         Api.RequestClass read =
                 new Api.RequestClass(
-                        300 * ms,
+                        300 * nanosPerMilli,
                         0,
-                        600 * ms,
+                        600 * nanosPerMilli,
                         1,
                         0,
-                        Api.Effect.RETRYABLE,
+                        Api.Effect.IDEMPOTENT,
                         Api.Group.ALL,
                         0,
                         false,
@@ -62,33 +62,33 @@
                         3,
                         true,
                         true,
-                        250 * ms,
+                        250 * nanosPerMilli,
                         false,
                         0,
-                        250 * ms,
-                        10_000 * ms,
+                        250 * nanosPerMilli,
+                        10_000 * nanosPerMilli,
                         0.2,
-                        20_000 * ms,
+                        20_000 * nanosPerMilli,
                         4,
-                        1_000 * ms,
+                        1_000 * nanosPerMilli,
                         1,
                         0,
                         null,
                         new Api.ReportLayout(-1, -1, -1));
         Router router = new Router(settings, 42, actions);
-        long now = 1_000 * ms;
-        router.onList(
+        long now = 1_000 * nanosPerMilli;
+        router.onEndpointUpdate(
                 now,
                 Api.ListMode.FULL,
                 List.of(
                         new Api.Server(1, 0, 0, 0, Api.State.READY, 1, 0),
                         new Api.Server(2, 0, 0, 0, Api.State.READY, 1, 0)));
-        router.onRequest(now, new Api.Request(7, 0, 0, 99, now + 600 * ms, 0, false, false));
-        now += 20 * ms;
-        router.onOutcome(
+        router.onRequest(now, new Api.Request(7, 0, 0, 99, now + 600 * nanosPerMilli, 0, false, false));
+        now += 20 * nanosPerMilli;
+        router.onAttemptOutcome(
                 now,
                 new Api.Outcome(
-                        7, 0, Api.Reason.OK, 20 * ms, true, Api.Source.UNKNOWN, new float[0]));
+                        7, 0, Api.Reason.OK, 20 * nanosPerMilli, true, Api.Source.UNKNOWN, new float[0]));
         return sentTo.remove();
     }
 }
--- /dev/null
+++ b/policy/src/test/java/frostrelay/policy/OriginFetchLimiterTest.java
@@ -0,0 +1,161 @@
+package frostrelay.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** What a failing origin lets through. */
+class OriginFetchLimiterTest {
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+
+    private static double admittedFraction(OriginFetchLimiter limiter) {
+        int admitted = 0;
+        for (int i = 0; i < 1_000; i++) {
+            admitted += limiter.admits(false, i / 1_000.0) ? 1 : 0;
+        }
+        return admitted / 1_000.0;
+    }
+
+    private static ServerHealth.TrackedServer server(int number) {
+        return new ServerHealth.TrackedServer(number);
+    }
+
+    /** As a process that has read for a while: a new one lets reads through whatever it knows. */
+    private static OriginFetchLimiter limiterWithHistory() {
+        OriginFetchLimiter limiter = new OriginFetchLimiter();
+        for (int key = 1; key <= 1_000; key++) {
+            limiter.onReadCompleted(0, 1_000_000 + key, server(0), false, Api.Source.UNKNOWN, false);
+        }
+        return limiter;
+    }
+
+    @Test
+    void failuresAtManyServersCloseItToAMinimumAndSuccessesReopenIt() {
+        OriginFetchLimiter limiter = limiterWithHistory();
+        assertFalse(limiter.isFailing());
+        for (int i = 1; i <= 50; i++) {
+            limiter.onReadCompleted(i, i, server(i), true, Api.Source.UNKNOWN, false);
+        }
+        assertTrue(limiter.isFailing());
+        assertEquals(
+                0.1,
+                admittedFraction(limiter),
+                0.002,
+                "never shut: else nothing would tell that it is well again");
+        assertTrue(limiter.admits(true, 0.3), "writes go last");
+        for (int key = 100; key < 125; key++) {
+            limiter.onReadCompleted(key, key, server(key), false, Api.Source.UNKNOWN, false);
+        }
+        assertFalse(limiter.isFailing());
+    }
+
+    /** Failed reads at one host had a third of the writes that came next turned away. */
+    @Test
+    void oneServersFailureRejectsNothing() {
+        OriginFetchLimiter limiter = limiterWithHistory();
+        limiter.onReadCompleted(1, 1, server(1), true, Api.Source.UNKNOWN, false);
+        assertTrue(limiter.admits(true, 0.999));
+        limiter.onReadCompleted(2, 2, server(2), true, Api.Source.UNKNOWN, false);
+        assertFalse(limiter.admits(true, 0.999), "a second host's does");
+    }
+
+    @Test
+    void oneServerThatAlwaysFailsClosesNothing() {
+        OriginFetchLimiter limiter = limiterWithHistory();
+        ServerHealth.TrackedServer failingServer = server(1);
+        for (int i = 0; i < 2_000; i++) {
+            limiter.onReadCompleted(i * NANOS_PER_SECOND / 50, 7 + i, failingServer, true, Api.Source.UNKNOWN, false);
+            limiter.onReadCompleted(
+                    i * NANOS_PER_SECOND / 50 + 1, 10_000 + i, server(2), false, Api.Source.UNKNOWN, false);
+            assertTrue(limiter.admits(false, 0.999), "at " + i);
+        }
+    }
+
+    @Test
+    void cachedKeysTellNothingOfTheOrigin() {
+        OriginFetchLimiter limiter = limiterWithHistory();
+        for (int i = 0; i < 3; i++) {
+            limiter.onReadCompleted(i, 50_001, server(i), true, Api.Source.UNKNOWN, false);
+        }
+        limiter.onReadCompleted(3, 50_001, server(0), false, Api.Source.UNKNOWN, false);
+        double before = admittedFraction(limiter);
+        for (int i = 0; i < 100; i++) {
+            limiter.onReadCompleted(1_000 + i, 50_001, server(0), false, Api.Source.UNKNOWN, false);
+        }
+        assertEquals(before, admittedFraction(limiter), "one key, held since its last answer");
+        assertTrue(limiter.mayBeCached(2_000, 50_001));
+        assertFalse(limiter.mayBeCached(60 * NANOS_PER_SECOND, 50_001), "copies do not last");
+        limiter.onWriteCompleted(50_001, false);
+        assertFalse(limiter.mayBeCached(2_000, 50_001), "a write makes copies void");
+        assertFalse(limiter.mayBeCached(2_000, 0), "no key is no kept key");
+    }
+
+    private static OriginFetchLimiter limiterAfterReads(Api.Source source, boolean slowHits) {
+        OriginFetchLimiter limiter = limiterWithHistory();
+        ServerHealth.TrackedServer server = server(1);
+        for (int key = 1; key <= 200; key++) {
+            limiter.onReadCompleted(key, 50_001, server, false, Api.Source.CACHE, slowHits && key % 4 == 0);
+        }
+        for (int key = 1; key <= 50; key++) {
+            limiter.onReadCompleted(1_000 + key, key, server, false, source, true);
+        }
+        return limiter;
+    }
+
+    /**
+     * With 200 caches nothing failed, and every fetch came too late: the queue at the origin never
+     * went.
+     */
+    @Test
+    void lateFetchesTellOfTheOriginWhereHitsAreInTimeAndCachesReportTheSource() {
+        OriginFetchLimiter limiter = limiterAfterReads(Api.Source.ORIGIN, false);
+        assertEquals(0.1, admittedFraction(limiter), 0.002);
+        for (int key = 1; key <= 25; key++) {
+            limiter.onReadCompleted(2_000 + key, 60_000 + key, server(1), false, Api.Source.ORIGIN, false);
+        }
+        assertEquals(1, admittedFraction(limiter), "fills in time open it");
+        assertEquals(
+                1,
+                admittedFraction(limiterAfterReads(Api.Source.ORIGIN, true)),
+                "a cache that is slow with hits as well");
+        assertEquals(1, admittedFraction(limiterAfterReads(Api.Source.CACHE, false)), "late hits are no fills");
+        assertEquals(1, admittedFraction(limiterAfterReads(Api.Source.UNKNOWN, false)), "caches that do not tell");
+    }
+
+    /**
+     * With the whole module: while fills fail, a read of a kept key is sent on and others are
+     * refused for the most part.
+     */
+    @Test
+    void whileOriginFetchesFailCachedKeysAreServedAndOthersMostlyRejected() {
+        PolicyTestFixture fixture = new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder()).servers(8);
+        long id = 0;
+        for (int key = 1; key <= 1_000; key++) {
+            fixture.request(++id, PolicyTestFixture.READ, 1 + key % 40);
+            fixture.outcome(id, 0, Api.Reason.OK);
+        }
+        for (int key = 1_000; key < 1_060; key++) {
+            fixture.request(++id, PolicyTestFixture.READ, key);
+            for (int attempt = 0; attempt < 2 && !fixture.isRejected(id); attempt++) {
+                fixture.outcome(id, attempt, Api.Reason.ERROR);
+            }
+        }
+        int cachedSends = 0;
+        int uncachedSends = 0;
+        for (int key = 1; key <= 40; key++) {
+            int before = fixture.sends.size();
+            fixture.request(++id, PolicyTestFixture.READ, key);
+            cachedSends += fixture.sends.size() - before;
+            before = fixture.sends.size();
+            fixture.request(++id, PolicyTestFixture.READ, 5_000 + key);
+            uncachedSends += fixture.sends.size() - before;
+        }
+        assertTrue(
+                cachedSends >= 38,
+                "keys that some cache holds, but for a place in the table taken by another: "
+                        + cachedSends);
+        assertTrue(uncachedSends < 20, "sent " + uncachedSends + " of 40");
+    }
+}
--- a/policy/src/test/java/frostrelay/policy/Bed.java
+++ b/policy/src/test/java/frostrelay/policy/PolicyTestFixture.java
@@ -5,43 +5,43 @@
 import java.util.Objects;
 
 /** A test bed: a router with a set clock, recorded actions and short ways to say events. */
-final class Bed implements Api.Actions {
-    static final long MS = 1_000_000L;
+final class PolicyTestFixture implements Api.Actions {
+    static final long NANOS_PER_MILLI = 1_000_000L;
     static final int READ = 0;
-    static final int KEYED = 1;
-    static final int UNSAFE = 2;
+    static final int KEYED_WRITE = 1;
+    static final int UNSAFE_WRITE = 2;
     static final long NO_LIMIT = 0;
 
-    record Sent(long request, int attempt, long server, long cutAt, long at) {}
+    record Sent(long request, int attempt, long server, long abandonAtNanos, long sentAtNanos) {}
 
-    record Refused(long request, long retryAfter) {}
+    record Rejection(long request, long retryAfterNanos) {}
 
-    record Wake(long moment, int token) {}
+    record ScheduledTimer(long atNanos, int token) {}
 
     final List<Sent> sends = new ArrayList<>();
     final List<String> cancels = new ArrayList<>();
-    final List<Refused> refusals = new ArrayList<>();
+    final List<Rejection> rejections = new ArrayList<>();
     final List<Long> failures = new ArrayList<>();
-    final List<Long> closed = new ArrayList<>();
-    final List<Wake> wakes = new ArrayList<>();
+    final List<Long> closedIdleServers = new ArrayList<>();
+    final List<ScheduledTimer> timers = new ArrayList<>();
     int subscriptions;
-    long now = 1_000_000 * MS;
+    long now = 1_000_000 * NANOS_PER_MILLI;
     final Api.Settings settings;
     final Router router;
 
-    Bed(SettingsBuilder builder) {
+    PolicyTestFixture(SettingsBuilder builder) {
         this(builder, 7);
     }
 
-    Bed(SettingsBuilder builder, long seed) {
+    PolicyTestFixture(SettingsBuilder builder, long seed) {
         settings = builder.build();
         router = new Router(settings, seed, this);
     }
 
     @Override
-    public void send(long request, long server, long cutAt) {
+    public void send(long request, long server, long abandonAtNanos) {
         int attempt = (int) sends.stream().filter(s -> s.request == request).count();
-        sends.add(new Sent(request, attempt, server, cutAt, now));
+        sends.add(new Sent(request, attempt, server, abandonAtNanos, now));
     }
 
     @Override
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public void refuse(long request, long retryAfter) {
-        refusals.add(new Refused(request, retryAfter));
+    public void reject(long request, long retryAfterNanos) {
+        rejections.add(new Rejection(request, retryAfterNanos));
     }
 
     @Override
@@ -60,13 +60,13 @@
     }
 
     @Override
-    public void wakeAt(long moment, int token) {
-        wakes.add(new Wake(moment, token));
+    public void scheduleTimer(long atNanos, int token) {
+        timers.add(new ScheduledTimer(atNanos, token));
     }
 
     @Override
-    public void closeIdle(long server) {
-        closed.add(server);
+    public void closeIdleConnections(long server) {
+        closedIdleServers.add(server);
     }
 
     @Override
@@ -74,16 +74,16 @@
         subscriptions++;
     }
 
-    boolean refused(long request) {
-        return refusals.stream().anyMatch(r -> r.request == request);
+    boolean isRejected(long request) {
+        return rejections.stream().anyMatch(r -> r.request == request);
     }
 
     static Api.Server server(long id) {
         return new Api.Server(id, 0, 0, 0, Api.State.READY, 1, 0);
     }
 
-    static Api.Server server(long id, Api.State state, long startedAt) {
-        return new Api.Server(id, 0, 0, 0, state, 1, startedAt);
+    static Api.Server server(long id, Api.State state, long startedAtNanos) {
+        return new Api.Server(id, 0, 0, 0, state, 1, startedAtNanos);
     }
 
     static Api.Server origin(long id) {
@@ -91,32 +91,32 @@
     }
 
     /** A bed in aside mode with some caches and origin 99. */
-    static Bed aside(int caches) {
+    static PolicyTestFixture lookAside(int caches) {
         SettingsBuilder builder = new SettingsBuilder();
-        builder.aside = true;
+        builder.lookAside = true;
         List<Api.Server> list = new ArrayList<>();
         for (int i = 1; i <= caches; i++) {
             list.add(server(i));
         }
         list.add(origin(99));
-        return new Bed(builder).list(list);
+        return new PolicyTestFixture(builder).updateEndpoints(list);
     }
 
-    Bed servers(int count) {
+    PolicyTestFixture servers(int count) {
         List<Api.Server> list = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
             list.add(server(i));
         }
-        return list(list);
+        return updateEndpoints(list);
     }
 
-    Bed list(List<Api.Server> servers) {
-        router.onList(now, Api.ListMode.FULL, servers);
+    PolicyTestFixture updateEndpoints(List<Api.Server> servers) {
+        router.onEndpointUpdate(now, Api.ListMode.FULL, servers);
         return this;
     }
 
-    Bed delta(Api.Server... servers) {
-        router.onList(now, Api.ListMode.DELTA, List.of(servers));
+    PolicyTestFixture updateEndpointsByDelta(Api.Server... servers) {
+        router.onEndpointUpdate(now, Api.ListMode.DELTA, List.of(servers));
         return this;
     }
 
@@ -124,20 +124,20 @@
         return request(id, requestClass, key, 0, false);
     }
 
-    Sent request(long id, int requestClass, long key, int tenant, boolean repeat) {
+    Sent request(long id, int requestClass, long key, int tenant, boolean clientRetry) {
         int before = sends.size();
-        long deadline = now + settings.classes().get(requestClass).deadline() / 2;
+        long deadlineNanos = now + settings.classes().get(requestClass).deadlineNanos() / 2;
         router.onRequest(
                 now,
                 new Api.Request(
-                        id, requestClass, tenant, key, deadline, 0, repeat, requestClass != READ));
+                        id, requestClass, tenant, key, deadlineNanos, 0, clientRetry, requestClass != READ));
         return sends.size() > before ? sends.get(before) : null;
     }
 
     /** Reports an end; returns the send that it caused, if any. */
     Sent outcome(long id, int attempt, Api.Reason reason) {
         int before = sends.size();
-        router.onOutcome(
+        router.onAttemptOutcome(
                 now,
                 new Api.Outcome(
                         id,
@@ -151,7 +151,7 @@
     }
 
     /** Ends every attempt of a request alike, those that follow one another included. */
-    void endAll(long id, Api.Reason reason) {
+    void completeAll(long id, Api.Reason reason) {
         for (int attempt = 0; attempt < settings.maxAttempts(); attempt++) {
             outcome(id, attempt, reason);
         }
@@ -160,49 +160,49 @@
     /** Slows the origin by writes that take nearly the aim. */
     void slowOrigin() {
         for (long id = 2_000_000; id < 2_000_040; id++) {
-            request(id, KEYED, id);
-            pass(900);
+            request(id, KEYED_WRITE, id);
+            advanceMillis(900);
             outcome(id, 0, Api.Reason.OK);
         }
     }
 
     /** Opens the breaker of the host nearest to key 5 with requests 1 and 2; returns the host. */
     long openBreaker() {
-        long dead = 0;
+        long failedServer = 0;
         for (long id = 1; id <= 2; id++) {
-            dead = request(id, READ, 5).server();
+            failedServer = request(id, READ, 5).server();
             outcome(id, 0, Api.Reason.CONNECT_FAILED);
             outcome(id, 1, Api.Reason.OK);
         }
-        return dead;
+        return failedServer;
     }
 
     /** Moves the clock, firing the timers that fall due on the way. */
-    void pass(long ms) {
-        long until = now + ms * MS;
+    void advanceMillis(long millis) {
+        long untilNanos = now + millis * NANOS_PER_MILLI;
         while (true) {
-            Wake next = null;
-            for (Wake wake : wakes) {
-                if (wake.moment <= until && (next == null || wake.moment < next.moment)) {
-                    next = wake;
+            ScheduledTimer next = null;
+            for (ScheduledTimer timer : timers) {
+                if (timer.atNanos <= untilNanos && (next == null || timer.atNanos < next.atNanos)) {
+                    next = timer;
                 }
             }
             if (next == null) {
-                now = until;
+                now = untilNanos;
                 return;
             }
-            wakes.remove(next);
-            now = Math.max(now, next.moment);
+            timers.remove(next);
+            now = Math.max(now, next.atNanos);
             router.onTimer(now, next.token);
         }
     }
 
     /** Serves reads of 10 ms so that the digest holds a full sample. */
-    void warmDigest(int count) {
+    void fillLatencyDigest(int count) {
         for (int i = 0; i < count; i++) {
             long id = 1_000_000 + i;
             Objects.requireNonNull(request(id, READ, 10_000 + i));
-            pass(10);
+            advanceMillis(10);
             outcome(id, 0, Api.Reason.OK);
         }
         sends.clear();
@@ -213,56 +213,56 @@
      * Settings for tests: three classes (read, keyed write, unsafe write), changed field by field.
      */
     static final class SettingsBuilder {
-        boolean aside;
+        boolean lookAside;
         boolean subscribe;
-        boolean mayDuplicate = true;
+        boolean hedgingAllowed = true;
         int maxAttempts = 6;
-        long connectTimeout;
-        int rank;
-        int instances = 1;
-        double lateWorth;
-        Api.Group group = Api.Group.ALL;
+        long connectTimeoutNanos;
+        int instanceIndex;
+        int instanceCount = 1;
+        double latePriorityWeight;
+        Api.Group deduplicationScope = Api.Group.ALL;
         List<Api.Tenant> tenants = List.of();
-        double overShareWorth = 1;
-        double tip = 4;
-        boolean ordered;
-        Api.Effect readEffect = Api.Effect.RETRYABLE;
-        Api.Effect unsafeEffect = Api.Effect.FRAGILE;
-        Api.Budget budget;
-        Api.ReportLayout report = new Api.ReportLayout(-1, -1, -1);
+        double overQuotaWeight = 1;
+        double overloadMultiple = 4;
+        boolean serializedByKey;
+        Api.Effect readIdempotency = Api.Effect.IDEMPOTENT;
+        Api.Effect unsafeIdempotency = Api.Effect.NOT_IDEMPOTENT;
+        Api.Budget retryBudget;
+        Api.ReportLayout loadReportLayout = new Api.ReportLayout(-1, -1, -1);
 
         Api.Settings build() {
             List<Api.RequestClass> classes =
                     List.of(
                             new Api.RequestClass(
-                                    1000 * MS,
+                                    1000 * NANOS_PER_MILLI,
                                     0,
-                                    4000 * MS,
+                                    4000 * NANOS_PER_MILLI,
                                     3,
-                                    lateWorth,
-                                    readEffect,
+                                    latePriorityWeight,
+                                    readIdempotency,
                                     Api.Group.ALL,
                                     0,
                                     false,
                                     false),
                             new Api.RequestClass(
-                                    1000 * MS,
+                                    1000 * NANOS_PER_MILLI,
                                     0,
-                                    4000 * MS,
+                                    4000 * NANOS_PER_MILLI,
                                     9,
-                                    lateWorth,
-                                    Api.Effect.DEDUP,
-                                    group,
-                                    500 * MS,
+                                    latePriorityWeight,
+                                    Api.Effect.IDEMPOTENCY_KEY,
+                                    deduplicationScope,
+                                    500 * NANOS_PER_MILLI,
                                     false,
-                                    ordered),
+                                    serializedByKey),
                             new Api.RequestClass(
-                                    1000 * MS,
+                                    1000 * NANOS_PER_MILLI,
                                     0,
-                                    4000 * MS,
+                                    4000 * NANOS_PER_MILLI,
                                     5,
-                                    lateWorth,
-                                    unsafeEffect,
+                                    latePriorityWeight,
+                                    unsafeIdempotency,
                                     Api.Group.CELL,
                                     0,
                                     false,
@@ -271,27 +271,27 @@
                     classes,
                     tenants,
                     0,
-                    rank,
-                    instances,
-                    aside,
-                    aside ? 2 : -1,
+                    instanceIndex,
+                    instanceCount,
+                    lookAside,
+                    lookAside ? 2 : -1,
                     subscribe,
                     maxAttempts,
-                    mayDuplicate,
+                    hedgingAllowed,
                     true,
-                    connectTimeout,
+                    connectTimeoutNanos,
                     true,
-                    2000 * MS,
-                    250 * MS,
-                    10_000 * MS,
+                    2000 * NANOS_PER_MILLI,
+                    250 * NANOS_PER_MILLI,
+                    10_000 * NANOS_PER_MILLI,
                     0.2,
-                    10_000 * MS,
-                    tip,
-                    1000 * MS,
-                    overShareWorth,
-                    50 * MS,
-                    budget,
-                    report);
+                    10_000 * NANOS_PER_MILLI,
+                    overloadMultiple,
+                    1000 * NANOS_PER_MILLI,
+                    overQuotaWeight,
+                    50 * NANOS_PER_MILLI,
+                    retryBudget,
+                    loadReportLayout);
         }
     }
 }
--- a/policy/src/test/java/frostrelay/policy/SizeLimitsTest.java
+++ b/policy/src/test/java/frostrelay/policy/SizeLimitsTest.java
@@ -16,8 +16,8 @@
 
 /** The module stays small enough to be read aloud after an outage. */
 class SizeLimitsTest {
-    private static final int MOST_LINES = 1_200;
-    private static final int MOST_COLUMNS = 110;
+    private static final int MAX_LINES = 1_200;
+    private static final int MAX_COLUMNS = 110;
     private static final Path SOURCES = Path.of("src/main/java/frostrelay/policy");
 
     private static List<Path> policyFiles() throws IOException {
@@ -36,7 +36,7 @@
         for (Path file : policyFiles()) {
             lines += Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
         }
-        assertTrue(lines > 0 && lines <= MOST_LINES, "non-blank lines: " + lines);
+        assertTrue(lines > 0 && lines <= MAX_LINES, "non-blank lines: " + lines);
     }
 
     @Test
@@ -56,7 +56,7 @@
         all.add(SOURCES.resolve("Api.java"));
         for (Path file : all) {
             for (String line : Files.readAllLines(file)) {
-                assertFalse(line.length() > MOST_COLUMNS, file + ": " + line);
+                assertFalse(line.length() > MAX_COLUMNS, file + ": " + line);
             }
         }
     }
--- /dev/null
+++ b/policy/src/test/java/frostrelay/policy/SlowStartSumTest.java
@@ -0,0 +1,156 @@
+package frostrelay.policy;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.Deque;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.Random;
+
+/**
+ * A cold host bears only so much of all balancers together, and they share nothing: the sum over
+ * many of them, each with little traffic, with bursts, and with some that start anew and know
+ * nothing of what they sent.
+ */
+class SlowStartSumTest {
+    private static final int SERVERS = 16;
+    private static final long COLD_SERVER = 99;
+
+    /** Requests a second that one warm host can do. */
+    private static final double FULL_RATE_PER_SECOND = 14;
+
+    private static final double SLOW_START_INITIAL_FRACTION = 0.2;
+    private static final long SLOW_START_MILLIS = 10_000;
+
+    private record PendingCompletion(long atNanos, PolicyTestFixture fixture, long request, int attempt) {}
+
+    private static PolicyTestFixture balancer(
+            double overloadMultiple, int instanceIndex, int instanceCount, long seed, long now, long bootedAtNanos) {
+        PolicyTestFixture.SettingsBuilder builder = new PolicyTestFixture.SettingsBuilder();
+        builder.instanceCount = instanceCount;
+        builder.instanceIndex = instanceIndex;
+        builder.overloadMultiple = overloadMultiple;
+        PolicyTestFixture fixture = new PolicyTestFixture(builder, seed);
+        fixture.now = now;
+        List<Api.Server> list = new ArrayList<>();
+        for (int i = 1; i < SERVERS; i++) {
+            list.add(PolicyTestFixture.server(i));
+        }
+        if (bootedAtNanos > 0) {
+            list.add(PolicyTestFixture.server(COLD_SERVER, Api.State.READY, bootedAtNanos));
+        }
+        return fixture.updateEndpoints(list);
+    }
+
+    /** The most by which the sum of any second went over what is borne, as a part of that. */
+    private static double worstOverrun(
+            double overloadMultiple, int instanceCount, double load, boolean restarts, long seed) {
+        Random random = new Random(seed);
+        long startNanos = 1_000_000 * PolicyTestFixture.NANOS_PER_MILLI;
+        List<PolicyTestFixture> fixtures = new ArrayList<>();
+        for (int i = 0; i < instanceCount; i++) {
+            fixtures.add(balancer(overloadMultiple, i, instanceCount, random.nextLong(), startNanos, 0));
+        }
+        PriorityQueue<PendingCompletion> completions = new PriorityQueue<>(Comparator.comparingLong(PendingCompletion::atNanos));
+        Deque<Long> window = new ArrayDeque<>();
+        long bootedAtNanos = startNanos + 8_000 * PolicyTestFixture.NANOS_PER_MILLI;
+        double worst = 0;
+        long id = 0;
+        boolean isNotified = false;
+        int restartCount = 0;
+        for (long now = startNanos; now < bootedAtNanos + SLOW_START_MILLIS * PolicyTestFixture.NANOS_PER_MILLI; ) {
+            double secondsSinceBoot = (now - bootedAtNanos) / 1e9;
+            boolean isBurst = secondsSinceBoot > 1 && secondsSinceBoot < 3 || secondsSinceBoot > 5 && secondsSinceBoot < 6;
+            double rate = SERVERS * FULL_RATE_PER_SECOND * load * (isBurst ? 1.6 : 1);
+            now += (long) (-Math.log(1 - random.nextDouble()) / rate * 1e9);
+            while (!completions.isEmpty() && completions.peek().atNanos <= now) {
+                PendingCompletion completion = completions.poll();
+                completion.fixture.now = completion.atNanos;
+                completion.fixture.outcome(completion.request, completion.attempt, Api.Reason.OK);
+            }
+            if (!isNotified && now >= bootedAtNanos) {
+                isNotified = true;
+                for (PolicyTestFixture fixture : fixtures) {
+                    fixture.now = now;
+                    fixture.updateEndpointsByDelta(PolicyTestFixture.server(COLD_SERVER, Api.State.READY, bootedAtNanos));
+                }
+            }
+            if (restarts && isNotified && secondsSinceBoot > 0.3 * (restartCount + 1)) {
+                fixtures.set(
+                        restartCount % instanceCount,
+                        balancer(
+                                overloadMultiple,
+                                restartCount % instanceCount,
+                                instanceCount,
+                                random.nextLong(),
+                                now,
+                                bootedAtNanos));
+                restartCount++;
+            }
+            // Some see several times the mean.
+            PolicyTestFixture fixture =
+                    fixtures.get(
+                            Math.min(
+                                    instanceCount - 1,
+                                    (int) (instanceCount * Math.pow(random.nextDouble(), 1.5))));
+            fixture.now = now;
+            PolicyTestFixture.Sent sent = fixture.request(++id, PolicyTestFixture.READ, key(random));
+            if (sent == null) {
+                continue;
+            }
+            completions.add(
+                    new PendingCompletion(
+                            now + (long) (70 * PolicyTestFixture.NANOS_PER_MILLI * (0.5 + random.nextDouble())), fixture, id, 0));
+            if (sent.server() == COLD_SERVER) {
+                window.add(now);
+                while (window.peek() <= now - 1_000 * PolicyTestFixture.NANOS_PER_MILLI) {
+                    window.poll();
+                }
+                double slowStartFraction =
+                        SLOW_START_INITIAL_FRACTION + (1 - SLOW_START_INITIAL_FRACTION) * Math.min(1, secondsSinceBoot * 1_000 / SLOW_START_MILLIS);
+                double allowed = overloadMultiple * slowStartFraction * FULL_RATE_PER_SECOND;
+                worst = Math.max(worst, window.size() / (allowed + 2 * Math.sqrt(allowed) + 2));
+            }
+        }
+        return worst;
+    }
+
+    /** Popularity is uneven: some keys are asked for hundreds of times as often as others. */
+    private static long key(Random random) {
+        return (long) Math.pow(3_000, random.nextDouble());
+    }
+
+    @Test
+    void allBalancersTogetherStayWithinTheSlowStartLimit() {
+        for (double overloadMultiple : new double[] {2, 4}) {
+            for (int instanceCount : new int[] {1, 6, 20, 30}) {
+                assertWithinLimit(overloadMultiple, instanceCount, false);
+                assertWithinLimit(overloadMultiple, instanceCount, true);
+            }
+        }
+        assertWithinLimit(4, 100, true);
+    }
+
+    private static void assertWithinLimit(double overloadMultiple, int instanceCount, boolean restarts) {
+        for (long seed = 1; seed <= 5; seed++) {
+            double worst = worstOverrun(overloadMultiple, instanceCount, 0.8, restarts, seed);
+            assertTrue(worst > 0, "it gets its part");
+            assertTrue(
+                    worst <= 1,
+                    overloadMultiple
+                            + " times, "
+                            + instanceCount
+                            + " balancers, restarts "
+                            + restarts
+                            + ", seed "
+                            + seed
+                            + ": "
+                            + worst);
+        }
+    }
+}
--- a/policy/src/test/java/frostrelay/settings/SettingsParserTest.java
+++ b/policy/src/test/java/frostrelay/settings/SettingsParserTest.java
@@ -13,9 +13,9 @@
     @Test
     void missingSettingsGetSafeDefaults() {
         Api.Settings settings = SettingsParser.parse("categories.count=1\n");
-        assertEquals(Api.Effect.FRAGILE, settings.classes().get(0).effect());
+        assertEquals(Api.Effect.NOT_IDEMPOTENT, settings.classes().get(0).idempotency());
         assertEquals(1, settings.maxAttempts());
-        assertTrue(!settings.mayDuplicate() && !settings.mayCancel() && !settings.aside());
+        assertTrue(!settings.hedgingAllowed() && !settings.cancellationAllowed() && !settings.lookAside());
     }
 
     @Test
@@ -37,11 +37,11 @@
 
     @Test
     void anEmptyBudgetAllowsNothingAndAnAbsentOneIsNone() {
-        assertEquals(null, SettingsParser.parse("categories.count=1\n").budget());
-        Api.Budget empty =
-                SettingsParser.parse("categories.count=1\nguarantees.repeat-ratio=\n").budget();
-        assertEquals(0, empty.free() + empty.share());
+        assertEquals(null, SettingsParser.parse("categories.count=1\n").retryBudget());
+        Api.Budget emptyBudget =
+                SettingsParser.parse("categories.count=1\nguarantees.repeat-ratio=\n").retryBudget();
+        assertEquals(0, emptyBudget.minRetries() + emptyBudget.retryRatio());
         assertTrue(
-                SettingsParser.parse("guarantees.key-quiet-ns=\n").keyQuiet() > 0, "a key rests");
+                SettingsParser.parse("guarantees.key-quiet-ns=\n").keyQuarantineNanos() > 0, "a key rests");
     }
 }
--- a/report/src/main/java/frostrelay/report/AuditPicture.java
+++ b/report/src/main/java/frostrelay/report/AuditPicture.java
@@ -32,8 +32,8 @@
     private final String title;
     private final List<Map<String, Object>> rows;
     private final Map<String, String> colors = new LinkedHashMap<>();
-    private long first = Long.MAX_VALUE;
-    private long last = Long.MIN_VALUE;
+    private long firstMillis = Long.MAX_VALUE;
+    private long lastMillis = Long.MIN_VALUE;
 
     /**
      * {@code rows}: as the audit's statement gives spans of one kind; moments are milliseconds,
@@ -48,18 +48,18 @@
                 colors.computeIfAbsent(
                         String.valueOf(span.get("version")),
                         v -> COLORS.get(colors.size() % COLORS.size()));
-                first = Math.min(first, at(span, "from", 0));
-                last = Math.max(last, at(span, "to", 1));
+                firstMillis = Math.min(firstMillis, boundMillis(span, "from", 0));
+                lastMillis = Math.max(lastMillis, boundMillis(span, "to", 1));
             }
         }
     }
 
-    private static long at(Map<?, ?> span, String key, int end) {
+    private static long boundMillis(Map<?, ?> span, String key, int end) {
         return ((Number) ((List<?>) span.get(key)).get(end)).longValue();
     }
 
     private double x(long ms) {
-        return LEFT + WIDTH * (ms - first) / (double) Math.max(1, last - first);
+        return LEFT + WIDTH * (ms - firstMillis) / (double) Math.max(1, lastMillis - firstMillis);
     }
 
     /** The page. */
@@ -75,7 +75,7 @@
                                 LEFT + WIDTH + 20,
                                 height));
         for (int i = 0; i <= TICKS && !rows.isEmpty(); i++) {
-            long ms = first + (last - first) * i / TICKS;
+            long ms = firstMillis + (lastMillis - firstMillis) * i / TICKS;
             svg.append(
                     String.format(
                             Locale.ROOT,
@@ -90,7 +90,7 @@
                             ms / 1e3));
         }
         for (int i = 0; i < rows.size(); i++) {
-            row(svg, rows.get(i), TOP + i * ROW);
+            appendRow(svg, rows.get(i), TOP + i * ROW);
         }
         svg.append("</svg>");
         StringBuilder legend = new StringBuilder();
@@ -113,7 +113,7 @@
                 + "\n</body></html>\n";
     }
 
-    private void row(StringBuilder svg, Map<String, Object> row, int y) {
+    private void appendRow(StringBuilder svg, Map<String, Object> row, int y) {
         svg.append(
                 String.format(
                         Locale.ROOT,
@@ -124,18 +124,18 @@
         for (Object one : (List<?>) row.get("spans")) {
             Map<?, ?> span = (Map<?, ?>) one;
             String color = colors.get(String.valueOf(span.get("version")));
-            rect(
+            appendRectangle(
                     svg,
-                    at(span, "from", 0),
-                    at(span, "to", 1),
+                    boundMillis(span, "from", 0),
+                    boundMillis(span, "to", 1),
                     y,
                     color,
                     0.35,
                     String.valueOf(span.get("version")));
-            rect(
+            appendRectangle(
                     svg,
-                    at(span, "from", 1),
-                    at(span, "to", 0),
+                    boundMillis(span, "from", 1),
+                    boundMillis(span, "to", 0),
                     y,
                     color,
                     1,
@@ -143,7 +143,7 @@
         }
         for (Object one : (List<?>) row.get("gaps")) {
             List<?> gap = (List<?>) one;
-            rect(
+            appendRectangle(
                     svg,
                     ((Number) gap.get(0)).longValue(),
                     ((Number) gap.get(1)).longValue(),
@@ -154,7 +154,7 @@
         }
     }
 
-    private void rect(
+    private void appendRectangle(
             StringBuilder svg,
             long from,
             long to,
--- a/report/src/main/java/frostrelay/report/Charts.java
+++ b/report/src/main/java/frostrelay/report/Charts.java
@@ -41,7 +41,7 @@
 final class Charts {
     static final int WIDTH = 760;
     static final int HEIGHT = 260;
-    private static final int MOST_LABELS = 20;
+    private static final int MAX_LABELS = 20;
     private static final Color FAULT = new Color(214, 69, 65, 45);
 
     /** Told apart by people who see few colours (Okabe and Ito). */
@@ -56,7 +56,7 @@
                     new Color(60, 60, 60));
 
     /** One point of a curve with its 95% interval. */
-    record Mark(double x, double mean, double half) {}
+    record DataPoint(double x, double mean, double halfWidth) {}
 
     private Charts() {}
 
@@ -81,7 +81,7 @@
                     data.addSeries(one);
                 });
         XYPlot plot =
-                plot(data, new NumberAxis("seconds"), log ? decades(unit) : new NumberAxis(unit));
+                plot(data, new NumberAxis("seconds"), log ? logAxis(unit) : new NumberAxis(unit));
         XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, false);
         paint(renderer, data.getSeriesCount());
         plot.setRenderer(renderer);
@@ -93,7 +93,7 @@
         return svg(title, plot, series.size() > 1, null, HEIGHT);
     }
 
-    private static LogAxis decades(String unit) {
+    private static LogAxis logAxis(String unit) {
         LogAxis axis = new LogAxis(unit);
         axis.setNumberFormatOverride(new DecimalFormat("0"));
         axis.setMinorTickMarksVisible(true);
@@ -101,7 +101,7 @@
     }
 
     /** Curves with their intervals as bands; points that were played are marked. */
-    static String curves(String title, String across, String unit, Map<String, List<Mark>> curves) {
+    static String curves(String title, String xLabel, String unit, Map<String, List<DataPoint>> curves) {
         YIntervalSeriesCollection data = new YIntervalSeriesCollection();
         curves.forEach(
                 (name, marks) -> {
@@ -111,15 +111,15 @@
                                     one.add(
                                             mark.x,
                                             mark.mean,
-                                            mark.mean - mark.half,
-                                            mark.mean + mark.half));
+                                            mark.mean - mark.halfWidth,
+                                            mark.mean + mark.halfWidth));
                     data.addSeries(one);
                 });
-        NumberAxis up = new NumberAxis(unit);
-        up.setAutoRangeIncludesZero(false);
-        NumberAxis along = new NumberAxis(across);
-        along.setAutoRangeIncludesZero(false);
-        XYPlot plot = plot(data, along, up);
+        NumberAxis yAxis = new NumberAxis(unit);
+        yAxis.setAutoRangeIncludesZero(false);
+        NumberAxis xAxis = new NumberAxis(xLabel);
+        xAxis.setAutoRangeIncludesZero(false);
+        XYPlot plot = plot(data, xAxis, yAxis);
         DeviationRenderer renderer = new DeviationRenderer(true, true);
         renderer.setAlpha(0.18f);
         paint(renderer, data.getSeriesCount());
@@ -133,17 +133,17 @@
     /**
      * A map of values: a row of {@code cells} for each of {@code rows}, bright for the greatest.
      */
-    static String heat(
+    static String heatMap(
             String title,
-            String across,
-            String up,
+            String xLabel,
+            String yLabel,
             List<String> columns,
             List<String> rows,
             double[][] cells,
-            double least,
-            double most) {
-        int all = columns.size() * rows.size();
-        double[][] xyz = new double[3][all];
+            double min,
+            double max) {
+        int cellCount = columns.size() * rows.size();
+        double[][] xyz = new double[3][cellCount];
         for (int row = 0, at = 0; row < rows.size(); row++) {
             for (int column = 0; column < columns.size(); column++, at++) {
                 xyz[0][at] = column;
@@ -153,16 +153,16 @@
         }
         DefaultXYZDataset data = new DefaultXYZDataset();
         data.addSeries("", xyz);
-        SymbolAxis along = new SymbolAxis(across, thinned(columns));
-        SymbolAxis upright = new SymbolAxis(up, thinned(rows));
-        XYPlot plot = plot(data, along, upright);
-        for (SymbolAxis axis : List.of(along, upright)) {
+        SymbolAxis xAxis = new SymbolAxis(xLabel, thinned(columns));
+        SymbolAxis yAxis = new SymbolAxis(yLabel, thinned(rows));
+        XYPlot plot = plot(data, xAxis, yAxis);
+        for (SymbolAxis axis : List.of(xAxis, yAxis)) {
             axis.setGridBandsVisible(false);
             axis.setLowerMargin(0);
             axis.setUpperMargin(0);
         }
         XYBlockRenderer renderer = new XYBlockRenderer();
-        Scale scale = new Scale(least, Math.max(most, least + 1e-9));
+        Scale scale = new Scale(min, Math.max(max, min + 1e-9));
         renderer.setPaintScale(scale);
         plot.setRenderer(renderer);
         PaintScaleLegend legend = new PaintScaleLegend(scale, axis(new NumberAxis("")));
@@ -174,7 +174,7 @@
 
     /** Some of many labels: all of them would lie over one another. */
     private static String[] thinned(List<String> labels) {
-        int step = (labels.size() + MOST_LABELS - 1) / MOST_LABELS;
+        int step = (labels.size() + MAX_LABELS - 1) / MAX_LABELS;
         return IntStream.range(0, labels.size())
                 .mapToObj(i -> i % step == 0 ? labels.get(i) : "")
                 .toArray(String[]::new);
@@ -184,19 +184,19 @@
      * From dark blue over green to yellow: even steps look even, also in grey. Sampled from
      * viridis.
      */
-    private record Scale(double least, double most) implements PaintScale {
+    private record Scale(double lowerBound, double upperBound) implements PaintScale {
         private static final int[][] STOPS = {
             {68, 1, 84}, {59, 82, 139}, {33, 145, 140}, {94, 201, 98}, {253, 231, 37}
         };
 
         @Override
         public double getLowerBound() {
-            return least;
+            return lowerBound;
         }
 
         @Override
         public double getUpperBound() {
-            return most;
+            return upperBound;
         }
 
         @Override
@@ -205,7 +205,7 @@
                 return Color.LIGHT_GRAY;
             }
             double at =
-                    Math.max(0, Math.min(1, (value - least) / (most - least))) * (STOPS.length - 1);
+                    Math.max(0, Math.min(1, (value - lowerBound) / (upperBound - lowerBound))) * (STOPS.length - 1);
             int stop = (int) Math.min(STOPS.length - 2, Math.floor(at));
             double part = at - stop;
             int[] rgb = new int[3];
@@ -226,8 +226,8 @@
         return axis;
     }
 
-    private static XYPlot plot(XYDataset data, ValueAxis along, ValueAxis up) {
-        XYPlot plot = new XYPlot(data, axis(along), axis(up), null);
+    private static XYPlot plot(XYDataset data, ValueAxis xAxis, ValueAxis yAxis) {
+        XYPlot plot = new XYPlot(data, axis(xAxis), axis(yAxis), null);
         plot.setBackgroundPaint(Color.WHITE);
         plot.setDomainGridlinePaint(new Color(225, 225, 225));
         plot.setRangeGridlinePaint(new Color(225, 225, 225));
--- a/report/src/main/java/frostrelay/report/PeersPage.java
+++ b/report/src/main/java/frostrelay/report/GossipPage.java
@@ -1,6 +1,6 @@
 package frostrelay.report;
 
-import frostrelay.report.Charts.Mark;
+import frostrelay.report.Charts.DataPoint;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -13,7 +13,7 @@
  * How talk between balancers fares at many sizes, as one page with plots: a curve for each part of
  * datagrams lost.
  */
-public final class PeersPage {
+public final class GossipPage {
     private static final Map<String, String> PLOTS = new LinkedHashMap<>();
 
     static {
@@ -24,11 +24,11 @@
         PLOTS.put("mostBytesInASecond", "most bytes of one in any second of the clock");
     }
 
-    private final List<Map<String, Object>> days;
+    private final List<Map<String, Object>> scenarios;
 
-    /** {@code days}: figures as the emulator tells them, of several seeds each. */
-    public PeersPage(List<Map<String, Object>> days) {
-        this.days = days;
+    /** {@code scenarios}: figures as the emulator tells them, of several seeds each. */
+    public GossipPage(List<Map<String, Object>> scenarios) {
+        this.scenarios = scenarios;
     }
 
     /** The page. */
@@ -45,29 +45,29 @@
     }
 
     private String plot(String name, String title) {
-        Map<String, List<Mark>> curves = new LinkedHashMap<>();
+        Map<String, List<DataPoint>> curves = new LinkedHashMap<>();
         Map<Double, TreeMap<Integer, List<Double>>> all = new TreeMap<>();
-        for (Map<String, Object> day : days) {
-            if (day.get(name) != null) {
+        for (Map<String, Object> scenario : scenarios) {
+            if (scenario.get(name) != null) {
                 all.computeIfAbsent(
-                                ((Number) day.get("loss")).doubleValue(), loss -> new TreeMap<>())
+                                ((Number) scenario.get("loss")).doubleValue(), loss -> new TreeMap<>())
                         .computeIfAbsent(
-                                ((Number) day.get("balancers")).intValue(),
+                                ((Number) scenario.get("balancers")).intValue(),
                                 size -> new ArrayList<>())
-                        .add(((Number) day.get(name)).doubleValue());
+                        .add(((Number) scenario.get(name)).doubleValue());
             }
         }
         all.forEach(
                 (loss, sizes) -> {
-                    List<Mark> marks = new ArrayList<>();
+                    List<DataPoint> marks = new ArrayList<>();
                     sizes.forEach(
                             (size, values) -> {
-                                double least =
+                                double min =
                                         values.stream()
                                                 .mapToDouble(Double::doubleValue)
                                                 .min()
                                                 .orElse(0);
-                                double most =
+                                double max =
                                         values.stream()
                                                 .mapToDouble(Double::doubleValue)
                                                 .max()
@@ -78,10 +78,10 @@
                                                 .average()
                                                 .orElse(0);
                                 marks.add(
-                                        new Mark(
+                                        new DataPoint(
                                                 Math.log(size) / Math.log(2),
                                                 mean,
-                                                (most - least) / 2));
+                                                (max - min) / 2));
                             });
                     curves.put(String.format(Locale.ROOT, "%.0f%% lost", loss * 100), marks);
                 });
--- a/report/src/main/java/frostrelay/report/JudgementsPage.java
+++ b/report/src/main/java/frostrelay/report/HealthReportsPage.java
@@ -1,6 +1,6 @@
 package frostrelay.report;
 
-import frostrelay.report.Charts.Mark;
+import frostrelay.report.Charts.DataPoint;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -12,12 +12,12 @@
  * How soon tiers of many sizes lower dead caches, and how well each balancer knows what all do: by
  * seconds from the death on.
  */
-public final class JudgementsPage {
-    private final List<Map<String, Object>> days;
+public final class HealthReportsPage {
+    private final List<Map<String, Object>> scenarios;
 
-    /** {@code days}: figures as the emulator tells them. */
-    public JudgementsPage(List<Map<String, Object>> days) {
-        this.days = days;
+    /** {@code scenarios}: figures as the emulator tells them. */
+    public HealthReportsPage(List<Map<String, Object>> scenarios) {
+        this.scenarios = scenarios;
     }
 
     /** The page. */
@@ -39,21 +39,21 @@
                 + "\n</body></html>\n";
     }
 
-    private Map<String, List<Mark>> curves(String name) {
-        Map<String, List<Mark>> curves = new LinkedHashMap<>();
+    private Map<String, List<DataPoint>> curves(String name) {
+        Map<String, List<DataPoint>> curves = new LinkedHashMap<>();
         int number = 0;
-        for (Map<String, Object> day : days) {
-            List<Mark> marks = new ArrayList<>();
+        for (Map<String, Object> scenario : scenarios) {
+            List<DataPoint> marks = new ArrayList<>();
             int second = 0;
-            for (Object value : (List<?>) day.get(name)) {
-                marks.add(new Mark(second++, ((Number) value).doubleValue(), 0));
+            for (Object value : (List<?>) scenario.get(name)) {
+                marks.add(new DataPoint(second++, ((Number) value).doubleValue(), 0));
             }
             curves.put(
                     String.format(
                             Locale.ROOT,
                             "%s balancers, %.0f%% lost, day %d",
-                            day.get("balancers"),
-                            100 * ((Number) day.get("loss")).doubleValue(),
+                            scenario.get("balancers"),
+                            100 * ((Number) scenario.get("loss")).doubleValue(),
                             ++number),
                     marks);
         }
--- a/report/src/main/java/frostrelay/report/Page.java
+++ b/report/src/main/java/frostrelay/report/Page.java
@@ -1,10 +1,10 @@
 package frostrelay.report;
 
 import frostrelay.lab.Comparison;
-import frostrelay.lab.Day;
+import frostrelay.lab.RunResult;
 import frostrelay.lab.Interval;
 import frostrelay.lab.Metrics;
-import frostrelay.lab.ResultsFile.Held;
+import frostrelay.lab.ResultsFile.StoredResults;
 
 import org.apache.commons.text.StringEscapeUtils;
 
@@ -23,44 +23,44 @@
 /** What a file of results says, as one HTML page that needs nothing beside it, and as Markdown. */
 public final class Page {
     /** Points whose days are drawn second by second: a page with more is not looked at. */
-    private static final int MOST_DRAWN = 6;
+    private static final int MAX_POINTS_DRAWN = 6;
 
-    private static final int MOST_COLUMNS = 120;
-    private static final List<String> SWEPT =
+    private static final int MAX_COLUMNS = 120;
+    private static final List<String> SWEPT_METRICS =
             List.of("service", "afterwards", "recovery", "p99Ms", "copyShare", "hitShare");
 
-    private final Held held;
+    private final StoredResults results;
 
     /** Of results with at least one day. */
-    public Page(Held held) {
-        this.held = held;
+    public Page(StoredResults results) {
+        this.results = results;
     }
 
     /** The page; plots are SVG images within it. */
     public String html() {
         StringBuilder body = new StringBuilder();
         body.append("<h1>")
-                .append(escape(held.name()))
+                .append(escape(results.name()))
                 .append("</h1>\n<p>")
-                .append(held.days().size())
+                .append(results.allResults().size())
                 .append(" days of ")
-                .append(held.points().size())
+                .append(results.points().size())
                 .append(" points; rules broken ")
-                .append(held.days().stream().mapToLong(Day::breaks).sum())
+                .append(results.allResults().stream().mapToLong(RunResult::violationCount).sum())
                 .append(" times. Values are means with half of their 95% interval.</p>\n");
         body.append(table());
-        sweeps(body);
+        appendSweeps(body);
         body.append(differences());
-        for (int point = 0; point < Math.min(MOST_DRAWN, held.points().size()); point++) {
-            day(body, point);
+        for (int point = 0; point < Math.min(MAX_POINTS_DRAWN, results.points().size()); point++) {
+            appendScenario(body, point);
         }
-        if (held.points().size() > MOST_DRAWN) {
+        if (results.points().size() > MAX_POINTS_DRAWN) {
             body.append("<p>The days of the other ")
-                    .append(held.points().size() - MOST_DRAWN)
+                    .append(results.points().size() - MAX_POINTS_DRAWN)
                     .append(" points are in the results file.</p>\n");
         }
         return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>"
-                + escape(held.name())
+                + escape(results.name())
                 + "</title>\n<style>body{font:14px sans-serif;margin:2em auto;max-width:1100px;color:#222}"
                 + "table{border-collapse:collapse;margin:1em 0}td,th{border:1px solid #ccc;padding:3px 8px;"
                 + "text-align:right}td:first-child,th:first-child{text-align:left}img{display:block;margin:8px 0;"
@@ -74,36 +74,36 @@
         StringBuilder text =
                 new StringBuilder(
                         "# "
-                                + held.name()
+                                + results.name()
                                 + "\n\n"
-                                + held.days().size()
+                                + results.allResults().size()
                                 + " days of "
-                                + held.points().size()
+                                + results.points().size()
                                 + " points; rules broken "
-                                + held.days().stream().mapToLong(Day::breaks).sum()
+                                + results.allResults().stream().mapToLong(RunResult::violationCount).sum()
                                 + " times.\n\n");
-        List<String> names = names();
+        List<String> names = metricNames();
         text.append("| point | days | ")
                 .append(String.join(" | ", names))
                 .append(" |\n|")
                 .append(" --- |".repeat(names.size() + 2))
                 .append('\n');
-        for (int point = 0; point < held.points().size(); point++) {
-            List<Day> days = held.of(point);
+        for (int point = 0; point < results.points().size(); point++) {
+            List<RunResult> scenarios = results.resultsOf(point);
             text.append("| ")
-                    .append(held.points().get(point))
+                    .append(results.points().get(point))
                     .append(" | ")
-                    .append(days.size())
+                    .append(scenarios.size())
                     .append(" | ")
                     .append(
                             String.join(
-                                    " | ", names.stream().map(name -> cell(days, name)).toList()))
+                                    " | ", names.stream().map(name -> cell(scenarios, name)).toList()))
                     .append(" |\n");
         }
-        for (int point = 0; point < held.points().size(); point++) {
-            if (!held.faults().get(point).isEmpty() && held.settings().get(point).isEmpty()) {
-                text.append("\nFaults of ").append(held.points().get(point)).append(":\n\n");
-                held.faults()
+        for (int point = 0; point < results.points().size(); point++) {
+            if (!results.faults().get(point).isEmpty() && results.settings().get(point).isEmpty()) {
+                text.append("\nFaults of ").append(results.points().get(point)).append(":\n\n");
+                results.faults()
                         .get(point)
                         .forEach(fault -> text.append("- ").append(fault).append('\n'));
             }
@@ -111,27 +111,27 @@
         return text.toString();
     }
 
-    private List<String> names() {
+    private List<String> metricNames() {
         return Metrics.NAMES.stream()
                 .filter(
                         name ->
-                                held.days().stream()
-                                        .anyMatch(day -> day.metrics().containsKey(name)))
+                                results.allResults().stream()
+                                        .anyMatch(scenario -> scenario.metrics().containsKey(name)))
                 .toList();
     }
 
-    private static Interval interval(List<Day> days, String name) {
+    private static Interval interval(List<RunResult> scenarios, String name) {
         double[] values =
-                days.stream()
-                        .filter(day -> day.metrics().containsKey(name))
-                        .mapToDouble(day -> day.metrics().get(name))
+                scenarios.stream()
+                        .filter(scenario -> scenario.metrics().containsKey(name))
+                        .mapToDouble(scenario -> scenario.metrics().get(name))
                         .toArray();
         return values.length == 0 ? null : Interval.of(values);
     }
 
-    private static String cell(List<Day> days, String name) {
-        Interval one = interval(days, name);
-        return one == null ? "" : number(one.mean()) + " ± " + number(one.half());
+    private static String cell(List<RunResult> scenarios, String name) {
+        Interval one = interval(scenarios, name);
+        return one == null ? "" : number(one.mean()) + " ± " + number(one.halfWidth());
     }
 
     private static String number(double value) {
@@ -144,24 +144,24 @@
     /** The figures of every point, for a machine. */
     public Map<String, Object> figures() {
         Map<String, Object> points = new LinkedHashMap<>();
-        for (int point = 0; point < held.points().size(); point++) {
-            points.put(held.points().get(point), figures(held.of(point)));
+        for (int point = 0; point < results.points().size(); point++) {
+            points.put(results.points().get(point), figures(results.resultsOf(point)));
         }
         Map<String, Object> all = new LinkedHashMap<>();
-        all.put("name", held.name());
+        all.put("name", results.name());
         all.put("points", points);
         return all;
     }
 
-    private static Map<String, Object> figures(List<Day> days) {
+    private static Map<String, Object> figures(List<RunResult> scenarios) {
         Map<String, Object> all = new LinkedHashMap<>();
-        all.put("days", days.size());
-        all.put("asked", days.stream().mapToLong(Day::asked).sum());
-        all.put("ruleBreaks", days.stream().mapToLong(Day::breaks).sum());
+        all.put("days", scenarios.size());
+        all.put("asked", scenarios.stream().mapToLong(RunResult::requestCount).sum());
+        all.put("ruleBreaks", scenarios.stream().mapToLong(RunResult::violationCount).sum());
         for (String name : Metrics.NAMES) {
-            Interval one = interval(days, name);
+            Interval one = interval(scenarios, name);
             if (one != null) {
-                all.put(name, Map.of("mean", one.mean(), "half", one.half()));
+                all.put(name, Map.of("mean", one.mean(), "half", one.halfWidth()));
             }
         }
         return all;
@@ -170,17 +170,17 @@
     private String table() {
         StringBuilder text =
                 new StringBuilder("<div class=\"wide\"><table><tr><th>point</th><th>days</th>");
-        List<String> names = names();
+        List<String> names = metricNames();
         names.forEach(name -> text.append("<th>").append(name).append("</th>"));
         text.append("</tr>\n");
-        for (int point = 0; point < held.points().size(); point++) {
-            List<Day> days = held.of(point);
+        for (int point = 0; point < results.points().size(); point++) {
+            List<RunResult> scenarios = results.resultsOf(point);
             text.append("<tr><td>")
-                    .append(escape(held.points().get(point)))
+                    .append(escape(results.points().get(point)))
                     .append("</td><td>")
-                    .append(days.size())
+                    .append(scenarios.size())
                     .append("</td>");
-            names.forEach(name -> text.append("<td>").append(cell(days, name)).append("</td>"));
+            names.forEach(name -> text.append("<td>").append(cell(scenarios, name)).append("</td>"));
             text.append("</tr>\n");
         }
         return text.append("</table></div>\n").toString();
@@ -188,28 +188,28 @@
 
     /** Other points against the first, where they are few and not a sweep. */
     private String differences() {
-        if (held.points().size() < 2
-                || held.points().size() > 2 * MOST_DRAWN
-                || !held.settings().get(0).isEmpty()) {
+        if (results.points().size() < 2
+                || results.points().size() > 2 * MAX_POINTS_DRAWN
+                || !results.settings().get(0).isEmpty()) {
             return "";
         }
         StringBuilder text =
                 new StringBuilder(
                         "<h2>Beyond chance, against "
-                                + escape(held.points().get(0))
+                                + escape(results.points().get(0))
                                 + "</h2>\n<ul>\n");
-        for (int point = 1; point < held.points().size(); point++) {
-            for (Comparison.Difference one : Comparison.of(held, 0, point)) {
-                if (one.beyondChance()) {
+        for (int point = 1; point < results.points().size(); point++) {
+            for (Comparison.Difference one : Comparison.of(results, 0, point)) {
+                if (one.isSignificant()) {
                     text.append("<li>")
-                            .append(escape(held.points().get(point)))
+                            .append(escape(results.points().get(point)))
                             .append(": ")
                             .append(one.metric())
                             .append(' ')
-                            .append(one.apart().mean() > 0 ? "+" : "")
-                            .append(number(one.apart().mean()))
+                            .append(one.difference().mean() > 0 ? "+" : "")
+                            .append(number(one.difference().mean()))
                             .append(" ± ")
-                            .append(number(one.apart().half()))
+                            .append(number(one.difference().halfWidth()))
                             .append("</li>\n");
                 }
             }
@@ -217,23 +217,23 @@
         return text.append("</ul>\n").toString();
     }
 
-    private void sweeps(StringBuilder body) {
-        List<String> keys = new ArrayList<>(held.settings().get(0).keySet());
+    private void appendSweeps(StringBuilder body) {
+        List<String> keys = new ArrayList<>(results.settings().get(0).keySet());
         if (keys.isEmpty() || keys.size() > 2) {
             return;
         }
-        List<String> shown = SWEPT.stream().filter(names()::contains).toList();
+        List<String> shown = SWEPT_METRICS.stream().filter(metricNames()::contains).toList();
         if (keys.size() == 2) {
-            shown.forEach(name -> body.append(image(map(name, keys.get(0), keys.get(1)), name)));
+            shown.forEach(name -> body.append(image(heatMap(name, keys.get(0), keys.get(1)), name)));
             return;
         }
-        List<String> values = held.settings().stream().map(one -> one.get(keys.get(0))).toList();
+        List<String> values = results.settings().stream().map(one -> one.get(keys.get(0))).toList();
         for (String name : shown) {
-            List<Charts.Mark> marks = new ArrayList<>();
+            List<Charts.DataPoint> marks = new ArrayList<>();
             for (int point = 0; point < values.size(); point++) {
-                Interval one = interval(held.of(point), name);
+                Interval one = interval(results.resultsOf(point), name);
                 if (one != null) {
-                    marks.add(new Charts.Mark(place(values, point), one.mean(), one.half()));
+                    marks.add(new Charts.DataPoint(position(values, point), one.mean(), one.halfWidth()));
                 }
             }
             body.append(
@@ -248,26 +248,26 @@
     }
 
     /** A value's number, unit left out where all have the same; its rank where it is none. */
-    private static double place(List<String> values, int point) {
+    private static double position(List<String> values, int point) {
         Set<String> units = new LinkedHashSet<>();
         values.forEach(value -> units.add(value.replaceFirst("^[0-9.]+", "")));
         String number = values.get(point).replaceFirst("[^0-9.].*$", "");
         return units.size() == 1 && !number.isEmpty() ? Double.parseDouble(number) : point;
     }
 
-    private String map(String metric, String across, String up) {
+    private String heatMap(String metric, String xLabel, String yLabel) {
         List<String> columns =
-                held.settings().stream().map(one -> one.get(across)).distinct().toList();
-        List<String> rows = held.settings().stream().map(one -> one.get(up)).distinct().toList();
+                results.settings().stream().map(one -> one.get(xLabel)).distinct().toList();
+        List<String> rows = results.settings().stream().map(one -> one.get(yLabel)).distinct().toList();
         double[][] cells = new double[rows.size()][columns.size()];
         for (double[] row : cells) {
             Arrays.fill(row, Double.NaN);
         }
-        for (int point = 0; point < held.points().size(); point++) {
-            Interval one = interval(held.of(point), metric);
+        for (int point = 0; point < results.points().size(); point++) {
+            Interval one = interval(results.resultsOf(point), metric);
             if (one != null) {
-                cells[rows.indexOf(held.settings().get(point).get(up))][
-                                columns.indexOf(held.settings().get(point).get(across))] =
+                cells[rows.indexOf(results.settings().get(point).get(yLabel))][
+                                columns.indexOf(results.settings().get(point).get(xLabel))] =
                         one.mean();
             }
         }
@@ -276,10 +276,10 @@
                         .flatMapToDouble(Arrays::stream)
                         .filter(value -> !Double.isNaN(value))
                         .toArray();
-        return Charts.heat(
+        return Charts.heatMap(
                 metric,
-                across,
-                up,
+                xLabel,
+                yLabel,
                 columns,
                 rows,
                 cells,
@@ -287,37 +287,37 @@
                 Arrays.stream(all).max().orElse(1));
     }
 
-    private void day(StringBuilder body, int point) {
-        Day day =
-                held.of(point).stream()
-                        .filter(one -> !one.course().isEmpty())
+    private void appendScenario(StringBuilder body, int point) {
+        RunResult scenario =
+                results.resultsOf(point).stream()
+                        .filter(one -> !one.timeSeries().isEmpty())
                         .findFirst()
                         .orElse(null);
-        if (day == null) {
+        if (scenario == null) {
             return;
         }
         body.append("<h2>")
-                .append(escape(held.points().get(point)))
+                .append(escape(results.points().get(point)))
                 .append(": the day of seed ")
-                .append(day.seed())
+                .append(scenario.seed())
                 .append("</h2>\n");
-        List<String> faults = held.faults().get(point);
+        List<String> faults = results.faults().get(point);
         if (!faults.isEmpty()) {
             body.append("<ul>");
             faults.forEach(fault -> body.append("<li>").append(escape(fault)).append("</li>"));
             body.append("</ul>\n");
         }
         List<double[]> bands =
-                held.spans().get(point).stream()
+                results.faultRanges().get(point).stream()
                         .map(span -> new double[] {span.get(0), span.get(1)})
                         .toList();
-        Map<String, List<Double>> course = day.course();
+        Map<String, List<Double>> timeline = scenario.timeSeries();
         body.append(
                 image(
                         Charts.lines(
                                 "First tries, by how they ended in each second",
                                 "a second",
-                                some(course, "asked", "inTime", "refused", "failed"),
+                                selectSeries(timeline, "asked", "inTime", "refused", "failed"),
                                 bands,
                                 false),
                         "ends"));
@@ -326,7 +326,7 @@
                         Charts.lines(
                                 "Latency of what was served",
                                 "ms (log)",
-                                some(course, "p50Ms", "p99Ms"),
+                                selectSeries(timeline, "p50Ms", "p99Ms"),
                                 bands,
                                 true),
                         "latency"));
@@ -337,7 +337,7 @@
                                 "share",
                                 Map.of(
                                         "hit share",
-                                        ratio(course.get("hits"), course.get("misses"))),
+                                        ratio(timeline.get("hits"), timeline.get("misses"))),
                                 bands,
                                 false),
                         "hit share"));
@@ -346,30 +346,30 @@
                         Charts.lines(
                                 "What tries make of it",
                                 "a second",
-                                some(course, "tries", "copies", "fetches"),
+                                selectSeries(timeline, "tries", "copies", "fetches"),
                                 bands,
                                 false),
                         "copies and fetches"));
-        if (!day.load().isEmpty()) {
+        if (!scenario.cacheLoad().isEmpty()) {
             body.append(
                     image(
-                            rows("Load of each cache (part of its cores)", "cache", day.load()),
+                            heatMapOverTime("Load of each cache (part of its cores)", "cache", scenario.cacheLoad()),
                             "load"));
         }
-        if (day.unserved().size() > 1) {
+        if (scenario.unservedByBalancer().size() > 1) {
             body.append(
                     image(
-                            rows(
+                            heatMapOverTime(
                                     "Tries not served, by balancer (part of what came)",
                                     "balancer",
-                                    day.unserved()),
+                                    scenario.unservedByBalancer()),
                             "unserved"));
         }
     }
 
-    private static String rows(String title, String what, List<List<Double>> load) {
+    private static String heatMapOverTime(String title, String what, List<List<Double>> load) {
         int seconds = load.get(0).size();
-        int step = (seconds + MOST_COLUMNS - 1) / MOST_COLUMNS;
+        int step = (seconds + MAX_COLUMNS - 1) / MAX_COLUMNS;
         int columns = (seconds + step - 1) / step;
         double[][] cells = new double[load.size()][columns];
         for (int row = 0; row < load.size(); row++) {
@@ -384,7 +384,7 @@
                                 .orElse(0);
             }
         }
-        return Charts.heat(
+        return Charts.heatMap(
                 title,
                 "seconds",
                 what,
@@ -397,11 +397,11 @@
                 1);
     }
 
-    private static Map<String, List<Double>> some(
-            Map<String, List<Double>> course, String... names) {
+    private static Map<String, List<Double>> selectSeries(
+            Map<String, List<Double>> timeline, String... names) {
         Map<String, List<Double>> all = new LinkedHashMap<>();
         for (String name : names) {
-            all.put(name, course.get(name));
+            all.put(name, timeline.get(name));
         }
         return all;
     }
--- a/report/src/main/java/frostrelay/report/StragglersPage.java
+++ b/report/src/main/java/frostrelay/report/StaleInstancesPage.java
@@ -1,6 +1,6 @@
 package frostrelay.report;
 
-import frostrelay.report.Charts.Mark;
+import frostrelay.report.Charts.DataPoint;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** How balancers that are behind come back: by seconds from the change on, a curve for each day. */
-public final class StragglersPage {
+public final class StaleInstancesPage {
     private static final Map<String, String> PLOTS = new LinkedHashMap<>();
 
     static {
@@ -17,11 +17,11 @@
         PLOTS.put("aside", "balancers aside, of a hundred");
     }
 
-    private final List<Map<String, Object>> days;
+    private final List<Map<String, Object>> scenarios;
 
-    /** {@code days}: figures as the emulator tells them. */
-    public StragglersPage(List<Map<String, Object>> days) {
-        this.days = days;
+    /** {@code scenarios}: figures as the emulator tells them. */
+    public StaleInstancesPage(List<Map<String, Object>> scenarios) {
+        this.scenarios = scenarios;
     }
 
     /** The page. */
@@ -46,20 +46,20 @@
                 + "</body></html>\n";
     }
 
-    private Map<String, List<Mark>> curves(String name, boolean calls) {
-        Map<String, List<Mark>> curves = new LinkedHashMap<>();
+    private Map<String, List<DataPoint>> curves(String name, boolean calls) {
+        Map<String, List<DataPoint>> curves = new LinkedHashMap<>();
         int number = 0;
-        for (Map<String, Object> day : days) {
+        for (Map<String, Object> day : scenarios) {
             number++;
             double balancers = ((Number) day.get("balancers")).doubleValue();
             double calm = ((Number) day.get("calmCallsASecond")).doubleValue();
-            List<Mark> marks = new ArrayList<>();
+            List<DataPoint> marks = new ArrayList<>();
             double before = 0;
             int second = 0;
             for (Object value : (List<?>) day.get(name)) {
                 double now = ((Number) value).doubleValue();
                 marks.add(
-                        new Mark(
+                        new DataPoint(
                                 second++,
                                 calls ? (now - before) / calm : 100 * now / balancers,
                                 0));
--- a/report/src/test/java/frostrelay/report/PageTest.java
+++ b/report/src/test/java/frostrelay/report/PageTest.java
@@ -6,7 +6,7 @@
 
 import frostrelay.lab.Experiment;
 import frostrelay.lab.ExperimentFile;
-import frostrelay.lab.Lab;
+import frostrelay.lab.ExperimentRunner;
 import frostrelay.lab.ResultsFile;
 
 import org.junit.jupiter.api.Test;
@@ -34,7 +34,7 @@
 
     @TempDir private Path folder;
 
-    private ResultsFile.Held held(String plantName, String sweeps) throws Exception {
+    private ResultsFile.StoredResults held(String plantName, String sweeps) throws Exception {
         Files.writeString(
                 folder.resolve(plantName),
                 """
@@ -52,7 +52,7 @@
                 """);
         Experiment experiment =
                 sweeps == null
-                        ? ExperimentFile.ofPlants(List.of(folder.resolve(plantName)), 2)
+                        ? ExperimentFile.ofModels(List.of(folder.resolve(plantName)), 2)
                         : ExperimentFile.read(
                                 Files.writeString(
                                         folder.resolve("sweep.toml"),
@@ -63,7 +63,7 @@
         Path results = folder.resolve("results.jsonl");
         Files.deleteIfExists(results);
         try (ResultsFile file = ResultsFile.open(results, experiment)) {
-            Lab.play(experiment, file, 4, (done, most) -> {});
+            ExperimentRunner.run(experiment, file, 4, (done, most) -> {});
         }
         return ResultsFile.read(results);
     }
@@ -111,9 +111,9 @@
     @Test
     void aSweepOfOneKeyIsCurvesAndOfTwoIsMaps() throws Exception {
         String one = "[[sweep]]\nkey = \"clients.rate\"\nvalues = \"30/s, 60/s\"\n";
-        ResultsFile.Held curves = held("p.toml", one);
+        ResultsFile.StoredResults curves = held("p.toml", one);
         assertEquals("service", images(new Page(curves).html()).get(0));
-        ResultsFile.Held maps =
+        ResultsFile.StoredResults maps =
                 held(
                         "p.toml",
                         one + "[[sweep]]\nkey = \"cache.eviction\"\nvalues = \"lru, fifo\"\n");
--- a/rig/src/main/java/frostrelay/rig/archive/ArchiveClient.java
+++ b/rig/src/main/java/frostrelay/rig/archive/OriginClient.java
@@ -25,55 +25,55 @@
  * A cache's way to the archive: one connection, answers told apart by their ids. Runs on the loop
  * it is given; calls from any thread, answers on the loop.
  */
-public final class ArchiveClient {
-    private record Call(Consumer<MetaMessage> done, Future<?> timeout) {}
+public final class OriginClient {
+    private record PendingCall(Consumer<MetaMessage> callback, Future<?> timeout) {}
 
-    private final InetSocketAddress archive;
+    private final InetSocketAddress originAddress;
     private final EventLoop loop;
-    private final Map<String, Call> calls = new HashMap<>();
-    private ChannelFuture up;
+    private final Map<String, PendingCall> pendingCalls = new HashMap<>();
+    private ChannelFuture connectFuture;
     private long lastId;
 
-    /** {@code archive}: where it listens. */
-    public ArchiveClient(InetSocketAddress archive, EventLoop loop) {
-        this.archive = archive;
+    /** {@code originAddress}: where it listens. */
+    public OriginClient(InetSocketAddress originAddress, EventLoop loop) {
+        this.originAddress = originAddress;
         this.loop = loop;
     }
 
     /** The value of a key; null if it could not be had in so many nanoseconds. */
-    public void fetch(String key, long timeout, Consumer<byte[]> done) {
+    public void fetch(String key, long timeoutNanos, Consumer<byte[]> callback) {
         loop.execute(
                 () ->
                         call(
                                 "mg " + key + " v",
                                 null,
-                                timeout,
+                                timeoutNanos,
                                 answer ->
-                                        done.accept(
+                                        callback.accept(
                                                 answer != null && answer.word(0).equals("VA")
                                                         ? answer.data()
                                                         : null)));
     }
 
     /** Passes a write on; false if it was not confirmed, though it may have been carried out. */
-    public void write(String key, byte[] value, long timeout, Consumer<Boolean> done) {
+    public void write(String key, byte[] value, long timeoutNanos, Consumer<Boolean> callback) {
         loop.execute(
                 () ->
                         call(
                                 "ms " + key + ' ' + value.length,
                                 value,
-                                timeout,
+                                timeoutNanos,
                                 answer ->
-                                        done.accept(
+                                        callback.accept(
                                                 answer != null && answer.word(0).equals("HD"))));
     }
 
-    private void call(String command, byte[] data, long timeout, Consumer<MetaMessage> done) {
+    private void call(String command, byte[] data, long timeoutNanos, Consumer<MetaMessage> callback) {
         String id = Long.toHexString(++lastId);
-        Future<?> late = loop.schedule(() -> end(id, null), timeout, TimeUnit.NANOSECONDS);
-        calls.put(id, new Call(done, late));
-        if (up == null) {
-            up =
+        Future<?> timeoutTask = loop.schedule(() -> complete(id, null), timeoutNanos, TimeUnit.NANOSECONDS);
+        pendingCalls.put(id, new PendingCall(callback, timeoutTask));
+        if (connectFuture == null) {
+            connectFuture =
                     new Bootstrap()
                             .group(loop)
                             .channel(NioSocketChannel.class)
@@ -83,13 +83,13 @@
                                         @Override
                                         protected void initChannel(SocketChannel fresh) {
                                             fresh.pipeline()
-                                                    .addLast(new MetaCodec(), new Answers());
+                                                    .addLast(new MetaCodec(), new ResponseHandler());
                                         }
                                     })
-                            .connect(archive);
+                            .connect(originAddress);
         }
         // What is written before the connection is up would be lost.
-        up.addListener(
+        connectFuture.addListener(
                 (ChannelFuture opened) -> {
                     if (opened.isSuccess()) {
                         opened.channel()
@@ -99,33 +99,33 @@
                                                 command + " O" + id,
                                                 data));
                     } else {
-                        lost();
+                        onConnectionLost();
                     }
                 });
     }
 
-    private void end(String id, MetaMessage answer) {
-        Call call = calls.remove(id);
+    private void complete(String id, MetaMessage response) {
+        PendingCall call = pendingCalls.remove(id);
         if (call != null) {
             call.timeout.cancel(false);
-            call.done.accept(answer);
+            call.callback.accept(response);
         }
     }
 
-    private void lost() {
-        up = null;
-        List.copyOf(calls.keySet()).forEach(id -> end(id, null));
+    private void onConnectionLost() {
+        connectFuture = null;
+        List.copyOf(pendingCalls.keySet()).forEach(id -> complete(id, null));
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<MetaMessage> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<MetaMessage> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaMessage message) {
-            end(message.flag('O'), message);
+            complete(message.flag('O'), message);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            lost();
+            onConnectionLost();
         }
     }
 }
--- a/rig/src/main/java/frostrelay/rig/archive/ArchiveServer.java
+++ b/rig/src/main/java/frostrelay/rig/archive/OriginServer.java
@@ -32,23 +32,23 @@
  * it is overdriven. Values name their key and version. Runs on one event loop; the public calls may
  * come from any thread.
  */
-public final class ArchiveServer {
+public final class OriginServer {
     private record Job(Channel channel, MetaMessage command) {}
 
-    private final ArchiveSpec spec;
+    private final OriginSpec spec;
     private final EventLoop loop;
     private final UniformRandomProvider random;
     private final Map<String, Integer> versions = new HashMap<>();
     private final Deque<Job> waiting = new ArrayDeque<>();
     private final Deque<Long> arrivals = new ArrayDeque<>();
-    private final LongAdder taken = new LongAdder();
-    private int busy;
-    private double slow = 1;
-    private long downUntil;
+    private final LongAdder acceptedCount = new LongAdder();
+    private int activeJobs;
+    private double slowdownFactor = 1;
+    private long downUntilNanos;
     private InetSocketAddress address;
 
     /** {@code seed}: for the times of fetches. */
-    public ArchiveServer(ArchiveSpec spec, EventLoop loop, long seed) {
+    public OriginServer(OriginSpec spec, EventLoop loop, long seed) {
         this.spec = spec;
         this.loop = loop;
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -67,7 +67,7 @@
                                             @Override
                                             protected void initChannel(SocketChannel fresh) {
                                                 fresh.pipeline()
-                                                        .addLast(new MetaCodec(), new Caller());
+                                                        .addLast(new MetaCodec(), new RequestHandler());
                                             }
                                         })
                                 .bind(Loopback.port(0))
@@ -78,67 +78,67 @@
     }
 
     /** Answers nothing for so long, in nanoseconds. */
-    public void outage(long time) {
-        loop.execute(() -> fall(System.nanoTime(), time));
+    public void startOutage(long durationNanos) {
+        loop.execute(() -> goDown(System.nanoTime(), durationNanos));
     }
 
     /** Fetches take {@code factor} times as long. */
-    public void slow(double factor) {
-        loop.execute(() -> slow = factor);
+    public void setSlowdown(double factor) {
+        loop.execute(() -> slowdownFactor = factor);
     }
 
     /** Fetches and writes that came so far. */
-    public long taken() {
-        return taken.sum();
+    public long acceptedCount() {
+        return acceptedCount.sum();
     }
 
-    private void fall(long now, long time) {
-        downUntil = Math.max(downUntil, now + time);
+    private void goDown(long now, long durationNanos) {
+        downUntilNanos = Math.max(downUntilNanos, now + durationNanos);
         for (Job job : waiting) {
-            refuse(job);
+            reject(job);
         }
         waiting.clear();
         arrivals.clear();
     }
 
-    private void take(Job job) {
+    private void accept(Job job) {
         long now = System.nanoTime();
-        taken.increment();
+        acceptedCount.increment();
         arrivals.add(now);
-        while (arrivals.peek() < now - spec.fallWindow()) {
+        while (arrivals.peek() < now - spec.overloadWindowNanos()) {
             arrivals.poll();
         }
-        if (now < downUntil) {
-            refuse(job);
+        if (now < downUntilNanos) {
+            reject(job);
         } else if (arrivals.size()
-                > spec.fallMultiple() * spec.capacity() * spec.fallWindow() / 1e9) {
-            fall(now, spec.fallTime());
-            refuse(job);
-        } else if (busy < spec.places()) {
-            begin(job);
-        } else if (waiting.size() < spec.queue()) {
+                > spec.overloadMultiple() * spec.fetchesPerSecond() * spec.overloadWindowNanos() / 1e9) {
+            goDown(now, spec.outageNanos());
+            reject(job);
+        } else if (activeJobs < spec.concurrency()) {
+            startJob(job);
+        } else if (waiting.size() < spec.queueCapacity()) {
             waiting.add(job);
         } else {
-            refuse(job);
+            reject(job);
         }
     }
 
-    private static void refuse(Job job) {
+    private static void reject(Job job) {
         write(job, "SERVER_ERROR busy O" + job.command.flag('O'), null);
     }
 
-    private void begin(Job job) {
-        busy++;
+    private void startJob(Job job) {
+        activeJobs++;
         // Half of a fetch is the same for all, the other half varies: neither a clock nor without
         // memory.
-        double part = 0.5 - 0.5 * Math.log(1 - random.nextDouble());
-        loop.schedule(() -> end(job), (long) (spec.time() * slow * part), TimeUnit.NANOSECONDS);
+        double timeFactor = 0.5 - 0.5 * Math.log(1 - random.nextDouble());
+        loop.schedule(() -> finishJob(job), (long) (spec.meanFetchNanos() * slowdownFactor * timeFactor), TimeUnit.NANOSECONDS);
     }
 
-    private void end(Job job) {
-        busy--;
-        if (System.nanoTime() < downUntil) {
-            refuse(job);
+    private void finishJob(Job job) {
+        activeJobs--;
+        if (System.nanoTime() < downUntilNanos) {
+            reject(job);
         } else if (job.command.word(0).equals("ms")) {
             versions.merge(job.command.word(1), 1, Integer::sum);
             write(job, "HD O" + job.command.flag('O'), null);
@@ -146,8 +146,8 @@
             byte[] value = value(job.command.word(1));
             write(job, "VA " + value.length + " O" + job.command.flag('O'), value);
         }
-        while (busy < spec.places() && !waiting.isEmpty()) {
-            begin(waiting.poll());
+        while (activeJobs < spec.concurrency() && !waiting.isEmpty()) {
+            startJob(waiting.poll());
         }
     }
 
@@ -158,8 +158,8 @@
                         .getBytes(StandardCharsets.ISO_8859_1);
         int size =
                 head.length
-                        + spec.value() / 2
-                        + Math.floorMod(key.hashCode(), Math.max(1, spec.value()));
+                        + spec.meanValueBytes() / 2
+                        + Math.floorMod(key.hashCode(), Math.max(1, spec.meanValueBytes()));
         byte[] value = Arrays.copyOf(head, size);
         Arrays.fill(value, head.length, size, (byte) ('a' + Math.floorMod(key.hashCode(), 26)));
         return value;
@@ -171,10 +171,10 @@
         }
     }
 
-    private final class Caller extends SimpleChannelInboundHandler<MetaMessage> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<MetaMessage> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaMessage message) {
-            take(new Job(ctx.channel(), message));
+            accept(new Job(ctx.channel(), message));
         }
 
         @Override
--- a/rig/src/main/java/frostrelay/rig/bench/Bench.java
+++ b/rig/src/main/java/frostrelay/rig/bench/Bench.java
@@ -1,15 +1,15 @@
 package frostrelay.rig.bench;
 
 import frostrelay.rig.day.ClassSpec;
-import frostrelay.rig.day.Day;
-import frostrelay.rig.day.DayFile;
+import frostrelay.rig.day.Scenario;
+import frostrelay.rig.day.ScenarioFile;
 import frostrelay.rig.day.TenantSpec;
 import frostrelay.rig.discovery.DiscoveryServer;
 import frostrelay.rig.discovery.Member;
 import frostrelay.rig.fleet.BalancerConfig;
 import frostrelay.rig.fleet.BalancerProcess;
-import frostrelay.rig.fleet.Children;
-import frostrelay.rig.fleet.Program;
+import frostrelay.rig.fleet.ChildProcesses;
+import frostrelay.rig.fleet.BalancerCommand;
 import frostrelay.rig.referee.Referee;
 import frostrelay.rig.wire.Loopback;
 
@@ -40,11 +40,11 @@
  * in a closed loop and at a steady rate.
  */
 public final class Bench implements AutoCloseable {
-    private static final int CACHES = 4;
-    private static final int VALUE = 400;
-    private static final long SECOND_MS = 1_000;
-    private static final long SETTLE_MS = 300;
-    private static final int BALANCER = 2;
+    private static final int CACHE_COUNT = 4;
+    private static final int VALUE_BYTES = 400;
+    private static final long MILLIS_PER_SECOND = 1_000;
+    private static final long SETTLING_TIME_MILLIS = 300;
+    private static final int BALANCER_TARGET_INDEX = 2;
 
     static {
         // A selector that never sleeps looks broken to Netty, which would build it anew each time.
@@ -56,32 +56,32 @@
      * its memory behind that; 0 for nothing.
      */
     public record Figures(
-            String way,
-            double rate,
+            String target,
+            double perSecond,
             double cpuMicros,
             double p50Micros,
             double p99Micros,
-            long bad,
+            long errors,
             long residentKb) {
         /** For machines. */
         public Map<String, Object> json() {
             Map<String, Object> all = new LinkedHashMap<>();
-            all.put("way", way);
-            all.put("perSecond", Math.round(rate));
+            all.put("way", target);
+            all.put("perSecond", Math.round(perSecond));
             all.put("cpuMicros", Math.round(cpuMicros * 100) / 100.0);
             all.put("p50Micros", Math.round(p50Micros * 10) / 10.0);
             all.put("p99Micros", Math.round(p99Micros * 10) / 10.0);
-            all.put("bad", bad);
+            all.put("bad", errors);
             all.put("residentKb", residentKb);
             return all;
         }
     }
 
-    private record Between(
-            String way,
+    private record Target(
+            String name,
             InetSocketAddress address,
             Supplier<Duration> cpu,
-            Supplier<Long> resident) {}
+            Supplier<Long> residentKb) {}
 
     private final int connections;
     private final long seconds;
@@ -110,25 +110,25 @@
                         new DefaultThreadFactory("load", true),
                         SelectorProvider.provider(),
                         () -> (select, hasTasks) -> select.get());
-        for (int i = 0; i < CACHES; i++) {
-            EchoCache cache = new EchoCache(VALUE);
+        for (int i = 0; i < CACHE_COUNT; i++) {
+            EchoCache cache = new EchoCache(VALUE_BYTES);
             caches.add(cache);
             addresses.add(cache.start(cacheGroup.next()));
         }
     }
 
     /** A phase: each way's rounds, in the order of the ways. */
-    public record Phase(String name, List<List<Figures>> ways) {
+    public record Phase(String name, List<List<Figures>> roundsByTarget) {
         /** The middle one of each figure over a way's rounds. */
-        public Figures middle(int way) {
-            List<Figures> rounds = ways.get(way);
+        public Figures median(int target) {
+            List<Figures> rounds = roundsByTarget.get(target);
             return new Figures(
-                    rounds.get(0).way,
-                    median(rounds, Figures::rate),
+                    rounds.get(0).target,
+                    median(rounds, Figures::perSecond),
                     median(rounds, Figures::cpuMicros),
                     median(rounds, Figures::p50Micros),
                     median(rounds, Figures::p99Micros),
-                    rounds.stream().mapToLong(Figures::bad).sum(),
+                    rounds.stream().mapToLong(Figures::errors).sum(),
                     (long) median(rounds, Figures::residentKb));
         }
 
@@ -137,19 +137,19 @@
          * its own round.
          */
         public double[] compare(
-                int way,
-                int against,
+                int target,
+                int baseline,
                 DoubleBinaryOperator operator,
                 ToDoubleFunction<Figures> figure) {
-            double[] all = new double[ways.get(way).size()];
-            for (int i = 0; i < all.length; i++) {
-                all[i] =
+            double[] ratios = new double[roundsByTarget.get(target).size()];
+            for (int i = 0; i < ratios.length; i++) {
+                ratios[i] =
                         operator.applyAsDouble(
-                                figure.applyAsDouble(ways.get(way).get(i)),
-                                figure.applyAsDouble(ways.get(against).get(i)));
+                                figure.applyAsDouble(roundsByTarget.get(target).get(i)),
+                                figure.applyAsDouble(roundsByTarget.get(baseline).get(i)));
             }
-            Arrays.sort(all);
-            return new double[] {all[0], all[all.length / 2], all[all.length - 1]};
+            Arrays.sort(ratios);
+            return new double[] {ratios[0], ratios[ratios.length / 2], ratios[ratios.length - 1]};
         }
 
         private static double median(List<Figures> rounds, ToDoubleFunction<Figures> figure) {
@@ -160,50 +160,50 @@
 
     /**
      * Measures all ways in turn, some rounds over: what else the machine does then meets all of
-     * them. {@code relay}: the command of a relay, which gets a port and an address appended;
-     * {@code further}: another form of the balancer, or null.
+     * them. {@code relayCommand}: the command of a relay, which gets a port and an address appended;
+     * {@code otherProgram}: another form of the balancer, or null.
      */
     public List<Phase> run(
-            Program program,
-            Program further,
-            List<String> relay,
-            Path folder,
+            BalancerCommand program,
+            BalancerCommand otherProgram,
+            List<String> relayCommand,
+            Path directory,
             int rounds,
-            Consumer<String> told)
+            Consumer<String> progress)
             throws IOException, InterruptedException {
-        List<Between> ways =
+        List<Target> targets =
                 new ArrayList<>(
                         List.of(
-                                new Between(
+                                new Target(
                                         "cache", addresses.get(0), () -> Duration.ZERO, () -> 0L),
-                                relay(relay),
-                                balancer("balancer", program, folder.resolve("balancer-1"))));
-        if (further != null) {
-            ways.add(balancer("further", further, folder.resolve("balancer-2")));
+                                relay(relayCommand),
+                                balancer("balancer", program, directory.resolve("balancer-1"))));
+        if (otherProgram != null) {
+            targets.add(balancer("further", otherProgram, directory.resolve("balancer-2")));
         }
-        told.accept("warming");
+        progress.accept("warming");
         for (int i = 0; i < 2; i++) {
-            for (Between way : ways) {
-                measure(way, 0);
+            for (Target target : targets) {
+                measure(target, 0);
             }
         }
-        Phase closed = phase("closed loop", ways, 0, rounds, told);
+        Phase closed = phase("closed loop", targets, 0, rounds, progress);
         return List.of(
-                closed, phase("half load", ways, closed.middle(BALANCER).rate / 2, rounds, told));
+                closed, phase("half load", targets, closed.median(BALANCER_TARGET_INDEX).perSecond / 2, rounds, progress));
     }
 
     private Phase phase(
-            String name, List<Between> ways, double rate, int rounds, Consumer<String> told)
+            String name, List<Target> targets, double rate, int rounds, Consumer<String> progress)
             throws InterruptedException {
-        List<List<Figures>> all = new ArrayList<>();
-        ways.forEach(way -> all.add(new ArrayList<>()));
+        List<List<Figures>> figures = new ArrayList<>();
+        targets.forEach(way -> figures.add(new ArrayList<>()));
         for (int round = 0; round < rounds; round++) {
-            told.accept(name + ": round " + (round + 1) + " of " + rounds);
-            for (int i = 0; i < ways.size(); i++) {
-                all.get(i).add(measure(ways.get(i), rate));
+            progress.accept(name + ": round " + (round + 1) + " of " + rounds);
+            for (int i = 0; i < targets.size(); i++) {
+                figures.get(i).add(measure(targets.get(i), rate));
             }
         }
-        return new Phase(name, all);
+        return new Phase(name, figures);
     }
 
     /** Connections that all caches have seen opened. */
@@ -211,58 +211,58 @@
         return caches.stream().mapToLong(EchoCache::connections).sum();
     }
 
-    private Figures measure(Between way, double rate) throws InterruptedException {
+    private Figures measure(Target target, double rate) throws InterruptedException {
         List<ReadLoop> readers = new ArrayList<>();
         for (int i = 0; i < loops; i++) {
             ReadLoop reader = new ReadLoop(loadGroup.next(), rate / loops, i + 1);
-            reader.start(way.address, connections / loops);
+            reader.start(target.address, connections / loops);
             readers.add(reader);
         }
-        Thread.sleep(SETTLE_MS);
-        long cpu = way.cpu.get().toNanos();
+        Thread.sleep(SETTLING_TIME_MILLIS);
+        long cpuNanosAtStart = target.cpu.get().toNanos();
         long start = System.nanoTime();
-        readers.forEach(ReadLoop::count);
-        Thread.sleep(seconds * SECOND_MS);
-        long used = way.cpu.get().toNanos() - cpu;
-        double time = System.nanoTime() - start;
+        readers.forEach(ReadLoop::startRecording);
+        Thread.sleep(seconds * MILLIS_PER_SECOND);
+        long cpuNanos = target.cpu.get().toNanos() - cpuNanosAtStart;
+        double elapsedNanos = System.nanoTime() - start;
         readers.forEach(ReadLoop::stop);
         Histogram latency = new Histogram(readers.get(0).latency());
         readers.stream().skip(1).forEach(reader -> latency.add(reader.latency()));
         long served = readers.stream().mapToLong(ReadLoop::served).sum();
-        long bad = readers.stream().mapToLong(ReadLoop::bad).sum();
+        long errors = readers.stream().mapToLong(ReadLoop::errors).sum();
         return new Figures(
-                way.way,
-                served * 1e9 / time,
-                used / 1e3 / Math.max(1, served),
+                target.name,
+                served * 1e9 / elapsedNanos,
+                cpuNanos / 1e3 / Math.max(1, served),
                 latency.getValueAtPercentile(50) / 1e3,
                 latency.getValueAtPercentile(99) / 1e3,
-                bad,
-                way.resident.get());
+                errors,
+                target.residentKb.get());
     }
 
-    private Between relay(List<String> relay) throws IOException, InterruptedException {
+    private Target relay(List<String> relayCommand) throws IOException, InterruptedException {
         int port = Loopback.freePort();
-        List<String> command = new ArrayList<>(relay);
+        List<String> command = new ArrayList<>(relayCommand);
         command.add(Integer.toString(port));
         command.add(Loopback.text(addresses.get(0)));
         Process process =
-                Children.start(
+                ChildProcesses.start(
                         new ProcessBuilder(command)
                                 .redirectErrorStream(true)
                                 .redirectOutput(ProcessBuilder.Redirect.DISCARD));
         children.add(process::destroyForcibly);
         InetSocketAddress address = Loopback.port(port);
-        for (int i = 0; i < 200 && !answers(address); i++) {
+        for (int i = 0; i < 200 && !isListening(address); i++) {
             Thread.sleep(50);
         }
-        return new Between(
+        return new Target(
                 "relay",
                 address,
                 () -> process.info().totalCpuDuration().orElse(Duration.ZERO),
                 () -> 0L);
     }
 
-    private static boolean answers(InetSocketAddress address) {
+    private static boolean isListening(InetSocketAddress address) {
         try (java.net.Socket socket = new java.net.Socket()) {
             socket.connect(address, 100);
             return true;
@@ -271,20 +271,20 @@
         }
     }
 
-    private Between balancer(String way, Program program, Path folder)
+    private Target balancer(String name, BalancerCommand program, Path folder)
             throws IOException, InterruptedException {
-        Day demo = DayFile.demo().quiet();
-        Day day =
-                new Day(
+        Scenario demo = ScenarioFile.demo().withoutFaults();
+        Scenario day =
+                new Scenario(
                         1,
-                        demo.length(),
-                        CACHES,
+                        demo.durationNanos(),
+                        CACHE_COUNT,
                         1,
                         0,
-                        demo.drainGrace(),
-                        demo.repeatWindow(),
+                        demo.drainGraceNanos(),
+                        demo.deduplicationWindowNanos(),
                         demo.cache(),
-                        demo.archive(),
+                        demo.origin(),
                         demo.load(),
                         List.of(
                                 new ClassSpec(
@@ -292,10 +292,10 @@
                                         1,
                                         100_000,
                                         100_000,
-                                        SECOND_MS * 1_000_000,
-                                        2 * SECOND_MS * 1_000_000,
+                                        MILLIS_PER_SECOND * 1_000_000,
+                                        2 * MILLIS_PER_SECOND * 1_000_000,
                                         1,
-                                        Referee.Effect.REPEATABLE)),
+                                        Referee.Effect.IDEMPOTENT)),
                         List.of(new TenantSpec("bench", 1)),
                         List.of());
         EventLoop loop = cacheGroup.next();
@@ -303,15 +303,15 @@
                 new DiscoveryServer(
                         loop,
                         new Referee(
-                                new Referee.Bounds(Long.MAX_VALUE / 2, 1, day.cache().warmth(), 1)),
+                                new Referee.Bounds(Long.MAX_VALUE / 2, 1, day.cache().slowStart(), 1)),
                         0);
         Map<String, String> endpoints = new LinkedHashMap<>();
-        for (int i = 0; i < CACHES; i++) {
+        for (int i = 0; i < CACHE_COUNT; i++) {
             endpoints.put("cache-" + (i + 1), Loopback.text(addresses.get(i)));
-            discovery.known(new Member("cache-" + (i + 1), Member.State.READY, 0));
+            discovery.addInitial(new Member("cache-" + (i + 1), Member.State.READY, 0));
         }
         InetSocketAddress listen = Loopback.port(Loopback.freePort());
-        int talk = Loopback.freePort();
+        int gossipPort = Loopback.freePort();
         BalancerProcess process =
                 new BalancerProcess(
                         "balancer-1",
@@ -324,20 +324,20 @@
                                 Loopback.text(listen),
                                 Loopback.text(Loopback.port(Loopback.freePort())),
                                 Loopback.text(discovery.listen("balancer-1", endpoints)),
-                                discovery.list(endpoints),
+                                discovery.endpointList(endpoints),
                                 // It may talk; the other one of two is not there.
                                 Map.of(
                                         "peer_listen",
-                                        Loopback.text(Loopback.port(talk)),
+                                        Loopback.text(Loopback.port(gossipPort)),
                                         "peers",
                                         List.of(
-                                                Loopback.text(Loopback.port(talk)),
+                                                Loopback.text(Loopback.port(gossipPort)),
                                                 Loopback.text(
                                                         Loopback.port(Loopback.freePort()))))));
         children.add(process);
         process.start();
         process.awaitReady();
-        return new Between(way, listen, process::cpu, process::residentKb);
+        return new Target(name, listen, process::cpuTime, process::residentKb);
     }
 
     @Override
