--- a/rig/src/main/java/frostrelay/rig/bench/ReadLoop.java
+++ b/rig/src/main/java/frostrelay/rig/bench/ReadLoop.java
@@ -32,34 +32,34 @@
  * soon as it is answered, or at a given rate with latencies from the intended time on.
  */
 final class ReadLoop {
-    private static final long MOST_NANOS = 10_000_000_000L;
+    private static final long MAX_LATENCY_NANOS = 10_000_000_000L;
     private static final AtomicLong IDS = new AtomicLong();
 
     private final EventLoop loop;
-    private final double rate;
+    private final double requestsPerSecond;
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential gaps;
     private final List<Channel> channels = new ArrayList<>();
-    private final Deque<Reader> free = new ArrayDeque<>();
-    private final Deque<Long> due = new ArrayDeque<>();
-    private final Histogram latency = new Histogram(MOST_NANOS, 3);
+    private final Deque<Reader> idleReaders = new ArrayDeque<>();
+    private final Deque<Long> dueTimes = new ArrayDeque<>();
+    private final Histogram latency = new Histogram(MAX_LATENCY_NANOS, 3);
     private long served;
-    private long bad;
-    private boolean counting;
-    private boolean stopped;
-    private double nextAt;
+    private long errors;
+    private boolean isRecording;
+    private boolean isStopped;
+    private double nextAtNanos;
 
     /**
-     * {@code rate}: a second, 0 for a closed loop; the same {@code seed} asks for the same keys.
+     * {@code requestsPerSecond}: a second, 0 for a closed loop; the same {@code seed} asks for the same keys.
      */
-    ReadLoop(EventLoop loop, double rate, long seed) {
+    ReadLoop(EventLoop loop, double requestsPerSecond, long seed) {
         this.loop = loop;
-        this.rate = rate;
+        this.requestsPerSecond = requestsPerSecond;
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.gaps = ZigguratSampler.Exponential.of(random);
     }
 
-    void start(InetSocketAddress to, int connections) throws InterruptedException {
+    void start(InetSocketAddress address, int connections) throws InterruptedException {
         for (int i = 0; i < connections; i++) {
             channels.add(
                     new Bootstrap()
@@ -73,47 +73,47 @@
                                             fresh.pipeline().addLast(new MetaCodec(), new Reader());
                                         }
                                     })
-                            .connect(to)
+                            .connect(address)
                             .sync()
                             .channel());
         }
-        if (rate > 0) {
+        if (requestsPerSecond > 0) {
             loop.execute(
                     () -> {
-                        nextAt = System.nanoTime();
-                        pace();
+                        nextAtNanos = System.nanoTime();
+                        issueDueReads();
                     });
         }
     }
 
-    private void pace() {
+    private void issueDueReads() {
         long now = System.nanoTime();
-        while (nextAt <= now && !stopped) {
-            due.add((long) nextAt);
-            nextAt += gaps.sample() * 1e9 / rate;
+        while (nextAtNanos <= now && !isStopped) {
+            dueTimes.add((long) nextAtNanos);
+            nextAtNanos += gaps.sample() * 1e9 / requestsPerSecond;
         }
-        while (!due.isEmpty() && !free.isEmpty()) {
-            free.poll().ask(due.poll());
+        while (!dueTimes.isEmpty() && !idleReaders.isEmpty()) {
+            idleReaders.poll().sendRead(dueTimes.poll());
         }
-        if (!stopped) {
+        if (!isStopped) {
             loop.schedule(
-                    this::pace,
-                    (long) Math.max(0, nextAt - System.nanoTime()),
+                    this::issueDueReads,
+                    (long) Math.max(0, nextAtNanos - System.nanoTime()),
                     TimeUnit.NANOSECONDS);
         }
     }
 
     /** From now on what is served counts. */
-    void count() {
-        loop.submit(() -> counting = true).syncUninterruptibly();
+    void startRecording() {
+        loop.submit(() -> isRecording = true).syncUninterruptibly();
     }
 
     /** Ends; what was counted is final then. */
     void stop() {
         loop.submit(
                         () -> {
-                            counting = false;
-                            stopped = true;
+                            isRecording = false;
+                            isStopped = true;
                         })
                 .syncUninterruptibly();
         channels.forEach(channel -> channel.close().syncUninterruptibly());
@@ -123,8 +123,8 @@
         return served;
     }
 
-    long bad() {
-        return bad;
+    long errors() {
+        return errors;
     }
 
     Histogram latency() {
@@ -139,15 +139,15 @@
         @Override
         public void channelActive(ChannelHandlerContext active) {
             ctx = active;
-            if (rate > 0) {
-                free.add(this);
+            if (requestsPerSecond > 0) {
+                idleReaders.add(this);
             } else {
-                ask(System.nanoTime());
+                sendRead(System.nanoTime());
             }
         }
 
-        void ask(long at) {
-            intended = at;
+        void sendRead(long intendedAtNanos) {
+            intended = intendedAtNanos;
             id = Long.toHexString(IDS.incrementAndGet());
             String key = String.format(Locale.ROOT, "%04x", random.nextInt(1 << 12));
             ctx.writeAndFlush(
@@ -161,20 +161,20 @@
         protected void channelRead0(ChannelHandlerContext context, MetaMessage answer) {
             long now = System.nanoTime();
             boolean right = answer.word(0).equals("VA") && id.equals(answer.flag('O'));
-            if (counting) {
+            if (isRecording) {
                 served += right ? 1 : 0;
-                bad += right ? 0 : 1;
-                latency.recordValue(Math.min(MOST_NANOS, now - intended));
+                errors += right ? 0 : 1;
+                latency.recordValue(Math.min(MAX_LATENCY_NANOS, now - intended));
             }
-            if (stopped) {
+            if (isStopped) {
                 return;
             }
-            if (rate == 0) {
-                ask(now);
+            if (requestsPerSecond == 0) {
+                sendRead(now);
             } else {
-                free.add(this);
-                if (!due.isEmpty()) {
-                    free.poll().ask(due.poll());
+                idleReaders.add(this);
+                if (!dueTimes.isEmpty()) {
+                    idleReaders.poll().sendRead(dueTimes.poll());
                 }
             }
         }
--- a/rig/src/main/java/frostrelay/rig/cache/CacheServer.java
+++ b/rig/src/main/java/frostrelay/rig/cache/CacheServer.java
@@ -1,7 +1,7 @@
 package frostrelay.rig.cache;
 
-import frostrelay.rig.archive.ArchiveClient;
-import frostrelay.rig.referee.ColdMeter;
+import frostrelay.rig.archive.OriginClient;
+import frostrelay.rig.referee.SlowStartMeter;
 import frostrelay.rig.referee.Referee;
 import frostrelay.rig.wire.Loopback;
 import frostrelay.rig.wire.MetaCodec;
@@ -40,23 +40,23 @@
  * loop; the public calls may come from any thread.
  */
 public final class CacheServer {
-    private static final String FAILED = "SERVER_ERROR failed";
-    private static final double COLD_TICK = 20e6;
+    private static final String FAILED_RESPONSE = "SERVER_ERROR failed";
+    private static final double SLOW_START_TICK_NANOS = 20e6;
 
     /** Work differs from what the command's hint says by at most this part, by the request's id. */
     private static final double HINT_ERROR = 0.15;
 
-    private static final long MICROSECOND = 1_000L;
-    private static final long MILLISECOND = 1_000_000L;
-    private static final long DEFAULT_WORK_US = 1_000;
-    private static final long START_MS = 50;
+    private static final long NANOS_PER_MICROSECOND = 1_000L;
+    private static final long NANOS_PER_MILLISECOND = 1_000_000L;
+    private static final long DEFAULT_WORK_MICROS = 1_000;
+    private static final long START_DELAY_MILLIS = 50;
 
     /** One command that came and has not been answered. */
     private final class Job {
         final Connection connection;
         final MetaMessage command;
         final String id;
-        boolean gone;
+        boolean isClientGone;
 
         Job(Connection connection, MetaMessage command) {
             this.connection = connection;
@@ -64,7 +64,7 @@
             this.id = command.flag('O') == null ? "" : command.flag('O');
         }
 
-        boolean write() {
+        boolean isWrite() {
             return command.word(0).equals("ms");
         }
 
@@ -76,48 +76,48 @@
     private final String name;
     private final CacheSpec spec;
     private final EventLoop loop;
-    private final ArchiveClient archive;
-    private final RepeatFilter repeats;
-    private final Referee referee;
-    private final List<CacheServer> fleet;
-    private final Map<String, InetSocketAddress> listens = new HashMap<>();
-    private final List<Channel> servers = new ArrayList<>();
+    private final OriginClient origin;
+    private final DeduplicationWindow deduplicationWindow;
+    private final Referee invariantChecker;
+    private final List<CacheServer> allCaches;
+    private final Map<String, InetSocketAddress> listenAddresses = new HashMap<>();
+    private final List<Channel> serverChannels = new ArrayList<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private final Map<String, List<Job>> fetching = new HashMap<>();
+    private final Map<String, List<Job>> pendingFetches = new HashMap<>();
     private final LongAdder hits = new LongAdder();
     private final LongAdder misses = new LongAdder();
     private Store store;
     private WorkEngine<Job> engine;
-    private ColdMeter meter;
-    private long startedAt;
-    private boolean cold;
-    private double slow = 1;
-    private boolean silent;
-    private boolean failsWrites;
-    private boolean down;
+    private SlowStartMeter meter;
+    private long startedAtNanos;
+    private boolean isWarmingUp;
+    private double slowdownFactor = 1;
+    private boolean isUnresponsive;
+    private boolean isFailingWrites;
+    private boolean isDown;
     private Future<?> tick;
-    private long tickAt = Long.MAX_VALUE;
-    private int held;
+    private long tickAtNanos = Long.MAX_VALUE;
+    private int connectionCount;
 
     /**
-     * {@code fleet}: all caches, this one included, whose copies a write voids; read at each write.
+     * {@code allCaches}: all caches, this one included, whose copies a write voids; read at each write.
      */
     public CacheServer(
             String name,
             CacheSpec spec,
             EventLoop loop,
-            ArchiveClient archive,
-            RepeatFilter repeats,
-            Referee referee,
-            List<CacheServer> fleet) {
+            OriginClient origin,
+            DeduplicationWindow deduplicationWindow,
+            Referee invariantChecker,
+            List<CacheServer> allCaches) {
         this.name = name;
         this.spec = spec;
         this.loop = loop;
-        this.archive = archive;
-        this.repeats = repeats;
-        this.referee = referee;
-        this.fleet = fleet;
-        restore(false);
+        this.origin = origin;
+        this.deduplicationWindow = deduplicationWindow;
+        this.invariantChecker = invariantChecker;
+        this.allCaches = allCaches;
+        reset(false);
     }
 
     /** Listens for one balancer; returns where. */
@@ -126,8 +126,8 @@
         InetSocketAddress address = (InetSocketAddress) server.localAddress();
         loop.submit(
                         () -> {
-                            listens.put(balancer, address);
-                            servers.add(server);
+                            listenAddresses.put(balancer, address);
+                            serverChannels.add(server);
                         })
                 .sync();
         return address;
@@ -154,39 +154,39 @@
         return System.nanoTime();
     }
 
-    private void restore(boolean empty) {
-        store = new Store(spec.memory());
-        engine = new WorkEngine<>(spec.cores(), spec.slots(), spec.queue());
-        startedAt = now();
-        cold = empty;
-        meter = empty ? new ColdMeter(spec.warmth(), spec.cores(), startedAt) : null;
-        engine.speed(startedAt, speed(startedAt));
+    private void reset(boolean isColdStart) {
+        store = new Store(spec.memoryBytes());
+        engine = new WorkEngine<>(spec.cores(), spec.slots(), spec.queueCapacity());
+        startedAtNanos = now();
+        isWarmingUp = isColdStart;
+        meter = isColdStart ? new SlowStartMeter(spec.slowStart(), spec.cores(), startedAtNanos) : null;
+        engine.setSpeed(startedAtNanos, speed(startedAtNanos));
     }
 
     private double speed(long now) {
-        return (cold ? spec.warmth().part(now - startedAt) : 1) / slow;
+        return (isWarmingUp ? spec.slowStart().capacityFraction(now - startedAtNanos) : 1) / slowdownFactor;
     }
 
     // Faults and operators' calls.
 
     /** The process dies: connections are reset, new ones refused. */
     public void kill() {
-        loop.execute(this::die);
+        loop.execute(this::shutDown);
     }
 
-    private void die() {
-        if (down) {
+    private void shutDown() {
+        if (isDown) {
             return;
         }
-        down = true;
-        servers.forEach(Channel::close);
-        servers.clear();
+        isDown = true;
+        serverChannels.forEach(Channel::close);
+        serverChannels.clear();
         for (Connection connection : List.copyOf(connections)) {
             connection.channel.config().setOption(ChannelOption.SO_LINGER, 0);
             connection.channel.close();
         }
         engine.clear(now());
-        fetching.clear();
+        pendingFetches.clear();
     }
 
     /**
@@ -196,40 +196,40 @@
     public void restart(Runnable started) {
         loop.execute(
                 () -> {
-                    die();
-                    loop.schedule(() -> revive(started), START_MS, TimeUnit.MILLISECONDS);
+                    shutDown();
+                    loop.schedule(() -> startAgain(started), START_DELAY_MILLIS, TimeUnit.MILLISECONDS);
                 });
     }
 
-    private void revive(Runnable started) {
-        restore(true);
-        referee.started(startedAt, name);
-        silent = false;
-        down = false;
+    private void startAgain(Runnable started) {
+        reset(true);
+        invariantChecker.onCacheStarted(startedAtNanos, name);
+        isUnresponsive = false;
+        isDown = false;
         started.run();
-        listens.forEach(this::listenAgain);
+        listenAddresses.forEach(this::rebind);
     }
 
     /**
      * Another socket of this machine may have been given the port meanwhile: then it is tried until
      * it is free.
      */
-    private void listenAgain(String balancer, InetSocketAddress address) {
-        long start = startedAt;
+    private void rebind(String balancer, InetSocketAddress address) {
+        long start = startedAtNanos;
         bootstrap(balancer)
                 .bind(address)
                 .addListener(
                         (ChannelFuture bound) -> {
                             if (bound.isSuccess()) {
-                                servers.add(bound.channel());
+                                serverChannels.add(bound.channel());
                             } else {
                                 loop.schedule(
                                         () -> {
-                                            if (!down && startedAt == start) {
-                                                listenAgain(balancer, address);
+                                            if (!isDown && startedAtNanos == start) {
+                                                rebind(balancer, address);
                                             }
                                         },
-                                        START_MS,
+                                        START_DELAY_MILLIS,
                                         TimeUnit.MILLISECONDS);
                             }
                         });
@@ -239,28 +239,28 @@
      * Another program takes part of the machine: work takes {@code factor} times as long, 1 or
      * more.
      */
-    public void slow(double factor) {
+    public void setSlowdown(double factor) {
         loop.execute(
                 () -> {
-                    slow = factor;
-                    engine.speed(now(), speed(now()));
-                    schedule();
+                    slowdownFactor = factor;
+                    engine.setSpeed(now(), speed(now()));
+                    scheduleTick();
                 });
     }
 
     /** The machine says nothing and reads nothing; its connections stay open. */
-    public void silence(boolean on) {
+    public void setUnresponsive(boolean isActive) {
         loop.execute(
                 () -> {
-                    silent = on;
-                    connections.forEach(connection -> connection.channel.config().setAutoRead(!on));
-                    schedule();
+                    isUnresponsive = isActive;
+                    connections.forEach(connection -> connection.channel.config().setAutoRead(!isActive));
+                    scheduleTick();
                 });
     }
 
     /** Each write is answered as failed, before anything of it ran. */
-    public void failWrites(boolean on) {
-        loop.execute(() -> failsWrites = on);
+    public void setFailingWrites(boolean isActive) {
+        loop.execute(() -> isFailingWrites = isActive);
     }
 
     /** The copy of a key goes void. */
@@ -287,105 +287,105 @@
 
     private void accept(Job job) {
         long now = now();
-        double work = work(job);
+        double work = workNanos(job);
         if (!job.id.isEmpty()) {
-            referee.received(now, name, job.connection.balancer, job.id, work);
-            String waited = job.command.figure("d");
-            if (waited != null) {
-                referee.told(
+            invariantChecker.onCommandReceived(now, name, job.connection.balancer, job.id, work);
+            String timeoutMillis = job.command.figure("d");
+            if (timeoutMillis != null) {
+                invariantChecker.onNotified(
                         now,
                         name,
                         job.connection.balancer,
                         job.id,
-                        now + Long.parseLong(waited) * MILLISECOND);
+                        now + Long.parseLong(timeoutMillis) * NANOS_PER_MILLISECOND);
             }
-            referee.watcher().command(now, name, job.connection.balancer, job.id);
+            invariantChecker.observer().onCommand(now, name, job.connection.balancer, job.id);
         }
-        if (meter != null && meter.reached(now, work)) {
+        if (meter != null && meter.addWork(now, work)) {
             // Sent more than it bears so soon after its start, it falls over and stays down.
-            die();
+            shutDown();
             return;
         }
-        if (engine.offer(now, job, work) == WorkEngine.Offer.FULL) {
-            job.connection.answer(job, "SERVER_ERROR busy", null);
+        if (engine.submit(now, job, work) == WorkEngine.Admission.REJECTED) {
+            job.connection.respond(job, "SERVER_ERROR busy", null);
         }
-        schedule();
+        scheduleTick();
     }
 
-    private double work(Job job) {
+    private double workNanos(Job job) {
         String hint = job.command.figure("h");
-        double micros = hint == null ? DEFAULT_WORK_US : Double.parseDouble(hint);
+        double micros = hint == null ? DEFAULT_WORK_MICROS : Double.parseDouble(hint);
         // Spread by the id alone: the same plan asks the same work of every balancer.
         double spread = Math.floorMod(job.id.hashCode() * 0x9E3779B9L, 2_001L) / 1_000.0 - 1;
-        return micros * MICROSECOND * (1 + HINT_ERROR * spread);
+        return micros * NANOS_PER_MICROSECOND * (1 + HINT_ERROR * spread);
     }
 
-    private void schedule() {
+    private void scheduleTick() {
         long next =
-                cold && engine.running() > 0
-                        ? Math.min(engine.next(), now() + (long) COLD_TICK)
-                        : engine.next();
-        if (silent || down || next == Long.MAX_VALUE) {
+                isWarmingUp && engine.running() > 0
+                        ? Math.min(engine.nextCompletionNanos(), now() + (long) SLOW_START_TICK_NANOS)
+                        : engine.nextCompletionNanos();
+        if (isUnresponsive || isDown || next == Long.MAX_VALUE) {
             return;
         }
-        if (tick != null && !tick.isDone() && tickAt <= next && tickAt >= now()) {
+        if (tick != null && !tick.isDone() && tickAtNanos <= next && tickAtNanos >= now()) {
             return;
         }
         if (tick != null) {
             tick.cancel(false);
         }
-        tickAt = next;
-        tick = loop.schedule(this::progress, Math.max(0, next - now()), TimeUnit.NANOSECONDS);
+        tickAtNanos = next;
+        tick = loop.schedule(this::onTick, Math.max(0, next - now()), TimeUnit.NANOSECONDS);
     }
 
-    private void progress() {
+    private void onTick() {
         tick = null;
-        if (silent || down) {
+        if (isUnresponsive || isDown) {
             return;
         }
         long now = now();
-        if (cold) {
-            engine.speed(now, speed(now));
-            cold = now - startedAt < spec.warmth().within();
+        if (isWarmingUp) {
+            engine.setSpeed(now, speed(now));
+            isWarmingUp = now - startedAtNanos < spec.slowStart().rampNanos();
         }
-        for (Job job : engine.finished(now)) {
-            if (!job.gone || !spec.cancelStops()) {
-                worked(job);
+        for (Job job : engine.takeFinished(now)) {
+            if (!job.isClientGone || !spec.cancelStops()) {
+                onWorkDone(job);
             }
         }
-        schedule();
+        scheduleTick();
     }
 
     /** Its share of the machine is done: now memory or the archive. */
-    private void worked(Job job) {
-        if (job.write()) {
+    private void onWorkDone(Job job) {
+        if (job.isWrite()) {
             write(job);
             return;
         }
-        byte[] kept = store.get(job.key());
-        if (kept != null) {
+        byte[] cached = store.get(job.key());
+        if (cached != null) {
             hits.increment();
-            serve(job, kept, "h1");
+            serve(job, cached, "h1");
             return;
         }
         misses.increment();
-        List<Job> others = fetching.get(job.key());
-        if (others != null && spec.coalesce()) {
-            others.add(job);
+        List<Job> waitingJobs = pendingFetches.get(job.key());
+        if (waitingJobs != null && spec.coalesce()) {
+            waitingJobs.add(job);
             return;
         }
-        List<Job> all = new ArrayList<>(List.of(job));
-        fetching.put(job.key(), all);
-        Store into = store;
-        archive.fetch(
+        List<Job> fetchJobs = new ArrayList<>(List.of(job));
+        pendingFetches.put(job.key(), fetchJobs);
+        Store targetStore = store;
+        origin.fetch(
                 job.key(),
-                spec.fetchTimeout(),
-                value -> loop.execute(() -> fetched(job.key(), all, into, value)));
+                spec.fetchTimeoutNanos(),
+                value -> loop.execute(() -> onFetched(job.key(), fetchJobs, targetStore, value)));
     }
 
-    private void fetched(String key, List<Job> waiting, Store into, byte[] value) {
-        fetching.remove(key, waiting);
-        if (into != store) {
+    private void onFetched(String key, List<Job> waiting, Store targetStore, byte[] value) {
+        pendingFetches.remove(key, waiting);
+        if (targetStore != store) {
             return;
         }
         if (value != null) {
@@ -393,7 +393,7 @@
         }
         for (Job job : waiting) {
             if (value == null) {
-                job.connection.answer(job, FAILED, null);
+                job.connection.respond(job, FAILED_RESPONSE, null);
             } else {
                 serve(job, value, "h0");
             }
@@ -403,49 +403,49 @@
     /** Every answer carries the id it was made for, so that nobody else's can pass for it. */
     private void serve(Job job, byte[] value, String flag) {
         byte[] head = (job.id + '|').getBytes(StandardCharsets.ISO_8859_1);
-        byte[] own = new byte[head.length + value.length];
-        System.arraycopy(head, 0, own, 0, head.length);
-        System.arraycopy(value, 0, own, head.length, value.length);
-        referee.made(job.id, Referee.content(own));
-        job.connection.answer(job, "VA " + own.length + " O" + job.id + ' ' + flag, own);
+        byte[] payload = new byte[head.length + value.length];
+        System.arraycopy(head, 0, payload, 0, head.length);
+        System.arraycopy(value, 0, payload, head.length, value.length);
+        invariantChecker.onProduced(job.id, Referee.digest(payload));
+        job.connection.respond(job, "VA " + payload.length + " O" + job.id + ' ' + flag, payload);
     }
 
     private void write(Job job) {
-        if (failsWrites) {
-            job.connection.answer(job, FAILED, null);
+        if (isFailingWrites) {
+            job.connection.respond(job, FAILED_RESPONSE, null);
             return;
         }
         String key = job.command.figure("k");
-        String receipt = repeats.receipt();
-        String first = key == null ? null : repeats.repeats(now(), key, receipt);
-        if (first != null) {
-            receipted(job, first);
+        String receipt = deduplicationWindow.nextReceipt();
+        String firstReceipt = key == null ? null : deduplicationWindow.findOrRecord(now(), key, receipt);
+        if (firstReceipt != null) {
+            sendReceipt(job, firstReceipt);
             return;
         }
         // From here on it may have run, whatever the archive's answer.
-        referee.ran(now(), job.id, key);
-        archive.write(
+        invariantChecker.onExecuted(now(), job.id, key);
+        origin.write(
                 job.key(),
                 job.command.data(),
-                spec.fetchTimeout(),
+                spec.fetchTimeoutNanos(),
                 done ->
                         loop.execute(
                                 () -> {
-                                    fleet.forEach(cache -> cache.invalidate(job.key()));
+                                    allCaches.forEach(cache -> cache.invalidate(job.key()));
                                     if (done) {
-                                        receipted(job, receipt);
+                                        sendReceipt(job, receipt);
                                     } else {
-                                        job.connection.answer(job, FAILED, null);
+                                        job.connection.respond(job, FAILED_RESPONSE, null);
                                     }
                                 }));
     }
 
-    private void receipted(Job job, String receipt) {
-        referee.made(job.id, Referee.content(receipt.getBytes(StandardCharsets.ISO_8859_1)));
-        job.connection.answer(job, "HD O" + job.id + " c" + receipt, null);
+    private void sendReceipt(Job job, String receipt) {
+        invariantChecker.onProduced(job.id, Referee.digest(receipt.getBytes(StandardCharsets.ISO_8859_1)));
+        job.connection.respond(job, "HD O" + job.id + " c" + receipt, null);
     }
 
-    private String report() {
+    private String loadReport() {
         return String.format(
                 Locale.ROOT,
                 "inflight=%d,queue=%d,util=%.2f",
@@ -470,12 +470,12 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (down || ++held > spec.connections()) {
+            if (isDown || ++connectionCount > spec.maxConnections()) {
                 ctx.close();
                 return;
             }
             connections.add(this);
-            channel.config().setAutoRead(!silent);
+            channel.config().setAutoRead(!isUnresponsive);
         }
 
         @Override
@@ -494,7 +494,7 @@
                                 MetaCodec.encode(
                                         ctx.alloc(),
                                         "STAT "
-                                                + report().replace("=", " ")
+                                                + loadReport().replace("=", " ")
                                                         .replace(",", "\r\nSTAT ")
                                                 + "\r\nEND",
                                         null));
@@ -505,14 +505,14 @@
             }
         }
 
-        void answer(Job job, String line, byte[] data) {
+        void respond(Job job, String line, byte[] data) {
             if (jobs.peek() != job || !channel.isActive()) {
                 return;
             }
             jobs.poll();
-            String told =
-                    line.startsWith("VA") || line.startsWith("HD") ? line + " L" + report() : line;
-            channel.writeAndFlush(MetaCodec.encode(channel.alloc(), told, data));
+            String responseLine =
+                    line.startsWith("VA") || line.startsWith("HD") ? line + " L" + loadReport() : line;
+            channel.writeAndFlush(MetaCodec.encode(channel.alloc(), responseLine, data));
             if (!jobs.isEmpty()) {
                 accept(jobs.peek());
             }
@@ -520,15 +520,15 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            held--;
+            connectionCount--;
             connections.remove(this);
             for (Job job : jobs) {
-                job.gone = true;
+                job.isClientGone = true;
                 engine.remove(now(), job, spec.cancelStops());
             }
             jobs.clear();
-            if (!down) {
-                schedule();
+            if (!isDown) {
+                scheduleTick();
             }
         }
 
--- a/rig/src/main/java/frostrelay/rig/cache/CacheSpec.java
+++ b/rig/src/main/java/frostrelay/rig/cache/CacheSpec.java
@@ -1,20 +1,20 @@
 package frostrelay.rig.cache;
 
-import frostrelay.rig.referee.ColdMeter;
+import frostrelay.rig.referee.SlowStartMeter;
 
 /**
- * What a cache machine is. {@code cores}, {@code slots}, {@code queue}: see {@link WorkEngine};
- * {@code memory}: bytes of values; {@code connections}: the most it holds; {@code fetchTimeout}:
+ * What a cache machine is. {@code cores}, {@code slots}, {@code queueCapacity}: see {@link WorkEngine};
+ * {@code memoryBytes}: bytes of values; {@code maxConnections}: the most it holds; {@code fetchTimeoutNanos}:
  * nanoseconds; {@code coalesce}: misses of one key share a fetch; {@code cancelStops}: work whose
  * client left stops.
  */
 public record CacheSpec(
         int cores,
         int slots,
-        int queue,
-        long memory,
-        int connections,
-        long fetchTimeout,
+        int queueCapacity,
+        long memoryBytes,
+        int maxConnections,
+        long fetchTimeoutNanos,
         boolean coalesce,
         boolean cancelStops,
-        ColdMeter.Warmth warmth) {}
+        SlowStartMeter.SlowStartProfile slowStart) {}
--- a/rig/src/main/java/frostrelay/rig/cache/Store.java
+++ b/rig/src/main/java/frostrelay/rig/cache/Store.java
@@ -8,12 +8,12 @@
  * What a cache keeps, bounded by bytes; what was used longest ago goes first. Not safe for threads.
  */
 final class Store {
-    private final long mostBytes;
+    private final long maxBytes;
     private final Map<String, byte[]> values = new LinkedHashMap<>(16, 0.75f, true);
     private long bytes;
 
-    Store(long mostBytes) {
-        this.mostBytes = mostBytes;
+    Store(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     byte[] get(String key) {
@@ -22,13 +22,13 @@
 
     void put(String key, byte[] value) {
         remove(key);
-        if (value.length > mostBytes) {
+        if (value.length > maxBytes) {
             return;
         }
         values.put(key, value);
         bytes += value.length;
         Iterator<Map.Entry<String, byte[]>> oldest = values.entrySet().iterator();
-        while (bytes > mostBytes) {
+        while (bytes > maxBytes) {
             bytes -= oldest.next().getValue().length;
             oldest.remove();
         }
--- a/rig/src/main/java/frostrelay/rig/cache/WorkEngine.java
+++ b/rig/src/main/java/frostrelay/rig/cache/WorkEngine.java
@@ -13,51 +13,51 @@
  */
 public final class WorkEngine<J> {
     /** What became of a job that was offered. */
-    public enum Offer {
-        RUNS,
-        WAITS,
-        FULL
+    public enum Admission {
+        RUNNING,
+        QUEUED,
+        REJECTED
     }
 
     private static final class Task<J> {
         final J job;
-        double left;
+        double remainingNanos;
 
-        Task(J job, double left) {
+        Task(J job, double remainingNanos) {
             this.job = job;
-            this.left = left;
+            this.remainingNanos = remainingNanos;
         }
     }
 
     private final int cores;
     private final int slots;
-    private final int queue;
+    private final int queueCapacity;
     private final List<Task<J>> running = new ArrayList<>();
     private final Deque<Task<J>> waiting = new ArrayDeque<>();
     private double speed = 1;
-    private long at;
+    private long advancedToNanos;
 
     /**
-     * {@code cores} and {@code slots} of at least 1; {@code queue} places to wait beyond the slots.
+     * {@code cores} and {@code slots} of at least 1; {@code queueCapacity} places to wait beyond the slots.
      */
-    public WorkEngine(int cores, int slots, int queue) {
+    public WorkEngine(int cores, int slots, int queueCapacity) {
         this.cores = cores;
         this.slots = slots;
-        this.queue = queue;
+        this.queueCapacity = queueCapacity;
     }
 
     /** Adds a job of so much work, in nanoseconds of one core at full speed. */
-    public Offer offer(long now, J job, double work) {
+    public Admission submit(long now, J job, double work) {
         advance(now);
         if (running.size() < slots) {
             running.add(new Task<>(job, work));
-            return Offer.RUNS;
+            return Admission.RUNNING;
         }
-        if (waiting.size() < queue) {
+        if (waiting.size() < queueCapacity) {
             waiting.add(new Task<>(job, work));
-            return Offer.WAITS;
+            return Admission.QUEUED;
         }
-        return Offer.FULL;
+        return Admission.REJECTED;
     }
 
     /**
@@ -75,18 +75,18 @@
     }
 
     /** From now on the machine does so much of its full speed, more than 0. */
-    public void speed(long now, double part) {
+    public void setSpeed(long now, double part) {
         advance(now);
         speed = Math.max(1e-6, part);
     }
 
     /** The jobs that are done by now, in the order in which they ended. */
-    public List<J> finished(long now) {
+    public List<J> takeFinished(long now) {
         advance(now);
         List<J> done = new ArrayList<>();
         for (Iterator<Task<J>> tasks = running.iterator(); tasks.hasNext(); ) {
             Task<J> task = tasks.next();
-            if (task.left <= 0.5) {
+            if (task.remainingNanos <= 0.5) {
                 done.add(task.job);
                 tasks.remove();
             }
@@ -96,14 +96,14 @@
     }
 
     /** When the next job will be done if nothing changes; Long.MAX_VALUE if none runs. */
-    public long next() {
-        double least = Double.POSITIVE_INFINITY;
+    public long nextCompletionNanos() {
+        double minRemainingNanos = Double.POSITIVE_INFINITY;
         for (Task<J> task : running) {
-            least = Math.min(least, task.left);
+            minRemainingNanos = Math.min(minRemainingNanos, task.remainingNanos);
         }
         return running.isEmpty()
                 ? Long.MAX_VALUE
-                : at + (long) Math.ceil(Math.max(0, least) / rate());
+                : advancedToNanos + (long) Math.ceil(Math.max(0, minRemainingNanos) / rate());
     }
 
     /** Work that a job gets done in a nanosecond. */
@@ -112,11 +112,11 @@
     }
 
     private void advance(long now) {
-        double done = (now - at) * rate();
+        double done = (now - advancedToNanos) * rate();
         for (Task<J> task : running) {
-            task.left -= done;
+            task.remainingNanos -= done;
         }
-        at = now;
+        advancedToNanos = now;
     }
 
     private void refill() {
--- a/rig/src/main/java/frostrelay/rig/campaign/AuditCheck.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/AuditCheck.java
@@ -1,7 +1,7 @@
 package frostrelay.rig.campaign;
 
-import frostrelay.rig.campaign.History.Configured;
-import frostrelay.rig.campaign.History.What;
+import frostrelay.rig.campaign.EventHistory.ConfigChange;
+import frostrelay.rig.campaign.EventHistory.ProcessEvent;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,41 +19,41 @@
  * process was killed, is not held against it.
  */
 public final class AuditCheck {
-    private static final long MILLISECOND = 1_000_000L;
+    private static final long MILLISECOND_NANOS = 1_000_000L;
 
     /** The record's stated tail, 100 ms, and the time in which this rig's own kill takes effect. */
-    private static final long TAIL = 250 * MILLISECOND;
+    private static final long LOST_TAIL_NANOS = 250 * MILLISECOND_NANOS;
 
     /**
      * How far a record's moments may be from the rig's: wall clocks of a millisecond, read at two
      * places, and a pause.
      */
-    private static final long APART = 60 * MILLISECOND;
+    private static final long CLOCK_TOLERANCE_NANOS = 60 * MILLISECOND_NANOS;
 
     /** From being told to acting on it, on a machine that other processes share. */
-    private static final long TAKES = 1_000 * MILLISECOND;
+    private static final long APPLY_TIMEOUT_NANOS = 1_000 * MILLISECOND_NANOS;
 
     /** News is known within this, or somebody could not be reached. */
-    private static final long KNOWN = 2_000 * MILLISECOND;
+    private static final long PROPAGATION_NANOS = 2_000 * MILLISECOND_NANOS;
 
     /** A balancer hears of a file by a signal, behind which it reads it. */
-    private static final long RELOADS = 2_000 * MILLISECOND;
+    private static final long RELOAD_TIMEOUT_NANOS = 2_000 * MILLISECOND_NANOS;
 
     /** Three doubtful periods behind the turn of a probe, in a tier of twelve. */
-    private static final long FORGOTTEN = 12_000 * MILLISECOND;
+    private static final long EXPIRY_NANOS = 12_000 * MILLISECOND_NANOS;
 
-    private static final int MOST = 200;
+    private static final int MAX_VIOLATIONS = 200;
 
-    private final History history;
+    private final EventHistory history;
     private final Map<String, List<AuditRecord>> records;
     private final List<String> names;
-    private final boolean handsOver;
+    private final boolean configTransferEnabled;
     private final long end;
-    private final List<Violation> found = new ArrayList<>();
-    private final List<Long> knownAfter = new ArrayList<>();
+    private final List<Violation> violations = new ArrayList<>();
+    private final List<Long> propagationNanos = new ArrayList<>();
     private int commandsChecked;
     private int commandsUnknown;
-    private int late;
+    private int latePropagations;
 
     /**
      * {@code records}: of all lives, by balancer; {@code names}: balancers in their order; {@code
@@ -61,12 +61,12 @@
      * the play.
      */
     AuditCheck(
-            History history,
+            EventHistory history,
             Map<String, List<AuditRecord>> records,
             List<String> names,
-            boolean handsOver,
+            boolean configTransferEnabled,
             long end) {
-        this.handsOver = handsOver;
+        this.configTransferEnabled = configTransferEnabled;
         this.history = history;
         this.records = records;
         this.names = names;
@@ -75,14 +75,14 @@
 
     /** Everything that does not fit; at most so many that a person would read. */
     List<Violation> run() {
-        lives();
-        commands();
-        stamps();
-        counts();
-        heard();
-        news();
-        unknown();
-        return found.size() > MOST ? found.subList(0, MOST) : found;
+        checkIncarnations();
+        checkCommands();
+        checkStamps();
+        checkCounts();
+        checkPeerStamps();
+        checkPropagation();
+        checkExpiry();
+        return violations.size() > MAX_VIOLATIONS ? violations.subList(0, MAX_VIOLATIONS) : violations;
     }
 
     /**
@@ -95,18 +95,18 @@
         figures.put("beyondTheRecord", commandsUnknown);
         figures.put(
                 "knownAfterMs",
-                knownAfter.stream().map(nanos -> nanos / MILLISECOND).sorted().toList());
-        figures.put("knownLate", late);
+                propagationNanos.stream().map(nanos -> nanos / MILLISECOND_NANOS).sorted().toList());
+        figures.put("knownLate", latePropagations);
         return figures;
     }
 
     private void violation(String check, String form, Object... values) {
-        found.add(new Violation(check, String.format(Locale.ROOT, form, values)));
+        violations.add(new Violation(check, String.format(Locale.ROOT, form, values)));
     }
 
     // Moments.
 
-    private int place(AuditRecord record) {
+    private int balancerIndex(AuditRecord record) {
         return names.indexOf(record.balancer);
     }
 
@@ -114,15 +114,15 @@
      * When, by the rig's clock, something of a life was. A life's wall clock is off by what the rig
      * had set when it started that process: of all starts the one that it fits closest behind.
      */
-    long moment(AuditRecord record, long at) {
-        long began = history.ofWall(record.wallMs, 0);
+    long toTestbedNanos(AuditRecord record, long at) {
+        long began = history.fromWallClockNanos(record.startWallMillis, 0);
         long closest = Long.MAX_VALUE;
-        for (History.Process one : history.processes()) {
-            if (one.balancer() == place(record) && one.what() == What.STARTED) {
-                long behind = history.ofWall(record.wallMs, one.offset()) - one.at();
-                if (behind >= -APART && behind < closest) {
+        for (EventHistory.ProcessChange one : history.processes()) {
+            if (one.balancer() == balancerIndex(record) && one.event() == ProcessEvent.STARTED) {
+                long behind = history.fromWallClockNanos(record.startWallMillis, one.wallOffsetMillis()) - one.atNanos();
+                if (behind >= -CLOCK_TOLERANCE_NANOS && behind < closest) {
                     closest = behind;
-                    began = one.at() + behind;
+                    began = one.atNanos() + behind;
                 }
             }
         }
@@ -130,26 +130,26 @@
     }
 
     /** Whether a balancer's process ran undisturbed all through a span, as one process. */
-    private boolean ran(int balancer, long from, long to) {
+    private boolean ranThroughout(int balancer, long from, long to) {
         Boolean up = null;
-        for (History.Process one : history.processes()) {
+        for (EventHistory.ProcessChange one : history.processes()) {
             if (one.balancer() != balancer) {
                 continue;
             }
-            boolean inside = one.at() >= from - APART && one.at() <= to + APART;
-            switch (one.what()) {
+            boolean inside = one.atNanos() >= from - CLOCK_TOLERANCE_NANOS && one.atNanos() <= to + CLOCK_TOLERANCE_NANOS;
+            switch (one.event()) {
                 case WALL -> {}
                 case STARTED, THAWED, FED -> {
                     if (inside) {
                         return false;
                     }
-                    up = one.at() < from ? Boolean.TRUE : up;
+                    up = one.atNanos() < from ? Boolean.TRUE : up;
                 }
                 default -> {
                     if (inside) {
                         return false;
                     }
-                    up = one.at() < from ? Boolean.FALSE : up;
+                    up = one.atNanos() < from ? Boolean.FALSE : up;
                 }
             }
         }
@@ -162,17 +162,17 @@
      */
     private boolean inLostTail(int balancer, long at) {
         long frozen = Long.MIN_VALUE;
-        for (History.Process one : history.processes()) {
+        for (EventHistory.ProcessChange one : history.processes()) {
             if (one.balancer() != balancer) {
                 continue;
             }
-            if (one.what() == What.FROZEN || one.what() == What.STARVED) {
-                frozen = one.at();
-            } else if (one.what() == What.THAWED || one.what() == What.FED) {
+            if (one.event() == ProcessEvent.FROZEN || one.event() == ProcessEvent.STARVED) {
+                frozen = one.atNanos();
+            } else if (one.event() == ProcessEvent.THAWED || one.event() == ProcessEvent.FED) {
                 frozen = Long.MIN_VALUE;
-            } else if (one.what() == What.KILLED) {
-                long from = (frozen == Long.MIN_VALUE ? one.at() : frozen) - TAIL;
-                if (at >= from && at <= one.at() + TAIL) {
+            } else if (one.event() == ProcessEvent.KILLED) {
+                long from = (frozen == Long.MIN_VALUE ? one.atNanos() : frozen) - LOST_TAIL_NANOS;
+                if (at >= from && at <= one.atNanos() + LOST_TAIL_NANOS) {
                     return true;
                 }
             }
@@ -182,7 +182,7 @@
 
     private boolean inGap(AuditRecord record, long at) {
         for (AuditRecord.Gap gap : record.gaps) {
-            if (at >= moment(record, gap.from()) - APART && at <= moment(record, gap.to()) + TAIL) {
+            if (at >= toTestbedNanos(record, gap.fromNanos()) - CLOCK_TOLERANCE_NANOS && at <= toTestbedNanos(record, gap.toNanos()) + LOST_TAIL_NANOS) {
                 return true;
             }
         }
@@ -193,12 +193,12 @@
      * Whether the folder of its record was away: what it could not write at all it can only say on
      * its console.
      */
-    private boolean diskAway(int balancer, long at) {
-        for (History.Span span : history.spans()) {
-            if (span.happening().kind() == Happening.Kind.DISK
-                    && span.happening().who().contains(balancer)
-                    && at >= span.from() - TAIL
-                    && at <= span.to() + TAIL) {
+    private boolean isDiskUnavailable(int balancer, long at) {
+        for (EventHistory.FaultSpan span : history.spans()) {
+            if (span.faultEvent().kind() == FaultEvent.Kind.DISK
+                    && span.faultEvent().balancers().contains(balancer)
+                    && at >= span.fromNanos() - LOST_TAIL_NANOS
+                    && at <= span.toNanos() + LOST_TAIL_NANOS) {
                 return true;
             }
         }
@@ -211,59 +211,59 @@
      * Every life that the rig began has a record with an incarnation of its own, and ends as it
      * did.
      */
-    private void lives() {
+    private void checkIncarnations() {
         Set<Long> all = new HashSet<>();
         for (String name : names) {
             int balancer = names.indexOf(name);
-            List<AuditRecord> lives = records.getOrDefault(name, List.of());
+            List<AuditRecord> auditRecords = records.getOrDefault(name, List.of());
             long starts =
                     history.processes().stream()
-                            .filter(one -> one.balancer() == balancer && one.what() == What.STARTED)
+                            .filter(one -> one.balancer() == balancer && one.event() == ProcessEvent.STARTED)
                             .count();
             boolean excused =
                     history.spans().stream()
                                     .anyMatch(
                                             span ->
-                                                    span.happening().kind() == Happening.Kind.DISK
-                                                            && span.happening()
-                                                                    .who()
+                                                    span.faultEvent().kind() == FaultEvent.Kind.DISK
+                                                            && span.faultEvent()
+                                                                    .balancers()
                                                                     .contains(balancer))
-                            || killedYoung(balancer);
-            if (lives.size() != starts && !excused || lives.size() > starts) {
+                            || wasKilledDuringStartup(balancer);
+            if (auditRecords.size() != starts && !excused || auditRecords.size() > starts) {
                 violation(
                         "lives",
                         "%s was started %d times and has records of %d lives",
                         name,
                         starts,
-                        lives.size());
+                        auditRecords.size());
             }
-            for (AuditRecord life : lives) {
-                if (!all.add(life.incarnation * 31 + balancer)) {
+            for (AuditRecord auditRecord : auditRecords) {
+                if (!all.add(auditRecord.incarnation * 31 + balancer)) {
                     violation(
                             "lives",
                             "%s: two lives go by the incarnation %x",
                             name,
-                            life.incarnation);
+                            auditRecord.incarnation);
                 }
-                if (life.rank != balancer || !life.name.equals(name)) {
+                if (auditRecord.instanceIndex != balancer || !auditRecord.name.equals(name)) {
                     violation(
                             "lives",
                             "the record of %s says it is %s, number %d",
                             name,
-                            life.name,
-                            life.rank);
+                            auditRecord.name,
+                            auditRecord.instanceIndex);
                 }
             }
         }
     }
 
-    private boolean killedYoung(int balancer) {
+    private boolean wasKilledDuringStartup(int balancer) {
         long started = 0;
-        for (History.Process one : history.processes()) {
+        for (EventHistory.ProcessChange one : history.processes()) {
             if (one.balancer() == balancer) {
-                if (one.what() == What.STARTED) {
-                    started = one.at();
-                } else if (one.what() == What.KILLED && one.at() - started < 1_000 * MILLISECOND) {
+                if (one.event() == ProcessEvent.STARTED) {
+                    started = one.atNanos();
+                } else if (one.event() == ProcessEvent.KILLED && one.atNanos() - started < 1_000 * MILLISECOND_NANOS) {
                     return true;
                 }
             }
@@ -275,13 +275,13 @@
      * Each command that a cache received is stated, by that balancer, for that cache, under a stamp
      * that allows it.
      */
-    private void commands() {
+    private void checkCommands() {
         Map<String, List<Object[]>> stated = new HashMap<>();
         records.forEach(
-                (name, lives) ->
-                        lives.forEach(
-                                life ->
-                                        life.sent.forEach(
+                (name, auditRecords) ->
+                        auditRecords.forEach(
+                                auditRecord ->
+                                        auditRecord.sent.forEach(
                                                 sent ->
                                                         stated.computeIfAbsent(
                                                                         name
@@ -290,17 +290,17 @@
                                                                                 + ' '
                                                                                 + sent.id(),
                                                                         key -> new ArrayList<>())
-                                                                .add(new Object[] {life, sent}))));
-        for (History.Command command : history.commands()) {
+                                                                .add(new Object[] {auditRecord, sent}))));
+        for (EventHistory.Command command : history.commands()) {
             int balancer = names.indexOf(command.balancer());
             List<Object[]> fits =
                     stated.get(command.balancer() + ' ' + command.cache() + ' ' + command.id());
             if (fits == null || fits.isEmpty()) {
                 boolean excused =
-                        inLostTail(balancer, command.at())
-                                || diskAway(balancer, command.at())
+                        inLostTail(balancer, command.atNanos())
+                                || isDiskUnavailable(balancer, command.atNanos())
                                 || records.getOrDefault(command.balancer(), List.of()).stream()
-                                        .anyMatch(life -> inGap(life, command.at()));
+                                        .anyMatch(auditRecord -> inGap(auditRecord, command.atNanos()));
                 commandsUnknown++;
                 if (!excused) {
                     violation(
@@ -309,21 +309,21 @@
                             command.balancer(),
                             command.id(),
                             command.cache(),
-                            command.at() / 1e9);
+                            command.atNanos() / 1e9);
                 }
                 continue;
             }
             commandsChecked++;
             Object[] one = fits.remove(0);
-            allowed(command, (AuditRecord) one[0], (AuditRecord.Sent) one[1]);
+            checkAllowed(command, (AuditRecord) one[0], (AuditRecord.Sent) one[1]);
         }
-        phantoms(stated);
+        checkUnreceivedSends(stated);
     }
 
-    private void allowed(History.Command command, AuditRecord life, AuditRecord.Sent sent) {
-        AuditRecord.Acts acts = life.stamp(sent.sequence());
-        if (acts == null) {
-            if (life.gaps.isEmpty() && !life.beginningLost) {
+    private void checkAllowed(EventHistory.Command command, AuditRecord auditRecord, AuditRecord.Sent sent) {
+        AuditRecord.AppliedStamp appliedStamp = auditRecord.stamp(sent.sequence());
+        if (appliedStamp == null) {
+            if (auditRecord.gaps.isEmpty() && !auditRecord.beginningLost) {
                 violation(
                         "commands",
                         "%s states %s under stamp %d, which its record does not have",
@@ -333,14 +333,14 @@
             }
             return;
         }
-        Map<String, String> list = history.versions().get(acts.listRev());
+        Map<String, String> list = history.versions().get(appliedStamp.listRev());
         if (list == null) {
             violation(
                     "commands",
                     "%s states %s under list %d, which never was",
                     command.balancer(),
                     command.id(),
-                    acts.listRev());
+                    appliedStamp.listRev());
         } else if (!list.getOrDefault(command.cache(), "").startsWith("Ready")) {
             violation(
                     "commands",
@@ -348,40 +348,40 @@
                     command.balancer(),
                     command.id(),
                     command.cache(),
-                    command.at() / 1e9,
-                    acts.listRev(),
+                    command.atNanos() / 1e9,
+                    appliedStamp.listRev(),
                     list.getOrDefault(command.cache(), "absent"));
         }
     }
 
     /** What is stated and never came must have met a cut, a dead cache or a death. */
-    private void phantoms(Map<String, List<Object[]>> stated) {
+    private void checkUnreceivedSends(Map<String, List<Object[]>> stated) {
         boolean cut =
                 history.spans().stream()
                         .anyMatch(
                                 span ->
-                                        span.happening().kind() == Happening.Kind.CACHE_CUT
-                                                || span.happening().kind()
-                                                        == Happening.Kind.CACHE_RESTART);
+                                        span.faultEvent().kind() == FaultEvent.Kind.CACHE_CUT
+                                                || span.faultEvent().kind()
+                                                        == FaultEvent.Kind.CACHE_RESTART);
         stated.forEach(
                 (key, left) -> {
                     for (Object[] one : left) {
-                        AuditRecord life = (AuditRecord) one[0];
+                        AuditRecord auditRecord = (AuditRecord) one[0];
                         AuditRecord.Sent sent = (AuditRecord.Sent) one[1];
-                        long at = moment(life, sent.at());
+                        long at = toTestbedNanos(auditRecord, sent.atNanos());
                         boolean died =
                                 history.processes().stream()
                                         .anyMatch(
                                                 process ->
-                                                        process.balancer() == place(life)
-                                                                && process.what() == What.KILLED
-                                                                && Math.abs(process.at() - at)
-                                                                        < TAKES);
-                        if (!cut && !died && at < end - TAKES) {
+                                                        process.balancer() == balancerIndex(auditRecord)
+                                                                && process.event() == ProcessEvent.KILLED
+                                                                && Math.abs(process.atNanos() - at)
+                                                                        < APPLY_TIMEOUT_NANOS);
+                        if (!cut && !died && at < end - APPLY_TIMEOUT_NANOS) {
                             violation(
                                     "commands",
                                     "%s says that it sent %s to %s at %.3f s, and no cache got it",
-                                    life.balancer,
+                                    auditRecord.balancer,
                                     sent.id(),
                                     sent.cache(),
                                     at / 1e9);
@@ -394,196 +394,196 @@
      * Stamps begin when what they hold had been told, not before, and not long after where nothing
      * hindered it.
      */
-    private void stamps() {
+    private void checkStamps() {
         records.forEach(
-                (name, lives) -> {
+                (name, auditRecords) -> {
                     int balancer = names.indexOf(name);
-                    for (AuditRecord life : lives) {
+                    for (AuditRecord auditRecord : auditRecords) {
                         int before = -1;
-                        for (AuditRecord.Acts acts : life.acts) {
-                            if (acts.sequence() != before + 1
-                                    && life.gaps.isEmpty()
-                                    && !life.beginningLost) {
+                        for (AuditRecord.AppliedStamp appliedStamp : auditRecord.appliedStamps) {
+                            if (appliedStamp.sequence() != before + 1
+                                    && auditRecord.gaps.isEmpty()
+                                    && !auditRecord.beginningLost) {
                                 violation(
                                         "stamps",
                                         "%s: stamp %d stands behind stamp %d and no gap is named",
                                         name,
-                                        acts.sequence(),
+                                        appliedStamp.sequence(),
                                         before);
                             }
-                            before = acts.sequence();
-                            stamp(life, balancer, acts);
+                            before = appliedStamp.sequence();
+                            checkStamp(auditRecord, balancer, appliedStamp);
                         }
                     }
-                    took(name, balancer, lives);
+                    checkUpdatesApplied(name, balancer, auditRecords);
                 });
     }
 
-    private void stamp(AuditRecord life, int balancer, AuditRecord.Acts acts) {
-        long at = moment(life, acts.at());
-        Map<String, String> list = history.versions().get(acts.listRev());
+    private void checkStamp(AuditRecord auditRecord, int balancer, AuditRecord.AppliedStamp appliedStamp) {
+        long at = toTestbedNanos(auditRecord, appliedStamp.atNanos());
+        Map<String, String> list = history.versions().get(appliedStamp.listRev());
         // Before its first list it may already know of holds.
-        boolean none = acts.listRev() == 0 && acts.listDigest() == 0;
-        if (acts.sequence() > 0
+        boolean none = appliedStamp.listRev() == 0 && appliedStamp.listDigest() == 0;
+        if (appliedStamp.sequence() > 0
                 && !none
-                && (list == null || SettingsDigest.list(list) != acts.listDigest())) {
+                && (list == null || SettingsDigest.list(list) != appliedStamp.listDigest())) {
             violation(
                     "stamps",
                     "%s says it acted on list %d with digest %x; discovery's has %x",
-                    life.balancer,
-                    acts.listRev(),
-                    acts.listDigest(),
+                    auditRecord.balancer,
+                    appliedStamp.listRev(),
+                    appliedStamp.listDigest(),
                     list == null ? 0 : SettingsDigest.list(list));
         }
         long first =
                 history.versions().isEmpty() ? 0 : history.versions().keySet().iterator().next();
-        if (acts.sequence() > 0 && acts.listRev() > first) {
+        if (appliedStamp.sequence() > 0 && appliedStamp.listRev() > first) {
             boolean told =
                     history.told().stream()
                             .anyMatch(
                                     one ->
-                                            one.balancer().equals(life.balancer)
-                                                    && one.rev() == acts.listRev()
-                                                    && one.at() <= at + APART);
+                                            one.balancer().equals(auditRecord.balancer)
+                                                    && one.rev() == appliedStamp.listRev()
+                                                    && one.atNanos() <= at + CLOCK_TOLERANCE_NANOS);
             if (!told) {
                 violation(
                         "stamps",
                         "%s says it acted on list %d at %.3f s and was not told it by then",
-                        life.balancer,
-                        acts.listRev(),
+                        auditRecord.balancer,
+                        appliedStamp.listRev(),
                         at / 1e9);
             }
         }
         boolean given = false;
-        for (Configured one : history.configured()) {
+        for (ConfigChange one : history.configured()) {
             given |=
-                    (one.balancer() == balancer || handsOver)
-                            && one.number() == acts.confNumber()
-                            && one.digest() == acts.confDigest()
-                            && one.at() <= at + APART;
+                    (one.balancer() == balancer || configTransferEnabled)
+                            && one.number() == appliedStamp.confNumber()
+                            && one.digest() == appliedStamp.confDigest()
+                            && one.atNanos() <= at + CLOCK_TOLERANCE_NANOS;
         }
         if (!given) {
             violation(
                     "stamps",
                     "%s says it acted on configuration %d:%x at %.3f s and was not given it by then",
-                    life.balancer,
-                    acts.confNumber(),
-                    acts.confDigest(),
+                    auditRecord.balancer,
+                    appliedStamp.confNumber(),
+                    appliedStamp.confDigest(),
                     at / 1e9);
         }
     }
 
     /** What was told to a balancer that nothing hindered it took. */
-    private void took(String name, int balancer, List<AuditRecord> lives) {
-        for (History.Told told : history.told()) {
+    private void checkUpdatesApplied(String name, int balancer, List<AuditRecord> auditRecords) {
+        for (EventHistory.EndpointUpdate told : history.told()) {
             if (!told.balancer().equals(name)
-                    || !ran(balancer, told.at(), told.at() + TAKES)
-                    || disturbed(
-                            Happening.Kind.DISCOVERY_CUT, balancer, told.at(), told.at() + TAKES)
-                    || diskAway(balancer, told.at())) {
+                    || !ranThroughout(balancer, told.atNanos(), told.atNanos() + APPLY_TIMEOUT_NANOS)
+                    || isDisturbed(
+                            FaultEvent.Kind.DISCOVERY_CUT, balancer, told.atNanos(), told.atNanos() + APPLY_TIMEOUT_NANOS)
+                    || isDiskUnavailable(balancer, told.atNanos())) {
                 continue;
             }
-            if (lives.stream()
+            if (auditRecords.stream()
                     .noneMatch(
-                            life ->
-                                    life.acts.stream()
+                            auditRecord ->
+                                    auditRecord.appliedStamps.stream()
                                                     .anyMatch(
-                                                            acts ->
-                                                                    acts.listRev() >= told.rev()
-                                                                            && moment(
-                                                                                            life,
-                                                                                            acts
-                                                                                                    .at())
-                                                                                    <= told.at()
-                                                                                            + TAKES
-                                                                                            + APART)
-                                            || inGap(life, told.at()))) {
+                                                            appliedStamp ->
+                                                                    appliedStamp.listRev() >= told.rev()
+                                                                            && toTestbedNanos(
+                                                                                            auditRecord,
+                                                                                            appliedStamp
+                                                                                                    .atNanos())
+                                                                                    <= told.atNanos()
+                                                                                            + APPLY_TIMEOUT_NANOS
+                                                                                            + CLOCK_TOLERANCE_NANOS)
+                                            || inGap(auditRecord, told.atNanos()))) {
                 violation(
                         "stamps",
                         "%s was told list %d at %.3f s and by its record did not take it within a second",
                         name,
                         told.rev(),
-                        told.at() / 1e9);
+                        told.atNanos() / 1e9);
             }
         }
-        List<Configured> given =
+        List<ConfigChange> given =
                 history.configured().stream().filter(one -> one.balancer() == balancer).toList();
         for (int i = 0; i < given.size(); i++) {
-            Configured one = given.get(i);
-            long until = one.at() + RELOADS;
-            boolean replaced = i + 1 < given.size() && given.get(i + 1).at() <= until;
+            ConfigChange one = given.get(i);
+            long until = one.atNanos() + RELOAD_TIMEOUT_NANOS;
+            boolean replaced = i + 1 < given.size() && given.get(i + 1).atNanos() <= until;
             if (one.digest() == 0
-                    || one.at() == 0
-                    || !one.told()
+                    || one.atNanos() == 0
+                    || !one.signalled()
                     || replaced
-                    || !ran(balancer, one.at(), until)
-                    || diskAway(balancer, one.at())) {
+                    || !ranThroughout(balancer, one.atNanos(), until)
+                    || isDiskUnavailable(balancer, one.atNanos())) {
                 continue;
             }
-            if (lives.stream()
+            if (auditRecords.stream()
                     .noneMatch(
-                            life ->
-                                    life.acts.stream()
+                            auditRecord ->
+                                    auditRecord.appliedStamps.stream()
                                                     .anyMatch(
-                                                            acts ->
-                                                                    acts.confNumber()
+                                                            appliedStamp ->
+                                                                    appliedStamp.confNumber()
                                                                                     == one.number()
-                                                                            && acts.confDigest()
+                                                                            && appliedStamp.confDigest()
                                                                                     == one.digest()
-                                                                            && moment(
-                                                                                            life,
-                                                                                            acts
-                                                                                                    .at())
+                                                                            && toTestbedNanos(
+                                                                                            auditRecord,
+                                                                                            appliedStamp
+                                                                                                    .atNanos())
                                                                                     <= until
-                                                                                            + APART)
-                                            || inGap(life, one.at()))) {
+                                                                                            + CLOCK_TOLERANCE_NANOS)
+                                            || inGap(auditRecord, one.atNanos()))) {
                 violation(
                         "stamps",
                         "%s got configuration %d:%x at %.3f s and by its record did not take it",
                         name,
                         one.number(),
                         one.digest(),
-                        one.at() / 1e9);
+                        one.atNanos() / 1e9);
             }
         }
     }
 
-    private boolean disturbed(Happening.Kind kind, int balancer, long from, long to) {
+    private boolean isDisturbed(FaultEvent.Kind kind, int balancer, long from, long to) {
         return history.spans().stream()
                 .anyMatch(
                         span ->
-                                span.happening().kind() == kind
-                                        && span.happening().who().contains(balancer)
-                                        && span.from() <= to
-                                        && span.to() >= from - TAIL);
+                                span.faultEvent().kind() == kind
+                                        && span.faultEvent().balancers().contains(balancer)
+                                        && span.fromNanos() <= to
+                                        && span.toNanos() >= from - LOST_TAIL_NANOS);
     }
 
     /** Counts and single sends say the same. */
-    private void counts() {
+    private void checkCounts() {
         records.forEach(
-                (name, lives) ->
-                        lives.forEach(
-                                life -> {
-                                    if (!life.gaps.isEmpty() || life.beginningLost) {
+                (name, auditRecords) ->
+                        auditRecords.forEach(
+                                auditRecord -> {
+                                    if (!auditRecord.gaps.isEmpty() || auditRecord.beginningLost) {
                                         return;
                                     }
                                     Map<Integer, Long> sent = new TreeMap<>();
-                                    life.sent.forEach(
+                                    auditRecord.sent.forEach(
                                             one -> sent.merge(one.sequence(), 1L, Long::sum));
                                     int newest =
-                                            life.acts.isEmpty()
+                                            auditRecord.appliedStamps.isEmpty()
                                                     ? 0
-                                                    : life.acts
-                                                            .get(life.acts.size() - 1)
+                                                    : auditRecord.appliedStamps
+                                                            .get(auditRecord.appliedStamps.size() - 1)
                                                             .sequence();
                                     Set<Integer> all = new HashSet<>(sent.keySet());
-                                    all.addAll(life.counted.keySet());
+                                    all.addAll(auditRecord.sendCounts.keySet());
                                     for (int sequence : all) {
                                         long one = sent.getOrDefault(sequence, 0L);
-                                        long sum = life.counted.getOrDefault(sequence, 0L);
+                                        long sum = auditRecord.sendCounts.getOrDefault(sequence, 0L);
                                         // The last second of a life that was killed, or goes on, is
                                         // not counted yet.
-                                        boolean open = !life.ended && sequence >= newest;
+                                        boolean open = !auditRecord.endedCleanly && sequence >= newest;
                                         if (sum > one || sum < one && !open) {
                                             violation(
                                                     "counts",
@@ -598,12 +598,12 @@
     }
 
     /** What one says it heard of another the other says of itself. */
-    private void heard() {
+    private void checkPeerStamps() {
         records.forEach(
-                (name, lives) ->
-                        lives.forEach(
-                                life -> {
-                                    for (AuditRecord.Heard one : life.heard) {
+                (name, auditRecords) ->
+                        auditRecords.forEach(
+                                auditRecord -> {
+                                    for (AuditRecord.PeerStamp one : auditRecord.peerStamps) {
                                         String other =
                                                 one.rank() < names.size()
                                                         ? names.get(one.rank())
@@ -630,17 +630,17 @@
                                                     history.spans().stream()
                                                                     .anyMatch(
                                                                             span ->
-                                                                                    span.happening()
+                                                                                    span.faultEvent()
                                                                                                             .kind()
-                                                                                                    == Happening
+                                                                                                    == FaultEvent
                                                                                                             .Kind
                                                                                                             .DISK
-                                                                                            && span.happening()
-                                                                                                    .who()
+                                                                                            && span.faultEvent()
+                                                                                                    .balancers()
                                                                                                     .contains(
                                                                                                             one
                                                                                                                     .rank()))
-                                                            || killedYoung(one.rank())
+                                                            || wasKilledDuringStartup(one.rank())
                                                             || theirs.stream()
                                                                     .anyMatch(
                                                                             record ->
@@ -656,9 +656,9 @@
                                             }
                                             continue;
                                         }
-                                        for (AuditRecord.Acts acts : meant.acts) {
-                                            if ((acts.sequence() & 0xffff) == one.sequence()
-                                                    && acts.ref() != one.ref()) {
+                                        for (AuditRecord.AppliedStamp appliedStamp : meant.appliedStamps) {
+                                            if ((appliedStamp.sequence() & 0xffff) == one.sequence()
+                                                    && appliedStamp.ref() != one.ref()) {
                                                 violation(
                                                         "heard",
                                                         "%s heard that %s acts on %x as its stamp %d; that one's record has %x",
@@ -666,7 +666,7 @@
                                                         other,
                                                         one.ref(),
                                                         one.sequence(),
-                                                        acts.ref());
+                                                        appliedStamp.ref());
                                             }
                                         }
                                     }
@@ -674,122 +674,122 @@
     }
 
     /** Of whom nobody could hear for long, nothing is shown as known. */
-    private void unknown() {
-        for (History.Look look : history.looks()) {
-            if (!(look.said().get("peers") instanceof List<?> peers)) {
+    private void checkExpiry() {
+        for (EventHistory.AdminSnapshot snapshot : history.snapshots()) {
+            if (!(snapshot.response().get("peers") instanceof List<?> peers)) {
                 continue;
             }
             for (Object one : peers) {
                 Map<?, ?> peer = (Map<?, ?>) one;
                 int other = ((Number) peer.get("number")).intValue();
-                long from = look.at() - FORGOTTEN;
+                long from = snapshot.requestedAtNanos() - EXPIRY_NANOS;
                 boolean away =
                         from > 0
-                                && (apartAllThrough(look.balancer(), other, from, look.at())
-                                        || downAllThrough(other, from, look.at()));
+                                && (isPartitionedThroughout(snapshot.balancer(), other, from, snapshot.requestedAtNanos())
+                                        || isDownThroughout(other, from, snapshot.requestedAtNanos()));
                 if (away && !"unknown".equals(peer.get("actsOn"))) {
                     violation(
                             "unknown",
                             "%s shows at %.3f s what %s acts on (%s), who could not be heard for %d s",
-                            names.get(look.balancer()),
-                            look.at() / 1e9,
+                            names.get(snapshot.balancer()),
+                            snapshot.requestedAtNanos() / 1e9,
                             names.get(other),
                             peer.get("state"),
-                            FORGOTTEN / 1_000_000_000L);
+                            EXPIRY_NANOS / 1_000_000_000L);
                 }
             }
         }
     }
 
-    private boolean apartAllThrough(int a, int b, long from, long to) {
+    private boolean isPartitionedThroughout(int a, int b, long from, long to) {
         return history.spans().stream()
                 .anyMatch(
                         span ->
-                                span.happening().kind() == Happening.Kind.PARTITION
-                                        && span.happening().who().contains(a)
-                                                != span.happening().who().contains(b)
-                                        && span.from() <= from
-                                        && span.to() >= to);
+                                span.faultEvent().kind() == FaultEvent.Kind.PARTITION
+                                        && span.faultEvent().balancers().contains(a)
+                                                != span.faultEvent().balancers().contains(b)
+                                        && span.fromNanos() <= from
+                                        && span.toNanos() >= to);
     }
 
-    private boolean downAllThrough(int balancer, long from, long to) {
+    private boolean isDownThroughout(int balancer, long from, long to) {
         boolean up = true;
-        for (History.Process one : history.processes()) {
-            if (one.balancer() == balancer && one.what() != What.WALL) {
+        for (EventHistory.ProcessChange one : history.processes()) {
+            if (one.balancer() == balancer && one.event() != ProcessEvent.WALL) {
                 boolean runs =
-                        one.what() == What.STARTED
-                                || one.what() == What.THAWED
-                                || one.what() == What.FED
-                                || one.what() == What.STARVED;
-                if (one.at() > from && one.at() <= to) {
+                        one.event() == ProcessEvent.STARTED
+                                || one.event() == ProcessEvent.THAWED
+                                || one.event() == ProcessEvent.FED
+                                || one.event() == ProcessEvent.STARVED;
+                if (one.atNanos() > from && one.atNanos() <= to) {
                     return false;
                 }
-                up = one.at() <= from ? runs : up;
+                up = one.atNanos() <= from ? runs : up;
             }
         }
         return !up;
     }
 
     /** A change is known to every balancer that can be reached. */
-    private void news() {
+    private void checkPropagation() {
         records.forEach(
-                (name, lives) ->
-                        lives.forEach(
-                                life -> {
-                                    for (int i = 0; i < life.acts.size(); i++) {
-                                        AuditRecord.Acts acts = life.acts.get(i);
-                                        long at = moment(life, acts.at());
+                (name, auditRecords) ->
+                        auditRecords.forEach(
+                                auditRecord -> {
+                                    for (int i = 0; i < auditRecord.appliedStamps.size(); i++) {
+                                        AuditRecord.AppliedStamp appliedStamp = auditRecord.appliedStamps.get(i);
+                                        long at = toTestbedNanos(auditRecord, appliedStamp.atNanos());
                                         long next =
-                                                i + 1 < life.acts.size()
-                                                        ? moment(life, life.acts.get(i + 1).at())
+                                                i + 1 < auditRecord.appliedStamps.size()
+                                                        ? toTestbedNanos(auditRecord, auditRecord.appliedStamps.get(i + 1).atNanos())
                                                         : Long.MAX_VALUE;
                                         // What holds for a moment only, or while it starts, is news
                                         // to nobody.
-                                        if (next - at < KNOWN
-                                                || at > end - KNOWN
-                                                || !ran(place(life), at, at + KNOWN)) {
+                                        if (next - at < PROPAGATION_NANOS
+                                                || at > end - PROPAGATION_NANOS
+                                                || !ranThroughout(balancerIndex(auditRecord), at, at + PROPAGATION_NANOS)) {
                                             continue;
                                         }
                                         for (String other : names) {
                                             if (!other.equals(name)) {
-                                                known(life, acts, at, other);
+                                                checkKnownTo(auditRecord, appliedStamp, at, other);
                                             }
                                         }
                                     }
                                 }));
     }
 
-    private void known(AuditRecord life, AuditRecord.Acts acts, long at, String other) {
+    private void checkKnownTo(AuditRecord auditRecord, AuditRecord.AppliedStamp appliedStamp, long at, String other) {
         int there = names.indexOf(other);
-        if (!ran(there, at, at + KNOWN)
-                || cutOff(place(life), there, at, at + KNOWN)
-                || diskAway(there, at)
-                || diskAway(there, at + KNOWN)) {
+        if (!ranThroughout(there, at, at + PROPAGATION_NANOS)
+                || isPartitioned(balancerIndex(auditRecord), there, at, at + PROPAGATION_NANOS)
+                || isDiskUnavailable(there, at)
+                || isDiskUnavailable(there, at + PROPAGATION_NANOS)) {
             return;
         }
         long soonest = Long.MAX_VALUE;
         boolean gap = false;
         for (AuditRecord record : records.getOrDefault(other, List.of())) {
-            gap |= inGap(record, at) || inGap(record, at + KNOWN);
-            for (AuditRecord.Heard heard : record.heard) {
-                if (heard.rank() == life.rank
-                        && heard.incarnation() >> 7 == life.incarnation >> 7
-                        && heard.sequence() >= acts.sequence()) {
-                    soonest = Math.min(soonest, moment(record, heard.at()) - at);
+            gap |= inGap(record, at) || inGap(record, at + PROPAGATION_NANOS);
+            for (AuditRecord.PeerStamp heard : record.peerStamps) {
+                if (heard.rank() == auditRecord.instanceIndex
+                        && heard.incarnation() >> 7 == auditRecord.incarnation >> 7
+                        && heard.sequence() >= appliedStamp.sequence()) {
+                    soonest = Math.min(soonest, toTestbedNanos(record, heard.atNanos()) - at);
                 }
             }
         }
-        if (soonest <= KNOWN) {
-            knownAfter.add(Math.max(0, soonest));
+        if (soonest <= PROPAGATION_NANOS) {
+            propagationNanos.add(Math.max(0, soonest));
         } else if (!gap) {
-            late++;
-            knownAfter.add(soonest == Long.MAX_VALUE ? end - at : soonest);
-            if (soonest > 3 * KNOWN && at < end - 3 * KNOWN) {
+            latePropagations++;
+            propagationNanos.add(soonest == Long.MAX_VALUE ? end - at : soonest);
+            if (soonest > 3 * PROPAGATION_NANOS && at < end - 3 * PROPAGATION_NANOS) {
                 violation(
                         "news",
                         "stamp %d of %s at %.3f s was not known at %s within 6 s, which could be reached",
-                        acts.sequence(),
-                        life.balancer,
+                        appliedStamp.sequence(),
+                        auditRecord.balancer,
                         at / 1e9,
                         other);
             }
@@ -797,16 +797,16 @@
     }
 
     /** Whether one of the two could not be heard by the other for a part of a span. */
-    private boolean cutOff(int a, int b, long from, long to) {
-        for (History.Span span : history.spans()) {
-            if (span.from() > to || span.to() < from) {
+    private boolean isPartitioned(int a, int b, long from, long to) {
+        for (EventHistory.FaultSpan span : history.spans()) {
+            if (span.fromNanos() > to || span.toNanos() < from) {
                 continue;
             }
-            Happening one = span.happening();
+            FaultEvent one = span.faultEvent();
             boolean apart =
                     switch (one.kind()) {
-                        case PARTITION -> one.who().contains(a) != one.who().contains(b);
-                        case SILENCE -> one.who().contains(a) && one.whom().contains(b);
+                        case PARTITION -> one.balancers().contains(a) != one.balancers().contains(b);
+                        case SILENCE -> one.balancers().contains(a) && one.targets().contains(b);
                         default -> false;
                     };
             if (apart) {
--- a/rig/src/main/java/frostrelay/rig/campaign/AuditRecord.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/AuditRecord.java
@@ -21,45 +21,45 @@
  */
 final class AuditRecord {
     /** A stamp that it says it acted on. */
-    record Acts(
-            long at,
+    record AppliedStamp(
+            long atNanos,
             int sequence,
             long confNumber,
             long confDigest,
             long listRev,
             long listDigest,
-            long holds,
+            long adminDrains,
             int ref) {}
 
     /** A send that it says it made. */
-    record Sent(long at, int sequence, String cache, String id) {}
+    record Sent(long atNanos, int sequence, String cache, String id) {}
 
     /** A stamp that it says another acted on. */
-    record Heard(long at, int rank, long incarnation, int sequence, int ref) {}
+    record PeerStamp(long atNanos, int rank, long incarnation, int sequence, int ref) {}
 
     /** Entries that it says are missing. */
-    record Gap(long from, long to, long entries) {}
+    record Gap(long fromNanos, long toNanos, long entries) {}
 
     private static final long MAGIC = 0x4652_4155_4449_5401L;
 
     final String balancer;
     String name;
-    int rank;
+    int instanceIndex;
     long incarnation;
-    long wallMs;
+    long startWallMillis;
     final Set<Long> incarnations = new HashSet<>();
-    final List<Acts> acts = new ArrayList<>();
+    final List<AppliedStamp> appliedStamps = new ArrayList<>();
     final List<Sent> sent = new ArrayList<>();
-    final List<Heard> heard = new ArrayList<>();
+    final List<PeerStamp> peerStamps = new ArrayList<>();
     final List<Gap> gaps = new ArrayList<>();
-    final Map<Integer, Long> counted = new TreeMap<>();
+    final Map<Integer, Long> sendCounts = new TreeMap<>();
     final Map<Integer, String> caches = new HashMap<>();
-    final List<Long> jumps = new ArrayList<>();
-    boolean started;
-    boolean ended;
+    final List<Long> clockJumps = new ArrayList<>();
+    boolean hasStart;
+    boolean endedCleanly;
     boolean beginningLost;
-    int unread;
-    long last;
+    int unreadBytes;
+    long lastNanos;
 
     private AuditRecord(String balancer) {
         this.balancer = balancer;
@@ -67,12 +67,12 @@
 
     /** All lives in a folder, the oldest first by their files. */
     static List<AuditRecord> read(String balancer, Path folder) throws IOException {
-        TreeMap<String, TreeMap<String, Path>> lives = new TreeMap<>();
+        TreeMap<String, TreeMap<String, Path>> incarnationFiles = new TreeMap<>();
         if (Files.isDirectory(folder)) {
             try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*.rec")) {
                 for (Path file : files) {
                     String name = file.getFileName().toString();
-                    lives.computeIfAbsent(
+                    incarnationFiles.computeIfAbsent(
                                     name.substring(0, name.lastIndexOf('-')),
                                     life -> new TreeMap<>())
                             .put(name, file);
@@ -80,24 +80,24 @@
             }
         }
         List<AuditRecord> records = new ArrayList<>();
-        for (TreeMap<String, Path> parts : lives.values()) {
+        for (TreeMap<String, Path> parts : incarnationFiles.values()) {
             AuditRecord record = new AuditRecord(balancer);
             boolean first = true;
             for (Path part : parts.values()) {
-                record.part(Files.readAllBytes(part), first);
+                record.readPart(Files.readAllBytes(part), first);
                 first = false;
             }
-            if (record.started) {
+            if (record.hasStart) {
                 records.add(record);
             }
         }
         return records;
     }
 
-    private void part(byte[] bytes, boolean first) {
+    private void readPart(byte[] bytes, boolean first) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if (bytes.length < 8 || in.getLong() != MAGIC) {
-            unread += bytes.length;
+            unreadBytes += bytes.length;
             return;
         }
         List<ByteBuffer> entries = new ArrayList<>();
@@ -119,7 +119,7 @@
             entries.add(in.slice(in.position() + 3, length));
             in.position(in.position() + length + 7);
         }
-        unread += in.remaining();
+        unreadBytes += in.remaining();
         beginningLost |= first && resumes >= 0;
         for (int i = 0; i < entries.size(); i++) {
             int type = types.get(i);
@@ -128,27 +128,27 @@
             boolean repeated = !first && i <= resumes;
             boolean later =
                     type == 2
-                            && (acts.isEmpty()
+                            && (appliedStamps.isEmpty()
                                     || entries.get(i).getInt(Long.BYTES)
-                                            > acts.get(acts.size() - 1).sequence());
+                                            > appliedStamps.get(appliedStamps.size() - 1).sequence());
             if (!repeated || type == 3 || later) {
-                entry(type, entries.get(i));
+                readEntry(type, entries.get(i));
             }
         }
     }
 
-    private void entry(int type, ByteBuffer in) {
+    private void readEntry(int type, ByteBuffer in) {
         long at = in.getLong();
-        last = type == 3 || type == 4 ? last : Math.max(last, at);
+        lastNanos = type == 3 || type == 4 ? lastNanos : Math.max(lastNanos, at);
         switch (type) {
             case 1 -> {
-                started = true;
-                name = text(in);
-                rank = in.getShort();
+                hasStart = true;
+                name = readText(in);
+                instanceIndex = in.getShort();
                 incarnation = in.getLong();
                 incarnations.add(incarnation);
                 in.getInt();
-                wallMs = in.getLong();
+                startWallMillis = in.getLong();
             }
             case 2 -> {
                 int sequence = in.getInt();
@@ -157,8 +157,8 @@
                 CRC32C crc = new CRC32C();
                 crc.update(in.duplicate().limit(in.position() + 48));
                 in.getInt();
-                acts.add(
-                        new Acts(
+                appliedStamps.add(
+                        new AppliedStamp(
                                 at,
                                 sequence,
                                 in.getLong(),
@@ -168,7 +168,7 @@
                                 in.getLong(),
                                 crc.getValue() == 0 ? 1 : (int) crc.getValue()));
             }
-            case 3 -> caches.put(in.getShort() & 0xffff, text(in));
+            case 3 -> caches.put(in.getShort() & 0xffff, readText(in));
             case 5 -> {
                 int sequence = in.getInt();
                 in.position(in.position() + 12);
@@ -177,41 +177,41 @@
                     in.getShort();
                     sum += in.getInt();
                 }
-                counted.merge(sequence, sum, Long::sum);
+                sendCounts.merge(sequence, sum, Long::sum);
             }
             case 6 -> {
                 int sequence = in.getInt();
                 String cache = caches.get(in.getShort() & 0xffff);
                 in.get();
-                sent.add(new Sent(at, sequence, cache, text(in)));
+                sent.add(new Sent(at, sequence, cache, readText(in)));
             }
             case 7 ->
-                    heard.add(
-                            new Heard(
+                    peerStamps.add(
+                            new PeerStamp(
                                     at,
                                     in.getShort() & 0xffff,
                                     in.getLong(),
                                     in.getInt(),
                                     in.getInt()));
-            case 10 -> jumps.add(in.getLong());
+            case 10 -> clockJumps.add(in.getLong());
             case 11 -> incarnations.add(in.getLong());
             case 13 -> gaps.add(new Gap(in.getLong(), at, in.getLong()));
-            case 14 -> ended = true;
+            case 14 -> endedCleanly = true;
             default -> {
                 // Nothing that is checked.
             }
         }
     }
 
-    private static String text(ByteBuffer in) {
+    private static String readText(ByteBuffer in) {
         byte[] bytes = new byte[in.get() & 0xff];
         in.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
     /** The stamp that it says it acted on by a number; null where it says nothing of it. */
-    Acts stamp(int sequence) {
-        for (Acts one : acts) {
+    AppliedStamp stamp(int sequence) {
+        for (AppliedStamp one : appliedStamps) {
             if (one.sequence == sequence) {
                 return one;
             }
--- a/rig/src/main/java/frostrelay/rig/campaign/Campaign.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/Campaign.java
@@ -18,47 +18,47 @@
 /** Many schedules, some at a time, and the smaller form of those that fail. */
 public final class Campaign {
     /** Plays that a shrinking may take: beyond this a schedule is kept as it is then. */
-    private static final int MOST_SHRINKS = 40;
+    private static final int MAX_SHRINK_RUNS = 40;
 
-    private final Matter matter;
+    private final CampaignSubject subject;
     private final Path folder;
-    private final boolean keep;
-    private final CampaignPlay.Launch launch;
+    private final boolean keepFiles;
+    private final CampaignRun.Launch launch;
     private final String defect;
-    private final Consumer<String> lines;
+    private final Consumer<String> progress;
 
     /**
-     * {@code folder}: of all plays; {@code keep}: also files of plays without violations; {@code
-     * defect}: put into one balancer, or null; {@code lines}: progress.
+     * {@code folder}: of all plays; {@code keepFiles}: also files of plays without violations; {@code
+     * defect}: put into one balancer, or null; {@code progress}: progress.
      */
     public Campaign(
-            Matter matter,
+            CampaignSubject subject,
             Path folder,
-            boolean keep,
-            CampaignPlay.Launch launch,
+            boolean keepFiles,
+            CampaignRun.Launch launch,
             String defect,
-            Consumer<String> lines) {
-        this.matter = matter;
+            Consumer<String> progress) {
+        this.subject = subject;
         this.folder = folder;
-        this.keep = keep;
+        this.keepFiles = keepFiles;
         this.launch = launch;
         this.defect = defect;
-        this.lines = lines;
+        this.progress = progress;
     }
 
-    /** Plays all of them, {@code atOnce} at a time; outcomes in the order of the schedules. */
-    public List<CampaignPlay.Outcome> play(List<Schedule> schedules, int atOnce)
+    /** Plays all of them, {@code parallelism} at a time; outcomes in the order of the schedules. */
+    public List<CampaignRun.Outcome> run(List<Schedule> schedules, int parallelism)
             throws InterruptedException, IOException {
-        ExecutorService pool = Executors.newFixedThreadPool(atOnce);
+        ExecutorService pool = Executors.newFixedThreadPool(parallelism);
         try {
-            List<Future<CampaignPlay.Outcome>> all = new ArrayList<>();
+            List<Future<CampaignRun.Outcome>> all = new ArrayList<>();
             for (Schedule schedule : schedules) {
-                Callable<CampaignPlay.Outcome> play =
-                        () -> play(schedule, folder.resolve(schedule.name()));
-                all.add(pool.submit(play));
+                Callable<CampaignRun.Outcome> task =
+                        () -> run(schedule, folder.resolve(schedule.name()));
+                all.add(pool.submit(task));
             }
-            List<CampaignPlay.Outcome> outcomes = new ArrayList<>();
-            for (Future<CampaignPlay.Outcome> one : all) {
+            List<CampaignRun.Outcome> outcomes = new ArrayList<>();
+            for (Future<CampaignRun.Outcome> one : all) {
                 try {
                     outcomes.add(one.get());
                 } catch (ExecutionException e) {
@@ -71,10 +71,10 @@
         }
     }
 
-    private CampaignPlay.Outcome play(Schedule schedule, Path into)
+    private CampaignRun.Outcome run(Schedule schedule, Path outputFolder)
             throws IOException, InterruptedException {
-        CampaignPlay.Outcome outcome = CampaignPlay.play(matter, schedule, into, launch, defect);
-        lines.accept(
+        CampaignRun.Outcome outcome = CampaignRun.play(subject, schedule, outputFolder, launch, defect);
+        progress.accept(
                 schedule.name()
                         + ": "
                         + (outcome.violations().isEmpty()
@@ -82,32 +82,32 @@
                                 : outcome.violations().size()
                                         + " violations, the first: "
                                         + outcome.violations().get(0).what()));
-        if (outcome.violations().isEmpty() && !keep) {
-            remove(into);
+        if (outcome.violations().isEmpty() && !keepFiles) {
+            remove(outputFolder);
         }
         return outcome;
     }
 
     /** Leaves happenings out, one at a time, as long as it fails without them. */
     public Schedule shrink(Schedule failing) throws IOException, InterruptedException {
-        Schedule least = failing;
-        int plays = 0;
-        for (int i = least.happenings().size() - 1; i >= 0 && plays < MOST_SHRINKS; i--) {
-            Schedule fewer = least.without(i);
-            Path into = folder.resolve(failing.name() + "-shrink-" + plays++);
-            boolean fails =
-                    !CampaignPlay.play(matter, fewer, into, launch, defect).violations().isEmpty();
-            remove(into);
-            if (fails) {
-                least = fewer;
-                lines.accept(
+        Schedule smallest = failing;
+        int runs = 0;
+        for (int i = smallest.events().size() - 1; i >= 0 && runs < MAX_SHRINK_RUNS; i--) {
+            Schedule candidate = smallest.withoutEvent(i);
+            Path outputFolder = folder.resolve(failing.name() + "-shrink-" + runs++);
+            boolean stillFails =
+                    !CampaignRun.play(subject, candidate, outputFolder, launch, defect).violations().isEmpty();
+            remove(outputFolder);
+            if (stillFails) {
+                smallest = candidate;
+                progress.accept(
                         failing.name()
                                 + ": fails with "
-                                + least.happenings().size()
+                                + smallest.events().size()
                                 + " happenings");
             }
         }
-        return least;
+        return smallest;
     }
 
     private static void remove(Path folder) {
--- a/rig/src/main/java/frostrelay/rig/campaign/CampaignPlay.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/CampaignRun.java
@@ -2,17 +2,17 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
-import frostrelay.rig.client.Front;
-import frostrelay.rig.client.OpenLoop;
-import frostrelay.rig.client.Tally;
-import frostrelay.rig.day.Day;
-import frostrelay.rig.day.DayFile;
+import frostrelay.rig.client.RoundRobinFrontend;
+import frostrelay.rig.client.OpenLoopClients;
+import frostrelay.rig.client.ClientStatistics;
+import frostrelay.rig.day.Scenario;
+import frostrelay.rig.day.ScenarioFile;
 import frostrelay.rig.discovery.Member;
 import frostrelay.rig.fleet.BalancerConfig;
 import frostrelay.rig.fleet.BalancerProcess;
-import frostrelay.rig.fleet.Fleet;
-import frostrelay.rig.fleet.Program;
-import frostrelay.rig.referee.Rule;
+import frostrelay.rig.fleet.TestCluster;
+import frostrelay.rig.fleet.BalancerCommand;
+import frostrelay.rig.referee.Invariant;
 import frostrelay.rig.wire.Loopback;
 
 import io.netty.util.concurrent.Future;
@@ -48,7 +48,7 @@
  * Plays one schedule with real processes: starts them, does what it says, heals, ends them in order
  * and judges.
  */
-public final class CampaignPlay {
+public final class CampaignRun {
     /** How a balancer is started, given properties of its JVM. */
     public interface Launch {
         /** The whole command line. */
@@ -62,12 +62,12 @@
             Map<String, Object> figures,
             Path folder) {}
 
-    private static final long MILLISECOND = 1_000_000L;
-    private static final Duration CALL = Duration.ofSeconds(2);
-    private static final long PENDING = 20_000 * MILLISECOND;
-    private static final long STOP_MS = 6_000;
-    private static final long STARVE_SLICE_MS = 100;
-    private static final String DAY =
+    private static final long MILLISECOND_NANOS = 1_000_000L;
+    private static final Duration HTTP_TIMEOUT = Duration.ofSeconds(2);
+    private static final long PENDING_TIMEOUT_NANOS = 20_000 * MILLISECOND_NANOS;
+    private static final long STOP_TIMEOUT_MILLIS = 6_000;
+    private static final long STARVE_SLICE_MILLIS = 100;
+    private static final String SCENARIO_TEMPLATE =
             """
             seed = %d
             length = "%dms"
@@ -100,69 +100,69 @@
     /** In place of a defect: the matter's own part stays off, to compare with. */
     public static final String OFF = "off";
 
-    private static final long SECOND_MS = 1_000;
-    private static final int RATE_EACH = 40;
+    private static final long SECOND_MILLIS = 1_000;
+    private static final int REQUESTS_PER_SECOND = 40;
 
     /**
      * So few that no balancer can judge caches by itself soon: each meets one every second or so.
      */
-    private static final int FEW_EACH = 6;
+    private static final int LOW_REQUESTS_PER_SECOND = 6;
 
-    private static final int RETRIERS = 8;
+    private static final int RETRYING_CLIENT_COUNT = 8;
 
     /** One in so many may be late beyond its time and grace on a machine that others share. */
-    private static final int LOST_PART = 200;
+    private static final int LOST_DIVISOR = 200;
 
     /** What an upgrade brings goes by this: two builds talk and keep records side by side. */
-    private static final int NEXT_BUILD = 77;
+    private static final int UPGRADE_BUILD = 77;
 
-    private static final int NEXT_FORM = 2;
+    private static final int UPGRADE_WIRE_FORMAT = 2;
 
-    private final Matter matter;
+    private final CampaignSubject subject;
     private final Schedule schedule;
     private final Path folder;
     private final Launch launch;
     private final String defect;
-    private final History history = new History();
+    private final EventHistory history = new EventHistory();
     private final List<Violation> violations = new CopyOnWriteArrayList<>();
     private final List<String> names;
-    private final List<InetSocketAddress> talks = new ArrayList<>();
-    private final BalancerProcess[] running;
+    private final List<InetSocketAddress> gossipAddresses = new ArrayList<>();
+    private final BalancerProcess[] processes;
     private final String[] configs;
-    private final long[] offsets;
-    private final ScheduledExecutorService thread =
-            Executors.newScheduledThreadPool(8, CampaignPlay::daemon);
+    private final long[] wallOffsetsMillis;
+    private final ScheduledExecutorService scheduler =
+            Executors.newScheduledThreadPool(8, CampaignRun::daemonThread);
 
     /** Asks consoles, each on a thread of its own: one that is frozen keeps nobody else waiting. */
-    private final ScheduledExecutorService asking;
+    private final ScheduledExecutorService adminPoller;
 
-    private final HttpClient http = HttpClient.newBuilder().connectTimeout(CALL).build();
-    private long began;
+    private final HttpClient http = HttpClient.newBuilder().connectTimeout(HTTP_TIMEOUT).build();
+    private long beganNanos;
     private DatagramRelay relay;
-    private Fleet fleet;
-    private Front front;
+    private TestCluster fleet;
+    private RoundRobinFrontend frontend;
     private final AtomicIntegerArray starting;
-    private final AtomicIntegerArray changes;
-    private final AtomicInteger pending = new AtomicInteger();
-    private final List<Retriers> retriers = new CopyOnWriteArrayList<>();
+    private final AtomicIntegerArray configChanges;
+    private final AtomicInteger pendingEvents = new AtomicInteger();
+    private final List<RetryingClients> retryingClients = new CopyOnWriteArrayList<>();
 
-    private CampaignPlay(
-            Matter matter, Schedule schedule, Path folder, Launch launch, String defect) {
-        this.matter = matter;
+    private CampaignRun(
+            CampaignSubject subject, Schedule schedule, Path folder, Launch launch, String defect) {
+        this.subject = subject;
         this.schedule = schedule;
         this.folder = folder;
         this.launch = launch;
         this.defect = defect;
         names = IntStream.range(0, schedule.processes()).mapToObj(BalancerConfig::name).toList();
-        running = new BalancerProcess[names.size()];
+        processes = new BalancerProcess[names.size()];
         configs = new String[names.size()];
-        offsets = new long[names.size()];
-        asking = Executors.newScheduledThreadPool(names.size(), CampaignPlay::daemon);
+        wallOffsetsMillis = new long[names.size()];
+        adminPoller = Executors.newScheduledThreadPool(names.size(), CampaignRun::daemonThread);
         starting = new AtomicIntegerArray(names.size());
-        changes = new AtomicIntegerArray(names.size());
+        configChanges = new AtomicIntegerArray(names.size());
     }
 
-    private static Thread daemon(Runnable task) {
+    private static Thread daemonThread(Runnable task) {
         Thread fresh = new Thread(task, "campaign");
         fresh.setDaemon(true);
         return fresh;
@@ -170,36 +170,36 @@
 
     /** Plays it; {@code defect}: put into the last balancer, or null. */
     public static Outcome play(
-            Matter matter, Schedule schedule, Path folder, Launch launch, String defect)
+            CampaignSubject subject, Schedule schedule, Path folder, Launch launch, String defect)
             throws IOException, InterruptedException {
-        CampaignPlay play = new CampaignPlay(matter, schedule, folder, launch, defect);
+        CampaignRun play = new CampaignRun(subject, schedule, folder, launch, defect);
         try {
             return play.play();
         } finally {
-            play.thread.shutdownNow();
-            play.asking.shutdownNow();
+            play.scheduler.shutdownNow();
+            play.adminPoller.shutdownNow();
         }
     }
 
-    private Day day() {
-        return DayFile.parse(
+    private Scenario scenario() {
+        return ScenarioFile.parse(
                 "campaign",
                 String.format(
                         Locale.ROOT,
-                        DAY,
+                        SCENARIO_TEMPLATE,
                         schedule.seed() & 0xffff,
-                        schedule.length() / MILLISECOND,
-                        Schedule.CACHES,
+                        schedule.lengthNanos() / MILLISECOND_NANOS,
+                        Schedule.CACHE_COUNT,
                         names.size(),
-                        (schedule.rate() > 0
-                                        ? schedule.rate()
-                                        : matter == Matter.JUDGEMENTS ? FEW_EACH : RATE_EACH)
+                        (schedule.requestsPerSecond() > 0
+                                        ? schedule.requestsPerSecond()
+                                        : subject == CampaignSubject.JUDGEMENTS ? LOW_REQUESTS_PER_SECOND : REQUESTS_PER_SECOND)
                                 * names.size()));
     }
 
     /** {@code build}: the number that it goes by, 0 for its own. */
-    private Program program(int place, int build, int form) {
-        Path own = folder.resolve(names.get(place));
+    private BalancerCommand program(int place, int build, int wireFormat) {
+        Path balancerFolder = folder.resolve(names.get(place));
         List<String> properties =
                 new ArrayList<>(
                         List.of(
@@ -207,15 +207,15 @@
                                 "-Dfrostrelay.audit=on",
                                 "-Dfrostrelay.audit.each=on",
                                 "-Dfrostrelay.audit.folder=audit",
-                                "-Dfrostrelay.campaign.wall=" + own.resolve("wall"),
+                                "-Dfrostrelay.campaign.wall=" + balancerFolder.resolve("wall"),
                                 "-Dfrostrelay.campaign.build=" + build,
-                                "-Dfrostrelay.campaign.form=" + form));
-        if (matter == Matter.JUDGEMENTS) {
+                                "-Dfrostrelay.campaign.form=" + wireFormat));
+        if (subject == CampaignSubject.JUDGEMENTS) {
             properties.add("-Dfrostrelay.stragglers=on");
             properties.add("-Dfrostrelay.judgements=" + (OFF.equals(defect) ? "off" : "on"));
             properties.add("-Dfrostrelay.counts=on");
         }
-        if (matter == Matter.STRAGGLERS && !OFF.equals(defect)) {
+        if (subject == CampaignSubject.STRAGGLERS && !OFF.equals(defect)) {
             properties.addAll(
                     List.of(
                             "-Dfrostrelay.stragglers=on",
@@ -226,8 +226,8 @@
             properties.add("-Dfrostrelay.campaign.defect=" + defect);
         }
         List<String> command = launch.command(properties);
-        for (Happening one : schedule.happenings()) {
-            if (one.kind() == Happening.Kind.DISK_SMALL && one.who().contains(place)) {
+        for (FaultEvent one : schedule.events()) {
+            if (one.kind() == FaultEvent.Kind.DISK_SMALL && one.balancers().contains(place)) {
                 // The system's own limit on files, in blocks of 512 bytes: a write beyond fails as
                 // on a full disk.
                 List<String> limited =
@@ -240,38 +240,38 @@
                                                 + " && exec \"$@\"",
                                         "sh"));
                 limited.addAll(command);
-                return new Program(limited);
+                return new BalancerCommand(limited);
             }
         }
-        return new Program(command);
+        return new BalancerCommand(command);
     }
 
     private Outcome play() throws IOException, InterruptedException {
         Files.createDirectories(folder);
         for (int i = 0; i < names.size(); i++) {
-            talks.add(Loopback.port(Loopback.freePort()));
+            gossipAddresses.add(Loopback.port(Loopback.freePort()));
             Files.createDirectories(folder.resolve(names.get(i)));
             Files.writeString(folder.resolve(names.get(i)).resolve("wall"), "0");
         }
         io.netty.channel.nio.NioEventLoopGroup group =
                 new io.netty.channel.nio.NioEventLoopGroup(1);
         try {
-            relay = new DatagramRelay(group.next(), talks, schedule.seed());
+            relay = new DatagramRelay(group.next(), gossipAddresses, schedule.seed());
             fleet =
-                    new Fleet(
-                            day(),
+                    new TestCluster(
+                            scenario(),
                             folder,
-                            new Fleet.Each() {
+                            new TestCluster.BalancerCustomizer() {
                                 @Override
-                                public Program program(int place) {
-                                    return CampaignPlay.this.program(place, 0, 1);
+                                public BalancerCommand program(int place) {
+                                    return CampaignRun.this.program(place, 0, 1);
                                 }
 
                                 @Override
-                                public Map<String, Object> further(int place) {
+                                public Map<String, Object> extraKeys(int place) {
                                     Map<String, Object> further = new LinkedHashMap<>();
                                     further.put("version", 0);
-                                    further.put("peer_listen", Loopback.text(talks.get(place)));
+                                    further.put("peer_listen", Loopback.text(gossipAddresses.get(place)));
                                     further.put("peers", relay.peers(place));
                                     return further;
                                 }
@@ -279,7 +279,7 @@
             try {
                 return run();
             } finally {
-                for (BalancerProcess process : running) {
+                for (BalancerProcess process : processes) {
                     if (process != null) {
                         process.close();
                     }
@@ -292,61 +292,61 @@
     }
 
     private Outcome run() throws IOException, InterruptedException {
-        fleet.referee().watch(history);
-        fleet.discovery().show();
+        fleet.invariantChecker().setObserver(history);
+        fleet.discovery().publishToObserver();
         for (int i = 0; i < names.size(); i++) {
-            running[i] = fleet.balancers().get(i).process();
+            processes[i] = fleet.balancers().get(i).process();
             configs[i] = fleet.balancers().get(i).config();
-            history.process(i, History.What.WALL, 0);
+            history.recordProcessChange(i, EventHistory.ProcessEvent.WALL, 0);
             history.configured(i, 0, digest(configs[i]), true);
-            history.process(i, History.What.STARTED, 0);
+            history.recordProcessChange(i, EventHistory.ProcessEvent.STARTED, 0);
         }
         fleet.startBalancers();
-        front = new Front(fleet.balancers().stream().map(Fleet.Place::listen).toList());
-        Tally tally = new Tally();
-        OpenLoop load = new OpenLoop(fleet.day(), front, fleet.loop(), fleet.referee(), tally);
-        long begin = history.moment();
-        began = begin;
-        for (Happening one : schedule.happenings()) {
-            pending.incrementAndGet();
-            thread.schedule(() -> guarded(one), one.at(), TimeUnit.NANOSECONDS);
+        frontend = new RoundRobinFrontend(fleet.balancers().stream().map(TestCluster.BalancerInstance::listenAddress).toList());
+        ClientStatistics clientStatistics = new ClientStatistics();
+        OpenLoopClients load = new OpenLoopClients(fleet.scenario(), frontend, fleet.loop(), fleet.invariantChecker(), clientStatistics);
+        long begin = history.elapsedNanos();
+        beganNanos = begin;
+        for (FaultEvent one : schedule.events()) {
+            pendingEvents.incrementAndGet();
+            scheduler.schedule(() -> runGuarded(one), one.atNanos(), TimeUnit.NANOSECONDS);
         }
-        if (matter == Matter.JUDGEMENTS) {
+        if (subject == CampaignSubject.JUDGEMENTS) {
             for (int i = 0; i < names.size(); i++) {
                 int place = i;
-                asking.scheduleAtFixedRate(
-                        () -> count(place),
-                        SECOND_MS + i * SECOND_MS / names.size(),
-                        SECOND_MS,
+                adminPoller.scheduleAtFixedRate(
+                        () -> recordCounters(place),
+                        SECOND_MILLIS + i * SECOND_MILLIS / names.size(),
+                        SECOND_MILLIS,
                         TimeUnit.MILLISECONDS);
             }
         }
-        Future<Tally> done = load.run();
+        Future<ClientStatistics> done = load.run();
         try {
-            done.get(schedule.length() + 30_000 * MILLISECOND, TimeUnit.NANOSECONDS);
+            done.get(schedule.lengthNanos() + 30_000 * MILLISECOND_NANOS, TimeUnit.NANOSECONDS);
         } catch (ExecutionException | TimeoutException e) {
             violations.add(
                     new Violation("play", "requests are still open long after the last: " + e));
         }
         // A process that took long to end is started later than planned; all of it is to be over.
-        for (long limit = history.moment() + PENDING;
-                pending.get() > 0 && history.moment() < limit; ) {
+        for (long limit = history.elapsedNanos() + PENDING_TIMEOUT_NANOS;
+                pendingEvents.get() > 0 && history.elapsedNanos() < limit; ) {
             Thread.sleep(50);
         }
-        long left = begin + schedule.length() - history.moment();
+        long left = begin + schedule.lengthNanos() - history.elapsedNanos();
         if (left > 0) {
-            Thread.sleep(left / MILLISECOND);
+            Thread.sleep(left / MILLISECOND_NANOS);
         }
-        asking.shutdownNow();
-        look();
-        long end = history.moment();
+        adminPoller.shutdownNow();
+        recordSnapshots();
+        long end = history.elapsedNanos();
         List<java.util.concurrent.Future<?>> ending = new ArrayList<>();
-        for (BalancerProcess process : running) {
+        for (BalancerProcess process : processes) {
             ending.add(
-                    thread.submit(
+                    scheduler.submit(
                             () -> {
                                 if (process.isAlive()) {
-                                    process.terminate(STOP_MS);
+                                    process.terminate(STOP_TIMEOUT_MILLIS);
                                 }
                                 return null;
                             }));
@@ -358,67 +358,67 @@
                 violations.add(new Violation("play", "a process did not end: " + e.getCause()));
             }
         }
-        return judge(tally, end);
+        return check(clientStatistics, end);
     }
 
-    private Outcome judge(Tally tally, long end) throws IOException {
+    private Outcome check(ClientStatistics clientStatistics, long end) throws IOException {
         Map<String, List<AuditRecord>> records = new LinkedHashMap<>();
         for (String name : names) {
-            List<AuditRecord> lives = new ArrayList<>();
-            for (Path kept : folders(name)) {
-                lives.addAll(AuditRecord.read(name, kept));
+            List<AuditRecord> auditRecords = new ArrayList<>();
+            for (Path folderWithRecords : auditFolders(name)) {
+                auditRecords.addAll(AuditRecord.read(name, folderWithRecords));
             }
-            records.put(name, lives);
+            records.put(name, auditRecords);
         }
         history.write(folder.resolve("history.jsonl"));
         Files.writeString(folder.resolve("schedule.toml"), schedule.toml());
         AuditCheck check =
-                new AuditCheck(history, records, names, matter == Matter.STRAGGLERS, end);
+                new AuditCheck(history, records, names, subject == CampaignSubject.STRAGGLERS, end);
         violations.addAll(check.run());
-        for (Rule rule :
-                List.of(Rule.RAN_TWICE, Rule.KEYED_TWICE, Rule.FOREIGN_ANSWER, Rule.TWO_ANSWERS)) {
-            if (fleet.referee().count(rule) > 0) {
-                violations.add(new Violation("rules", rule + ": " + fleet.referee().breaches()));
+        for (Invariant rule :
+                List.of(Invariant.RAN_TWICE, Invariant.KEYED_TWICE, Invariant.FOREIGN_ANSWER, Invariant.TWO_ANSWERS)) {
+            if (fleet.invariantChecker().violationCount(rule) > 0) {
+                violations.add(new Violation("rules", rule + ": " + fleet.invariantChecker().violations()));
             }
         }
         Map<String, Object> figures = new LinkedHashMap<>(check.figures());
-        if (matter == Matter.STRAGGLERS) {
-            StragglerCheck further =
-                    new StragglerCheck(history, records, names, asides(), check::moment, end);
+        if (subject == CampaignSubject.STRAGGLERS) {
+            StaleInstanceCheck further =
+                    new StaleInstanceCheck(history, records, names, lookAsideSteps(), check::toTestbedNanos, end);
             List<Violation> others = further.run();
             // Without the part that is looked at, its figures are wanted, not its promises.
             violations.addAll(OFF.equals(defect) ? List.of() : others);
             figures.putAll(further.figures());
         }
-        if (matter == Matter.JUDGEMENTS) {
-            JudgementCheck further = new JudgementCheck(history, names, judgements(), began, end);
+        if (subject == CampaignSubject.JUDGEMENTS) {
+            HealthReportCheck further = new HealthReportCheck(history, names, reportEvents(), beganNanos, end);
             List<Violation> others = further.run();
             violations.addAll(OFF.equals(defect) ? List.of() : others);
             figures.putAll(further.figures());
-            CountCheck counts = new CountCheck(history, records, names, check::moment);
+            ClusterCounterCheck counts = new ClusterCounterCheck(history, records, names, check::toTestbedNanos);
             violations.addAll(counts.run());
             figures.putAll(counts.figures());
         }
-        for (Retriers clients : retriers) {
+        for (RetryingClients clients : retryingClients) {
             figures.merge("retried", clients.answered.get(), (a, b) -> (int) a + (int) b);
-            if (clients.silent.get() + clients.foreign.get() > 0) {
+            if (clients.unanswered.get() + clients.mismatched.get() > 0) {
                 violations.add(
                         new Violation(
                                 "retriers",
-                                clients.silent
+                                clients.unanswered
                                         + " requests got neither answer nor close, "
-                                        + clients.foreign
+                                        + clients.mismatched
                                         + " another's answer"));
             }
         }
-        lost(tally);
-        figures.put("lost", tally.count(Tally.End.LOST));
-        long[] carried = relay.carried();
+        checkLostRequests(clientStatistics);
+        figures.put("lost", clientStatistics.count(ClientStatistics.Outcome.LOST));
+        long[] carried = relay.traffic();
         if (carried[2] > 256) {
             violations.add(new Violation("datagrams", "one of " + carried[2] + " bytes"));
         }
-        figures.put("asked", tally.asked());
-        figures.put("servedInTime", tally.count(Tally.End.IN_TIME));
+        figures.put("asked", clientStatistics.requests());
+        figures.put("servedInTime", clientStatistics.count(ClientStatistics.Outcome.IN_TIME));
         figures.put("datagrams", carried[0]);
         figures.put("bytesASecondEach", Math.round(carried[1] / (end / 1e9) / names.size()));
         figures.put("lives", records.values().stream().mapToInt(List::size).sum());
@@ -429,24 +429,24 @@
      * A balancer that was frozen owes nobody, nor do all that were killed at once. A late answer
      * may be this machine's fault, a closed connection is not.
      */
-    private void lost(Tally tally) {
-        boolean stood =
-                schedule.happenings().stream()
+    private void checkLostRequests(ClientStatistics clientStatistics) {
+        boolean allStopped =
+                schedule.events().stream()
                         .anyMatch(
                                 one ->
-                                        one.kind() == Happening.Kind.FREEZE
-                                                || one.kind() == Happening.Kind.STARVE
-                                                || one.who().size() == names.size()
-                                                        && (one.kind() == Happening.Kind.KILL
+                                        one.kind() == FaultEvent.Kind.FREEZE
+                                                || one.kind() == FaultEvent.Kind.STARVE
+                                                || one.balancers().size() == names.size()
+                                                        && (one.kind() == FaultEvent.Kind.KILL
                                                                 || one.kind()
-                                                                        == Happening.Kind
+                                                                        == FaultEvent.Kind
                                                                                 .KILL_EMPTY));
         long closed =
-                fleet.referee().breaches().stream()
+                fleet.invariantChecker().violations().stream()
                         .filter(
                                 one ->
-                                        one.rule() == Rule.NO_ANSWER
-                                                && one.what().contains("connection ended"))
+                                        one.invariant() == Invariant.NO_ANSWER
+                                                && one.detail().contains("connection ended"))
                         .count();
         if (closed > 0) {
             violations.add(
@@ -455,19 +455,19 @@
                             closed
                                     + " requests were neither answered nor excused when their connections ended"));
         }
-        if (!stood && tally.count(Tally.End.LOST) * LOST_PART > tally.asked()) {
+        if (!allStopped && clientStatistics.count(ClientStatistics.Outcome.LOST) * LOST_DIVISOR > clientStatistics.requests()) {
             violations.add(
                     new Violation(
                             "lost",
-                            tally.count(Tally.End.LOST)
+                            clientStatistics.count(ClientStatistics.Outcome.LOST)
                                     + " of "
-                                    + tally.asked()
+                                    + clientStatistics.requests()
                                     + " requests got no answer"));
         }
     }
 
     /** A line of a balancer's log, and when it was written by the rig's clock. */
-    private record Logged(long at, int balancer, String event, Map<String, Object> fields) {}
+    private record Logged(long atNanos, int balancer, String event, Map<String, Object> fields) {}
 
     /** Lines of all balancers' logs with one of these events, in the order of their moments. */
     private List<Logged> logged(String... events) throws IOException {
@@ -480,7 +480,7 @@
                         Map<String, Object> fields = JSON.std.mapFrom(line);
                         all.add(
                                 new Logged(
-                                        history.ofWall(
+                                        history.fromWallClockNanos(
                                                 Instant.parse(String.valueOf(fields.get("time")))
                                                         .toEpochMilli(),
                                                 0),
@@ -491,23 +491,23 @@
                 }
             }
         }
-        all.sort((a, b) -> Long.compare(a.at, b.at));
+        all.sort((a, b) -> Long.compare(a.atNanos, b.atNanos));
         return all;
     }
 
     /** When balancers stepped aside and came back, by what they logged. */
-    private List<long[]> asides() throws IOException {
+    private List<long[]> lookAsideSteps() throws IOException {
         return logged("steps-aside", "comes-back").stream()
                 .map(
                         one ->
                                 new long[] {
-                                    one.at, one.balancer, one.event.equals("steps-aside") ? 1 : -1
+                                    one.atNanos, one.balancer, one.event.equals("steps-aside") ? 1 : -1
                                 })
                 .toList();
     }
 
-    private List<JudgementCheck.Line> judgements() throws IOException {
-        List<JudgementCheck.Line> all = new ArrayList<>();
+    private List<HealthReportCheck.ReportEvent> reportEvents() throws IOException {
+        List<HealthReportCheck.ReportEvent> all = new ArrayList<>();
         for (Logged one : logged("finds-bad", "lowers")) {
             Set<String> lowered = new HashSet<>();
             if (one.fields.get("caches") instanceof List<?> caches) {
@@ -515,8 +515,8 @@
             }
             boolean found = one.event.equals("finds-bad");
             all.add(
-                    new JudgementCheck.Line(
-                            one.at,
+                    new HealthReportCheck.ReportEvent(
+                            one.atNanos,
                             one.balancer,
                             found ? String.valueOf(one.fields.get("cache")) : null,
                             found ? null : lowered));
@@ -525,10 +525,10 @@
     }
 
     /** All folders in which a balancer kept its record. */
-    private List<Path> folders(String name) throws IOException {
+    private List<Path> auditFolders(String name) throws IOException {
         List<Path> folders = new ArrayList<>();
-        Path own = folder.resolve(name);
-        try (var all = Files.newDirectoryStream(own, "tmp*")) {
+        Path balancerFolder = folder.resolve(name);
+        try (var all = Files.newDirectoryStream(balancerFolder, "tmp*")) {
             for (Path tmp : all) {
                 folders.add(tmp.resolve("audit"));
                 folders.add(tmp.resolve("audit-aside"));
@@ -538,7 +538,7 @@
     }
 
     /** What a console says; null where it says nothing that can be used. */
-    private Map<String, Object> said(int place) throws IOException, InterruptedException {
+    private Map<String, Object> fetchAudit(int place) throws IOException, InterruptedException {
         HttpResponse<String> answer =
                 http.send(
                         HttpRequest.newBuilder(
@@ -548,7 +548,7 @@
                                                                 .mapFrom(configs[place])
                                                                 .get("console")
                                                         + "/ops/audit"))
-                                .timeout(CALL)
+                                .timeout(HTTP_TIMEOUT)
                                 .build(),
                         HttpResponse.BodyHandlers.ofString());
         return answer.statusCode() == 200 ? JSON.std.mapFrom(answer.body()) : null;
@@ -558,12 +558,12 @@
      * What a balancer counts now; one that is away or frozen says nothing, and another second it
      * will.
      */
-    private void count(int place) {
-        long at = history.moment();
+    private void recordCounters(int place) {
+        long at = history.elapsedNanos();
         try {
-            Map<String, Object> said = said(place);
-            if (said != null) {
-                history.counted(at, place, said);
+            Map<String, Object> response = fetchAudit(place);
+            if (response != null) {
+                history.counted(at, place, response);
             }
         } catch (IOException e) {
             // Whether it should have answered is asked where all consoles are looked at.
@@ -573,16 +573,16 @@
     }
 
     /** Asks all consoles; one that is away or frozen says nothing. */
-    private void look() throws IOException, InterruptedException {
+    private void recordSnapshots() throws IOException, InterruptedException {
         for (int i = 0; i < names.size(); i++) {
-            long at = history.moment();
+            long at = history.elapsedNanos();
             try {
-                Map<String, Object> said = said(i);
-                if (said != null) {
-                    history.look(at, i, said);
+                Map<String, Object> response = fetchAudit(i);
+                if (response != null) {
+                    history.recordSnapshot(at, i, response);
                 }
             } catch (IOException e) {
-                if (history.up(i) && starting.get(i) == 0) {
+                if (history.isRunning(i) && starting.get(i) == 0) {
                     violations.add(
                             new Violation(
                                     "play",
@@ -598,13 +598,13 @@
 
     // What happens.
 
-    private void guarded(Happening one) {
+    private void runGuarded(FaultEvent one) {
         try {
-            happen(one);
+            apply(one);
         } catch (IOException | InterruptedException | RuntimeException e) {
-            violations.add(new Violation("play", one.text() + " failed: " + e));
+            violations.add(new Violation("play", one.describe() + " failed: " + e));
         } finally {
-            pending.decrementAndGet();
+            pendingEvents.decrementAndGet();
         }
     }
 
@@ -613,161 +613,161 @@
     }
 
     /** What ends a happening, at its end. */
-    private void later(Happening one, long from, Step undo) {
-        pending.incrementAndGet();
+    private void scheduleUndo(FaultEvent one, long from, Step undo) {
+        pendingEvents.incrementAndGet();
         // From its beginning on: what took its time to begin is not longer for it.
-        thread.schedule(
+        scheduler.schedule(
                 () -> {
                     try {
                         undo.run();
-                        history.span(from, one);
+                        history.recordSpan(from, one);
                     } catch (IOException | InterruptedException | RuntimeException e) {
                         violations.add(
                                 new Violation(
-                                        "play", "the end of " + one.text() + " failed: " + e));
+                                        "play", "the end of " + one.describe() + " failed: " + e));
                     } finally {
-                        pending.decrementAndGet();
+                        pendingEvents.decrementAndGet();
                     }
                 },
-                Math.max(0, from + one.length() - history.moment()),
+                Math.max(0, from + one.durationNanos() - history.elapsedNanos()),
                 TimeUnit.NANOSECONDS);
     }
 
-    private void ways(Happening one, java.util.function.UnaryOperator<DatagramRelay.Way> change) {
-        for (int from : one.who()) {
-            for (int to : one.whom()) {
+    private void changePaths(FaultEvent one, java.util.function.UnaryOperator<DatagramRelay.NetworkPath> change) {
+        for (int from : one.balancers()) {
+            for (int to : one.targets()) {
                 if (from != to) {
-                    relay.way(from, to, change);
+                    relay.changePath(from, to, change);
                 }
             }
         }
     }
 
-    private void hurt(
-            Happening one,
-            java.util.function.UnaryOperator<DatagramRelay.Way> on,
-            java.util.function.UnaryOperator<DatagramRelay.Way> off) {
-        long from = history.moment();
-        ways(one, on);
-        later(one, from, () -> ways(one, off));
+    private void impairPaths(
+            FaultEvent one,
+            java.util.function.UnaryOperator<DatagramRelay.NetworkPath> on,
+            java.util.function.UnaryOperator<DatagramRelay.NetworkPath> off) {
+        long from = history.elapsedNanos();
+        changePaths(one, on);
+        scheduleUndo(one, from, () -> changePaths(one, off));
     }
 
-    private void happen(Happening one) throws IOException, InterruptedException {
-        long from = history.moment();
+    private void apply(FaultEvent one) throws IOException, InterruptedException {
+        long from = history.elapsedNanos();
         switch (one.kind()) {
-            case LOSS -> hurt(one, way -> way.lossy(one.amount()), way -> way.lossy(0));
+            case LOSS -> impairPaths(one, way -> way.withLoss(one.amount()), way -> way.withLoss(0));
             case DELAY ->
-                    hurt(
+                    impairPaths(
                             one,
-                            way -> way.delaying(MILLISECOND, (long) (one.amount() * MILLISECOND)),
-                            way -> way.delaying(0, 0));
-            case DOUBLE -> hurt(one, way -> way.doubling(one.amount()), way -> way.doubling(0));
-            case DAMAGE -> hurt(one, way -> way.damaging(one.amount()), way -> way.damaging(0));
-            case SILENCE -> hurt(one, way -> way.cutting(true), way -> way.cutting(false));
+                            way -> way.withDelay(MILLISECOND_NANOS, (long) (one.amount() * MILLISECOND_NANOS)),
+                            way -> way.withDelay(0, 0));
+            case DOUBLE -> impairPaths(one, way -> way.withDuplication(one.amount()), way -> way.withDuplication(0));
+            case DAMAGE -> impairPaths(one, way -> way.withCorruption(one.amount()), way -> way.withCorruption(0));
+            case SILENCE -> impairPaths(one, way -> way.withCut(true), way -> way.withCut(false));
             case PARTITION -> {
-                List<Integer> others =
+                List<Integer> otherBalancers =
                         IntStream.range(0, names.size())
                                 .boxed()
-                                .filter(i -> !one.who().contains(i))
+                                .filter(i -> !one.balancers().contains(i))
                                 .toList();
-                Happening there =
-                        new Happening(one.at(), one.kind(), one.who(), others, 0, one.length());
-                Happening back =
-                        new Happening(one.at(), one.kind(), others, one.who(), 0, one.length());
-                ways(there, way -> way.cutting(true));
-                ways(back, way -> way.cutting(true));
-                later(
+                FaultEvent outgoing =
+                        new FaultEvent(one.atNanos(), one.kind(), one.balancers(), otherBalancers, 0, one.durationNanos());
+                FaultEvent incoming =
+                        new FaultEvent(one.atNanos(), one.kind(), otherBalancers, one.balancers(), 0, one.durationNanos());
+                changePaths(outgoing, way -> way.withCut(true));
+                changePaths(incoming, way -> way.withCut(true));
+                scheduleUndo(
                         one,
                         from,
                         () -> {
-                            ways(there, way -> way.cutting(false));
-                            ways(back, way -> way.cutting(false));
+                            changePaths(outgoing, way -> way.withCut(false));
+                            changePaths(incoming, way -> way.withCut(false));
                         });
             }
             case FORGE -> {
-                Forgeries.all(one.who().get(0), schedule.seed() + one.at())
+                ForgedDatagrams.all(one.balancers().get(0), schedule.seed() + one.atNanos())
                         .forEach(
                                 bytes ->
-                                        one.whom()
+                                        one.targets()
                                                 .forEach(
                                                         to -> {
-                                                            if (to.intValue() != one.who().get(0)) {
-                                                                relay.forge(
-                                                                        one.who().get(0),
+                                                            if (to.intValue() != one.balancers().get(0)) {
+                                                                relay.sendForged(
+                                                                        one.balancers().get(0),
                                                                         to,
                                                                         bytes);
                                                             }
                                                         }));
-                history.span(from, one);
+                history.recordSpan(from, one);
             }
             case DISCOVERY_CUT -> {
-                one.who().forEach(i -> fleet.discovery().cut(names.get(i), true));
-                later(
+                one.balancers().forEach(i -> fleet.discovery().setPartitioned(names.get(i), true));
+                scheduleUndo(
                         one,
                         from,
-                        () -> one.who().forEach(i -> fleet.discovery().cut(names.get(i), false)));
+                        () -> one.balancers().forEach(i -> fleet.discovery().setPartitioned(names.get(i), false)));
             }
             case DISCOVERY_LATE -> {
-                one.who()
+                one.balancers()
                         .forEach(
                                 i ->
                                         fleet.discovery()
-                                                .late(
+                                                .setDelay(
                                                         names.get(i),
-                                                        (long) (one.amount() * MILLISECOND)));
-                later(
+                                                        (long) (one.amount() * MILLISECOND_NANOS)));
+                scheduleUndo(
                         one,
                         from,
-                        () -> one.who().forEach(i -> fleet.discovery().late(names.get(i), 0)));
+                        () -> one.balancers().forEach(i -> fleet.discovery().setDelay(names.get(i), 0)));
             }
             case DISCOVERY_OLD -> {
-                one.who().forEach(i -> fleet.discovery().pin(names.get(i), true));
-                later(
+                one.balancers().forEach(i -> fleet.discovery().setPinned(names.get(i), true));
+                scheduleUndo(
                         one,
                         from,
-                        () -> one.who().forEach(i -> fleet.discovery().pin(names.get(i), false)));
+                        () -> one.balancers().forEach(i -> fleet.discovery().setPinned(names.get(i), false)));
             }
             case CACHE_CUT -> {
-                one.whom()
+                one.targets()
                         .forEach(
                                 cache ->
-                                        one.who()
+                                        one.balancers()
                                                 .forEach(
                                                         i ->
                                                                 fleet.caches()
                                                                         .get(cache)
-                                                                        .links()
+                                                                        .proxies()
                                                                         .get(i)
-                                                                        .cut(true)));
-                later(
+                                                                        .setCut(true)));
+                scheduleUndo(
                         one,
                         from,
                         () ->
-                                one.whom()
+                                one.targets()
                                         .forEach(
                                                 cache ->
-                                                        one.who()
+                                                        one.balancers()
                                                                 .forEach(
                                                                         i ->
                                                                                 fleet.caches()
                                                                                         .get(cache)
-                                                                                        .links()
+                                                                                        .proxies()
                                                                                         .get(i)
-                                                                                        .cut(
+                                                                                        .setCut(
                                                                                                 false))));
             }
             case DRAIN -> {
-                for (int cache : one.whom()) {
+                for (int cache : one.targets()) {
                     fleet.discovery()
                             .change(
                                     new Member(
                                             "cache-" + (cache + 1), Member.State.TERMINATING, 0));
                 }
-                later(
+                scheduleUndo(
                         one,
                         from,
                         () ->
-                                one.whom()
+                                one.targets()
                                         .forEach(
                                                 cache ->
                                                         fleet.discovery()
@@ -780,40 +780,40 @@
                                                                                 0))));
             }
             case CACHE_SILENT -> {
-                one.whom().forEach(cache -> fleet.caches().get(cache).server().silence(true));
-                later(
+                one.targets().forEach(cache -> fleet.caches().get(cache).server().setUnresponsive(true));
+                scheduleUndo(
                         one,
                         from,
                         () ->
-                                one.whom()
+                                one.targets()
                                         .forEach(
                                                 cache ->
                                                         fleet.caches()
                                                                 .get(cache)
                                                                 .server()
-                                                                .silence(false)));
+                                                                .setUnresponsive(false)));
             }
             case CACHE_FAILS_WRITES -> {
-                one.whom().forEach(cache -> fleet.caches().get(cache).server().failWrites(true));
-                later(
+                one.targets().forEach(cache -> fleet.caches().get(cache).server().setFailingWrites(true));
+                scheduleUndo(
                         one,
                         from,
                         () ->
-                                one.whom()
+                                one.targets()
                                         .forEach(
                                                 cache ->
                                                         fleet.caches()
                                                                 .get(cache)
                                                                 .server()
-                                                                .failWrites(false)));
+                                                                .setFailingWrites(false)));
             }
             case ARCHIVE_SLOW -> {
-                fleet.archiveTakes(one.amount());
-                later(one, from, () -> fleet.archiveTakes(1));
+                fleet.slowOrigin(one.amount());
+                scheduleUndo(one, from, () -> fleet.slowOrigin(1));
             }
             case CACHE_RESTART -> {
-                for (int cache : one.whom()) {
-                    Fleet.Cache met = fleet.caches().get(cache);
+                for (int cache : one.targets()) {
+                    TestCluster.CacheInstance met = fleet.caches().get(cache);
                     met.server()
                             .restart(
                                     () ->
@@ -824,58 +824,58 @@
                                                                     Member.State.READY,
                                                                     System.currentTimeMillis())));
                 }
-                history.span(from, one);
+                history.recordSpan(from, one);
             }
             case FLAP -> flap(one, from);
             case RETRY ->
-                    one.who()
+                    one.balancers()
                             .forEach(
                                     i -> {
-                                        Retriers clients =
-                                                new Retriers(fleet.balancers().get(i).listen());
-                                        retriers.add(clients);
-                                        clients.start(RETRIERS);
-                                        later(one, from, clients::stop);
+                                        RetryingClients clients =
+                                                new RetryingClients(fleet.balancers().get(i).listenAddress());
+                                        retryingClients.add(clients);
+                                        clients.start(RETRYING_CLIENT_COUNT);
+                                        scheduleUndo(one, from, clients::stop);
                                     });
             case KEEP_IN, SHUT_OUT -> {
-                decide(one, one.kind().word());
-                later(one, from, () -> decide(one, "let-go"));
+                postOverride(one, one.kind().keyword());
+                scheduleUndo(one, from, () -> postOverride(one, "let-go"));
             }
             case HOLD -> {
-                hold(one, true);
-                later(one, from, () -> hold(one, false));
+                setAdminDrain(one, true);
+                scheduleUndo(one, from, () -> setAdminDrain(one, false));
             }
             case DISK_SMALL -> {
                 // It is so from the start.
             }
-            case LOOK -> look();
+            case LOOK -> recordSnapshots();
             case CONFIG, CONFIG_OTHER, CONFIG_QUIET, CONFIG_BAD, CONFIG_UNFIT, CONFIG_HARMFUL -> {
                 configure(one);
-                history.span(from, one);
+                history.recordSpan(from, one);
             }
             case WALL_CLOCK -> {
-                for (int i : one.who()) {
+                for (int i : one.balancers()) {
                     Files.writeString(
                             folder.resolve(names.get(i)).resolve("wall"),
                             Long.toString((long) one.amount()));
-                    offsets[i] = (long) one.amount();
-                    history.process(i, History.What.WALL, offsets[i]);
+                    wallOffsetsMillis[i] = (long) one.amount();
+                    history.recordProcessChange(i, EventHistory.ProcessEvent.WALL, wallOffsetsMillis[i]);
                 }
             }
-            default -> processes(one, from);
+            default -> applyToProcesses(one, from);
         }
     }
 
     /** Drained first, ready at the end. */
-    private void flap(Happening one, long from) {
-        long every = Math.max(1, (long) one.amount()) * MILLISECOND;
-        int steps = (int) (one.length() / every);
+    private void flap(FaultEvent one, long from) {
+        long every = Math.max(1, (long) one.amount()) * MILLISECOND_NANOS;
+        int steps = (int) (one.durationNanos() / every);
         for (int i = 0; i < steps; i++) {
             Member.State state =
                     i % 2 == 0 && i < steps - 1 ? Member.State.TERMINATING : Member.State.READY;
-            thread.schedule(
+            scheduler.schedule(
                     () ->
-                            one.whom()
+                            one.targets()
                                     .forEach(
                                             cache ->
                                                     fleet.discovery()
@@ -887,11 +887,11 @@
                     i * every,
                     TimeUnit.NANOSECONDS);
         }
-        later(one, from, () -> {});
+        scheduleUndo(one, from, () -> {});
     }
 
-    private void decide(Happening one, String what) throws IOException, InterruptedException {
-        for (int i : one.who()) {
+    private void postOverride(FaultEvent one, String what) throws IOException, InterruptedException {
+        for (int i : one.balancers()) {
             http.send(
                     HttpRequest.newBuilder(
                                     URI.create(
@@ -899,16 +899,16 @@
                                                     + JSON.std.mapFrom(configs[i]).get("console")
                                                     + "/ops/stragglers/"
                                                     + what))
-                            .timeout(CALL)
+                            .timeout(HTTP_TIMEOUT)
                             .POST(HttpRequest.BodyPublishers.noBody())
                             .build(),
                     HttpResponse.BodyHandlers.discarding());
         }
     }
 
-    private void hold(Happening one, boolean on) throws IOException, InterruptedException {
-        for (int i : one.who()) {
-            for (int cache : one.whom()) {
+    private void setAdminDrain(FaultEvent one, boolean drained) throws IOException, InterruptedException {
+        for (int i : one.balancers()) {
+            for (int cache : one.targets()) {
                 try {
                     Object console = JSON.std.mapFrom(configs[i]).get("console");
                     int status =
@@ -918,8 +918,8 @@
                                                                     "http://"
                                                                             + console
                                                                             + "/ops/template-caches/"
-                                                                            + (on ? "down" : "up")))
-                                                    .timeout(CALL)
+                                                                            + (drained ? "down" : "up")))
+                                                    .timeout(HTTP_TIMEOUT)
                                                     .POST(
                                                             HttpRequest.BodyPublishers.ofString(
                                                                     "{\"id\":\"cache-"
@@ -929,7 +929,7 @@
                                             HttpResponse.BodyHandlers.discarding())
                                     .statusCode();
                     if (status == 200) {
-                        history.held(i, "cache-" + (cache + 1), on);
+                        history.recordAdminDrain(i, "cache-" + (cache + 1), drained);
                     }
                 } catch (IOException e) {
                     // Its process is away, or frozen: it was not told.
@@ -938,13 +938,13 @@
         }
     }
 
-    private void configure(Happening one) throws IOException {
-        for (int i : one.who()) {
-            if (one.kind() == Happening.Kind.CONFIG_BAD) {
-                running[i].configure(configs[i].substring(0, configs[i].length() / 2));
+    private void configure(FaultEvent one) throws IOException {
+        for (int i : one.balancers()) {
+            if (one.kind() == FaultEvent.Kind.CONFIG_BAD) {
+                processes[i].replaceConfig(configs[i].substring(0, configs[i].length() / 2));
                 history.configured(i, -1, 0, true);
-                hangUp(i);
-                running[i].configure(configs[i]);
+                signalReload(i);
+                processes[i].replaceConfig(configs[i]);
                 continue;
             }
             Map<String, Object> config = new LinkedHashMap<>(JSON.std.mapFrom(configs[i]));
@@ -957,17 +957,17 @@
                     "max-retry-after-ns",
                     1_000_000_000L
                             + number * 1_000_000
-                            + (one.kind() == Happening.Kind.CONFIG_OTHER ? 500_000 : 0));
-            if (one.kind() == Happening.Kind.CONFIG_UNFIT) {
+                            + (one.kind() == FaultEvent.Kind.CONFIG_OTHER ? 500_000 : 0));
+            if (one.kind() == FaultEvent.Kind.CONFIG_UNFIT) {
                 ceilings.put("multiplex", 0);
             }
             // Where no request may be open, every one is refused. The content is the number's,
             // whoever gets it how.
             boolean harmful =
-                    schedule.happenings().stream()
+                    schedule.events().stream()
                             .anyMatch(
                                     other ->
-                                            other.kind() == Happening.Kind.CONFIG_HARMFUL
+                                            other.kind() == FaultEvent.Kind.CONFIG_HARMFUL
                                                     && other.amount() == one.amount());
             ceilings.put("max-open", harmful ? 0 : 20_000);
             settings.put("ceilings", ceilings);
@@ -977,14 +977,14 @@
             history.configured(
                     i,
                     number,
-                    one.kind() == Happening.Kind.CONFIG_UNFIT ? 0 : digest(configs[i]),
-                    one.kind() != Happening.Kind.CONFIG_QUIET
-                            && one.kind() != Happening.Kind.CONFIG_UNFIT
+                    one.kind() == FaultEvent.Kind.CONFIG_UNFIT ? 0 : digest(configs[i]),
+                    one.kind() != FaultEvent.Kind.CONFIG_QUIET
+                            && one.kind() != FaultEvent.Kind.CONFIG_UNFIT
                             && starting.get(i) == 0);
-            running[i].configure(configs[i]);
-            if (one.kind() != Happening.Kind.CONFIG_QUIET) {
-                changes.incrementAndGet(i);
-                hangUp(i);
+            processes[i].replaceConfig(configs[i]);
+            if (one.kind() != FaultEvent.Kind.CONFIG_QUIET) {
+                configChanges.incrementAndGet(i);
+                signalReload(i);
             }
         }
     }
@@ -993,9 +993,9 @@
      * A process that is starting hears no signal yet, and would die of it: it is told once it
      * serves.
      */
-    private void hangUp(int place) throws IOException {
-        if (running[place].isAlive() && starting.get(place) == 0) {
-            running[place].hangUp();
+    private void signalReload(int place) throws IOException {
+        if (processes[place].isAlive() && starting.get(place) == 0) {
+            processes[place].signalReload();
         }
     }
 
@@ -1005,55 +1005,55 @@
         return copy;
     }
 
-    private void processes(Happening one, long from) throws IOException, InterruptedException {
-        for (int i : one.who()) {
-            BalancerProcess process = running[i];
+    private void applyToProcesses(FaultEvent one, long from) throws IOException, InterruptedException {
+        for (int i : one.balancers()) {
+            BalancerProcess process = processes[i];
             switch (one.kind()) {
                 case KILL, KILL_EMPTY -> {
-                    front.stopped(i);
-                    history.process(i, History.What.KILLED, 0);
+                    frontend.onStopped(i);
+                    history.recordProcessChange(i, EventHistory.ProcessEvent.KILLED, 0);
                     process.kill();
-                    later(
+                    scheduleUndo(
                             one,
                             from,
                             () -> {
-                                if (one.kind() == Happening.Kind.KILL_EMPTY) {
+                                if (one.kind() == FaultEvent.Kind.KILL_EMPTY) {
                                     Files.move(
-                                            process.folder().resolve("tmp"),
-                                            process.folder().resolve("tmp-" + from));
-                                    Files.createDirectories(process.folder().resolve("tmp"));
+                                            process.directory().resolve("tmp"),
+                                            process.directory().resolve("tmp-" + from));
+                                    Files.createDirectories(process.directory().resolve("tmp"));
                                 }
                                 start(i, process);
                             });
                 }
                 case TERMINATE -> {
-                    front.stopped(i);
-                    history.process(i, History.What.TERMINATED, 0);
-                    process.terminate(STOP_MS);
-                    later(one, from, () -> start(i, process));
+                    frontend.onStopped(i);
+                    history.recordProcessChange(i, EventHistory.ProcessEvent.TERMINATED, 0);
+                    process.terminate(STOP_TIMEOUT_MILLIS);
+                    scheduleUndo(one, from, () -> start(i, process));
                 }
                 case FREEZE -> {
-                    history.process(i, History.What.FROZEN, 0);
+                    history.recordProcessChange(i, EventHistory.ProcessEvent.FROZEN, 0);
                     process.signal("STOP");
-                    later(
+                    scheduleUndo(
                             one,
                             from,
                             () -> {
                                 process.signal("CONT");
-                                history.process(i, History.What.THAWED, 0);
+                                history.recordProcessChange(i, EventHistory.ProcessEvent.THAWED, 0);
                             });
                 }
                 case STARVE -> starve(one, i, process, from);
                 case DISK -> {
-                    Path audit = process.folder().resolve("tmp/audit");
-                    Path aside = process.folder().resolve("tmp/audit-aside");
+                    Path audit = process.directory().resolve("tmp/audit");
+                    Path aside = process.directory().resolve("tmp/audit-aside");
                     if (Files.isDirectory(audit)) {
                         Files.move(audit, aside);
                     }
                     Files.writeString(audit, "not a folder");
                     // Its temporary files may have been taken away meanwhile, and new ones have
                     // come.
-                    later(
+                    scheduleUndo(
                             one,
                             from,
                             () -> {
@@ -1069,80 +1069,80 @@
 
     private void start(int place, BalancerProcess process)
             throws IOException, InterruptedException {
-        int known = changes.get(place);
+        int knownChanges = configChanges.get(place);
         starting.set(place, 1);
-        history.process(place, History.What.STARTED, offsets[place]);
+        history.recordProcessChange(place, EventHistory.ProcessEvent.STARTED, wallOffsetsMillis[place]);
         process.start();
         process.awaitReady();
         starting.set(place, 0);
-        if (changes.get(place) != known) {
-            hangUp(place);
+        if (configChanges.get(place) != knownChanges) {
+            signalReload(place);
         }
     }
 
     /** The process runs for a part of each slice only. */
-    private void starve(Happening one, int place, BalancerProcess process, long from)
+    private void starve(FaultEvent one, int place, BalancerProcess process, long from)
             throws IOException, InterruptedException {
-        history.process(place, History.What.STARVED, 0);
-        long end = from + one.length();
-        while (history.moment() < end) {
+        history.recordProcessChange(place, EventHistory.ProcessEvent.STARVED, 0);
+        long end = from + one.durationNanos();
+        while (history.elapsedNanos() < end) {
             process.signal("STOP");
-            Thread.sleep((long) (STARVE_SLICE_MS * (1 - one.amount())));
+            Thread.sleep((long) (STARVE_SLICE_MILLIS * (1 - one.amount())));
             process.signal("CONT");
-            Thread.sleep((long) (STARVE_SLICE_MS * one.amount()));
+            Thread.sleep((long) (STARVE_SLICE_MILLIS * one.amount()));
         }
-        history.process(place, History.What.FED, 0);
-        history.span(from, one);
+        history.recordProcessChange(place, EventHistory.ProcessEvent.FED, 0);
+        history.recordSpan(from, one);
     }
 
     /**
      * Another process of the balancer, with another console; the old one is ended once it serves.
      */
-    private void upgrade(Happening one, int place, BalancerProcess old, long from)
+    private void upgrade(FaultEvent one, int place, BalancerProcess old, long from)
             throws IOException, InterruptedException {
         Map<String, Object> config = new LinkedHashMap<>(JSON.std.mapFrom(configs[place]));
         config.put("console", Loopback.text(Loopback.port(Loopback.freePort())));
         configs[place] = JSON.std.asString(config);
-        Fleet.Place at = fleet.balancers().get(place);
+        TestCluster.BalancerInstance at = fleet.balancers().get(place);
         BalancerProcess fresh =
                 new BalancerProcess(
                         names.get(place),
                         program(
                                 place,
-                                NEXT_BUILD,
-                                one.kind() == Happening.Kind.UPGRADE_FORM ? NEXT_FORM : 1),
-                        old.folder(),
-                        at.listen(),
+                                UPGRADE_BUILD,
+                                one.kind() == FaultEvent.Kind.UPGRADE_FORM ? UPGRADE_WIRE_FORMAT : 1),
+                        old.directory(),
+                        at.listenAddress(),
                         configs[place]);
-        int known = changes.get(place);
+        int knownChanges = configChanges.get(place);
         starting.set(place, 1);
-        history.process(place, History.What.STARTED, offsets[place]);
+        history.recordProcessChange(place, EventHistory.ProcessEvent.STARTED, wallOffsetsMillis[place]);
         fresh.start();
-        long limit = history.moment() + 10_000 * MILLISECOND;
-        while (history.moment() < limit && !ready((String) config.get("console"))) {
+        long limit = history.elapsedNanos() + 10_000 * MILLISECOND_NANOS;
+        while (history.elapsedNanos() < limit && !isReady((String) config.get("console"))) {
             Thread.sleep(20);
         }
-        running[place] = fresh;
+        processes[place] = fresh;
         starting.set(place, 0);
-        if (changes.get(place) != known) {
-            hangUp(place);
+        if (configChanges.get(place) != knownChanges) {
+            signalReload(place);
         }
         Thread.sleep(500);
-        front.stopped(place);
-        history.process(place, History.What.TERMINATED, 0);
-        old.terminate(STOP_MS);
+        frontend.onStopped(place);
+        history.recordProcessChange(place, EventHistory.ProcessEvent.TERMINATED, 0);
+        old.terminate(STOP_TIMEOUT_MILLIS);
         // The younger one has been up all the while.
-        history.process(place, History.What.FED, 0);
-        history.span(from, one);
+        history.recordProcessChange(place, EventHistory.ProcessEvent.FED, 0);
+        history.recordSpan(from, one);
     }
 
-    private boolean ready(String console) throws InterruptedException {
+    private boolean isReady(String console) throws InterruptedException {
         try {
             return http.send(
                                     HttpRequest.newBuilder(
                                                     URI.create(
                                                             "http://" + console + "/ops/readiness"))
-                                            .timeout(CALL)
+                                            .timeout(HTTP_TIMEOUT)
                                             .build(),
                                     HttpResponse.BodyHandlers.discarding())
                             .statusCode()
--- a/rig/src/main/java/frostrelay/rig/campaign/Matter.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/CampaignSubject.java
@@ -8,7 +8,7 @@
  * What a campaign is about: how balancers are started, what is drawn, and which checks come on top
  * of the audit's.
  */
-public enum Matter {
+public enum CampaignSubject {
     AUDIT("Who acted on which version: records against what the stand-ins saw."),
     STRAGGLERS(
             "Balancers that act on old lists are brought up, avoid what others know as gone, and never too many step aside."),
@@ -18,31 +18,31 @@
     /** In a sentence. */
     public final String meaning;
 
-    Matter(String meaning) {
+    CampaignSubject(String meaning) {
         this.meaning = meaning;
     }
 
     /** As the command line names it. */
-    public String word() {
+    public String keyword() {
         return name().toLowerCase(Locale.ROOT);
     }
 
     /** All words. */
-    public static List<String> words() {
-        return Arrays.stream(values()).map(Matter::word).toList();
+    public static List<String> keywords() {
+        return Arrays.stream(values()).map(CampaignSubject::keyword).toList();
     }
 
     /** The one with this word. */
-    public static Matter of(String word) {
-        return valueOf(word.toUpperCase(Locale.ROOT));
+    public static CampaignSubject of(String keyword) {
+        return valueOf(keyword.toUpperCase(Locale.ROOT));
     }
 
     /** A schedule by seed. */
-    public Schedule drawn(long seed, int processes, long length) {
+    public Schedule generateSchedule(long seed, int processes, long lengthNanos) {
         return switch (this) {
-            case AUDIT -> Schedule.drawn(seed, processes, length);
-            case STRAGGLERS -> Schedule.drawnOfStragglers(seed, processes, length);
-            case JUDGEMENTS -> Schedule.drawnOfJudgements(seed, processes, length);
+            case AUDIT -> Schedule.generate(seed, processes, lengthNanos);
+            case STRAGGLERS -> Schedule.generateForStaleness(seed, processes, lengthNanos);
+            case JUDGEMENTS -> Schedule.generateForHealthReports(seed, processes, lengthNanos);
         };
     }
 }
--- a/rig/src/main/java/frostrelay/rig/campaign/DatagramRelay.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/DatagramRelay.java
@@ -30,69 +30,69 @@
      * How one way is: parts of 1 for loss, doubles and damage, nanoseconds for the least and most
      * delay.
      */
-    record Way(
-            double loss,
-            double doubled,
-            double damaged,
-            long delayLeast,
-            long delayMost,
+    record NetworkPath(
+            double lossProbability,
+            double duplicationProbability,
+            double corruptionProbability,
+            long minDelayNanos,
+            long maxDelayNanos,
             boolean cut) {
-        static final Way CLEAR = new Way(0, 0, 0, 0, 0, false);
+        static final NetworkPath CLEAR = new NetworkPath(0, 0, 0, 0, 0, false);
 
-        Way lossy(double part) {
-            return new Way(part, doubled, damaged, delayLeast, delayMost, cut);
+        NetworkPath withLoss(double probability) {
+            return new NetworkPath(probability, duplicationProbability, corruptionProbability, minDelayNanos, maxDelayNanos, cut);
         }
 
-        Way doubling(double part) {
-            return new Way(loss, part, damaged, delayLeast, delayMost, cut);
+        NetworkPath withDuplication(double probability) {
+            return new NetworkPath(lossProbability, probability, corruptionProbability, minDelayNanos, maxDelayNanos, cut);
         }
 
-        Way damaging(double part) {
-            return new Way(loss, doubled, part, delayLeast, delayMost, cut);
+        NetworkPath withCorruption(double probability) {
+            return new NetworkPath(lossProbability, duplicationProbability, probability, minDelayNanos, maxDelayNanos, cut);
         }
 
-        Way delaying(long least, long most) {
-            return new Way(loss, doubled, damaged, least, most, cut);
+        NetworkPath withDelay(long minNanos, long maxNanos) {
+            return new NetworkPath(lossProbability, duplicationProbability, corruptionProbability, minNanos, maxNanos, cut);
         }
 
-        Way cutting(boolean on) {
-            return new Way(loss, doubled, damaged, delayLeast, delayMost, on);
+        NetworkPath withCut(boolean on) {
+            return new NetworkPath(lossProbability, duplicationProbability, corruptionProbability, minDelayNanos, maxDelayNanos, on);
         }
     }
 
     private final EventLoop loop;
-    private final InetSocketAddress[] listens;
+    private final InetSocketAddress[] balancerAddresses;
 
     /** Where balancer i sees balancer j, by i and j. */
-    private final Channel[][] sights;
+    private final Channel[][] proxyChannels;
 
-    private final Way[][] ways;
-    private final UniformRandomProvider[][] randoms;
-    private long carried;
-    private long carriedBytes;
-    private long longest;
+    private final NetworkPath[][] paths;
+    private final UniformRandomProvider[][] randomSources;
+    private long datagramCount;
+    private long byteCount;
+    private long longestDatagramBytes;
 
-    /** {@code listens}: where the balancers take datagrams, in their order. */
-    DatagramRelay(EventLoop loop, List<InetSocketAddress> listens, long seed)
+    /** {@code balancerAddresses}: where the balancers take datagrams, in their order. */
+    DatagramRelay(EventLoop loop, List<InetSocketAddress> balancerAddresses, long seed)
             throws InterruptedException {
         this.loop = loop;
-        this.listens = listens.toArray(InetSocketAddress[]::new);
-        int count = listens.size();
-        sights = new Channel[count][count];
-        ways = new Way[count][count];
-        randoms = new UniformRandomProvider[count][count];
+        this.balancerAddresses = balancerAddresses.toArray(InetSocketAddress[]::new);
+        int count = balancerAddresses.size();
+        proxyChannels = new Channel[count][count];
+        paths = new NetworkPath[count][count];
+        randomSources = new UniformRandomProvider[count][count];
         for (int from = 0; from < count; from++) {
             for (int to = 0; to < count; to++) {
-                ways[from][to] = Way.CLEAR;
-                randoms[from][to] =
+                paths[from][to] = NetworkPath.CLEAR;
+                randomSources[from][to] =
                         RandomSource.XO_RO_SHI_RO_128_PP.create(
                                 seed * 1_000_003 + from * 1_009L + to);
                 if (from != to) {
-                    sights[from][to] =
+                    proxyChannels[from][to] =
                             new Bootstrap()
                                     .group(loop)
                                     .channel(NioDatagramChannel.class)
-                                    .handler(new Sight(from, to))
+                                    .handler(new ProxyHandler(from, to))
                                     .bind(Loopback.port(0))
                                     .sync()
                                     .channel();
@@ -102,79 +102,79 @@
     }
 
     /** The addresses of all balancers as one of them sees them, its own included. */
-    List<String> peers(int of) {
+    List<String> peers(int balancer) {
         List<String> peers = new ArrayList<>();
-        for (int to = 0; to < listens.length; to++) {
+        for (int to = 0; to < balancerAddresses.length; to++) {
             peers.add(
                     Loopback.text(
-                            to == of
-                                    ? listens[of]
-                                    : (InetSocketAddress) sights[of][to].localAddress()));
+                            to == balancer
+                                    ? balancerAddresses[balancer]
+                                    : (InetSocketAddress) proxyChannels[balancer][to].localAddress()));
         }
         return peers;
     }
 
     /** From now on the way from one balancer to another is so. */
-    void way(int from, int to, java.util.function.UnaryOperator<Way> change) {
-        loop.execute(() -> ways[from][to] = change.apply(ways[from][to]));
+    void changePath(int from, int to, java.util.function.UnaryOperator<NetworkPath> change) {
+        loop.execute(() -> paths[from][to] = change.apply(paths[from][to]));
     }
 
     /** Sends bytes to a balancer as though another had: what a broken or hostile one may send. */
-    void forge(int from, int to, byte[] bytes) {
+    void sendForged(int from, int to, byte[] bytes) {
         loop.execute(
                 () ->
-                        sights[to][from].writeAndFlush(
-                                new DatagramPacket(Unpooled.wrappedBuffer(bytes), listens[to])));
+                        proxyChannels[to][from].writeAndFlush(
+                                new DatagramPacket(Unpooled.wrappedBuffer(bytes), balancerAddresses[to])));
     }
 
     /** Datagrams and bytes that balancers have sent, and the longest datagram. */
-    long[] carried() {
-        return loop.submit(() -> new long[] {carried, carriedBytes, longest})
+    long[] traffic() {
+        return loop.submit(() -> new long[] {datagramCount, byteCount, longestDatagramBytes})
                 .syncUninterruptibly()
                 .getNow();
     }
 
     /** What a balancer sends to the address at which it sees another. */
-    private final class Sight extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class ProxyHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         private final int from;
         private final int to;
 
-        Sight(int from, int to) {
+        ProxyHandler(int from, int to) {
             this.from = from;
             this.to = to;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            if (!packet.sender().equals(listens[from])) {
+            if (!packet.sender().equals(balancerAddresses[from])) {
                 return;
             }
-            carried++;
-            carriedBytes += packet.content().readableBytes();
-            longest = Math.max(longest, packet.content().readableBytes());
-            Way way = ways[from][to];
-            UniformRandomProvider random = randoms[from][to];
-            if (way.cut || random.nextDouble() < way.loss) {
+            datagramCount++;
+            byteCount += packet.content().readableBytes();
+            longestDatagramBytes = Math.max(longestDatagramBytes, packet.content().readableBytes());
+            NetworkPath path = paths[from][to];
+            UniformRandomProvider random = randomSources[from][to];
+            if (path.cut || random.nextDouble() < path.lossProbability) {
                 return;
             }
-            pass(packet.content(), way, random);
-            if (random.nextDouble() < way.doubled) {
-                pass(packet.content(), way, random);
+            forward(packet.content(), path, random);
+            if (random.nextDouble() < path.duplicationProbability) {
+                forward(packet.content(), path, random);
             }
         }
 
-        private void pass(ByteBuf content, Way way, UniformRandomProvider random) {
-            ByteBuf copy = Unpooled.copiedBuffer(content);
-            if (copy.isReadable() && random.nextDouble() < way.damaged) {
-                int at = random.nextInt(copy.readableBytes());
-                copy.setByte(at, copy.getByte(at) ^ 1 << random.nextInt(8));
+        private void forward(ByteBuf content, NetworkPath path, UniformRandomProvider random) {
+            ByteBuf datagram = Unpooled.copiedBuffer(content);
+            if (datagram.isReadable() && random.nextDouble() < path.corruptionProbability) {
+                int at = random.nextInt(datagram.readableBytes());
+                datagram.setByte(at, datagram.getByte(at) ^ 1 << random.nextInt(8));
             }
             long delay =
-                    way.delayMost <= 0
+                    path.maxDelayNanos <= 0
                             ? 0
-                            : way.delayLeast + random.nextLong(way.delayMost - way.delayLeast + 1);
+                            : path.minDelayNanos + random.nextLong(path.maxDelayNanos - path.minDelayNanos + 1);
             Runnable send =
-                    () -> sights[to][from].writeAndFlush(new DatagramPacket(copy, listens[to]));
+                    () -> proxyChannels[to][from].writeAndFlush(new DatagramPacket(datagram, balancerAddresses[to]));
             if (delay == 0) {
                 send.run();
             } else {
--- a/rig/src/main/java/frostrelay/rig/campaign/Happening.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/FaultEvent.java
@@ -5,11 +5,11 @@
 import java.util.Locale;
 
 /**
- * Something that a campaign does. {@code at} and {@code length}: nanoseconds, from the play's
- * start; {@code who} and {@code whom}: what {@link Kind} says; {@code amount}: likewise.
+ * Something that a campaign does. {@code atNanos} and {@code durationNanos}: nanoseconds, from the play's
+ * start; {@code balancers} and {@code targets}: what {@link Kind} says; {@code amount}: likewise.
  */
-public record Happening(
-        long at, Kind kind, List<Integer> who, List<Integer> whom, double amount, long length) {
+public record FaultEvent(
+        long atNanos, Kind kind, List<Integer> balancers, List<Integer> targets, double amount, long durationNanos) {
     /** What can happen. */
     public enum Kind {
         LOSS("Datagrams from who to whom are lost: amount is the part of 1."),
@@ -64,31 +64,31 @@
         }
 
         /** As files and people write it. */
-        public String word() {
+        public String keyword() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
 
         /** All words. */
-        public static List<String> words() {
-            return Arrays.stream(values()).map(Kind::word).toList();
+        public static List<String> keywords() {
+            return Arrays.stream(values()).map(Kind::keyword).toList();
         }
     }
 
     /** The moment at which it is over, for what has an end. */
-    public long end() {
-        return at + length;
+    public long endNanos() {
+        return atNanos + durationNanos;
     }
 
     /** In a few words. */
-    public String text() {
+    public String describe() {
         return String.format(
                 Locale.ROOT,
                 "%.1fs %s%s%s%s%s",
-                at / 1e9,
-                kind.word(),
-                who.isEmpty() ? "" : " who " + who,
-                whom.isEmpty() ? "" : " whom " + whom,
+                atNanos / 1e9,
+                kind.keyword(),
+                balancers.isEmpty() ? "" : " who " + balancers,
+                targets.isEmpty() ? "" : " whom " + targets,
                 amount == 0 ? "" : " amount " + amount,
-                length == 0 ? "" : String.format(Locale.ROOT, " for %.1fs", length / 1e9));
+                durationNanos == 0 ? "" : String.format(Locale.ROOT, " for %.1fs", durationNanos / 1e9));
     }
 }
