--- a/rig/src/main/java/frostrelay/rig/campaign/Forgeries.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/ForgedDatagrams.java
@@ -13,8 +13,8 @@
 /**
  * Datagrams that a broken or hostile balancer may send, by the wire form in docs/design/peers.md.
  */
-final class Forgeries {
-    private Forgeries() {}
+final class ForgedDatagrams {
+    private ForgedDatagrams() {}
 
     /**
      * As from one balancer: whole and lying, damaged, foreign, empty, too long, endless in their
@@ -23,13 +23,13 @@
     static List<byte[]> all(int sender, long seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         List<byte[]> all = new ArrayList<>();
-        byte[] noise = new byte[200];
-        random.nextBytes(noise);
-        all.add(noise);
+        byte[] randomBytes = new byte[200];
+        random.nextBytes(randomBytes);
+        all.add(randomBytes);
         all.add(new byte[0]);
         all.add(new byte[400]);
         // A stamp with list and configuration 2^63 - 1, which somebody is said to act on.
-        ByteBuffer far = head(sender);
+        ByteBuffer far = header(sender);
         far.put((byte) 2)
                 .put((byte) 48)
                 .putInt(1)
@@ -39,57 +39,57 @@
                 .putLong(1)
                 .putLong(0)
                 .putInt(0);
-        all.add(sum(far));
+        all.add(withChecksum(far));
         // An incarnation behind all that can be, of balancer 1, and that it is gone.
-        ByteBuffer gone = head(sender);
-        gone.put((byte) 4)
+        ByteBuffer removedMember = header(sender);
+        removedMember.put((byte) 4)
                 .put((byte) 10)
                 .putShort((short) 0)
                 .putShort((short) 0xffff)
                 .putInt(-1)
                 .putShort((short) sender);
-        all.add(sum(gone));
+        all.add(withChecksum(removedMember));
         // Sections that say they are longer than the datagram.
-        ByteBuffer endless = head(sender);
+        ByteBuffer endless = header(sender);
         endless.put((byte) 1).put((byte) 255).putInt(7);
-        all.add(sum(endless));
+        all.add(withChecksum(endless));
         // A build of the far future.
-        ByteBuffer newer = head(sender);
+        ByteBuffer newer = header(sender);
         newer.put(3, (byte) 200);
-        all.add(sum(newer));
+        all.add(withChecksum(newer));
         // Every cache is away, by a list that cannot be; and operators hold every one.
         for (int section : new int[] {8, 16}) {
-            ByteBuffer away = head(sender);
-            for (int cache = 1; cache <= Schedule.CACHES; cache++) {
-                away.put((byte) section)
+            ByteBuffer unavailable = header(sender);
+            for (int cache = 1; cache <= Schedule.CACHE_COUNT; cache++) {
+                unavailable.put((byte) section)
                         .put((byte) 16)
                         .putLong(Long.MAX_VALUE)
                         .putLong(fnv("cache-" + cache));
             }
-            all.add(sum(away));
+            all.add(withChecksum(unavailable));
         }
         // Half of the caches are dead, by each life that it may have.
-        for (int life = 1; life <= 3; life++) {
-            ByteBuffer dead = head(sender);
-            dead.putInt(10, Math.abs(random.nextInt()) + life);
-            for (int cache = 1; cache <= Schedule.CACHES / 2; cache++) {
+        for (int incarnation = 1; incarnation <= 3; incarnation++) {
+            ByteBuffer dead = header(sender);
+            dead.putInt(10, Math.abs(random.nextInt()) + incarnation);
+            for (int cache = 1; cache <= Schedule.CACHE_COUNT / 2; cache++) {
                 dead.put((byte) 32)
                         .put((byte) 18)
                         .putLong(fnv("cache-" + cache))
-                        .putShort((short) life)
+                        .putShort((short) incarnation)
                         .putInt(0)
                         .put((byte) 0)
                         .put((byte) 0)
                         .put((byte) 255)
                         .put((byte) 63);
             }
-            all.add(sum(dead));
+            all.add(withChecksum(dead));
         }
         // Four others said so to it, it claims, two of whom do not exist.
-        ByteBuffer brought = head(sender);
-        brought.put((byte) 33).put((byte) (4 * 26));
+        ByteBuffer forwardedReports = header(sender);
+        forwardedReports.put((byte) 33).put((byte) (4 * 26));
         for (int writer = 0; writer < 4; writer++) {
-            brought.putShort((short) (writer * 3))
+            forwardedReports.putShort((short) (writer * 3))
                     .putShort((short) 0)
                     .putInt(1)
                     .putLong(fnv("cache-" + (1 + writer % 3)))
@@ -100,31 +100,31 @@
                     .put((byte) 255)
                     .put((byte) 63);
         }
-        all.add(sum(brought));
+        all.add(withChecksum(forwardedReports));
         // It did more than anybody can.
-        ByteBuffer much = head(sender);
-        much.put((byte) 34).put((byte) 40);
+        ByteBuffer excessiveCounts = header(sender);
+        excessiveCounts.put((byte) 34).put((byte) 40);
         for (int count = 0; count < 8; count++) {
-            much.put((byte) 100).putInt(-1);
+            excessiveCounts.put((byte) 100).putInt(-1);
         }
-        all.add(sum(much));
+        all.add(withChecksum(excessiveCounts));
         // It fails under every version, of kinds that are none as well.
-        ByteBuffer fails = head(sender);
+        ByteBuffer fails = header(sender);
         for (int kind = 0; kind < 4; kind++) {
             fails.put((byte) 17).put((byte) 10).put((byte) kind).putLong(kind).put((byte) 1);
         }
-        all.add(sum(fails));
+        all.add(withChecksum(fails));
         // A piece of settings that nobody asked for, of a count that none has.
-        ByteBuffer piece = head(sender);
+        ByteBuffer piece = header(sender);
         piece.put((byte) 19)
                 .put((byte) 20)
                 .putLong(1)
                 .putShort((short) -1)
                 .putShort((short) 0)
                 .putLong(7);
-        all.add(sum(piece));
-        byte[] torn = sum(head(sender));
-        all.add(Arrays.copyOf(torn, torn.length - 3));
+        all.add(withChecksum(piece));
+        byte[] truncated = withChecksum(header(sender));
+        all.add(Arrays.copyOf(truncated, truncated.length - 3));
         return all;
     }
 
@@ -137,7 +137,7 @@
         return hash;
     }
 
-    private static ByteBuffer head(int sender) {
+    private static ByteBuffer header(int sender) {
         return ByteBuffer.allocate(256)
                 .putShort((short) 0xF05E)
                 .put((byte) 1)
@@ -151,7 +151,7 @@
                 .putShort((short) 0xffff);
     }
 
-    private static byte[] sum(ByteBuffer out) {
+    private static byte[] withChecksum(ByteBuffer out) {
         CRC32C crc = new CRC32C();
         crc.update(out.array(), 0, out.position());
         out.putInt((int) crc.getValue());
--- a/rig/src/main/java/frostrelay/rig/campaign/JudgementCheck.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/HealthReportCheck.java
@@ -1,6 +1,6 @@
 package frostrelay.rig.campaign;
 
-import frostrelay.rig.campaign.History.What;
+import frostrelay.rig.campaign.EventHistory.ProcessEvent;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,63 +16,63 @@
  * is lowered by all soon behind the third who found it so, and a healthy one is hardly ever. A pure
  * function; it shares no code with the balancer.
  */
-final class JudgementCheck {
+final class HealthReportCheck {
     /** What one logged: that it finds a cache bad itself, or the whole set that it lowers. */
-    record Line(long at, int balancer, String found, Set<String> lowered) {}
+    record ReportEvent(long atNanos, int balancer, String outlier, Set<String> ejected) {}
 
-    private static final long MILLISECOND = 1_000_000L;
-    private static final long SECOND = 1_000 * MILLISECOND;
+    private static final long MILLISECOND_NANOS = 1_000_000L;
+    private static final long SECOND_NANOS = 1_000 * MILLISECOND_NANOS;
 
     /** Behind the third witness; what takes longer is counted. */
-    private static final long AIM = 1_000 * MILLISECOND;
+    private static final long EXPECTED_EJECTION_NANOS = 1_000 * MILLISECOND_NANOS;
 
     /**
      * A word that is lost comes with its renewal, three seconds later at most: behind that it is a
      * violation.
      */
-    private static final long SOON = 3_500 * MILLISECOND;
+    private static final long MAX_EJECTION_NANOS = 3_500 * MILLISECOND_NANOS;
 
     /** What was true is forgotten so long behind its end, and told by then. */
-    private static final long REMEMBERED = 12_000 * MILLISECOND;
+    private static final long REPORT_EXPIRY_NANOS = 12_000 * MILLISECOND_NANOS;
 
     /** Of its reads seven of eight go past a lowered cache. */
-    private static final double PASSED = 7 / 8.0;
+    private static final double EJECTED_READ_FRACTION = 7 / 8.0;
 
-    private static final double MOST_LOST = 0.05;
-    private static final int WITNESSES = 3;
+    private static final double MAX_LOST_FRACTION = 0.05;
+    private static final int MIN_REPORTERS = 3;
 
-    private final History history;
+    private final EventHistory history;
     private final List<String> names;
-    private final List<Line> lines;
-    private final long begin;
-    private final long end;
-    private final List<Violation> found = new ArrayList<>();
-    private final List<Long> loweredAfter = new ArrayList<>();
-    private double mostLost;
+    private final List<ReportEvent> events;
+    private final long beginNanos;
+    private final long endNanos;
+    private final List<Violation> violations = new ArrayList<>();
+    private final List<Long> ejectedAfterMillis = new ArrayList<>();
+    private double maxLostFraction;
     private int deaths;
-    private int late;
+    private int lateEjections;
 
-    /** {@code lines}: in the order of their moments; {@code begin}: when all served. */
-    JudgementCheck(History history, List<String> names, List<Line> lines, long begin, long end) {
+    /** {@code events}: in the order of their moments; {@code beginNanos}: when all served. */
+    HealthReportCheck(EventHistory history, List<String> names, List<ReportEvent> events, long beginNanos, long endNanos) {
         this.history = history;
         this.names = names;
-        this.lines = lines;
-        this.begin = begin;
-        this.end = end;
+        this.events = events;
+        this.beginNanos = beginNanos;
+        this.endNanos = endNanos;
     }
 
     List<Violation> run() {
-        healthy();
-        dead();
-        return found;
+        checkHealthyCaches();
+        checkDeadCaches();
+        return violations;
     }
 
     Map<String, Object> figures() {
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("deaths", deaths);
-        figures.put("loweredAfterMs", loweredAfter.stream().sorted().toList());
-        figures.put("mostLostOfAHealthyCache", mostLost);
-        figures.put("loweredLate", late);
+        figures.put("loweredAfterMs", ejectedAfterMillis.stream().sorted().toList());
+        figures.put("mostLostOfAHealthyCache", maxLostFraction);
+        figures.put("loweredLate", lateEjections);
         return figures;
     }
 
@@ -80,23 +80,23 @@
      * Whether a cache was bad for so many that others may say so, at some moment of a span or a
      * while before.
      */
-    private boolean mayBeLowered(String cache, long from, long to) {
+    private boolean mayBeEjected(String cache, long from, long to) {
         return history.spans().stream()
                 .anyMatch(
                         span ->
                                 isDeath(span, cache)
-                                        && span.from() <= to
-                                        && span.to() + REMEMBERED >= from);
+                                        && span.fromNanos() <= to
+                                        && span.toNanos() + REPORT_EXPIRY_NANOS >= from);
     }
 
-    private boolean isDeath(History.Span span, String cache) {
-        Happening one = span.happening();
+    private boolean isDeath(EventHistory.FaultSpan span, String cache) {
+        FaultEvent one = span.faultEvent();
         boolean whom =
-                one.whom().stream().anyMatch(number -> cache.equals("cache-" + (number + 1)));
+                one.targets().stream().anyMatch(number -> cache.equals("cache-" + (number + 1)));
         return whom
                 && switch (one.kind()) {
                     case CACHE_SILENT, CACHE_RESTART -> true;
-                    case CACHE_CUT -> one.who().size() >= WITNESSES;
+                    case CACHE_CUT -> one.balancers().size() >= MIN_REPORTERS;
                     default -> false;
                 };
     }
@@ -104,31 +104,31 @@
     /**
      * No healthy cache loses more than a twentieth of its reads at a balancer for what others say.
      */
-    private void healthy() {
+    private void checkHealthyCaches() {
         for (int balancer = 0; balancer < names.size(); balancer++) {
-            for (int number = 1; number <= Schedule.CACHES; number++) {
+            for (int number = 1; number <= Schedule.CACHE_COUNT; number++) {
                 String cache = "cache-" + number;
                 long since = -1;
-                long wrongly = 0;
-                for (Line line : lines) {
-                    if (line.balancer() != balancer || line.lowered() == null) {
+                long wrongNanos = 0;
+                for (ReportEvent event : events) {
+                    if (event.balancer() != balancer || event.ejected() == null) {
                         continue;
                     }
-                    boolean on = line.lowered().contains(cache);
+                    boolean on = event.ejected().contains(cache);
                     if (on && since < 0) {
-                        since = line.at();
+                        since = event.atNanos();
                     } else if (!on && since >= 0) {
-                        wrongly += wrongly(balancer, cache, since, line.at());
+                        wrongNanos += wronglyEjectedNanos(balancer, cache, since, event.atNanos());
                         since = -1;
                     }
                 }
                 if (since >= 0) {
-                    wrongly += wrongly(balancer, cache, since, end);
+                    wrongNanos += wronglyEjectedNanos(balancer, cache, since, endNanos);
                 }
-                double lost = PASSED * wrongly / (end - begin);
-                mostLost = Math.max(mostLost, lost);
-                if (lost > MOST_LOST) {
-                    found.add(
+                double lostFraction = EJECTED_READ_FRACTION * wrongNanos / (endNanos - beginNanos);
+                maxLostFraction = Math.max(maxLostFraction, lostFraction);
+                if (lostFraction > MAX_LOST_FRACTION) {
+                    violations.add(
                             new Violation(
                                     "healthy",
                                     String.format(
@@ -136,7 +136,7 @@
                                             "%s passed over %s for %.1f s, which was well",
                                             names.get(balancer),
                                             cache,
-                                            wrongly / 1e9)));
+                                            wrongNanos / 1e9)));
                 }
             }
         }
@@ -146,100 +146,100 @@
      * Of a span in which a cache was lowered, what lies behind all that may be remembered of its
      * deaths, while the balancer ran.
      */
-    private long wrongly(int balancer, String cache, long from, long to) {
+    private long wronglyEjectedNanos(int balancer, String cache, long from, long to) {
         long last =
-                mayBeLowered(cache, from, to)
+                mayBeEjected(cache, from, to)
                         ? history.spans().stream()
                                 .filter(span -> isDeath(span, cache))
-                                .mapToLong(span -> span.to() + REMEMBERED)
+                                .mapToLong(span -> span.toNanos() + REPORT_EXPIRY_NANOS)
                                 .max()
                                 .orElse(from)
                         : from;
         long begin = Math.max(from, last);
-        long stood =
+        long frozenNanos =
                 history.spans().stream()
                         .filter(
                                 span ->
-                                        span.happening().kind() == Happening.Kind.FREEZE
-                                                && span.happening().who().contains(balancer))
+                                        span.faultEvent().kind() == FaultEvent.Kind.FREEZE
+                                                && span.faultEvent().balancers().contains(balancer))
                         .mapToLong(
                                 span ->
                                         Math.max(
                                                 0,
-                                                Math.min(to, span.to())
-                                                        - Math.max(begin, span.from())))
+                                                Math.min(to, span.toNanos())
+                                                        - Math.max(begin, span.fromNanos())))
                         .sum();
-        return Math.max(0, to - begin - stood);
+        return Math.max(0, to - begin - frozenNanos);
     }
 
     /** Behind the third who found a cache bad each that could hear them lowers it soon. */
-    private void dead() {
-        for (History.Span span : history.spans()) {
-            for (int number : span.happening().whom()) {
+    private void checkDeadCaches() {
+        for (EventHistory.FaultSpan span : history.spans()) {
+            for (int number : span.faultEvent().targets()) {
                 String cache = "cache-" + (number + 1);
                 if (!isDeath(span, cache)
-                        || span.happening().kind() == Happening.Kind.CACHE_RESTART) {
+                        || span.faultEvent().kind() == FaultEvent.Kind.CACHE_RESTART) {
                     continue;
                 }
                 deaths++;
-                Map<Integer, Long> witnesses = new HashMap<>();
-                for (Line line : lines) {
-                    if (cache.equals(line.found())
-                            && !lies(line.balancer())
-                            && line.at() >= span.from()
-                            && line.at() <= span.to()) {
-                        witnesses.putIfAbsent(line.balancer(), line.at());
+                Map<Integer, Long> reporters = new HashMap<>();
+                for (ReportEvent event : events) {
+                    if (cache.equals(event.outlier())
+                            && !hasForgedReports(event.balancer())
+                            && event.atNanos() >= span.fromNanos()
+                            && event.atNanos() <= span.toNanos()) {
+                        reporters.putIfAbsent(event.balancer(), event.atNanos());
                     }
                 }
-                List<Long> moments = witnesses.values().stream().sorted().toList();
-                if (moments.size() >= WITNESSES) {
-                    soon(cache, span, witnesses, moments.get(WITNESSES - 1));
+                List<Long> moments = reporters.values().stream().sorted().toList();
+                if (moments.size() >= MIN_REPORTERS) {
+                    checkEjectedInTime(cache, span, reporters, moments.get(MIN_REPORTERS - 1));
                 }
             }
         }
     }
 
     /** In whose name lies are told: what it truly saw is not heard beside them. */
-    private boolean lies(int balancer) {
+    private boolean hasForgedReports(int balancer) {
         return history.spans().stream()
-                .map(History.Span::happening)
+                .map(EventHistory.FaultSpan::faultEvent)
                 .anyMatch(
-                        one -> one.kind() == Happening.Kind.FORGE && one.who().contains(balancer));
+                        one -> one.kind() == FaultEvent.Kind.FORGE && one.balancers().contains(balancer));
     }
 
-    private void soon(String cache, History.Span span, Map<Integer, Long> witnesses, long third) {
-        Set<Integer> first = new HashSet<>();
-        witnesses.forEach(
+    private void checkEjectedInTime(String cache, EventHistory.FaultSpan span, Map<Integer, Long> reporters, long thirdReportNanos) {
+        Set<Integer> firstReporters = new HashSet<>();
+        reporters.forEach(
                 (balancer, at) -> {
-                    if (at <= third) {
-                        first.add(balancer);
+                    if (at <= thirdReportNanos) {
+                        firstReporters.add(balancer);
                     }
                 });
         for (int balancer = 0; balancer < names.size(); balancer++) {
-            boolean hindered = hindered(balancer, third - 2 * SECOND, third + SOON);
-            long limit = third + SOON;
-            if (limit > span.to()
-                    || !ran(balancer, span.from(), limit)
-                    || apart(balancer, first, span.from(), limit)) {
+            boolean hindered = isHindered(balancer, thirdReportNanos - 2 * SECOND_NANOS, thirdReportNanos + MAX_EJECTION_NANOS);
+            long limit = thirdReportNanos + MAX_EJECTION_NANOS;
+            if (limit > span.toNanos()
+                    || !ranThroughout(balancer, span.fromNanos(), limit)
+                    || isPartitioned(balancer, firstReporters, span.fromNanos(), limit)) {
                 continue;
             }
             long at = Long.MAX_VALUE;
-            boolean lowers = false;
-            for (Line line : lines) {
-                if (line.balancer() == balancer && line.lowered() != null && line.at() <= limit) {
-                    boolean now = line.lowered().contains(cache);
-                    at = now && !lowers ? line.at() : at;
-                    lowers = now;
+            boolean isEjected = false;
+            for (ReportEvent event : events) {
+                if (event.balancer() == balancer && event.ejected() != null && event.atNanos() <= limit) {
+                    boolean now = event.ejected().contains(cache);
+                    at = now && !isEjected ? event.atNanos() : at;
+                    isEjected = now;
                 }
             }
-            if (lowers) {
-                loweredAfter.add(Math.max(0, at - third) / MILLISECOND);
-                late += at - third > AIM ? 1 : 0;
+            if (isEjected) {
+                ejectedAfterMillis.add(Math.max(0, at - thirdReportNanos) / MILLISECOND_NANOS);
+                lateEjections += at - thirdReportNanos > EXPECTED_EJECTION_NANOS ? 1 : 0;
             } else if (hindered) {
                 // Each speaks for itself alone: what is lost comes with the next renewal.
-                late++;
-            } else if (room(balancer, limit)) {
-                found.add(
+                lateEjections++;
+            } else if (hasEjectionCapacity(balancer, limit)) {
+                violations.add(
                         new Violation(
                                 "dead",
                                 String.format(
@@ -248,28 +248,28 @@
                                                 + " it bad at %.3f s",
                                         names.get(balancer),
                                         cache,
-                                        (limit - third) / 1e9,
-                                        third / 1e9)));
+                                        (limit - thirdReportNanos) / 1e9,
+                                        thirdReportNanos / 1e9)));
             }
         }
     }
 
     /** Whether others' word has taken less than it may at that moment: two of six. */
-    private boolean room(int balancer, long at) {
-        int most = 0;
-        for (Line line : lines) {
-            most =
-                    line.balancer() == balancer && line.lowered() != null && line.at() <= at
-                            ? line.lowered().size()
-                            : most;
+    private boolean hasEjectionCapacity(int balancer, long at) {
+        int ejectedCount = 0;
+        for (ReportEvent event : events) {
+            ejectedCount =
+                    event.balancer() == balancer && event.ejected() != null && event.atNanos() <= at
+                            ? event.ejected().size()
+                            : ejectedCount;
         }
-        return most < 2;
+        return ejectedCount < 2;
     }
 
-    private boolean hindered(int balancer, long from, long to) {
+    private boolean isHindered(int balancer, long from, long to) {
         return history.spans().stream()
-                .filter(span -> span.from() <= to && span.to() >= from)
-                .map(History.Span::happening)
+                .filter(span -> span.fromNanos() <= to && span.toNanos() >= from)
+                .map(EventHistory.FaultSpan::faultEvent)
                 .anyMatch(
                         one ->
                                 switch (one.kind()) {
@@ -279,59 +279,59 @@
     }
 
     /** Whether it could not hear one of the witnesses: three are needed, so each counts. */
-    private boolean apart(int balancer, Set<Integer> witnesses, long from, long to) {
+    private boolean isPartitioned(int balancer, Set<Integer> reporters, long from, long to) {
         return history.spans().stream()
-                .filter(span -> span.from() <= to && span.to() >= from)
-                .map(History.Span::happening)
+                .filter(span -> span.fromNanos() <= to && span.toNanos() >= from)
+                .map(EventHistory.FaultSpan::faultEvent)
                 .anyMatch(
                         one ->
-                                witnesses.stream()
+                                reporters.stream()
                                         .anyMatch(
                                                 other ->
                                                         other != balancer
                                                                 && switch (one.kind()) {
                                                                     case PARTITION ->
-                                                                            one.who()
+                                                                            one.balancers()
                                                                                             .contains(
                                                                                                     other)
-                                                                                    != one.who()
+                                                                                    != one.balancers()
                                                                                             .contains(
                                                                                                     balancer);
                                                                     case SILENCE ->
-                                                                            one.who()
+                                                                            one.balancers()
                                                                                             .contains(
                                                                                                     other)
-                                                                                    && one.whom()
+                                                                                    && one.targets()
                                                                                             .contains(
                                                                                                     balancer);
                                                                     case DISCOVERY_OLD,
                                                                             DISCOVERY_CUT,
                                                                             DISCOVERY_LATE ->
-                                                                            one.who()
+                                                                            one.balancers()
                                                                                             .contains(
                                                                                                     other)
-                                                                                    || one.who()
+                                                                                    || one.balancers()
                                                                                             .contains(
                                                                                                     balancer);
                                                                     case FREEZE, KILL ->
-                                                                            one.who()
+                                                                            one.balancers()
                                                                                     .contains(
                                                                                             other);
                                                                     default -> false;
                                                                 }));
     }
 
-    private boolean ran(int balancer, long from, long to) {
+    private boolean ranThroughout(int balancer, long from, long to) {
         boolean up = false;
-        for (History.Process one : history.processes()) {
-            if (one.balancer() == balancer && one.what() != What.WALL && one.at() <= to) {
-                if (one.at() >= from) {
+        for (EventHistory.ProcessChange one : history.processes()) {
+            if (one.balancer() == balancer && one.event() != ProcessEvent.WALL && one.atNanos() <= to) {
+                if (one.atNanos() >= from) {
                     return false;
                 }
                 up =
-                        one.what() == What.STARTED
-                                || one.what() == What.THAWED
-                                || one.what() == What.FED;
+                        one.event() == ProcessEvent.STARTED
+                                || one.event() == ProcessEvent.THAWED
+                                || one.event() == ProcessEvent.FED;
             }
         }
         return up;
--- a/rig/src/main/java/frostrelay/rig/campaign/Retriers.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/RetryingClients.java
@@ -19,24 +19,24 @@
  * closed without an answer behind a whole request on a connection that had answered before, which a
  * client sends once more, and what was neither answered nor closed in its time.
  */
-final class Retriers {
-    private static final int WAIT_MS = 2_000;
-    private static final int GRACE_MS = 1_000;
+final class RetryingClients {
+    private static final int REQUEST_TIMEOUT_MILLIS = 2_000;
+    private static final int GRACE_MILLIS = 1_000;
 
     /** Requests of one client in a play: the loop is bounded, whatever it meets. */
-    private static final int MOST = 20_000;
+    private static final int MAX_REQUESTS_PER_CLIENT = 20_000;
 
-    private static final int BETWEEN_CONNECTS_MS = 5;
+    private static final int RECONNECT_DELAY_MILLIS = 5;
 
     private final InetSocketAddress address;
     private final List<Thread> threads = new ArrayList<>();
     final AtomicInteger answered = new AtomicInteger();
     final AtomicInteger closed = new AtomicInteger();
-    final AtomicInteger silent = new AtomicInteger();
-    final AtomicInteger foreign = new AtomicInteger();
-    private volatile boolean over;
+    final AtomicInteger unanswered = new AtomicInteger();
+    final AtomicInteger mismatched = new AtomicInteger();
+    private volatile boolean stopped;
 
-    Retriers(InetSocketAddress address) {
+    RetryingClients(InetSocketAddress address) {
         this.address = address;
     }
 
@@ -52,17 +52,17 @@
 
     private void run(int client) {
         int number = 0;
-        while (!over && number < MOST) {
+        while (!stopped && number < MAX_REQUESTS_PER_CLIENT) {
             try (Socket socket = new Socket()) {
-                socket.connect(address, GRACE_MS);
-                socket.setSoTimeout(WAIT_MS + GRACE_MS);
+                socket.connect(address, GRACE_MILLIS);
+                socket.setSoTimeout(REQUEST_TIMEOUT_MILLIS + GRACE_MILLIS);
                 socket.setTcpNoDelay(true);
                 BufferedReader in =
                         new BufferedReader(
                                 new InputStreamReader(
                                         socket.getInputStream(), StandardCharsets.ISO_8859_1));
-                for (boolean first = true; !over && number < MOST; first = false) {
-                    if (!one(
+                for (boolean first = true; !stopped && number < MAX_REQUESTS_PER_CLIENT; first = false) {
+                    if (!sendRequest(
                             socket.getOutputStream(),
                             in,
                             String.format(Locale.ROOT, "f%02x%013x", client, ++number),
@@ -74,7 +74,7 @@
                 // Not reached, or reset before anything was sent: it comes again.
             }
             try {
-                Thread.sleep(BETWEEN_CONNECTS_MS);
+                Thread.sleep(RECONNECT_DELAY_MILLIS);
             } catch (InterruptedException e) {
                 return;
             }
@@ -82,7 +82,7 @@
     }
 
     /** Whether the connection goes on. */
-    private boolean one(OutputStream out, BufferedReader in, String id, boolean first)
+    private boolean sendRequest(OutputStream out, BufferedReader in, String id, boolean first)
             throws IOException {
         out.write(
                 ("mg key-"
@@ -90,7 +90,7 @@
                                 + " v O"
                                 + id
                                 + " Pc=read,t=t,d="
-                                + WAIT_MS
+                                + REQUEST_TIMEOUT_MILLIS
                                 + ",h=1000\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1));
         try {
@@ -103,20 +103,20 @@
             }
             if (line.startsWith("VA ")) {
                 String value = in.readLine();
-                foreign.addAndGet(value != null && value.startsWith(id + '|') ? 0 : 1);
+                mismatched.addAndGet(value != null && value.startsWith(id + '|') ? 0 : 1);
             }
             answered.incrementAndGet();
             return true;
         } catch (SocketTimeoutException e) {
-            silent.incrementAndGet();
+            unanswered.incrementAndGet();
             return false;
         }
     }
 
     void stop() throws InterruptedException {
-        over = true;
+        stopped = true;
         for (Thread thread : threads) {
-            thread.join(WAIT_MS + GRACE_MS);
+            thread.join(REQUEST_TIMEOUT_MILLIS + GRACE_MILLIS);
         }
     }
 }
--- a/rig/src/main/java/frostrelay/rig/campaign/ScheduleFile.java
+++ b/rig/src/main/java/frostrelay/rig/campaign/ScheduleFile.java
@@ -2,9 +2,9 @@
 
 import frostrelay.config.BadConfigException;
 import frostrelay.config.Problem;
-import frostrelay.config.Table;
+import frostrelay.config.TableSchema;
 import frostrelay.config.TomlFile;
-import frostrelay.config.Values;
+import frostrelay.config.TableValues;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -16,8 +16,8 @@
     private ScheduleFile() {}
 
     /** The form, for checks and for the page that describes it. */
-    public static Table form() {
-        return new Table("A schedule of a campaign.")
+    public static TableSchema form() {
+        return new TableSchema("A schedule of a campaign.")
                 .text("name", null, "How it is called.")
                 .whole("seed", 1L, 0, Long.MAX_VALUE, "Of requests and of what datagrams meet.")
                 .whole("processes", 5L, 2, 12, "Balancers.")
@@ -31,9 +31,9 @@
                 .list(
                         "happening",
                         1_000,
-                        new Table("Something that happens.")
+                        new TableSchema("Something that happens.")
                                 .duration("at", null, "0ms", "600s", "From the start.")
-                                .choice("kind", null, Happening.Kind.words(), "What happens.")
+                                .choice("kind", null, FaultEvent.Kind.keywords(), "What happens.")
                                 .text(
                                         "who",
                                         "",
@@ -54,13 +54,13 @@
     }
 
     /** What values mean that were read by the form. */
-    public static Schedule bind(String file, Values values) {
+    public static Schedule bind(String file, TableValues values) {
         List<Problem> problems = new ArrayList<>();
         int processes = (int) values.whole("processes");
-        List<Happening> all = new ArrayList<>();
-        for (Values one : values.list("happening")) {
-            Happening.Kind kind =
-                    Happening.Kind.valueOf(
+        List<FaultEvent> all = new ArrayList<>();
+        for (TableValues one : values.list("happening")) {
+            FaultEvent.Kind kind =
+                    FaultEvent.Kind.valueOf(
                             one.text("kind").toUpperCase(Locale.ROOT).replace('-', '_'));
             boolean caches =
                     switch (kind) {
@@ -74,20 +74,20 @@
                                 true;
                         default -> false;
                     };
-            Happening happening =
-                    new Happening(
+            FaultEvent event =
+                    new FaultEvent(
                             one.whole("at"),
                             kind,
-                            places(file, one, "who", processes, problems),
-                            places(
+                            parseIndexes(file, one, "who", processes, problems),
+                            parseIndexes(
                                     file,
                                     one,
                                     "whom",
-                                    caches ? Schedule.CACHES : processes,
+                                    caches ? Schedule.CACHE_COUNT : processes,
                                     problems),
                             one.number("amount"),
                             one.whole("for"));
-            if (happening.end() > values.whole("length")) {
+            if (event.endNanos() > values.whole("length")) {
                 problems.add(
                         new Problem(
                                 file,
@@ -96,7 +96,7 @@
                                 "an end past the length",
                                 "at most the length"));
             }
-            all.add(happening);
+            all.add(event);
         }
         if (!problems.isEmpty()) {
             throw new BadConfigException(problems);
@@ -110,27 +110,27 @@
                 all);
     }
 
-    private static List<Integer> places(
-            String file, Values one, String key, int most, List<Problem> problems) {
-        List<Integer> places = new ArrayList<>();
+    private static List<Integer> parseIndexes(
+            String file, TableValues one, String key, int maxNumber, List<Problem> problems) {
+        List<Integer> indexes = new ArrayList<>();
         for (String word : one.text(key).split(" ")) {
             if (word.isEmpty()) {
                 continue;
             }
             if (!word.matches("\\d{1,4}")
                     || Integer.parseInt(word) < 1
-                    || Integer.parseInt(word) > most) {
+                    || Integer.parseInt(word) > maxNumber) {
                 problems.add(
                         new Problem(
                                 file,
                                 one.line(),
                                 "happening." + key,
                                 '"' + word + '"',
-                                "1 to " + most));
+                                "1 to " + maxNumber));
             } else {
-                places.add(Integer.parseInt(word) - 1);
+                indexes.add(Integer.parseInt(word) - 1);
             }
         }
-        return List.copyOf(places);
+        return List.copyOf(indexes);
     }
 }
--- a/rig/src/main/java/frostrelay/rig/client/RequestPlan.java
+++ b/rig/src/main/java/frostrelay/rig/client/RequestPlan.java
@@ -1,7 +1,7 @@
 package frostrelay.rig.client;
 
 import frostrelay.rig.day.ClassSpec;
-import frostrelay.rig.day.Day;
+import frostrelay.rig.day.Scenario;
 import frostrelay.rig.day.TenantSpec;
 
 import org.apache.commons.rng.UniformRandomProvider;
@@ -20,40 +20,40 @@
  * threads.
  */
 public final class RequestPlan {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
     private static final long MIX = 0x9E3779B97F4A7C15L;
 
-    private final Day day;
+    private final Scenario scenario;
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential gaps;
     private final SharedStateDiscreteSampler keys;
     private long number;
-    private double at;
+    private double atNanos;
 
-    /** {@code day}: its seed, load, classes and tenants. */
-    public RequestPlan(Day day) {
-        this.day = day;
-        random = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed());
+    /** {@code scenario}: its seed, load, classes and tenants. */
+    public RequestPlan(Scenario scenario) {
+        this.scenario = scenario;
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed());
         gaps = ZigguratSampler.Exponential.of(random);
-        keys = RejectionInversionZipfSampler.of(random, day.load().keys(), day.load().zipf());
+        keys = RejectionInversionZipfSampler.of(random, scenario.load().keyCount(), scenario.load().zipfExponent());
     }
 
-    /** The next request. {@code surge}: how many times the planned rate holds just now. */
-    public Planned next(double surge) {
-        at += gaps.sample() * NANOS / (day.load().rate() * surge);
-        ClassSpec requestClass = drawn(day.classes(), ClassSpec::share, random.nextDouble());
+    /** The next request. {@code loadFactor}: how many times the planned rate holds just now. */
+    public PlannedRequest next(double loadFactor) {
+        atNanos += gaps.sample() * NANOS_PER_SECOND / (scenario.load().requestsPerSecond() * loadFactor);
+        ClassSpec requestClass = drawWeighted(scenario.classes(), ClassSpec::fraction, random.nextDouble());
         long work =
-                requestClass.workLeast()
+                requestClass.minWorkNanos()
                         + (long)
                                 (random.nextDouble()
-                                        * (requestClass.workMost() - requestClass.workLeast()));
+                                        * (requestClass.maxWorkNanos() - requestClass.minWorkNanos()));
         double patience =
-                day.load().patienceLeast()
+                scenario.load().minPatience()
                         + random.nextDouble()
-                                * (day.load().patienceMost() - day.load().patienceLeast());
-        String tenant = drawn(day.tenants(), TenantSpec::share, random.nextDouble()).name();
-        return new Planned(
-                number++, (long) at, requestClass, tenant, key(keys.sample()), work, patience);
+                                * (scenario.load().maxPatience() - scenario.load().minPatience());
+        String tenant = drawWeighted(scenario.tenants(), TenantSpec::fraction, random.nextDouble()).name();
+        return new PlannedRequest(
+                number++, (long) atNanos, requestClass, tenant, key(keys.sample()), work, patience);
     }
 
     /**
@@ -67,11 +67,11 @@
     /**
      * One of some, by their shares, for a draw from 0 to 1; the last where shares fall short of 1.
      */
-    private static <T> T drawn(List<T> all, ToDoubleFunction<T> share, double draw) {
-        double rest = draw;
+    private static <T> T drawWeighted(List<T> all, ToDoubleFunction<T> share, double draw) {
+        double remaining = draw;
         for (T one : all) {
-            rest -= share.applyAsDouble(one);
-            if (rest < 0) {
+            remaining -= share.applyAsDouble(one);
+            if (remaining < 0) {
                 return one;
             }
         }
--- a/rig/src/main/java/frostrelay/rig/day/ClassSpec.java
+++ b/rig/src/main/java/frostrelay/rig/day/ClassSpec.java
@@ -3,20 +3,20 @@
 import frostrelay.rig.referee.Referee;
 
 /**
- * A class of requests. {@code share}: its part of all; {@code workLeast} and {@code workMost}:
- * nanoseconds of a cache's core; {@code aim} and {@code deadline}: nanoseconds.
+ * A class of requests. {@code fraction}: its part of all; {@code minWorkNanos} and {@code maxWorkNanos}:
+ * nanoseconds of a cache's core; {@code latencyObjectiveNanos} and {@code deadlineNanos}: nanoseconds.
  */
 public record ClassSpec(
         String name,
-        double share,
-        long workLeast,
-        long workMost,
-        long aim,
-        long deadline,
-        double worth,
+        double fraction,
+        long minWorkNanos,
+        long maxWorkNanos,
+        long latencyObjectiveNanos,
+        long deadlineNanos,
+        double priorityWeight,
         Referee.Effect effect) {
     /** Whether requests are written with ms; the others are reads. */
-    public boolean write() {
-        return effect != Referee.Effect.REPEATABLE;
+    public boolean isWrite() {
+        return effect != Referee.Effect.IDEMPOTENT;
     }
 }
--- a/rig/src/main/java/frostrelay/rig/day/FaultKind.java
+++ b/rig/src/main/java/frostrelay/rig/day/FaultKind.java
@@ -5,68 +5,68 @@
 
 /** The faults and operators' calls that a fleet can play. */
 public enum FaultKind {
-    KILL("kill", Meets.CACHE, false),
-    RESTART("restart", Meets.CACHE, false),
-    SLOW("slow", Meets.CACHE, true),
-    SILENCE("silence", Meets.CACHE, false),
-    DRAIN("drain", Meets.CACHE, false),
-    HOLD("hold", Meets.CACHE, false),
-    LINK_DELAY("link-delay", Meets.CACHE, false),
-    LINK_STALL("link-stall", Meets.CACHE, false),
-    LINK_CUT("link-cut", Meets.CACHE, false),
-    LINK_NARROW("link-narrow", Meets.CACHE, true),
-    ARCHIVE_SLOW("archive-slow", Meets.NOBODY, true),
-    ARCHIVE_OUTAGE("archive-outage", Meets.NOBODY, false),
-    DISCOVERY_OUTAGE("discovery-outage", Meets.NOBODY, false),
-    DISCOVERY_LATE("discovery-late", Meets.NOBODY, false),
-    WATCH_SILENT("watch-silent", Meets.NOBODY, false),
-    BALANCER_KILL("balancer-kill", Meets.BALANCER, false),
-    BALANCER_RESTART("balancer-restart", Meets.BALANCER, false),
+    KILL("kill", TargetKind.CACHE, false),
+    RESTART("restart", TargetKind.CACHE, false),
+    SLOW("slow", TargetKind.CACHE, true),
+    SILENCE("silence", TargetKind.CACHE, false),
+    DRAIN("drain", TargetKind.CACHE, false),
+    HOLD("hold", TargetKind.CACHE, false),
+    LINK_DELAY("link-delay", TargetKind.CACHE, false),
+    LINK_STALL("link-stall", TargetKind.CACHE, false),
+    LINK_CUT("link-cut", TargetKind.CACHE, false),
+    LINK_NARROW("link-narrow", TargetKind.CACHE, true),
+    ARCHIVE_SLOW("archive-slow", TargetKind.NONE, true),
+    ARCHIVE_OUTAGE("archive-outage", TargetKind.NONE, false),
+    DISCOVERY_OUTAGE("discovery-outage", TargetKind.NONE, false),
+    DISCOVERY_LATE("discovery-late", TargetKind.NONE, false),
+    WATCH_SILENT("watch-silent", TargetKind.NONE, false),
+    BALANCER_KILL("balancer-kill", TargetKind.BALANCER, false),
+    BALANCER_RESTART("balancer-restart", TargetKind.BALANCER, false),
     /** SIGTERM, SIGKILL as soon as the operators' terms allow it, and a new start. */
-    BALANCER_STOP("balancer-stop", Meets.BALANCER, false),
+    BALANCER_STOP("balancer-stop", TargetKind.BALANCER, false),
     /** The process stands still for the amount. */
-    BALANCER_PAUSE("balancer-pause", Meets.BALANCER, false),
-    RELOAD("reload", Meets.BALANCER, false),
-    SURGE("surge", Meets.NOBODY, true);
+    BALANCER_PAUSE("balancer-pause", TargetKind.BALANCER, false),
+    RELOAD("reload", TargetKind.BALANCER, false),
+    SURGE("surge", TargetKind.NONE, true);
 
     /** Whom a fault meets. */
-    public enum Meets {
+    public enum TargetKind {
         CACHE,
         BALANCER,
-        NOBODY
+        NONE
     }
 
     /** The name in files and on the command line. */
-    public final String word;
+    public final String wireName;
 
     /** Whom it meets. */
-    public final Meets meets;
+    public final TargetKind targetKind;
 
     /** Whether its factor means anything. */
     public final boolean usesFactor;
 
-    FaultKind(String word, Meets meets, boolean usesFactor) {
-        this.word = word;
-        this.meets = meets;
+    FaultKind(String wireName, TargetKind targetKind, boolean usesFactor) {
+        this.wireName = wireName;
+        this.targetKind = targetKind;
         this.usesFactor = usesFactor;
     }
 
     /** All names. */
-    public static List<String> words() {
-        return Arrays.stream(values()).map(kind -> kind.word).toList();
+    public static List<String> wireNames() {
+        return Arrays.stream(values()).map(kind -> kind.wireName).toList();
     }
 
     /** The fault of this name; throws IllegalArgumentException if there is none. */
-    public static FaultKind of(String word) {
+    public static FaultKind fromWireName(String wireName) {
         return Arrays.stream(values())
-                .filter(kind -> kind.word.equals(word))
+                .filter(kind -> kind.wireName.equals(wireName))
                 .findFirst()
                 .orElseThrow(
                         () ->
                                 new IllegalArgumentException(
                                         "no fault: "
-                                                + word
+                                                + wireName
                                                 + "; there are "
-                                                + String.join(", ", words())));
+                                                + String.join(", ", wireNames())));
     }
 }
--- a/rig/src/main/java/frostrelay/rig/day/FaultSpec.java
+++ b/rig/src/main/java/frostrelay/rig/day/FaultSpec.java
@@ -1,15 +1,15 @@
 package frostrelay.rig.day;
 
 /**
- * Something that happens. {@code at}: nanoseconds from the day's start; {@code target}: whom it
- * meets, as "cache-3", or "caches 2" for any two; {@code factor}: how much; {@code amount}:
- * nanoseconds, for delays; {@code length}: nanoseconds until it is over, 0 for never.
+ * Something that happens. {@code startNanos}: nanoseconds from the day's start; {@code target}: whom it
+ * meets, as "cache-3", or "caches 2" for any two; {@code factor}: how much; {@code amountNanos}:
+ * nanoseconds, for delays; {@code durationNanos}: nanoseconds until it is over, 0 for never.
  */
 public record FaultSpec(
-        long at, FaultKind kind, String target, double factor, long amount, long length) {
+        long startNanos, FaultKind kind, String target, double factor, long amountNanos, long durationNanos) {
     /** In words. */
-    public String text() {
-        return kind.word
+    public String describe() {
+        return kind.wireName
                 + (target.isEmpty() ? "" : " " + target)
                 + (kind.usesFactor
                         ? " x"
@@ -17,7 +17,7 @@
                                         ? String.valueOf((long) factor)
                                         : String.valueOf(factor))
                         : "")
-                + (amount > 0 ? " " + amount / 1_000_000 + " ms" : "")
-                + (length > 0 ? " for " + length / 100_000_000 / 10.0 + " s" : "");
+                + (amountNanos > 0 ? " " + amountNanos / 1_000_000 + " ms" : "")
+                + (durationNanos > 0 ? " for " + durationNanos / 100_000_000 / 10.0 + " s" : "");
     }
 }
--- a/rig/src/main/java/frostrelay/rig/day/Day.java
+++ b/rig/src/main/java/frostrelay/rig/day/Scenario.java
@@ -1,73 +1,73 @@
 package frostrelay.rig.day;
 
-import frostrelay.rig.archive.ArchiveSpec;
+import frostrelay.rig.archive.OriginSpec;
 import frostrelay.rig.cache.CacheSpec;
 
 import java.util.List;
 
 /**
- * A day: a fleet, a load and what goes wrong. {@code length} and {@code lateness} (of discovery) in
- * nanoseconds; the same {@code seed} gives the same requests and faults. {@code drainGrace}: how
- * long a balancer may go on sending to a cache that it was told drains; {@code repeatWindow}: how
+ * A day: a fleet, a load and what goes wrong. {@code durationNanos} and {@code discoveryDelayNanos} (of discovery) in
+ * nanoseconds; the same {@code seed} gives the same requests and faults. {@code drainGraceNanos}: how
+ * long a balancer may go on sending to a cache that it was told drains; {@code deduplicationWindowNanos}: how
  * long caches drop repeats of a keyed write.
  */
-public record Day(
+public record Scenario(
         long seed,
-        long length,
+        long durationNanos,
         int caches,
         int balancers,
-        long lateness,
-        long drainGrace,
-        long repeatWindow,
+        long discoveryDelayNanos,
+        long drainGraceNanos,
+        long deduplicationWindowNanos,
         CacheSpec cache,
-        ArchiveSpec archive,
+        OriginSpec origin,
         LoadSpec load,
         List<ClassSpec> classes,
         List<TenantSpec> tenants,
         List<FaultSpec> faults) {
     /** The same day at another length; faults move with it. */
-    public Day lasting(long fresh) {
-        double part = fresh / (double) length;
-        List<FaultSpec> moved =
+    public Scenario withDuration(long newDurationNanos) {
+        double scale = newDurationNanos / (double) durationNanos;
+        List<FaultSpec> scaledFaults =
                 faults.stream()
                         .map(
                                 fault ->
                                         new FaultSpec(
-                                                (long) (fault.at() * part),
+                                                (long) (fault.startNanos() * scale),
                                                 fault.kind(),
                                                 fault.target(),
                                                 fault.factor(),
-                                                fault.amount(),
-                                                (long) (fault.length() * part)))
+                                                fault.amountNanos(),
+                                                (long) (fault.durationNanos() * scale)))
                         .toList();
-        return new Day(
+        return new Scenario(
                 seed,
-                fresh,
+                newDurationNanos,
                 caches,
                 balancers,
-                lateness,
-                drainGrace,
-                repeatWindow,
+                discoveryDelayNanos,
+                drainGraceNanos,
+                deduplicationWindowNanos,
                 cache,
-                archive,
+                origin,
                 load,
                 classes,
                 tenants,
-                moved);
+                scaledFaults);
     }
 
     /** The same day without what goes wrong. */
-    public Day quiet() {
-        return new Day(
+    public Scenario withoutFaults() {
+        return new Scenario(
                 seed,
-                length,
+                durationNanos,
                 caches,
                 balancers,
-                lateness,
-                drainGrace,
-                repeatWindow,
+                discoveryDelayNanos,
+                drainGraceNanos,
+                deduplicationWindowNanos,
                 cache,
-                archive,
+                origin,
                 load,
                 classes,
                 tenants,
@@ -75,17 +75,17 @@
     }
 
     /** The same day with other requests. */
-    public Day seeded(long fresh) {
-        return new Day(
-                fresh,
-                length,
+    public Scenario withSeed(long newSeed) {
+        return new Scenario(
+                newSeed,
+                durationNanos,
                 caches,
                 balancers,
-                lateness,
-                drainGrace,
-                repeatWindow,
+                discoveryDelayNanos,
+                drainGraceNanos,
+                deduplicationWindowNanos,
                 cache,
-                archive,
+                origin,
                 load,
                 classes,
                 tenants,
--- a/rig/src/main/java/frostrelay/rig/day/DayFile.java
+++ b/rig/src/main/java/frostrelay/rig/day/ScenarioFile.java
@@ -2,12 +2,12 @@
 
 import frostrelay.config.BadConfigException;
 import frostrelay.config.Problem;
-import frostrelay.config.Table;
+import frostrelay.config.TableSchema;
 import frostrelay.config.TomlFile;
-import frostrelay.config.Values;
-import frostrelay.rig.archive.ArchiveSpec;
+import frostrelay.config.TableValues;
+import frostrelay.rig.archive.OriginSpec;
 import frostrelay.rig.cache.CacheSpec;
-import frostrelay.rig.referee.ColdMeter;
+import frostrelay.rig.referee.SlowStartMeter;
 import frostrelay.rig.referee.Referee;
 
 import java.io.IOException;
@@ -21,15 +21,15 @@
 import java.util.Set;
 
 /** The form of a day in TOML, and what must hold beyond the form. */
-public final class DayFile {
+public final class ScenarioFile {
     private static final List<String> EFFECTS = List.of("repeatable", "keyed", "never-twice");
-    private static final double SHARES_APART = 0.01;
+    private static final double FRACTION_TOLERANCE = 0.01;
 
-    private DayFile() {}
+    private ScenarioFile() {}
 
     /** The form, for checks and for the page that describes it. */
-    public static Table form() {
-        return new Table("A day.")
+    public static TableSchema schema() {
+        return new TableSchema("A day.")
                 .whole(
                         "seed",
                         1L,
@@ -39,7 +39,7 @@
                 .duration("length", "20s", "1s", "24h", "How long requests come.")
                 .table(
                         "fleet",
-                        new Table("The machines.")
+                        new TableSchema("The machines.")
                                 .whole("caches", 10L, 1, 200, "Caches that run at the start.")
                                 .whole("balancers", 2L, 1, 16, "Balancers, each a process.")
                                 .duration(
@@ -62,7 +62,7 @@
                                         "How long caches drop repeats of a keyed write."))
                 .table(
                         "cache",
-                        new Table("What each cache is.")
+                        new TableSchema("What each cache is.")
                                 .whole("cores", 1L, 1, 64, "Cores that share the work.")
                                 .whole("slots", 16L, 1, 4096, "Requests in work at once.")
                                 .whole(
@@ -112,7 +112,7 @@
                                         "The span over which that is counted."))
                 .table(
                         "archive",
-                        new Table("The archive behind the caches.")
+                        new TableSchema("The archive behind the caches.")
                                 .whole("places", 20L, 1, 10_000, "Fetches in work at once.")
                                 .duration("time", "30ms", "1ms", "60s", "Mean time of a fetch.")
                                 .whole(
@@ -138,7 +138,7 @@
                                 .bytes("value", "400B", "16B", "4MiB", "Mean size of a value."))
                 .table(
                         "load",
-                        new Table("What clients do.")
+                        new TableSchema("What clients do.")
                                 .rate(
                                         "rate",
                                         "600/s",
@@ -176,7 +176,7 @@
                 .list(
                         "class",
                         64,
-                        new Table("A class of requests; shares add up to 1.")
+                        new TableSchema("A class of requests; shares add up to 1.")
                                 .text("name", null, "As clients and balancers name it.")
                                 .number("share", null, 0, 1, "Its part of all requests.")
                                 .duration(
@@ -207,15 +207,15 @@
                 .list(
                         "tenant",
                         1_000,
-                        new Table("A tenant; shares add up to 1.")
+                        new TableSchema("A tenant; shares add up to 1.")
                                 .text("name", null, "As clients and balancers name it.")
                                 .number("share", null, 0, 1, "Its part of all requests."))
                 .list(
                         "fault",
                         1_000,
-                        new Table("Something that happens.")
+                        new TableSchema("Something that happens.")
                                 .duration("at", null, "0ms", "24h", "From the day's start.")
-                                .choice("kind", null, FaultKind.words(), "What happens.")
+                                .choice("kind", null, FaultKind.wireNames(), "What happens.")
                                 .text(
                                         "target",
                                         "any",
@@ -236,23 +236,23 @@
     }
 
     /** Reads a day; throws {@link BadConfigException} with all that is wrong. */
-    public static Day read(Path path) {
-        return bind(path.toString(), TomlFile.read(path, form()));
+    public static Scenario read(Path path) {
+        return bind(path.toString(), TomlFile.read(path, schema()));
     }
 
     /** Likewise from a text; {@code file} is how problems name it. */
-    public static Day parse(String file, String text) {
-        return bind(file, TomlFile.parse(file, text, form()));
+    public static Scenario parse(String file, String text) {
+        return bind(file, TomlFile.parse(file, text, schema()));
     }
 
     /** The day that the demo plays. */
-    public static Day demo() {
+    public static Scenario demo() {
         return parse("demo.toml", demoText());
     }
 
     /** Its text, as an example to start from. */
     public static String demoText() {
-        try (InputStream in = DayFile.class.getResourceAsStream("demo.toml")) {
+        try (InputStream in = ScenarioFile.class.getResourceAsStream("demo.toml")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -263,32 +263,32 @@
      * What values mean that were read by the form; throws {@link BadConfigException} with what
      * cannot be meant.
      */
-    public static Day bind(String file, Values values) {
+    public static Scenario bind(String file, TableValues values) {
         List<Problem> problems = new ArrayList<>();
-        Values fleet = values.table("fleet");
-        Values load = values.table("load");
-        List<ClassSpec> classes = values.list("class").stream().map(DayFile::requestClass).toList();
+        TableValues fleet = values.table("fleet");
+        TableValues load = values.table("load");
+        List<ClassSpec> classes = values.list("class").stream().map(ScenarioFile::requestClass).toList();
         List<TenantSpec> tenants =
                 values.list("tenant").stream()
                         .map(tenant -> new TenantSpec(tenant.text("name"), tenant.number("share")))
                         .toList();
-        check(file, values, "class", problems);
-        check(file, values, "tenant", problems);
-        for (Values one : values.list("class")) {
-            if (one.whole("aim") > one.whole("deadline")) {
+        checkList(file, values, "class", problems);
+        checkList(file, values, "tenant", problems);
+        for (TableValues table : values.list("class")) {
+            if (table.whole("aim") > table.whole("deadline")) {
                 problems.add(
                         new Problem(
                                 file,
-                                one.line(),
+                                table.line(),
                                 "class.aim",
                                 "an aim past the deadline",
                                 "at most the deadline"));
             }
-            if (one.whole("work-least") > one.whole("work-most")) {
+            if (table.whole("work-least") > table.whole("work-most")) {
                 problems.add(
                         new Problem(
                                 file,
-                                one.line(),
+                                table.line(),
                                 "class.work-least",
                                 "more than work-most",
                                 "at most work-most"));
@@ -304,10 +304,10 @@
                             "at most patience-most"));
         }
         List<FaultSpec> faults = new ArrayList<>();
-        for (Values fault : values.list("fault")) {
+        for (TableValues fault : values.list("fault")) {
             FaultSpec spec = fault(fault);
             faults.add(spec);
-            if (spec.at() > values.whole("length")) {
+            if (spec.startNanos() > values.whole("length")) {
                 problems.add(
                         new Problem(
                                 file,
@@ -327,7 +327,7 @@
         if (!problems.isEmpty()) {
             throw new BadConfigException(problems);
         }
-        return new Day(
+        return new Scenario(
                 values.whole("seed"),
                 values.whole("length"),
                 (int) fleet.whole("caches"),
@@ -336,7 +336,7 @@
                 fleet.whole("drain-grace"),
                 fleet.whole("repeat-window"),
                 cache(values.table("cache")),
-                archive(values.table("archive")),
+                origin(values.table("archive")),
                 new LoadSpec(
                         load.number("rate"),
                         (int) load.whole("keys"),
@@ -352,20 +352,20 @@
                 faults);
     }
 
-    private static ClassSpec requestClass(Values one) {
-        Referee.Effect effect = Referee.Effect.values()[EFFECTS.indexOf(one.text("effect"))];
+    private static ClassSpec requestClass(TableValues table) {
+        Referee.Effect effect = Referee.Effect.values()[EFFECTS.indexOf(table.text("effect"))];
         return new ClassSpec(
-                one.text("name"),
-                one.number("share"),
-                one.whole("work-least"),
-                one.whole("work-most"),
-                one.whole("aim"),
-                one.whole("deadline"),
-                one.number("worth"),
+                table.text("name"),
+                table.number("share"),
+                table.whole("work-least"),
+                table.whole("work-most"),
+                table.whole("aim"),
+                table.whole("deadline"),
+                table.number("worth"),
                 effect);
     }
 
-    private static CacheSpec cache(Values cache) {
+    private static CacheSpec cache(TableValues cache) {
         return new CacheSpec(
                 (int) cache.whole("cores"),
                 (int) cache.whole("slots"),
@@ -375,45 +375,45 @@
                 cache.whole("fetch-timeout"),
                 cache.bool("coalesce"),
                 cache.bool("cancel-stops"),
-                new ColdMeter.Warmth(
+                new SlowStartMeter.SlowStartProfile(
                         cache.number("cold-from"),
                         cache.whole("warm-within"),
                         cache.number("tip-multiple"),
                         cache.whole("tip-window")));
     }
 
-    private static ArchiveSpec archive(Values archive) {
-        return new ArchiveSpec(
-                (int) archive.whole("places"),
-                archive.whole("time"),
-                (int) archive.whole("queue"),
-                archive.number("fall-multiple"),
-                archive.whole("fall-window"),
-                archive.whole("fall-time"),
-                (int) archive.whole("value"));
+    private static OriginSpec origin(TableValues origin) {
+        return new OriginSpec(
+                (int) origin.whole("places"),
+                origin.whole("time"),
+                (int) origin.whole("queue"),
+                origin.number("fall-multiple"),
+                origin.whole("fall-window"),
+                origin.whole("fall-time"),
+                (int) origin.whole("value"));
     }
 
-    private static FaultSpec fault(Values fault) {
+    private static FaultSpec fault(TableValues fault) {
         return new FaultSpec(
                 fault.whole("at"),
-                FaultKind.of(fault.text("kind")),
+                FaultKind.fromWireName(fault.text("kind")),
                 fault.text("target"),
                 fault.number("factor"),
                 fault.whole("amount"),
                 fault.whole("for"));
     }
 
-    private static void check(String file, Values values, String list, List<Problem> problems) {
+    private static void checkList(String file, TableValues values, String list, List<Problem> problems) {
         Set<String> names = new HashSet<>();
         double sum = 0;
-        for (Values one : values.list(list)) {
-            sum += one.number("share");
-            String name = one.text("name");
+        for (TableValues table : values.list(list)) {
+            sum += table.number("share");
+            String name = table.text("name");
             if (!names.add(name)) {
                 problems.add(
                         new Problem(
                                 file,
-                                one.line(),
+                                table.line(),
                                 list + ".name",
                                 '"' + name + "\" a second time",
                                 "names that differ"));
@@ -422,13 +422,13 @@
                 problems.add(
                         new Problem(
                                 file,
-                                one.line(),
+                                table.line(),
                                 list + ".name",
                                 '"' + name + '"',
                                 "letters, digits, '.', '_' and '-', at most 64"));
             }
         }
-        if (values.list(list).isEmpty() || Math.abs(sum - 1) > SHARES_APART) {
+        if (values.list(list).isEmpty() || Math.abs(sum - 1) > FRACTION_TOLERANCE) {
             problems.add(
                     new Problem(
                             file,
@@ -441,33 +441,33 @@
 
     private static void checkTarget(
             String file,
-            Values fault,
+            TableValues fault,
             FaultSpec spec,
             int caches,
             int balancers,
             List<Problem> problems) {
-        int most = spec.kind().meets == FaultKind.Meets.CACHE ? caches : balancers;
-        String name = spec.kind().meets == FaultKind.Meets.CACHE ? "cache" : "balancer";
-        boolean good =
-                spec.kind().meets == FaultKind.Meets.NOBODY
+        int targetCount = spec.kind().targetKind == FaultKind.TargetKind.CACHE ? caches : balancers;
+        String name = spec.kind().targetKind == FaultKind.TargetKind.CACHE ? "cache" : "balancer";
+        boolean isValid =
+                spec.kind().targetKind == FaultKind.TargetKind.NONE
                         ? spec.target().equals("any")
-                        : Targets.count(spec.target(), name, most) > 0;
-        if (!good) {
+                        : Targets.count(spec.target(), name, targetCount) > 0;
+        if (!isValid) {
             problems.add(
                     new Problem(
                             file,
                             fault.line(),
                             "fault.target",
                             '"' + spec.target() + '"',
-                            spec.kind().meets == FaultKind.Meets.NOBODY
-                                    ? "nothing, as " + spec.kind().word + " meets nobody"
+                            spec.kind().targetKind == FaultKind.TargetKind.NONE
+                                    ? "nothing, as " + spec.kind().wireName + " meets nobody"
                                     : name
                                             + "-1 to "
                                             + name
                                             + "-"
-                                            + most
+                                            + targetCount
                                             + ", any, or any-1 to any-"
-                                            + most));
+                                            + targetCount));
         }
     }
 }
--- a/rig/src/main/java/frostrelay/rig/day/Targets.java
+++ b/rig/src/main/java/frostrelay/rig/day/Targets.java
@@ -10,16 +10,16 @@
 public final class Targets {
     private Targets() {}
 
-    /** How many of {@code most} a target means; 0 if it means none that there is. */
-    public static int count(String target, String name, int most) {
+    /** How many of {@code targetCount} a target means; 0 if it means none that there is. */
+    public static int count(String target, String prefix, int targetCount) {
         if (target.equals("any")) {
             return 1;
         }
         if (target.matches("any-[0-9]{1,4}")) {
-            int some = Integer.parseInt(target.substring("any-".length()));
-            return some <= most ? some : 0;
+            int requested = Integer.parseInt(target.substring("any-".length()));
+            return requested <= targetCount ? requested : 0;
         }
-        return target.matches(name + "-[0-9]{1,4}") && number(target) >= 1 && number(target) <= most
+        return target.matches(prefix + "-[0-9]{1,4}") && number(target) >= 1 && number(target) <= targetCount
                 ? 1
                 : 0;
     }
@@ -29,19 +29,19 @@
     }
 
     /**
-     * The places, from 0, that a target means among {@code most}; empty if it means none that there
+     * The places, from 0, that a target means among {@code targetCount}; empty if it means none that there
      * is.
      */
     public static List<Integer> choose(
-            String target, String name, int most, UniformRandomProvider random) {
-        int count = count(target, name, most);
+            String target, String prefix, int targetCount, UniformRandomProvider random) {
+        int count = count(target, prefix, targetCount);
         List<Integer> chosen = new ArrayList<>();
         if (!target.startsWith("any")) {
             return count == 0 ? chosen : List.of(number(target) - 1);
         }
         if (count > 0) {
-            for (int place : new PermutationSampler(random, most, count).sample()) {
-                chosen.add(place);
+            for (int index : new PermutationSampler(random, targetCount, count).sample()) {
+                chosen.add(index);
             }
         }
         return chosen;
--- a/rig/src/main/java/frostrelay/rig/discovery/DiscoveryServer.java
+++ b/rig/src/main/java/frostrelay/rig/discovery/DiscoveryServer.java
@@ -44,71 +44,71 @@
  * Runs on one event loop; the public calls may come from any thread.
  */
 public final class DiscoveryServer {
-    private static final int MOST_REQUEST = 8 * 1024;
-    private static final long RETRY_MS = 100;
-    private static final long MOST_WAIT_MS = 60_000;
+    private static final int MAX_REQUEST_BYTES = 8 * 1024;
+    private static final long RETRY_INTERVAL_MILLIS = 100;
+    private static final long MAX_WATCH_WAIT_MILLIS = 60_000;
 
     /**
      * So long after discovery had it and could be reached a change counts as told, whether a
      * balancer asked or not.
      */
-    private static final long COUNTS_AS_TOLD = 6_000_000_000L;
+    private static final long NOTIFICATION_DEADLINE_NANOS = 6_000_000_000L;
 
     /**
      * What a watch that fell silent missed counts no sooner than this behind the end of its wait.
      */
-    private static final long BEHIND_WAIT = 2_000_000_000L;
+    private static final long MISSED_WATCH_GRACE_NANOS = 2_000_000_000L;
 
     /** A change as it was entered, visible from its version on. */
-    private record Entry(long rev, Member member) {}
+    private record MemberChange(long revision, Member member) {}
 
     /** One balancer's calls: where the caches are from there, and how far it is told. */
-    private static final class Caller {
+    private static final class Subscriber {
         final String balancer;
         final Map<String, String> endpoints;
-        long seen;
-        long late;
-        boolean cut;
-        boolean pinned;
+        long visibleRevision;
+        long extraDelayNanos;
+        boolean isPartitioned;
+        boolean isPinned;
 
         /** The newest version that was written to it. */
-        long told;
+        long sentRevision;
 
         /** Since when nothing keeps it from the newest list. */
-        long reachableSince = System.nanoTime();
+        long reachableSinceNanos = System.nanoTime();
 
         /** Until then it need not know what a watch that fell silent missed. */
-        long silentUntil = System.nanoTime();
+        long unresponsiveUntilNanos = System.nanoTime();
 
-        boolean isHindered() {
-            return cut || pinned || late > 0;
+        boolean isImpaired() {
+            return isPartitioned || isPinned || extraDelayNanos > 0;
         }
 
-        Caller(String balancer, Map<String, String> endpoints, long seen) {
+        Subscriber(String balancer, Map<String, String> endpoints, long visibleRevision) {
             this.balancer = balancer;
             this.endpoints = Map.copyOf(endpoints);
-            this.seen = seen;
+            this.visibleRevision = visibleRevision;
         }
     }
 
     private final EventLoop loop;
-    private final Referee referee;
+    private final Referee invariantChecker;
 
     /** What was ever entered of each cache, the newest last: some are told older lists. */
-    private final Map<String, List<Entry>> entries = new TreeMap<>();
+    private final Map<String, List<MemberChange>> history = new TreeMap<>();
 
-    private final Map<String, Caller> callers = new LinkedHashMap<>();
+    private final Map<String, Subscriber> subscribers = new LinkedHashMap<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
-    private final Map<String, Map<String, Long>> knownBoots = new LinkedHashMap<>();
-    private long rev = 1;
-    private long lateness;
-    private boolean down;
+    private final Map<String, Map<String, Long>> sentBootTimes = new LinkedHashMap<>();
+    private long revision = 1;
+    private long delayNanos;
+    private boolean isDown;
 
-    /** {@code lateness}: nanoseconds from a change to the moment at which it can be told. */
-    public DiscoveryServer(EventLoop loop, Referee referee, long lateness) {
+    /** {@code delayNanos}: nanoseconds from a change to the moment at which it can be told. */
+    public DiscoveryServer(EventLoop loop, Referee invariantChecker, long delayNanos) {
         this.loop = loop;
-        this.referee = referee;
-        this.lateness = lateness;
+        this.invariantChecker = invariantChecker;
+        this.delayNanos = delayNanos;
     }
 
     /**
@@ -116,11 +116,11 @@
      */
     public InetSocketAddress listen(String balancer, Map<String, String> endpoints)
             throws InterruptedException {
-        Caller caller =
+        Subscriber caller =
                 loop.submit(
                                 () ->
-                                        callers.computeIfAbsent(
-                                                balancer, name -> new Caller(name, endpoints, rev)))
+                                        subscribers.computeIfAbsent(
+                                                balancer, name -> new Subscriber(name, endpoints, revision)))
                         .syncUninterruptibly()
                         .getNow();
         return (InetSocketAddress)
@@ -134,8 +134,8 @@
                                         fresh.pipeline()
                                                 .addLast(
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(MOST_REQUEST),
-                                                        new Calls(caller));
+                                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                                        new RequestHandler(caller));
                                     }
                                 })
                         .bind(Loopback.port(0))
@@ -150,26 +150,26 @@
                 () ->
                         loop.schedule(
                                 () -> {
-                                    rev++;
-                                    enter(member);
-                                    referee.watcher().version(System.nanoTime(), rev, states(rev));
-                                    long fresh = rev;
-                                    for (Caller caller : callers.values()) {
-                                        if (caller.late > 0) {
+                                    revision++;
+                                    addRevision(member);
+                                    invariantChecker.observer().onListChanged(System.nanoTime(), revision, states(revision));
+                                    long fresh = revision;
+                                    for (Subscriber caller : subscribers.values()) {
+                                        if (caller.extraDelayNanos > 0) {
                                             loop.schedule(
-                                                    () -> see(caller, fresh),
-                                                    caller.late,
+                                                    () -> makeVisible(caller, fresh),
+                                                    caller.extraDelayNanos,
                                                     TimeUnit.NANOSECONDS);
                                         } else {
-                                            see(caller, fresh);
+                                            makeVisible(caller, fresh);
                                         }
                                         loop.schedule(
-                                                () -> countAsTold(caller, fresh, member),
-                                                COUNTS_AS_TOLD,
+                                                () -> bindUnlessNotified(caller, fresh, member),
+                                                NOTIFICATION_DEADLINE_NANOS,
                                                 TimeUnit.NANOSECONDS);
                                     }
                                 },
-                                lateness,
+                                delayNanos,
                                 TimeUnit.NANOSECONDS));
     }
 
@@ -177,20 +177,20 @@
      * What a balancer could have asked for by now binds it as though it had been told, unless that
      * has changed again.
      */
-    private void countAsTold(Caller caller, long fresh, Member member) {
-        List<Entry> history = entries.get(member.uid());
-        if (caller.told >= fresh || history.get(history.size() - 1).rev != fresh) {
+    private void bindUnlessNotified(Subscriber caller, long fresh, Member member) {
+        List<MemberChange> revisions = history.get(member.uid());
+        if (caller.sentRevision >= fresh || revisions.get(revisions.size() - 1).revision != fresh) {
             return;
         }
         long now = System.nanoTime();
-        long left = Math.max(caller.reachableSince + COUNTS_AS_TOLD, caller.silentUntil) - now;
-        if (down || caller.isHindered() || left > 0) {
+        long left = Math.max(caller.reachableSinceNanos + NOTIFICATION_DEADLINE_NANOS, caller.unresponsiveUntilNanos) - now;
+        if (isDown || caller.isImpaired() || left > 0) {
             loop.schedule(
-                    () -> countAsTold(caller, fresh, member),
-                    Math.max(left, RETRY_MS * 1_000_000),
+                    () -> bindUnlessNotified(caller, fresh, member),
+                    Math.max(left, RETRY_INTERVAL_MILLIS * 1_000_000),
                     TimeUnit.NANOSECONDS);
         } else {
-            referee.told(now, caller.balancer, member.uid(), member.state() == Member.State.READY);
+            invariantChecker.onNotified(now, caller.balancer, member.uid(), member.state() == Member.State.READY);
         }
     }
 
@@ -199,56 +199,56 @@
      * more. What they miss binds after {@code within} nanoseconds; if that is 0, by the operators'
      * page: 6 s, or 2 s behind the wait if that is later.
      */
-    public void silenceWatches(long within) {
+    public void stallWatches(long within) {
         loop.execute(
                 () -> {
-                    watches.forEach(watch -> watch.fallSilent(within));
+                    watches.forEach(watch -> watch.stall(within));
                     watches.clear();
                 });
     }
 
-    private void enter(Member member) {
-        entries.computeIfAbsent(member.uid(), uid -> new ArrayList<>()).add(new Entry(rev, member));
+    private void addRevision(Member member) {
+        history.computeIfAbsent(member.uid(), uid -> new ArrayList<>()).add(new MemberChange(revision, member));
     }
 
-    private void see(Caller caller, long fresh) {
-        if (caller.pinned || fresh <= caller.seen) {
+    private void makeVisible(Subscriber caller, long fresh) {
+        if (caller.isPinned || fresh <= caller.visibleRevision) {
             return;
         }
-        caller.seen = fresh;
+        caller.visibleRevision = fresh;
         for (Watch watch : List.copyOf(watches)) {
             if (watch.caller == caller) {
-                watch.news();
+                watch.complete();
             }
         }
     }
 
     /** What the list of a version says of each cache that it names, in discovery's words. */
-    private Map<String, String> states(long upTo) {
+    private Map<String, String> states(long maxRevision) {
         Map<String, String> states = new LinkedHashMap<>();
-        since(0, upTo).stream()
+        changedSince(0, maxRevision).stream()
                 .filter(member -> member.state() != Member.State.GONE)
                 .forEach(
                         member ->
                                 states.put(
-                                        member.uid(), member.state().word + '|' + member.bootMs()));
+                                        member.uid(), member.state().wireName + '|' + member.bootUnixMillis()));
         return states;
     }
 
     /** Tells the watcher how the list stands. */
-    public void show() {
-        loop.submit(() -> referee.watcher().version(System.nanoTime(), rev, states(rev)))
+    public void publishToObserver() {
+        loop.submit(() -> invariantChecker.observer().onListChanged(System.nanoTime(), revision, states(revision)))
                 .syncUninterruptibly();
     }
 
     /** One balancer can or cannot reach discovery: its calls break. */
-    public void cut(String balancer, boolean on) {
+    public void setPartitioned(String balancer, boolean isActive) {
         loop.execute(
                 () -> {
-                    Caller caller = callers.get(balancer);
-                    caller.cut = on;
-                    caller.reachableSince = System.nanoTime();
-                    if (on) {
+                    Subscriber caller = subscribers.get(balancer);
+                    caller.isPartitioned = isActive;
+                    caller.reachableSinceNanos = System.nanoTime();
+                    if (isActive) {
                         List.copyOf(watches).stream()
                                 .filter(watch -> watch.caller == caller)
                                 .forEach(watch -> watch.channel.close());
@@ -257,61 +257,61 @@
     }
 
     /** One balancer is told of changes this much later than others, in nanoseconds. */
-    public void late(String balancer, long time) {
+    public void setDelay(String balancer, long time) {
         loop.execute(
                 () -> {
-                    Caller caller = callers.get(balancer);
-                    caller.late = time;
-                    caller.reachableSince = System.nanoTime();
+                    Subscriber caller = subscribers.get(balancer);
+                    caller.extraDelayNanos = time;
+                    caller.reachableSinceNanos = System.nanoTime();
                     if (time == 0) {
-                        see(caller, rev);
+                        makeVisible(caller, revision);
                     }
                 });
     }
 
     /** One balancer is told nothing newer than what it was told last, or all of it again. */
-    public void pin(String balancer, boolean on) {
+    public void setPinned(String balancer, boolean isActive) {
         loop.execute(
                 () -> {
-                    Caller caller = callers.get(balancer);
-                    caller.pinned = on;
-                    caller.reachableSince = System.nanoTime();
-                    if (!on) {
-                        see(caller, rev);
+                    Subscriber caller = subscribers.get(balancer);
+                    caller.isPinned = isActive;
+                    caller.reachableSinceNanos = System.nanoTime();
+                    if (!isActive) {
+                        makeVisible(caller, revision);
                     }
                 });
     }
 
     /** What is so before anything begins: it is not late. */
-    public void known(Member member) {
-        loop.submit(() -> enter(member)).syncUninterruptibly();
+    public void addInitial(Member member) {
+        loop.submit(() -> addRevision(member)).syncUninterruptibly();
     }
 
     /** Further changes are told this much later, in nanoseconds. */
-    public void late(long time) {
-        loop.execute(() -> lateness = time);
+    public void setDelay(long time) {
+        loop.execute(() -> delayNanos = time);
     }
 
     /** Out of reach, or back: calls fail and watches end. */
-    public void outage(boolean on) {
+    public void setOutage(boolean isActive) {
         loop.execute(
                 () -> {
-                    down = on;
-                    callers.values().forEach(caller -> caller.reachableSince = System.nanoTime());
-                    if (on) {
+                    isDown = isActive;
+                    subscribers.values().forEach(caller -> caller.reachableSinceNanos = System.nanoTime());
+                    if (isActive) {
                         List.copyOf(watches).forEach(watch -> watch.channel.close());
                     }
                 });
     }
 
-    private List<Member> since(long known, long upTo) {
+    private List<Member> changedSince(long known, long maxRevision) {
         List<Member> members = new ArrayList<>();
-        for (List<Entry> history : entries.values()) {
-            Entry last = null;
-            for (Entry entry : history) {
-                last = entry.rev <= upTo ? entry : last;
+        for (List<MemberChange> revisions : history.values()) {
+            MemberChange last = null;
+            for (MemberChange entry : revisions) {
+                last = entry.revision <= maxRevision ? entry : last;
             }
-            if (last != null && last.rev > known) {
+            if (last != null && last.revision > known) {
                 members.add(last.member);
             }
         }
@@ -319,14 +319,14 @@
     }
 
     /** The whole list as a balancer sees it, in discovery's form. */
-    public Map<String, Object> list(Map<String, String> endpoints) {
-        return loop.submit(() -> json(true, rev, since(0, rev), endpoints))
+    public Map<String, Object> endpointList(Map<String, String> endpoints) {
+        return loop.submit(() -> json(true, revision, changedSince(0, revision), endpoints))
                 .syncUninterruptibly()
                 .getNow();
     }
 
     private Map<String, Object> json(
-            boolean all, long upTo, List<Member> members, Map<String, String> endpoints) {
+            boolean all, long maxRevision, List<Member> members, Map<String, String> endpoints) {
         List<Object> targets = new ArrayList<>();
         for (Member member : members) {
             if (all && member.state() == Member.State.GONE
@@ -339,39 +339,39 @@
             target.put("az", "local");
             target.put("model", "cache");
             target.put("pod_group", 0);
-            target.put("state", member.state().word);
+            target.put("state", member.state().wireName);
             target.put("capacity_hint", 1.0);
-            target.put("boot_ms", member.bootMs());
+            target.put("boot_ms", member.bootUnixMillis());
             targets.add(target);
         }
         Map<String, Object> list = new LinkedHashMap<>();
-        list.put("rev", upTo);
+        list.put("rev", maxRevision);
         list.put("all", all);
         list.put("targets", targets);
         return list;
     }
 
-    private void answer(Channel channel, Caller caller, boolean all, List<Member> members) {
+    private void sendList(Channel channel, Subscriber caller, boolean all, List<Member> members) {
         long now = System.nanoTime();
-        referee.watcher().told(now, caller.balancer, caller.seen);
-        caller.told = caller.seen;
+        invariantChecker.observer().onNotified(now, caller.balancer, caller.visibleRevision);
+        caller.sentRevision = caller.visibleRevision;
         try {
             byte[] body =
                     JSON.std
-                            .asString(json(all, caller.seen, members, caller.endpoints))
+                            .asString(json(all, caller.visibleRevision, members, caller.endpoints))
                             .getBytes(StandardCharsets.UTF_8);
             respond(channel, HttpResponseStatus.OK, body);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
         for (Member member : members) {
-            referee.told(now, caller.balancer, member.uid(), member.state() == Member.State.READY);
+            invariantChecker.onNotified(now, caller.balancer, member.uid(), member.state() == Member.State.READY);
             Long before =
-                    knownBoots
+                    sentBootTimes
                             .computeIfAbsent(caller.balancer, b -> new TreeMap<>())
-                            .put(member.uid(), member.bootMs());
-            if (member.bootMs() > 0 && (before == null || before != member.bootMs())) {
-                referee.toldStart(caller.balancer, member.uid());
+                            .put(member.uid(), member.bootUnixMillis());
+            if (member.bootUnixMillis() > 0 && (before == null || before != member.bootUnixMillis())) {
+                invariantChecker.onStartNotified(caller.balancer, member.uid());
             }
         }
     }
@@ -390,56 +390,56 @@
     /** A call that waits for news. */
     private final class Watch {
         final Channel channel;
-        private final Caller caller;
-        private final long known;
-        private Future<?> limit;
-        private long until;
+        private final Subscriber caller;
+        private final long knownRevision;
+        private Future<?> timeoutTask;
+        private long untilNanos;
 
-        Watch(Channel channel, Caller caller, long known) {
+        Watch(Channel channel, Subscriber caller, long knownRevision) {
             this.channel = channel;
             this.caller = caller;
-            this.known = known;
+            this.knownRevision = knownRevision;
         }
 
         void begin(long waitMs) {
             watches.add(this);
-            until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
-            limit = loop.schedule(this::news, waitMs, TimeUnit.MILLISECONDS);
+            untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
+            timeoutTask = loop.schedule(this::complete, waitMs, TimeUnit.MILLISECONDS);
             channel.closeFuture().addListener(closed -> end());
-            if (caller.seen > known) {
-                news();
+            if (caller.visibleRevision > knownRevision) {
+                complete();
             }
         }
 
-        void news() {
+        void complete() {
             end();
-            answer(channel, caller, false, since(known, caller.seen));
+            sendList(channel, caller, false, changedSince(knownRevision, caller.visibleRevision));
         }
 
-        void fallSilent(long within) {
-            limit.cancel(false);
+        void stall(long within) {
+            timeoutTask.cancel(false);
             long now = System.nanoTime();
-            caller.silentUntil =
-                    within > 0 ? now + within : Math.max(until + BEHIND_WAIT, now + COUNTS_AS_TOLD);
+            caller.unresponsiveUntilNanos =
+                    within > 0 ? now + within : Math.max(untilNanos + MISSED_WATCH_GRACE_NANOS, now + NOTIFICATION_DEADLINE_NANOS);
         }
 
         private void end() {
             watches.remove(this);
-            limit.cancel(false);
+            timeoutTask.cancel(false);
         }
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Caller caller;
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private final Subscriber caller;
 
-        Calls(Caller caller) {
+        RequestHandler(Subscriber caller) {
             this.caller = caller;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
-            if (down || caller.cut) {
+            if (isDown || caller.isPartitioned) {
                 respond(ctx.channel(), HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]);
             } else if (!query.path().equals("/catalog/members")) {
                 respond(ctx.channel(), HttpResponseStatus.NOT_FOUND, new byte[0]);
@@ -448,7 +448,7 @@
                     long known = Long.parseLong(query.parameters().get("since").get(0));
                     long wait =
                             Math.min(
-                                    MOST_WAIT_MS,
+                                    MAX_WATCH_WAIT_MILLIS,
                                     Long.parseLong(
                                             query.parameters()
                                                     .getOrDefault("timeout_ms", List.of("0"))
@@ -458,7 +458,7 @@
                     respond(ctx.channel(), HttpResponseStatus.BAD_REQUEST, new byte[0]);
                 }
             } else {
-                answer(ctx.channel(), caller, true, since(0, caller.seen));
+                sendList(ctx.channel(), caller, true, changedSince(0, caller.visibleRevision));
             }
         }
 
--- a/rig/src/main/java/frostrelay/rig/fleet/BalancerConfig.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/BalancerConfig.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.jr.ob.JSON;
 
 import frostrelay.rig.day.ClassSpec;
-import frostrelay.rig.day.Day;
+import frostrelay.rig.day.Scenario;
 import frostrelay.rig.day.TenantSpec;
 import frostrelay.rig.referee.Referee;
 
@@ -16,31 +16,31 @@
 
 /** The configuration that a balancer of a day is given, in the platform's JSON. */
 public final class BalancerConfig {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final int MAX_ATTEMPTS = 4;
-    private static final int MAX_OPEN = 20_000;
-    private static final int SOCKETS = 1024;
+    private static final int MAX_OPEN_REQUESTS = 20_000;
+    private static final int DESCRIPTOR_LIMIT = 1024;
     private static final int MEMORY_MB = 192;
 
     private BalancerConfig() {}
 
     /**
-     * {@code place}: the balancer's, from 0; addresses as ADDRESS:PORT; {@code known}: the list in
-     * discovery's form; {@code further}: keys beside those, as {@code peers} with which balancers
+     * {@code index}: the balancer's, from 0; addresses as ADDRESS:PORT; {@code endpointList}: the list in
+     * discovery's form; {@code extraKeys}: keys beside those, as {@code peers} with which balancers
      * are allowed to talk.
      */
     public static String json(
-            Day day,
-            int place,
+            Scenario scenario,
+            int index,
             String listen,
             String console,
             String discovery,
-            Map<String, Object> known,
-            Map<String, Object> further) {
+            Map<String, Object> endpointList,
+            Map<String, Object> extraKeys) {
         Map<String, Object> config =
                 object(
                         "name",
-                        name(place),
+                        name(index),
                         "listen",
                         listen,
                         "console",
@@ -48,14 +48,14 @@
                         "discovery",
                         discovery,
                         "seed",
-                        String.format(Locale.ROOT, "%016x", day.seed() * 31 + place + 1),
+                        String.format(Locale.ROOT, "%016x", scenario.seed() * 31 + index + 1),
                         "limits",
-                        object("cores", 1.0, "memory_mb", MEMORY_MB, "sockets", SOCKETS),
+                        object("cores", 1.0, "memory_mb", MEMORY_MB, "sockets", DESCRIPTOR_LIMIT),
                         "known",
-                        known,
+                        endpointList,
                         "settings",
-                        settings(day, place, further.containsKey("peers")));
-        config.putAll(further);
+                        settings(scenario, index, extraKeys.containsKey("peers")));
+        config.putAll(extraKeys);
         try {
             return JSON.std.asString(config);
         } catch (IOException e) {
@@ -64,44 +64,44 @@
     }
 
     /** The name of the balancer at a place. */
-    public static String name(int place) {
-        return "balancer-" + (place + 1);
+    public static String name(int index) {
+        return "balancer-" + (index + 1);
     }
 
-    private static Map<String, Object> settings(Day day, int place, boolean talk) {
+    private static Map<String, Object> settings(Scenario scenario, int index, boolean hasGossip) {
         List<Object> classes = new ArrayList<>();
-        for (ClassSpec one : day.classes()) {
+        for (ClassSpec one : scenario.classes()) {
             classes.add(
                     object(
                             "name",
                             one.name(),
                             "effect",
-                            one.effect() == Referee.Effect.REPEATABLE
+                            one.effect() == Referee.Effect.IDEMPOTENT
                                     ? "retryable"
-                                    : one.effect() == Referee.Effect.KEYED ? "dedup" : "fragile",
+                                    : one.effect() == Referee.Effect.IDEMPOTENT_BY_KEY ? "dedup" : "fragile",
                             "group",
                             "all",
                             "goal-time-ns",
-                            one.aim(),
+                            one.latencyObjectiveNanos(),
                             "deadline-ns",
-                            one.deadline(),
+                            one.deadlineNanos(),
                             "worth",
-                            one.worth(),
+                            one.priorityWeight(),
                             "late-worth",
                             0.3,
                             "window-ns",
-                            day.repeatWindow()));
+                            scenario.deduplicationWindowNanos()));
         }
         List<Object> tenants = new ArrayList<>();
-        for (TenantSpec one : day.tenants()) {
+        for (TenantSpec one : scenario.tenants()) {
             tenants.add(
                     object(
                             "name",
                             one.name(),
                             "fraction",
-                            one.share(),
+                            one.fraction(),
                             "allowance-per-s",
-                            capacity(day) * one.share()));
+                            capacity(scenario) * one.fraction()));
         }
         return object(
                 "categories",
@@ -115,9 +115,9 @@
                 "my-zone",
                 0,
                 "rank",
-                place,
+                index,
                 "n-instances",
-                day.balancers(),
+                scenario.balancers(),
                 "discovery",
                 "subscribe",
                 "load-report",
@@ -133,46 +133,46 @@
                         "cancelling",
                         true,
                         "conn-idle-ns",
-                        10 * SECOND,
+                        10 * NANOS_PER_SECOND,
                         "connect-timeout-ns",
-                        SECOND / 4,
+                        NANOS_PER_SECOND / 4,
                         "max-attempts",
                         MAX_ATTEMPTS,
                         "max-open",
-                        MAX_OPEN,
+                        MAX_OPEN_REQUESTS,
                         "max-retry-after-ns",
-                        SECOND,
+                        NANOS_PER_SECOND,
                         "may-duplicate",
                         true,
                         "multiplex",
                         1,
                         "peer-messages",
-                        talk,
+                        hasGossip,
                         "retry-after",
                         true),
                 "guarantees",
                 object(
                         "ask-within-ns",
-                        5 * SECOND,
+                        5 * NANOS_PER_SECOND,
                         "cold-from",
-                        day.cache().warmth().from(),
+                        scenario.cache().slowStart().initialFraction(),
                         "fall-ns",
-                        day.cache().warmth().window(),
+                        scenario.cache().slowStart().windowNanos(),
                         "stop-sending-within-ns",
-                        day.drainGrace(),
+                        scenario.drainGraceNanos(),
                         "tip-multiple",
-                        day.cache().warmth().multiple(),
+                        scenario.cache().slowStart().overloadMultiple(),
                         "warm-within-ns",
-                        day.cache().warmth().within()));
+                        scenario.cache().slowStart().rampNanos()));
     }
 
     /** Requests a second that all caches together can do. */
-    private static double capacity(Day day) {
+    private static double capacity(Scenario scenario) {
         double work =
-                day.classes().stream()
-                        .mapToDouble(one -> one.share() * (one.workLeast() + one.workMost()) / 2)
+                scenario.classes().stream()
+                        .mapToDouble(one -> one.fraction() * (one.minWorkNanos() + one.maxWorkNanos()) / 2)
                         .sum();
-        return day.caches() * day.cache().cores() * SECOND / work;
+        return scenario.caches() * scenario.cache().cores() * NANOS_PER_SECOND / work;
     }
 
     private static Map<String, Object> object(Object... pairs) {
--- a/rig/src/main/java/frostrelay/rig/fleet/BalancerProcess.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/BalancerProcess.java
@@ -14,70 +14,70 @@
 
 /** One real balancer as a process of its own, as the platform starts it. */
 public final class BalancerProcess implements AutoCloseable {
-    private static final long READY_NS = 30_000_000_000L;
-    private static final int ASK_MS = 500;
-    private static final long ASK_AGAIN_MS = 20;
+    private static final long READY_TIMEOUT_NANOS = 30_000_000_000L;
+    private static final int READY_CHECK_TIMEOUT_MILLIS = 500;
+    private static final long READY_CHECK_INTERVAL_MILLIS = 20;
 
     private final String name;
-    private final Program program;
-    private final Path folder;
-    private final InetSocketAddress listen;
+    private final BalancerCommand program;
+    private final Path directory;
+    private final InetSocketAddress listenAddress;
     private Process process;
 
     /**
-     * {@code folder}: holds its configuration, its log and its temporary files; {@code config}: the
+     * {@code directory}: holds its configuration, its log and its temporary files; {@code config}: the
      * platform's JSON.
      */
     public BalancerProcess(
-            String name, Program program, Path folder, InetSocketAddress listen, String config)
+            String name, BalancerCommand program, Path directory, InetSocketAddress listenAddress, String config)
             throws IOException {
         this.name = name;
         this.program = program;
-        this.folder = folder;
-        this.listen = listen;
-        Files.createDirectories(folder.resolve("tmp"));
-        Files.writeString(folder.resolve("config.json"), config);
+        this.directory = directory;
+        this.listenAddress = listenAddress;
+        Files.createDirectories(directory.resolve("tmp"));
+        Files.writeString(directory.resolve("config.json"), config);
     }
 
     /** Starts it; its log goes behind what is there. */
     public synchronized void start() throws IOException {
         ProcessBuilder builder = new ProcessBuilder(program.command());
         builder.environment().put("GW_NAME", name);
-        builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
-        builder.environment().put("TMPDIR", folder.resolve("tmp").toString());
+        builder.environment().put("GW_CONFIG", directory.resolve("config.json").toString());
+        builder.environment().put("TMPDIR", directory.resolve("tmp").toString());
         builder.redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
-        process = Children.start(builder);
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()));
+        process = ChildProcesses.start(builder);
     }
 
     /** Waits until it takes requests. Throws IllegalStateException if it does not come up. */
     public void awaitReady() throws InterruptedException {
-        long end = System.nanoTime() + READY_NS;
-        while (System.nanoTime() < end && isAlive()) {
+        long deadlineNanos = System.nanoTime() + READY_TIMEOUT_NANOS;
+        while (System.nanoTime() < deadlineNanos && isAlive()) {
             try (Socket socket = new Socket()) {
-                socket.connect(listen, ASK_MS);
-                socket.setSoTimeout(ASK_MS);
+                socket.connect(listenAddress, READY_CHECK_TIMEOUT_MILLIS);
+                socket.setSoTimeout(READY_CHECK_TIMEOUT_MILLIS);
                 socket.getOutputStream().write("mn\r\n".getBytes(StandardCharsets.ISO_8859_1));
-                String answer =
+                String response =
                         new BufferedReader(
                                         new InputStreamReader(
                                                 socket.getInputStream(),
                                                 StandardCharsets.ISO_8859_1))
                                 .readLine();
-                if ("MN".equals(answer)) {
+                if ("MN".equals(response)) {
                     return;
                 }
             } catch (IOException e) {
                 // Not yet.
             }
-            Thread.sleep(ASK_AGAIN_MS);
+            Thread.sleep(READY_CHECK_INTERVAL_MILLIS);
         }
-        throw new IllegalStateException(name + " does not come up; its log is " + log());
+        throw new IllegalStateException(name + " does not come up; its log is " + logFile());
     }
 
     /** Where its log is. */
-    public Path log() {
-        return folder.resolve("balancer.log");
+    public Path logFile() {
+        return directory.resolve("balancer.log");
     }
 
     /** Whether the process runs. */
@@ -86,7 +86,7 @@
     }
 
     /** CPU it has used so far. */
-    public synchronized Duration cpu() {
+    public synchronized Duration cpuTime() {
         return process.info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
@@ -109,26 +109,26 @@
     }
 
     /** Asks it to end, and does not wait for that. */
-    public synchronized void askToEnd() {
+    public synchronized void requestShutdown() {
         process.destroy();
     }
 
     /**
      * Asks it to end, waits for that up to a limit in milliseconds, and ends it at once past that.
      */
-    public void terminate(long limitMs) throws InterruptedException {
-        Process ending;
+    public void terminate(long timeoutMillis) throws InterruptedException {
+        Process terminating;
         synchronized (this) {
-            ending = process;
+            terminating = process;
         }
-        ending.destroy();
-        if (!ending.waitFor(limitMs, TimeUnit.MILLISECONDS)) {
-            ending.destroyForcibly();
+        terminating.destroy();
+        if (!terminating.waitFor(timeoutMillis, TimeUnit.MILLISECONDS)) {
+            terminating.destroyForcibly();
         }
     }
 
     /** Tells it that its configuration was replaced. */
-    public void hangUp() throws IOException {
+    public void signalReload() throws IOException {
         signal("HUP");
     }
 
@@ -143,16 +143,16 @@
     }
 
     /** Where its configuration, its log and its temporary files are. */
-    public Path folder() {
-        return folder;
+    public Path directory() {
+        return directory;
     }
 
     /** Puts another configuration in its place, whole; it is not told. */
-    public void configure(String config) throws IOException {
-        Path draft = folder.resolve("config.draft");
-        Files.writeString(draft, config);
+    public void replaceConfig(String config) throws IOException {
+        Path temporaryFile = directory.resolve("config.draft");
+        Files.writeString(temporaryFile, config);
         Files.move(
-                draft, folder.resolve("config.json"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+                temporaryFile, directory.resolve("config.json"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
--- a/rig/src/main/java/frostrelay/rig/fleet/Children.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/ChildProcesses.java
@@ -7,7 +7,7 @@
 /**
  * Processes that end with this one, also where it is ended by a signal: nobody else knows of them.
  */
-public final class Children {
+public final class ChildProcesses {
     private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
 
     static {
@@ -16,7 +16,7 @@
                         new Thread(() -> RUNNING.forEach(Process::destroyForcibly), "children"));
     }
 
-    private Children() {}
+    private ChildProcesses() {}
 
     /** Starts a process. */
     public static Process start(ProcessBuilder builder) throws IOException {
--- a/rig/src/main/java/frostrelay/rig/fleet/Control.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/ControlServer.java
@@ -20,9 +20,9 @@
  * Where a running fleet takes faults by hand and tells how it is: HTTP on loopback, one call at a
  * time.
  */
-public final class Control implements AutoCloseable {
-    private static final int MOST_BODY = 64 * 1024;
-    private static final long MILLISECOND = 1_000_000L;
+public final class ControlServer implements AutoCloseable {
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final long NANOS_PER_MILLISECOND = 1_000_000L;
 
     private final HttpServer server;
 
@@ -30,21 +30,21 @@
      * {@code port}: 0 lets the system choose; {@code status}: what it tells; {@code faults}: takes
      * what is called.
      */
-    public Control(int port, Supplier<Map<String, Object>> status, Consumer<FaultSpec> faults)
+    public ControlServer(int port, Supplier<Map<String, Object>> status, Consumer<FaultSpec> faults)
             throws IOException {
         server = HttpServer.create(Loopback.port(port), 0);
-        server.createContext("/status", exchange -> answer(exchange, 200, status.get()));
+        server.createContext("/status", exchange -> respond(exchange, 200, status.get()));
         server.createContext(
                 "/fault",
                 exchange -> {
                     try {
-                        byte[] body = exchange.getRequestBody().readNBytes(MOST_BODY);
+                        byte[] body = exchange.getRequestBody().readNBytes(MAX_BODY_BYTES);
                         FaultSpec fault =
-                                fault(JSON.std.mapFrom(new String(body, StandardCharsets.UTF_8)));
+                                parseFault(JSON.std.mapFrom(new String(body, StandardCharsets.UTF_8)));
                         faults.accept(fault);
-                        answer(exchange, 202, Map.of("fault", fault.text()));
+                        respond(exchange, 202, Map.of("fault", fault.describe()));
                     } catch (IOException | RuntimeException e) {
-                        answer(
+                        respond(
                                 exchange,
                                 400,
                                 Map.of(
@@ -58,36 +58,36 @@
         server.start();
     }
 
-    private static FaultSpec fault(Map<String, Object> body) {
+    private static FaultSpec parseFault(Map<String, Object> body) {
         return new FaultSpec(
                 0,
-                FaultKind.of(String.valueOf(body.get("kind"))),
+                FaultKind.fromWireName(String.valueOf(body.get("kind"))),
                 body.get("target") == null ? "any" : String.valueOf(body.get("target")),
                 number(body, "factor", 1),
-                (long) (number(body, "amountMs", 0) * MILLISECOND),
-                (long) (number(body, "forMs", 0) * MILLISECOND));
+                (long) (number(body, "amountMs", 0) * NANOS_PER_MILLISECOND),
+                (long) (number(body, "forMs", 0) * NANOS_PER_MILLISECOND));
     }
 
-    private static double number(Map<String, Object> body, String name, double otherwise) {
+    private static double number(Map<String, Object> body, String name, double defaultValue) {
         Object value = body.get(name);
         if (value != null && !(value instanceof Number)) {
             throw new IllegalArgumentException(name + " is no number");
         }
-        return value == null ? otherwise : ((Number) value).doubleValue();
+        return value == null ? defaultValue : ((Number) value).doubleValue();
     }
 
-    /** A fault as {@link #fault} reads it. */
-    public static Map<String, Object> body(FaultSpec fault) {
+    /** A fault as {@link #parseFault} reads it. */
+    public static Map<String, Object> encodeFault(FaultSpec fault) {
         Map<String, Object> body = new LinkedHashMap<>();
-        body.put("kind", fault.kind().word);
+        body.put("kind", fault.kind().wireName);
         body.put("target", fault.target());
         body.put("factor", fault.factor());
-        body.put("amountMs", fault.amount() / (double) MILLISECOND);
-        body.put("forMs", fault.length() / (double) MILLISECOND);
+        body.put("amountMs", fault.amountNanos() / (double) NANOS_PER_MILLISECOND);
+        body.put("forMs", fault.durationNanos() / (double) NANOS_PER_MILLISECOND);
         return body;
     }
 
-    private static void answer(HttpExchange exchange, int status, Map<String, Object> body)
+    private static void respond(HttpExchange exchange, int status, Map<String, Object> body)
             throws IOException {
         byte[] bytes = JSON.std.asString(body).getBytes(StandardCharsets.UTF_8);
         exchange.getResponseHeaders().set("Content-Type", "application/json");
--- a/rig/src/main/java/frostrelay/rig/fleet/LoopMonitor.java
+++ b/rig/src/main/java/frostrelay/rig/fleet/LoopMonitor.java
@@ -14,42 +14,42 @@
  * came earlier, and how long it took on its way cannot be told. Safe for threads.
  */
 final class LoopMonitor {
-    private static final long BEAT_MS = 20;
-    private static final long MOST_BEHIND = 80_000_000L;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 20;
+    private static final long MAX_DELAY_NANOS = 80_000_000L;
 
     /** What was held up on one loop may reach another one so much later. */
-    private static final long AFTERMATH = 500_000_000L;
+    private static final long STALL_RECOVERY_NANOS = 500_000_000L;
 
-    private final List<AtomicLong> beats = new ArrayList<>();
-    private final AtomicLong longest = new AtomicLong();
-    private final AtomicLong stalledAt = new AtomicLong(System.nanoTime() - AFTERMATH);
+    private final List<AtomicLong> heartbeats = new ArrayList<>();
+    private final AtomicLong longestStallNanos = new AtomicLong();
+    private final AtomicLong stalledAtNanos = new AtomicLong(System.nanoTime() - STALL_RECOVERY_NANOS);
 
     LoopMonitor(EventLoopGroup group) {
         for (EventExecutor executor : group) {
             AtomicLong beat = new AtomicLong(System.nanoTime());
-            beats.add(beat);
+            heartbeats.add(beat);
             ((EventLoop) executor)
-                    .scheduleAtFixedRate(() -> beat(beat), BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+                    .scheduleAtFixedRate(() -> beat(beat), HEARTBEAT_INTERVAL_MILLIS, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void beat(AtomicLong beat) {
         long now = System.nanoTime();
         long gap = now - beat.getAndSet(now);
-        if (gap > MOST_BEHIND) {
-            stalledAt.set(now);
-            longest.accumulateAndGet(gap, Math::max);
+        if (gap > MAX_DELAY_NANOS) {
+            stalledAtNanos.set(now);
+            longestStallNanos.accumulateAndGet(gap, Math::max);
         }
     }
 
     /** The longest stand still so far, in nanoseconds; 0 for none. */
-    long longest() {
-        return longest.get();
+    long longestStallNanos() {
+        return longestStallNanos.get();
     }
 
     /** Whether some loop stands still now, or did so shortly before. */
-    boolean isBehind(long now) {
-        return now - stalledAt.get() < AFTERMATH
-                || beats.stream().anyMatch(beat -> now - beat.get() > MOST_BEHIND);
+    boolean isStalled(long now) {
+        return now - stalledAtNanos.get() < STALL_RECOVERY_NANOS
+                || heartbeats.stream().anyMatch(beat -> now - beat.get() > MAX_DELAY_NANOS);
     }
 }
--- a/rig/src/main/java/frostrelay/rig/link/Link.java
+++ b/rig/src/main/java/frostrelay/rig/link/FaultProxy.java
@@ -27,27 +27,27 @@
  * cuts or resets them. Bytes are never lost, doubled or reordered within a direction, as on TCP.
  * Runs on one event loop; the public calls may come from any thread.
  */
-public final class Link {
+public final class FaultProxy {
     /**
-     * What the way does to bytes. {@code delay}: nanoseconds; {@code bytesPerSecond}: 0 for no
+     * What the way does to bytes. {@code delayNanos}: nanoseconds; {@code bytesPerSecond}: 0 for no
      * limit.
      */
-    private record Way(long delay, long bytesPerSecond, boolean stalled, boolean refused) {}
+    private record Conditions(long delayNanos, long bytesPerSecond, boolean isStalled, boolean isCut) {}
 
-    private static final Way CLEAR = new Way(0, 0, false, false);
+    private static final Conditions NO_FAULT = new Conditions(0, 0, false, false);
 
     /** A way that holds more than this is read no further. */
-    private static final int MOST_HELD = 256 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 256 * 1024;
 
     private final EventLoop loop;
-    private final InetSocketAddress to;
-    private final Set<Half> halves = new LinkedHashSet<>();
-    private Way way = CLEAR;
+    private final InetSocketAddress target;
+    private final Set<ProxyEndpoint> endpoints = new LinkedHashSet<>();
+    private Conditions conditions = NO_FAULT;
 
-    /** {@code to}: the far end. */
-    public Link(EventLoop loop, InetSocketAddress to) {
+    /** {@code target}: the far end. */
+    public FaultProxy(EventLoop loop, InetSocketAddress target) {
         this.loop = loop;
-        this.to = to;
+        this.target = target;
     }
 
     /** Listens; returns where. {@code port}: 0 lets the system choose. */
@@ -63,7 +63,7 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel fresh) {
-                                        fresh.pipeline().addLast(new Half(fresh));
+                                        fresh.pipeline().addLast(new ProxyEndpoint(fresh));
                                     }
                                 })
                         .bind(Loopback.port(port))
@@ -73,61 +73,61 @@
     }
 
     /** Every byte comes so many nanoseconds later. */
-    public void delay(long time) {
-        change(new Way(time, way.bytesPerSecond, way.stalled, way.refused));
+    public void setDelay(long delayNanos) {
+        apply(new Conditions(delayNanos, conditions.bytesPerSecond, conditions.isStalled, conditions.isCut));
     }
 
     /** So many bytes a second in each direction of each connection; 0 for no limit. */
-    public void bandwidth(long bytesPerSecond) {
-        change(new Way(way.delay, bytesPerSecond, way.stalled, way.refused));
+    public void setBandwidth(long bytesPerSecond) {
+        apply(new Conditions(conditions.delayNanos, bytesPerSecond, conditions.isStalled, conditions.isCut));
     }
 
     /** Nothing moves while this holds; connections stay open. */
-    public void stall(boolean on) {
-        change(new Way(way.delay, way.bytesPerSecond, on, way.refused));
+    public void setStalled(boolean isActive) {
+        apply(new Conditions(conditions.delayNanos, conditions.bytesPerSecond, isActive, conditions.isCut));
     }
 
     /** Resets all connections, and new ones at once while this holds. */
-    public void cut(boolean on) {
-        change(new Way(way.delay, way.bytesPerSecond, way.stalled, on));
-        if (on) {
-            loop.execute(() -> List.copyOf(halves).forEach(Half::reset));
+    public void setCut(boolean isActive) {
+        apply(new Conditions(conditions.delayNanos, conditions.bytesPerSecond, conditions.isStalled, isActive));
+        if (isActive) {
+            loop.execute(() -> List.copyOf(endpoints).forEach(ProxyEndpoint::reset));
         }
     }
 
-    private void change(Way fresh) {
+    private void apply(Conditions newConditions) {
         loop.execute(
                 () -> {
-                    way = fresh;
-                    List.copyOf(halves).forEach(Half::drain);
+                    conditions = newConditions;
+                    List.copyOf(endpoints).forEach(ProxyEndpoint::drain);
                 });
     }
 
     /** One end of a connection through the link; what it reads goes to its peer. */
-    private final class Half extends ChannelInboundHandlerAdapter {
-        private record Held(ByteBuf bytes, long due) {}
+    private final class ProxyEndpoint extends ChannelInboundHandlerAdapter {
+        private record BufferedBytes(ByteBuf bytes, long dueAtNanos) {}
 
         private final SocketChannel channel;
-        private final Queue<Held> held = new ArrayDeque<>();
-        private Half peer;
-        private long heldBytes;
-        private long freeAt;
-        private boolean ended;
-        private boolean waking;
-
-        Half(SocketChannel channel) {
+        private final Queue<BufferedBytes> buffered = new ArrayDeque<>();
+        private ProxyEndpoint peer;
+        private long bufferedBytes;
+        private long writableAtNanos;
+        private boolean isEnded;
+        private boolean isDrainScheduled;
+
+        ProxyEndpoint(SocketChannel channel) {
             this.channel = channel;
         }
 
-        private Half(SocketChannel channel, Half peer) {
+        private ProxyEndpoint(SocketChannel channel, ProxyEndpoint peer) {
             this(channel);
             this.peer = peer;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            halves.add(this);
-            if (way.refused) {
+            endpoints.add(this);
+            if (conditions.isCut) {
                 reset();
             } else if (peer == null) {
                 new Bootstrap()
@@ -138,11 +138,11 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel fresh) {
-                                        peer = new Half(fresh, Half.this);
+                                        peer = new ProxyEndpoint(fresh, ProxyEndpoint.this);
                                         fresh.pipeline().addLast(peer);
                                     }
                                 })
-                        .connect(to)
+                        .connect(target)
                         .addListener(
                                 up -> {
                                     if (up.isSuccess()) {
@@ -162,19 +162,19 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ByteBuf bytes = (ByteBuf) message;
-            if (way == CLEAR && held.isEmpty()) {
-                pass(bytes);
+            if (conditions == NO_FAULT && buffered.isEmpty()) {
+                forward(bytes);
                 return;
             }
-            heldBytes += bytes.readableBytes();
-            held.add(new Held(bytes, System.nanoTime() + way.delay));
-            if (heldBytes > MOST_HELD) {
+            bufferedBytes += bytes.readableBytes();
+            buffered.add(new BufferedBytes(bytes, System.nanoTime() + conditions.delayNanos));
+            if (bufferedBytes > MAX_BUFFERED_BYTES) {
                 channel.config().setAutoRead(false);
             }
             drain();
         }
 
-        private void pass(ByteBuf bytes) {
+        private void forward(ByteBuf bytes) {
             if (peer == null || !peer.channel.isActive()) {
                 bytes.release();
                 return;
@@ -186,26 +186,26 @@
         /** Passes on what is due. */
         void drain() {
             long now = System.nanoTime();
-            while (!held.isEmpty() && !way.stalled && held.peek().due <= now && freeAt <= now) {
-                Held next = held.poll();
+            while (!buffered.isEmpty() && !conditions.isStalled && buffered.peek().dueAtNanos <= now && writableAtNanos <= now) {
+                BufferedBytes next = buffered.poll();
                 int bytes = next.bytes.readableBytes();
-                heldBytes -= bytes;
-                freeAt =
-                        way.bytesPerSecond == 0
+                bufferedBytes -= bytes;
+                writableAtNanos =
+                        conditions.bytesPerSecond == 0
                                 ? 0
-                                : now + bytes * 1_000_000_000L / way.bytesPerSecond;
-                pass(next.bytes);
+                                : now + bytes * 1_000_000_000L / conditions.bytesPerSecond;
+                forward(next.bytes);
             }
-            if (held.isEmpty() && ended) {
+            if (buffered.isEmpty() && isEnded) {
                 finish();
-            } else if (!held.isEmpty() && !way.stalled && !waking) {
-                waking = true;
+            } else if (!buffered.isEmpty() && !conditions.isStalled && !isDrainScheduled) {
+                isDrainScheduled = true;
                 loop.schedule(
                         () -> {
-                            waking = false;
+                            isDrainScheduled = false;
                             drain();
                         },
-                        Math.max(0, Math.max(held.peek().due, freeAt) - now),
+                        Math.max(0, Math.max(buffered.peek().dueAtNanos, writableAtNanos) - now),
                         TimeUnit.NANOSECONDS);
             }
         }
@@ -221,16 +221,16 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            if (peer != null && heldBytes <= MOST_HELD) {
+            if (peer != null && bufferedBytes <= MAX_BUFFERED_BYTES) {
                 peer.channel.config().setAutoRead(channel.isWritable());
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            halves.remove(this);
-            ended = true;
-            if (!way.stalled) {
+            endpoints.remove(this);
+            isEnded = true;
+            if (!conditions.isStalled) {
                 drain();
             }
         }
--- a/rig/src/main/java/frostrelay/rig/referee/Rule.java
+++ b/rig/src/main/java/frostrelay/rig/referee/Invariant.java
@@ -1,7 +1,7 @@
 package frostrelay.rig.referee;
 
 /** What a balancer must keep. */
-public enum Rule {
+public enum Invariant {
     /** A request that was taken got no final answer in its time. */
     NO_ANSWER,
     /** A request got more than one final answer. */
--- a/rig/src/main/java/frostrelay/rig/soak/MachineLoad.java
+++ b/rig/src/main/java/frostrelay/rig/soak/MachineLoad.java
@@ -18,16 +18,16 @@
     private static final int IO_WAIT = 4;
     private static final int STOLEN = 7;
 
-    private final long busyAtStart;
-    private final long stolenAtStart;
+    private final long busyTicksAtStart;
+    private final long stolenTicksAtStart;
 
     private MachineLoad(long busy, long stolen) {
-        busyAtStart = busy;
-        stolenAtStart = stolen;
+        busyTicksAtStart = busy;
+        stolenTicksAtStart = stolen;
     }
 
     /** Measures from now on. */
-    static MachineLoad begin() {
+    static MachineLoad start() {
         long[] counts = read();
         return new MachineLoad(busy(counts), counts[STOLEN]);
     }
@@ -36,10 +36,10 @@
      * The stolen part of the processor time that was wanted since the beginning; 0 where the system
      * does not tell.
      */
-    double stolenPart() {
+    double stolenFraction() {
         long[] counts = read();
-        long stolen = counts[STOLEN] - stolenAtStart;
-        return stolen / (double) Math.max(1, busy(counts) - busyAtStart);
+        long stolen = counts[STOLEN] - stolenTicksAtStart;
+        return stolen / (double) Math.max(1, busy(counts) - busyTicksAtStart);
     }
 
     private static long busy(long[] counts) {
--- a/rig/src/main/java/frostrelay/rig/soak/SoakPlan.java
+++ b/rig/src/main/java/frostrelay/rig/soak/SoakPlan.java
@@ -1,14 +1,14 @@
 package frostrelay.rig.soak;
 
-import frostrelay.rig.archive.ArchiveSpec;
+import frostrelay.rig.archive.OriginSpec;
 import frostrelay.rig.cache.CacheSpec;
 import frostrelay.rig.day.ClassSpec;
-import frostrelay.rig.day.Day;
+import frostrelay.rig.day.Scenario;
 import frostrelay.rig.day.FaultKind;
 import frostrelay.rig.day.FaultSpec;
 import frostrelay.rig.day.LoadSpec;
 import frostrelay.rig.day.TenantSpec;
-import frostrelay.rig.referee.ColdMeter;
+import frostrelay.rig.referee.SlowStartMeter;
 import frostrelay.rig.referee.Referee;
 
 import org.apache.commons.rng.UniformRandomProvider;
@@ -24,30 +24,30 @@
  */
 public final class SoakPlan {
     /** Balancers of a day, each a process. */
-    public static final int LEAST_BALANCERS = 10;
+    public static final int MIN_BALANCERS = 10;
 
-    /** See {@link #LEAST_BALANCERS}. */
-    public static final int MOST_BALANCERS = 40;
+    /** See {@link #MIN_BALANCERS}. */
+    public static final int MAX_BALANCERS = 40;
 
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
-    private static final long LENGTH = 14 * SECOND;
+    private static final long NANOS_PER_MILLISECOND = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLISECOND;
+    private static final long DURATION_NANOS = 14 * NANOS_PER_SECOND;
 
     /**
      * Faults begin once every balancer serves for a while, and early enough for their consequences
      * to be seen.
      */
-    private static final long FIRST_FAULT = SECOND;
+    private static final long FIRST_FAULT_NANOS = NANOS_PER_SECOND;
 
-    private static final long LAST_FAULT = 11 * SECOND;
+    private static final long LAST_FAULT_NANOS = 11 * NANOS_PER_SECOND;
 
     /**
      * A balancer that is stopped then is killed and starts again before the end, whatever the
      * deadlines.
      */
-    private static final long LAST_STOP = 9 * SECOND;
+    private static final long LAST_STOP_NANOS = 9 * NANOS_PER_SECOND;
 
-    private static final double REQUESTS_PER_BALANCER = 15;
+    private static final double REQUESTS_PER_SECOND_PER_BALANCER = 15;
 
     private final UniformRandomProvider random;
 
@@ -56,15 +56,15 @@
     }
 
     /** The day of a seed. {@code balancers}: how many, or 0 to draw that too. */
-    public static Day draw(long seed, int balancers) {
-        return new SoakPlan(seed).day(seed, balancers);
+    public static Scenario draw(long seed, int balancers) {
+        return new SoakPlan(seed).drawScenario(seed, balancers);
     }
 
-    private Day day(long seed, int wanted) {
-        int drawn = LEAST_BALANCERS + random.nextInt(MOST_BALANCERS - LEAST_BALANCERS + 1);
-        int balancers = wanted > 0 ? wanted : drawn;
+    private Scenario drawScenario(long seed, int requestedBalancers) {
+        int drawn = MIN_BALANCERS + random.nextInt(MAX_BALANCERS - MIN_BALANCERS + 1);
+        int balancers = requestedBalancers > 0 ? requestedBalancers : drawn;
         int caches = 6 + random.nextInt(7);
-        long longest = between(700, 3_400) * MS;
+        long longestDeadlineNanos = between(700, 3_400) * NANOS_PER_MILLISECOND;
         CacheSpec cache =
                 new CacheSpec(
                         2,
@@ -72,61 +72,61 @@
                         64,
                         4L << 20,
                         1_024,
-                        300 * MS,
+                        300 * NANOS_PER_MILLISECOND,
                         random.nextBoolean(),
                         random.nextBoolean(),
-                        new ColdMeter.Warmth(0.3, 5 * SECOND, 6, SECOND));
-        ArchiveSpec archive = new ArchiveSpec(40, 20 * MS, 200, 4, 2 * SECOND, SECOND, 400);
+                        new SlowStartMeter.SlowStartProfile(0.3, 5 * NANOS_PER_SECOND, 6, NANOS_PER_SECOND));
+        OriginSpec origin = new OriginSpec(40, 20 * NANOS_PER_MILLISECOND, 200, 4, 2 * NANOS_PER_SECOND, NANOS_PER_SECOND, 400);
         LoadSpec load =
                 new LoadSpec(
-                        balancers * REQUESTS_PER_BALANCER,
+                        balancers * REQUESTS_PER_SECOND_PER_BALANCER,
                         2_000,
                         0.95,
                         2,
-                        60 * MS,
+                        60 * NANOS_PER_MILLISECOND,
                         0.6,
                         1.0,
                         random.nextDouble() * 0.15,
                         random.nextDouble() * 0.1);
-        return new Day(
+        return new Scenario(
                 seed,
-                LENGTH,
+                DURATION_NANOS,
                 caches,
                 balancers,
-                between(0, 400) * MS,
-                500 * MS,
-                4 * SECOND,
+                between(0, 400) * NANOS_PER_MILLISECOND,
+                500 * NANOS_PER_MILLISECOND,
+                4 * NANOS_PER_SECOND,
                 cache,
-                archive,
+                origin,
                 load,
-                classes(longest),
+                classes(longestDeadlineNanos),
                 List.of(new TenantSpec("t", 1)),
                 faults(balancers, caches));
     }
 
-    private List<ClassSpec> classes(long longest) {
-        long read = longest / between(1, 3);
+    private List<ClassSpec> classes(long longestDeadlineNanos) {
+        long read = longestDeadlineNanos / between(1, 3);
         return List.of(
                 new ClassSpec(
-                        "read", 0.6, MS, 3 * MS, read / 2, read, 1, Referee.Effect.REPEATABLE),
+                        "read", 0.6, NANOS_PER_MILLISECOND, 3 * NANOS_PER_MILLISECOND, read / 2, read, 1, Referee.Effect.IDEMPOTENT),
                 new ClassSpec(
-                        "use", 0.25, MS, 4 * MS, longest, longest, 1, Referee.Effect.NEVER_TWICE),
-                new ClassSpec("note", 0.15, MS, 4 * MS, longest, longest, 1, Referee.Effect.KEYED));
+                        "use", 0.25, NANOS_PER_MILLISECOND, 4 * NANOS_PER_MILLISECOND, longestDeadlineNanos, longestDeadlineNanos, 1, Referee.Effect.NON_IDEMPOTENT),
+                new ClassSpec("note", 0.15, NANOS_PER_MILLISECOND, 4 * NANOS_PER_MILLISECOND, longestDeadlineNanos, longestDeadlineNanos, 1, Referee.Effect.IDEMPOTENT_BY_KEY));
     }
 
-    private long between(int least, int most) {
-        return least + random.nextInt(most - least + 1);
+    private long between(int min, int max) {
+        return min + random.nextInt(max - min + 1);
     }
 
     private List<FaultSpec> faults(int balancers, int caches) {
         List<FaultSpec> faults = new ArrayList<>();
-        stopSome(balancers, faults);
-        hangSome(caches, faults);
+        addBalancerStops(balancers, faults);
+        addCacheStalls(caches, faults);
         long further = between(6, 18);
         for (int i = 0; i < further; i++) {
-            faults.add(further(caches));
+            faults.add(drawFault(caches));
         }
-        faults.sort(Comparator.comparingLong(FaultSpec::at));
+        faults.sort(Comparator.comparingLong(FaultSpec::startNanos));
         return faults;
     }
 
@@ -134,11 +134,11 @@
      * From a third of the balancers to all of them are restarted, in an order and at times by
      * chance.
      */
-    private void stopSome(int balancers, List<FaultSpec> faults) {
+    private void addBalancerStops(int balancers, List<FaultSpec> faults) {
         long stops = between(balancers / 3 + 1, balancers);
         for (int i = 0; i < stops; i++) {
             String target = "balancer-" + (1 + random.nextInt(balancers));
-            faults.add(new FaultSpec(moment(LAST_STOP), FaultKind.BALANCER_STOP, target, 1, 0, 0));
+            faults.add(new FaultSpec(drawStartNanos(LAST_STOP_NANOS), FaultKind.BALANCER_STOP, target, 1, 0, 0));
         }
     }
 
@@ -146,8 +146,8 @@
      * A part of the caches hang, some more than once: what is sent to them has no answer. One hang
      * lies over a stop in any case.
      */
-    private void hangSome(int caches, List<FaultSpec> faults) {
-        long beforeStop = faults.get(0).at() - between(0, 300) * MS;
+    private void addCacheStalls(int caches, List<FaultSpec> faults) {
+        long beforeStop = faults.get(0).startNanos() - between(0, 300) * NANOS_PER_MILLISECOND;
         faults.add(
                 new FaultSpec(
                         beforeStop,
@@ -155,23 +155,23 @@
                         anyOf(caches),
                         1,
                         0,
-                        between(1_500, 3_500) * MS));
+                        between(1_500, 3_500) * NANOS_PER_MILLISECOND));
         long hangs = between(2, caches);
         for (int i = 0; i < hangs; i++) {
             faults.add(
                     new FaultSpec(
-                            moment(LAST_FAULT),
+                            drawStartNanos(LAST_FAULT_NANOS),
                             FaultKind.SILENCE,
                             anyOf(caches),
                             1,
                             0,
-                            between(500, 3_500) * MS));
+                            between(500, 3_500) * NANOS_PER_MILLISECOND));
         }
     }
 
-    private FaultSpec further(int caches) {
-        long at = moment(LAST_FAULT);
-        long length = between(300, 3_000) * MS;
+    private FaultSpec drawFault(int caches) {
+        long at = drawStartNanos(LAST_FAULT_NANOS);
+        long length = between(300, 3_000) * NANOS_PER_MILLISECOND;
         return switch (random.nextInt(15)) {
             case 0 -> new FaultSpec(at, FaultKind.KILL, anyOf(caches), 1, 0, length);
             case 1 -> new FaultSpec(at, FaultKind.RESTART, anyOf(caches), 1, 0, 0);
@@ -183,12 +183,12 @@
                             FaultKind.LINK_DELAY,
                             anyOf(caches),
                             1,
-                            between(10, 200) * MS,
+                            between(10, 200) * NANOS_PER_MILLISECOND,
                             length);
             case 5 -> new FaultSpec(at, FaultKind.LINK_STALL, anyOf(caches), 1, 0, length);
             case 6 -> new FaultSpec(at, FaultKind.LINK_CUT, anyOf(caches), 1, 0, length);
             case 7 -> new FaultSpec(at, FaultKind.DISCOVERY_OUTAGE, "any", 1, 0, length);
-            case 8 -> new FaultSpec(at, FaultKind.WATCH_SILENT, "any", 1, 22 * SECOND, 0);
+            case 8 -> new FaultSpec(at, FaultKind.WATCH_SILENT, "any", 1, 22 * NANOS_PER_SECOND, 0);
             case 9 -> new FaultSpec(at, FaultKind.RELOAD, "any-" + between(1, 4), 1, 0, 0);
             case 10 ->
                     new FaultSpec(
@@ -196,7 +196,7 @@
                             FaultKind.BALANCER_PAUSE,
                             "any-" + between(1, 4),
                             1,
-                            between(20, 150) * MS,
+                            between(20, 150) * NANOS_PER_MILLISECOND,
                             0);
             case 11 -> new FaultSpec(at, FaultKind.BALANCER_KILL, "any", 1, 0, 0);
             case 12 -> new FaultSpec(at, FaultKind.ARCHIVE_OUTAGE, "any", 1, 0, length);
@@ -208,13 +208,13 @@
                             FaultKind.DISCOVERY_LATE,
                             "any",
                             1,
-                            between(200, 2_000) * MS,
+                            between(200, 2_000) * NANOS_PER_MILLISECOND,
                             length);
         };
     }
 
-    private long moment(long last) {
-        return FIRST_FAULT + (long) (random.nextDouble() * (last - FIRST_FAULT));
+    private long drawStartNanos(long last) {
+        return FIRST_FAULT_NANOS + (long) (random.nextDouble() * (last - FIRST_FAULT_NANOS));
     }
 
     /** Up to a half of all caches. */
--- a/rig/src/main/java/frostrelay/rig/soak/SoakPlay.java
+++ b/rig/src/main/java/frostrelay/rig/soak/SoakRun.java
@@ -1,12 +1,12 @@
 package frostrelay.rig.soak;
 
-import frostrelay.rig.client.Tally;
-import frostrelay.rig.day.Day;
-import frostrelay.rig.fleet.DayPlay;
-import frostrelay.rig.fleet.Fleet;
-import frostrelay.rig.fleet.Program;
-import frostrelay.rig.fleet.Result;
-import frostrelay.rig.referee.Rule;
+import frostrelay.rig.client.ClientStatistics;
+import frostrelay.rig.day.Scenario;
+import frostrelay.rig.fleet.ScenarioRun;
+import frostrelay.rig.fleet.TestCluster;
+import frostrelay.rig.fleet.BalancerCommand;
+import frostrelay.rig.fleet.ScenarioResult;
+import frostrelay.rig.referee.Invariant;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -19,7 +19,7 @@
 import java.util.stream.Stream;
 
 /** Plays a drawn day on real processes and holds it against what must never happen. */
-public final class SoakPlay {
+public final class SoakRun {
     /** Events of a balancer's log that no fault from outside may cause. */
     private static final List<String> BAD_EVENTS =
             List.of(
@@ -36,19 +36,19 @@
                     "\"invariant\":\"WRITTEN_AGAINST_GUARD\"");
 
     /** Rules that are a matter of time. */
-    private static final Set<Rule> TIMING_RULES =
+    private static final Set<Invariant> TIMING_INVARIANTS =
             EnumSet.of(
-                    Rule.NO_ANSWER,
-                    Rule.BEGUN_AFTER_CLIENT_LEFT,
-                    Rule.WAIT_OVERSTATED,
-                    Rule.DRAIN_IGNORED);
+                    Invariant.NO_ANSWER,
+                    Invariant.BEGUN_AFTER_CLIENT_LEFT,
+                    Invariant.WAIT_OVERSTATED,
+                    Invariant.DRAIN_IGNORED);
 
-    private static final int MOST_LINES_EACH = 5;
+    private static final int MAX_LINES_PER_BALANCER = 5;
 
     /** From these on the machine was held up itself. */
-    private static final long HELD_UP_MS = 100;
+    private static final long STALLED_MILLIS = 100;
 
-    private static final double HELD_UP_PART = 0.05;
+    private static final double STOLEN_FRACTION_LIMIT = 0.05;
 
     /** What can be said of the program after a play. */
     public enum Verdict {
@@ -63,48 +63,48 @@
     /**
      * Something that must never happen and did.
      *
-     * @param timing whether it is a matter of time alone, which a machine that is held up can cause
+     * @param isTiming whether it is a matter of time alone, which a machine that is held up can cause
      *     as well
      */
-    public record Finding(String what, boolean timing) {}
+    public record Finding(String detail, boolean isTiming) {}
 
     /**
      * What a play came to.
      *
-     * @param stallMs how long the stand-ins themselves stood still at most
-     * @param stolenPart the part of the processor time that the machine beneath took away
+     * @param stallMillis how long the stand-ins themselves stood still at most
+     * @param stolenFraction the part of the processor time that the machine beneath took away
      */
     public record Outcome(
-            Day day, Result result, long stallMs, double stolenPart, List<Finding> findings) {
+            Scenario scenario, ScenarioResult result, long stallMillis, double stolenFraction, List<Finding> findings) {
         /** Whether what was found is the program's. */
         public Verdict verdict() {
             if (findings.isEmpty()) {
                 return Verdict.KEPT;
             }
-            boolean heldUp = stallMs >= HELD_UP_MS || stolenPart >= HELD_UP_PART;
-            return heldUp && findings.stream().allMatch(Finding::timing)
+            boolean wasStalled = stallMillis >= STALLED_MILLIS || stolenFraction >= STOLEN_FRACTION_LIMIT;
+            return wasStalled && findings.stream().allMatch(Finding::isTiming)
                     ? Verdict.UNDECIDED
                     : Verdict.BROKEN;
         }
     }
 
-    private SoakPlay() {}
+    private SoakRun() {}
 
     /**
-     * Plays a day. {@code folder}: where the balancers keep their files; {@code lines}: hears what
+     * Plays a day. {@code directory}: where the balancers keep their files; {@code lines}: hears what
      * happens.
      */
-    public static Outcome play(Day day, Path folder, Program program, Consumer<String> lines)
+    public static Outcome run(Scenario scenario, Path directory, BalancerCommand program, Consumer<String> lines)
             throws IOException, InterruptedException {
         List<Finding> findings = new ArrayList<>();
-        MachineLoad load = MachineLoad.begin();
-        Result result;
-        long stallMs;
-        try (Fleet fleet = new Fleet(day, folder, program)) {
+        MachineLoad load = MachineLoad.start();
+        ScenarioResult result;
+        long stallMillis;
+        try (TestCluster fleet = new TestCluster(scenario, directory, program)) {
             fleet.startBalancers();
-            result = DayPlay.play(fleet, lines);
-            stallMs = fleet.longestStallMs();
-            for (Fleet.Place place : fleet.balancers()) {
+            result = ScenarioRun.run(fleet, lines);
+            stallMillis = fleet.longestStallMillis();
+            for (TestCluster.BalancerInstance place : fleet.balancers()) {
                 if (!place.process().isAlive()) {
                     findings.add(
                             new Finding(
@@ -113,34 +113,34 @@
                 findings.addAll(badLines(place));
             }
         }
-        result.referee()
-                .breaches()
+        result.invariantChecker()
+                .violations()
                 .forEach(
                         breach ->
                                 findings.add(
                                         new Finding(
-                                                breach.rule() + ": " + breach.what(),
-                                                TIMING_RULES.contains(breach.rule()))));
-        long lost = result.tally().count(Tally.End.LOST);
+                                                breach.invariant() + ": " + breach.detail(),
+                                                TIMING_INVARIANTS.contains(breach.invariant()))));
+        long lost = result.statistics().count(ClientStatistics.Outcome.LOST);
         if (lost > 0) {
             findings.add(
                     new Finding("LOST: " + lost + " first tries ended without an answer", true));
         }
-        if (result.tally().wrongAnswers() > 0) {
+        if (result.statistics().wrongResponses() > 0) {
             findings.add(
                     new Finding(
                             "WRONG: "
-                                    + result.tally().wrongAnswers()
+                                    + result.statistics().wrongResponses()
                                     + " answers were not what was asked for",
                             false));
         }
-        return new Outcome(day, result, stallMs, load.stolenPart(), findings);
+        return new Outcome(scenario, result, stallMillis, load.stolenFraction(), findings);
     }
 
-    private static List<Finding> badLines(Fleet.Place place) throws IOException {
-        try (Stream<String> log = Files.lines(place.process().log())) {
+    private static List<Finding> badLines(TestCluster.BalancerInstance place) throws IOException {
+        try (Stream<String> log = Files.lines(place.process().logFile())) {
             return log.filter(line -> BAD_EVENTS.stream().anyMatch(line::contains))
-                    .limit(MOST_LINES_EACH)
+                    .limit(MAX_LINES_PER_BALANCER)
                     .map(
                             line ->
                                     new Finding(
--- a/rig/src/test/java/frostrelay/rig/cache/WorkEngineTest.java
+++ b/rig/src/test/java/frostrelay/rig/cache/WorkEngineTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostrelay.rig.referee.ColdMeter;
+import frostrelay.rig.referee.SlowStartMeter;
 
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
@@ -29,16 +29,16 @@
         WorkEngine<Integer> engine = new WorkEngine<>(1, slots, work.size());
         long sum = 0;
         for (int i = 0; i < work.size(); i++) {
-            assertTrue(engine.offer(0, i, work.get(i)) != WorkEngine.Offer.FULL);
+            assertTrue(engine.submit(0, i, work.get(i)) != WorkEngine.Admission.REJECTED);
             sum += work.get(i);
         }
-        List<Integer> done = new ArrayList<>();
+        List<Integer> finishedJobs = new ArrayList<>();
         long now = 0;
-        while (engine.next() != Long.MAX_VALUE) {
-            now = Math.max(now + 1, engine.next());
-            done.addAll(engine.finished(now));
+        while (engine.nextCompletionNanos() != Long.MAX_VALUE) {
+            now = Math.max(now + 1, engine.nextCompletionNanos());
+            finishedJobs.addAll(engine.takeFinished(now));
         }
-        assertEquals(work.size(), done.size());
+        assertEquals(work.size(), finishedJobs.size());
         assertTrue(
                 Math.abs(now - sum) <= 2L * work.size() + 2,
                 "all done at " + now + ", work " + sum);
@@ -53,20 +53,20 @@
         double load = 0.7;
         double work = 1e6;
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
-        ZigguratSampler.Exponential draws = ZigguratSampler.Exponential.of(random);
+        ZigguratSampler.Exponential exponential = ZigguratSampler.Exponential.of(random);
         WorkEngine<double[]> engine = new WorkEngine<>(1, 100_000, 0);
         double arrival = 0;
         double total = 0;
         int jobs = 200_000;
         for (int i = 0; i < jobs; i++) {
-            arrival += draws.sample() * work / load;
-            while (engine.next() <= arrival) {
-                long now = engine.next();
-                for (double[] job : engine.finished(now)) {
+            arrival += exponential.sample() * work / load;
+            while (engine.nextCompletionNanos() <= arrival) {
+                long now = engine.nextCompletionNanos();
+                for (double[] job : engine.takeFinished(now)) {
                     total += now - job[0];
                 }
             }
-            engine.offer((long) arrival, new double[] {arrival}, draws.sample() * work);
+            engine.submit((long) arrival, new double[] {arrival}, exponential.sample() * work);
         }
         double mean = total / jobs;
         double theory = work / (1 - load);
@@ -74,31 +74,31 @@
     }
 
     @Example
-    void aFullMachineTurnsAwayAndACancelledJobLeavesItsPlace() {
+    void aFullMachineRejectsAndACancelledJobFreesItsSlot() {
         WorkEngine<String> engine = new WorkEngine<>(1, 1, 1);
-        assertEquals(WorkEngine.Offer.RUNS, engine.offer(0, "a", 100));
-        assertEquals(WorkEngine.Offer.WAITS, engine.offer(0, "b", 100));
-        assertEquals(WorkEngine.Offer.FULL, engine.offer(0, "c", 100));
+        assertEquals(WorkEngine.Admission.RUNNING, engine.submit(0, "a", 100));
+        assertEquals(WorkEngine.Admission.QUEUED, engine.submit(0, "b", 100));
+        assertEquals(WorkEngine.Admission.REJECTED, engine.submit(0, "c", 100));
         assertFalse(
                 engine.remove(10, "a", false),
                 "work that runs goes on where a cancel does not stop it");
         assertTrue(engine.remove(10, "a", true));
-        assertEquals(110, engine.next(), "the next one began when the place was free");
-        engine.speed(60, 0.5);
-        assertEquals(160, engine.next());
+        assertEquals(110, engine.nextCompletionNanos(), "the next one began when the place was free");
+        engine.setSpeed(60, 0.5);
+        assertEquals(160, engine.nextCompletionNanos());
     }
 
     @Example
-    void aColdMachineBearsItsMultipleAndNoMore() {
-        ColdMeter.Warmth warmth = new ColdMeter.Warmth(0.15, 20_000_000_000L, 4, 1_000_000_000L);
+    void aMachineInSlowStartBearsItsMultipleAndNoMore() {
+        SlowStartMeter.SlowStartProfile slowStart = new SlowStartMeter.SlowStartProfile(0.15, 20_000_000_000L, 4, 1_000_000_000L);
         for (double multiple : new double[] {3.9, 6}) {
-            ColdMeter meter = new ColdMeter(warmth, 1, 0);
-            boolean over = false;
-            for (long at = 0; at < 3_000_000_000L; at += 10_000_000L) {
+            SlowStartMeter meter = new SlowStartMeter(slowStart, 1, 0);
+            boolean isOverloaded = false;
+            for (long atNanos = 0; atNanos < 3_000_000_000L; atNanos += 10_000_000L) {
                 // So many times what it can do just now, in steps of 10 ms.
-                over |= meter.reached(at, multiple * warmth.part(at) * 10_000_000L);
+                isOverloaded |= meter.addWork(atNanos, multiple * slowStart.capacityFraction(atNanos) * 10_000_000L);
             }
-            assertEquals(multiple > 4.4, over, "multiple " + multiple);
+            assertEquals(multiple > 4.4, isOverloaded, "multiple " + multiple);
         }
     }
 }
--- a/rig/src/test/java/frostrelay/rig/client/RequestPlanTest.java
+++ b/rig/src/test/java/frostrelay/rig/client/RequestPlanTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostrelay.rig.day.Day;
-import frostrelay.rig.day.DayFile;
+import frostrelay.rig.day.Scenario;
+import frostrelay.rig.day.ScenarioFile;
 import frostrelay.rig.day.Targets;
 
 import org.apache.commons.rng.simple.RandomSource;
@@ -18,50 +18,50 @@
 
 /** The same seed gives the same day, and the day is what its file says. */
 class RequestPlanTest {
-    private static List<Planned> plan(Day day, int count) {
-        RequestPlan plan = new RequestPlan(day);
-        List<Planned> all = new ArrayList<>();
+    private static List<PlannedRequest> plan(Scenario scenario, int count) {
+        RequestPlan plan = new RequestPlan(scenario);
+        List<PlannedRequest> requests = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(plan.next(1));
+            requests.add(plan.next(1));
         }
-        return all;
+        return requests;
     }
 
     @Test
-    void theSameSeedAsksTheSameThings() {
-        Day day = DayFile.demo();
-        assertEquals(plan(day, 5_000), plan(day, 5_000));
-        assertNotEquals(plan(day, 10), plan(day.seeded(8), 10));
-        List<Integer> met =
+    void theSameSeedPlansTheSameRequests() {
+        Scenario scenario = ScenarioFile.demo();
+        assertEquals(plan(scenario, 5_000), plan(scenario, 5_000));
+        assertNotEquals(plan(scenario, 10), plan(scenario.withSeed(8), 10));
+        List<Integer> targets =
                 Targets.choose("any-3", "cache", 10, RandomSource.XO_RO_SHI_RO_128_PP.create(9));
         assertEquals(
-                met,
+                targets,
                 Targets.choose("any-3", "cache", 10, RandomSource.XO_RO_SHI_RO_128_PP.create(9)));
-        assertEquals(3, met.stream().distinct().count());
+        assertEquals(3, targets.stream().distinct().count());
     }
 
     @Test
-    void ratesSharesAndPopularityAreThoseOfTheFile() {
-        Day day = DayFile.demo();
-        List<Planned> all = plan(day, 100_000);
+    void ratesClassMixAndPopularityAreThoseOfTheFile() {
+        Scenario scenario = ScenarioFile.demo();
+        List<PlannedRequest> requests = plan(scenario, 100_000);
         assertEquals(
-                day.load().rate(),
-                all.size() * 1e9 / all.get(all.size() - 1).at(),
-                day.load().rate() * 0.02);
+                scenario.load().requestsPerSecond(),
+                requests.size() * 1e9 / requests.get(requests.size() - 1).atNanos(),
+                scenario.load().requestsPerSecond() * 0.02);
         Map<String, Integer> keys = new HashMap<>();
-        long reads = all.stream().filter(one -> one.requestClass().name().equals("read")).count();
-        assertEquals(0.95, reads / (double) all.size(), 0.005);
-        all.forEach(one -> keys.merge(one.key(), 1, Integer::sum));
+        long reads = requests.stream().filter(request -> request.requestClass().name().equals("read")).count();
+        assertEquals(0.95, reads / (double) requests.size(), 0.005);
+        requests.forEach(request -> keys.merge(request.key(), 1, Integer::sum));
         double harmonic = 0;
-        for (int rank = 1; rank <= day.load().keys(); rank++) {
-            harmonic += Math.pow(rank, -day.load().zipf());
+        for (int rank = 1; rank <= scenario.load().keyCount(); rank++) {
+            harmonic += Math.pow(rank, -scenario.load().zipfExponent());
         }
         int hottest = keys.values().stream().mapToInt(Integer::intValue).max().orElse(0);
         assertEquals(
                 1 / harmonic,
-                hottest / (double) all.size(),
+                hottest / (double) requests.size(),
                 0.005,
                 "Zipf's share of the first key");
-        assertTrue(keys.size() <= day.load().keys());
+        assertTrue(keys.size() <= scenario.load().keyCount());
     }
 }
--- a/rig/src/test/java/frostrelay/rig/fleet/FleetTest.java
+++ b/rig/src/test/java/frostrelay/rig/fleet/FleetTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostrelay.rig.client.Tally;
-import frostrelay.rig.day.Day;
-import frostrelay.rig.day.DayFile;
+import frostrelay.rig.client.ClientStatistics;
+import frostrelay.rig.day.Scenario;
+import frostrelay.rig.day.ScenarioFile;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -16,7 +16,7 @@
 
 /** Real balancers on a fleet that goes wrong in every way that the fleet knows keep every rule. */
 class FleetTest {
-    private static final String DAY =
+    private static final String SCENARIO =
             """
             seed = 11
             length = "7s"
@@ -47,8 +47,8 @@
 
     @TempDir private Path folder;
 
-    private static String fault(String at, String kind, String rest) {
-        return "[[fault]]\nat = \"" + at + "\"\nkind = \"" + kind + "\"\n" + rest;
+    private static String fault(String at, String kind, String options) {
+        return "[[fault]]\nat = \"" + at + "\"\nkind = \"" + kind + "\"\n" + options;
     }
 
     /**
@@ -56,26 +56,26 @@
      * asked anew.
      */
     @Test
-    void drainsBehindSilentWatchesAreHeededInTime() throws Exception {
-        Day day =
-                DayFile.parse(
+    void drainsBehindUnresponsiveWatchesAreAppliedInTime() throws Exception {
+        Scenario scenario =
+                ScenarioFile.parse(
                         "day.toml",
-                        DAY.replace("length = \"7s\"", "length = \"10s\"")
+                        SCENARIO.replace("length = \"7s\"", "length = \"10s\"")
                                         .replace("balancers = 2", "balancers = 4")
                                 + fault("1500ms", "watch-silent", "amount = \"6s\"\n")
                                 + fault("1700ms", "drain", "target = \"cache-3\"\nfor = \"9s\"\n"));
         List<String> lines = new ArrayList<>();
-        Result result = DayPlay.play(day, folder, Program.ofClassPath(), lines::add);
-        assertEquals(0, result.referee().count(), result.referee().breaches().toString());
-        assertTrue(result.tally().asked() > 2_000);
+        ScenarioResult result = ScenarioRun.run(scenario, folder, BalancerCommand.fromClassPath(), lines::add);
+        assertEquals(0, result.invariantChecker().violationCount(), result.invariantChecker().violations().toString());
+        assertTrue(result.statistics().requests() > 2_000);
     }
 
     @Test
-    void everyRuleIsKeptThroughEveryFault() throws Exception {
-        Day day =
-                DayFile.parse(
+    void everyInvariantHoldsThroughEveryFault() throws Exception {
+        Scenario scenario =
+                ScenarioFile.parse(
                         "day.toml",
-                        DAY
+                        SCENARIO
                                 + fault("500ms", "kill", "target = \"cache-1\"\nfor = \"2s\"\n")
                                 + fault(
                                         "900ms",
@@ -107,13 +107,13 @@
                                 + fault("4s", "balancer-kill", "target = \"balancer-1\"\n")
                                 + fault("5s", "restart", "target = \"cache-5\"\n"));
         List<String> lines = new ArrayList<>();
-        Result result = DayPlay.play(day, folder, Program.ofClassPath(), lines::add);
-        assertEquals(0, result.referee().count(), result.referee().breaches().toString());
-        assertEquals(0, result.tally().wrongAnswers());
-        assertEquals(0, result.tally().count(Tally.End.LOST), result.text());
-        assertTrue(result.tally().asked() > 1_500);
+        ScenarioResult result = ScenarioRun.run(scenario, folder, BalancerCommand.fromClassPath(), lines::add);
+        assertEquals(0, result.invariantChecker().violationCount(), result.invariantChecker().violations().toString());
+        assertEquals(0, result.statistics().wrongResponses());
+        assertEquals(0, result.statistics().count(ClientStatistics.Outcome.LOST), result.text());
+        assertTrue(result.statistics().requests() > 1_500);
         assertTrue(
-                result.tally().count(Tally.End.IN_TIME) > result.tally().asked() / 2,
+                result.statistics().count(ClientStatistics.Outcome.IN_TIME) > result.statistics().requests() / 2,
                 result.text());
         assertTrue(
                 lines.stream().noneMatch(line -> line.contains("failed:")),
--- a/rig/src/test/java/frostrelay/rig/link/LinkTest.java
+++ b/rig/src/test/java/frostrelay/rig/link/FaultProxyTest.java
@@ -19,26 +19,26 @@
 import java.util.concurrent.TimeUnit;
 
 /** A link may be slow, narrow or still, but it never loses, doubles or swaps a byte. */
-class LinkTest {
+class FaultProxyTest {
     private static final NioEventLoopGroup GROUP = new NioEventLoopGroup(1);
 
     @AfterAll
-    static void end() {
+    static void stopEventLoop() {
         GROUP.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private record Through(Link link, InetSocketAddress address, ServerSocket far)
+    private record ProxiedServer(FaultProxy proxy, InetSocketAddress address, ServerSocket server)
             implements AutoCloseable {
-        static Through open() throws Exception {
-            ServerSocket far = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-            Link link = new Link(GROUP.next(), (InetSocketAddress) far.getLocalSocketAddress());
-            return new Through(link, link.listen(0), far);
+        static ProxiedServer open() throws Exception {
+            ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+            FaultProxy proxy = new FaultProxy(GROUP.next(), (InetSocketAddress) server.getLocalSocketAddress());
+            return new ProxiedServer(proxy, proxy.listen(0), server);
         }
 
-        CompletableFuture<byte[]> received() {
+        CompletableFuture<byte[]> readAllAsync() {
             return CompletableFuture.supplyAsync(
                     () -> {
-                        try (Socket socket = far.accept()) {
+                        try (Socket socket = server.accept()) {
                             return socket.getInputStream().readAllBytes();
                         } catch (IOException e) {
                             throw new IllegalStateException(e);
@@ -48,27 +48,27 @@
 
         @Override
         public void close() throws IOException {
-            far.close();
+            server.close();
         }
     }
 
     @Test
-    void bytesComeWholeAndInOrderThroughDelayStallAndNarrowing() throws Exception {
+    void bytesArriveCompleteAndInOrderThroughDelayStallAndLowBandwidth() throws Exception {
         byte[] sent = new byte[400_000];
         new Random(4).nextBytes(sent);
-        try (Through through = Through.open()) {
-            CompletableFuture<byte[]> received = through.received();
+        try (ProxiedServer proxied = ProxiedServer.open()) {
+            CompletableFuture<byte[]> received = proxied.readAllAsync();
             long start = System.nanoTime();
             try (Socket socket =
-                    new Socket(through.address.getAddress(), through.address.getPort())) {
-                through.link.delay(60_000_000L);
+                    new Socket(proxied.address.getAddress(), proxied.address.getPort())) {
+                proxied.proxy.setDelay(60_000_000L);
                 socket.getOutputStream().write(sent, 0, 1_000);
                 Thread.sleep(20);
-                through.link.bandwidth(4_000_000);
+                proxied.proxy.setBandwidth(4_000_000);
                 socket.getOutputStream().write(sent, 1_000, 199_000);
-                through.link.stall(true);
+                proxied.proxy.setStalled(true);
                 Thread.sleep(50);
-                through.link.stall(false);
+                proxied.proxy.setStalled(false);
                 socket.getOutputStream().write(sent, 200_000, 200_000);
             }
             assertArrayEquals(sent, received.get(20, TimeUnit.SECONDS));
@@ -78,13 +78,13 @@
 
     @Test
     void aCutResetsWhatIsOpenAndWhatComes() throws Exception {
-        try (Through through = Through.open();
+        try (ProxiedServer proxied = ProxiedServer.open();
                 Socket socket =
-                        new Socket(through.address.getAddress(), through.address.getPort());
-                Socket far = through.far.accept()) {
+                        new Socket(proxied.address.getAddress(), proxied.address.getPort());
+                Socket serverSocket = proxied.server.accept()) {
             socket.getOutputStream().write(1);
-            far.getInputStream().read();
-            through.link.cut(true);
+            serverSocket.getInputStream().read();
+            proxied.proxy.setCut(true);
             assertThrows(
                     IOException.class,
                     () -> {
@@ -92,12 +92,12 @@
                             throw new IOException("closed");
                         }
                     });
-            try (Socket again =
-                    new Socket(through.address.getAddress(), through.address.getPort())) {
+            try (Socket secondSocket =
+                    new Socket(proxied.address.getAddress(), proxied.address.getPort())) {
                 assertThrows(
                         IOException.class,
                         () -> {
-                            if (again.getInputStream().read() < 0) {
+                            if (secondSocket.getInputStream().read() < 0) {
                                 throw new IOException("closed");
                             }
                         });
--- a/rig/src/test/java/frostrelay/rig/referee/FaultyBalancer.java
+++ b/rig/src/test/java/frostrelay/rig/referee/FaultyBalancer.java
@@ -35,24 +35,24 @@
     }
 
     /** Every so many requests go wrong. */
-    private static final int EVERY = 10;
+    private static final int FAULT_INTERVAL_REQUESTS = 10;
 
     private final Fault fault;
-    private final long lateMs;
+    private final long lateSendDelayMillis;
     private final List<InetSocketAddress> caches = new ArrayList<>();
     private final ServerSocket server;
     private final InetSocketAddress discovery;
-    private final AtomicInteger turn = new AtomicInteger();
+    private final AtomicInteger requestCount = new AtomicInteger();
     private volatile byte[] lastValue;
 
     /**
-     * {@code config}: as a real balancer would get it; {@code lateMs}: how long it waits before it
+     * {@code config}: as a real balancer would get it; {@code lateSendDelayMillis}: how long it waits before it
      * sends late.
      */
-    FaultyBalancer(String config, InetSocketAddress listen, Fault fault, long lateMs)
+    FaultyBalancer(String config, InetSocketAddress listen, Fault fault, long lateSendDelayMillis)
             throws IOException {
         this.fault = fault;
-        this.lateMs = lateMs;
+        this.lateSendDelayMillis = lateSendDelayMillis;
         Map<?, ?> json = JSON.std.mapFrom(config);
         for (Object target : (List<?>) ((Map<?, ?>) json.get("known")).get("targets")) {
             caches.add(address((String) ((Map<?, ?>) target).get("endpoint")));
@@ -65,23 +65,23 @@
      * Takes clients, and asks discovery and hears everything; what it makes of that is its fault.
      */
     void start() {
-        run(
+        startThread(
                 () -> {
                     while (true) {
                         Socket client = server.accept();
-                        run(() -> serve(client));
+                        startThread(() -> serve(client));
                     }
                 });
-        run(
+        startThread(
                 () -> {
                     while (!server.isClosed()) {
-                        hear();
+                        pollDiscovery();
                         pause(50);
                     }
                 });
     }
 
-    private void hear() throws IOException {
+    private void pollDiscovery() throws IOException {
         try (Socket socket = new Socket(discovery.getAddress(), discovery.getPort())) {
             socket.getOutputStream()
                     .write(
@@ -97,11 +97,11 @@
                 text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    private interface Task {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void run(Task task) {
+    private static void startThread(IoTask task) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -115,9 +115,9 @@
         thread.start();
     }
 
-    private static void pause(long ms) {
+    private static void pause(long millis) {
         try {
-            Thread.sleep(ms);
+            Thread.sleep(millis);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -145,7 +145,7 @@
     }
 
     /** Null if the cache cannot be had. */
-    private Frame ask(InetSocketAddress cache, Frame command) {
+    private Frame forward(InetSocketAddress cache, Frame command) {
         try (Socket socket = new Socket(cache.getAddress(), cache.getPort())) {
             socket.getOutputStream().write(command.bytes);
             return read(new BufferedInputStream(socket.getInputStream()));
@@ -159,61 +159,61 @@
             client.setTcpNoDelay(true);
             InputStream in = new BufferedInputStream(client.getInputStream());
             for (Frame command = read(in); command != null; command = read(in)) {
-                answer(client, command);
+                respond(client, command);
             }
         }
     }
 
-    private void answer(Socket client, Frame command) throws IOException {
-        int number = turn.incrementAndGet();
-        boolean wrong = number % EVERY == 0;
-        boolean use = command.line.contains("c=use");
+    private void respond(Socket client, Frame command) throws IOException {
+        int requestNumber = requestCount.incrementAndGet();
+        boolean isFaulty = requestNumber % FAULT_INTERVAL_REQUESTS == 0;
+        boolean isUse = command.line.contains("c=use");
         InetSocketAddress cache =
-                caches.get(fault == Fault.SENDS_TO_THE_FIRST_ONLY ? 0 : number % caches.size());
-        if (wrong && fault == Fault.SAYS_NOTHING) {
+                caches.get(fault == Fault.SENDS_TO_THE_FIRST_ONLY ? 0 : requestNumber % caches.size());
+        if (isFaulty && fault == Fault.SAYS_NOTHING) {
             return;
         }
         // By its id: a client sends once more what a close may have crossed.
         if (fault == Fault.ENDS_THE_CONNECTION
-                && command.line.split(" ")[3].hashCode() % EVERY == 0) {
+                && command.line.split(" ")[3].hashCode() % FAULT_INTERVAL_REQUESTS == 0) {
             client.close();
             return;
         }
         if (fault == Fault.SENDS_TO_THE_FIRST_ONLY) {
             // Knows of the start before it sends: a cold cache may else fall over before any
             // balancer is at fault.
-            hear();
+            pollDiscovery();
         }
-        Frame answer = ask(cache, command);
-        if (answer == null) {
-            answer = new Frame("", "SERVER_ERROR failed\r\n".getBytes(StandardCharsets.ISO_8859_1));
+        Frame response = forward(cache, command);
+        if (response == null) {
+            response = new Frame("", "SERVER_ERROR failed\r\n".getBytes(StandardCharsets.ISO_8859_1));
         }
-        if (use && fault == Fault.SENDS_USES_TWICE) {
-            answer = ask(caches.get((number + 1) % caches.size()), command);
+        if (isUse && fault == Fault.SENDS_USES_TWICE) {
+            response = forward(caches.get((requestNumber + 1) % caches.size()), command);
         }
-        byte[] bytes = answer.bytes;
-        if (use && fault == Fault.REFUSES_WHAT_RAN) {
+        byte[] bytes = response.bytes;
+        if (isUse && fault == Fault.REFUSES_WHAT_RAN) {
             bytes = "SERVER_ERROR busy\r\n".getBytes(StandardCharsets.ISO_8859_1);
         }
-        if (use && fault == Fault.MAKES_RECEIPTS_UP) {
+        if (isUse && fault == Fault.MAKES_RECEIPTS_UP) {
             bytes =
-                    (answer.line.replaceFirst(" c\\S+", " cffff") + "\r\n")
+                    (response.line.replaceFirst(" c\\S+", " cffff") + "\r\n")
                             .getBytes(StandardCharsets.ISO_8859_1);
         }
-        if (answer.line.startsWith("VA")) {
-            byte[] other = lastValue;
+        if (response.line.startsWith("VA")) {
+            byte[] previousValue = lastValue;
             lastValue = bytes;
-            if (wrong && fault == Fault.MIXES_VALUES_UP && other != null) {
-                bytes = other;
+            if (isFaulty && fault == Fault.MIXES_VALUES_UP && previousValue != null) {
+                bytes = previousValue;
             }
         }
         client.getOutputStream().write(bytes);
-        if (wrong && fault == Fault.ANSWERS_TWICE) {
+        if (isFaulty && fault == Fault.ANSWERS_TWICE) {
             client.getOutputStream().write(bytes);
         }
         if (command.line.contains("c=note") && fault == Fault.SENDS_NOTES_LATE_AGAIN) {
-            pause(lateMs);
-            ask(caches.get((number + 1) % caches.size()), command);
+            pause(lateSendDelayMillis);
+            forward(caches.get((requestNumber + 1) % caches.size()), command);
         }
     }
 
--- a/rig/src/test/java/frostrelay/rig/referee/RefereeTest.java
+++ b/rig/src/test/java/frostrelay/rig/referee/InvariantCheckerTest.java
@@ -3,13 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostrelay.rig.client.Tally;
-import frostrelay.rig.day.Day;
-import frostrelay.rig.day.DayFile;
-import frostrelay.rig.fleet.DayPlay;
-import frostrelay.rig.fleet.Fleet;
-import frostrelay.rig.fleet.Program;
-import frostrelay.rig.fleet.Result;
+import frostrelay.rig.client.ClientStatistics;
+import frostrelay.rig.day.Scenario;
+import frostrelay.rig.day.ScenarioFile;
+import frostrelay.rig.fleet.ScenarioRun;
+import frostrelay.rig.fleet.TestCluster;
+import frostrelay.rig.fleet.BalancerCommand;
+import frostrelay.rig.fleet.ScenarioResult;
 import frostrelay.rig.referee.FaultyBalancer.Fault;
 
 import org.junit.jupiter.api.DynamicTest;
@@ -29,8 +29,8 @@
  * is the one called.
  */
 @Execution(ExecutionMode.SAME_THREAD)
-class RefereeTest {
-    private static final String DAY =
+class InvariantCheckerTest {
+    private static final String SCENARIO =
             """
             seed = 3
             length = "1200ms"
@@ -81,75 +81,75 @@
 
     @TempDir private Path folder;
 
-    private record Case(Fault fault, String day, Set<Rule> broken) {}
+    private record Case(Fault fault, String faults, Set<Invariant> violated) {}
 
-    private static Day day(String rate, String work, String faults) {
-        return DayFile.parse("day.toml", String.format(DAY, rate, work, work) + faults);
+    private static Scenario scenario(String rate, String work, String faults) {
+        return ScenarioFile.parse("day.toml", String.format(SCENARIO, rate, work, work) + faults);
     }
 
-    private Result play(Case one) throws Exception {
-        String rate = one.fault == Fault.SENDS_TO_THE_FIRST_ONLY ? "400/s" : "150/s";
-        String work = one.fault == Fault.SENDS_TO_THE_FIRST_ONLY ? "5ms" : "1ms";
-        try (Fleet fleet = new Fleet(day(rate, work, one.day), folder, (Program) null);
+    private ScenarioResult play(Case testCase) throws Exception {
+        String rate = testCase.fault == Fault.SENDS_TO_THE_FIRST_ONLY ? "400/s" : "150/s";
+        String work = testCase.fault == Fault.SENDS_TO_THE_FIRST_ONLY ? "5ms" : "1ms";
+        try (TestCluster fleet = new TestCluster(scenario(rate, work, testCase.faults), folder, (BalancerCommand) null);
                 FaultyBalancer balancer =
                         new FaultyBalancer(
                                 fleet.balancers().get(0).config(),
-                                fleet.balancers().get(0).listen(),
-                                one.fault,
+                                fleet.balancers().get(0).listenAddress(),
+                                testCase.fault,
                                 300)) {
             balancer.start();
-            return DayPlay.play(fleet, line -> {});
+            return ScenarioRun.run(fleet, line -> {});
         }
     }
 
     @TestFactory
-    List<DynamicTest> eachBreachIsSeenAndNoOther() {
+    List<DynamicTest> eachViolationIsDetectedAndNoOther() {
         List<DynamicTest> tests = new ArrayList<>();
-        for (Case one :
+        for (Case testCase :
                 List.of(
-                        new Case(Fault.NONE, "", EnumSet.noneOf(Rule.class)),
-                        new Case(Fault.SAYS_NOTHING, "", EnumSet.of(Rule.NO_ANSWER)),
-                        new Case(Fault.ENDS_THE_CONNECTION, "", EnumSet.of(Rule.NO_ANSWER)),
+                        new Case(Fault.NONE, "", EnumSet.noneOf(Invariant.class)),
+                        new Case(Fault.SAYS_NOTHING, "", EnumSet.of(Invariant.NO_ANSWER)),
+                        new Case(Fault.ENDS_THE_CONNECTION, "", EnumSet.of(Invariant.NO_ANSWER)),
                         new Case(
                                 Fault.ANSWERS_TWICE,
                                 "",
-                                EnumSet.of(Rule.TWO_ANSWERS, Rule.FOREIGN_ANSWER)),
-                        new Case(Fault.SENDS_USES_TWICE, "", EnumSet.of(Rule.RAN_TWICE)),
+                                EnumSet.of(Invariant.TWO_ANSWERS, Invariant.FOREIGN_ANSWER)),
+                        new Case(Fault.SENDS_USES_TWICE, "", EnumSet.of(Invariant.RAN_TWICE)),
                         new Case(
                                 Fault.SENDS_NOTES_LATE_AGAIN,
                                 "",
-                                EnumSet.of(Rule.KEYED_TWICE, Rule.WAIT_OVERSTATED)),
+                                EnumSet.of(Invariant.KEYED_TWICE, Invariant.WAIT_OVERSTATED)),
                         new Case(
                                 Fault.REFUSES_WHAT_RAN,
                                 "",
-                                EnumSet.of(Rule.REFUSED_BUT_RAN, Rule.RAN_TWICE)),
-                        new Case(Fault.MIXES_VALUES_UP, "", EnumSet.of(Rule.FOREIGN_ANSWER)),
-                        new Case(Fault.MAKES_RECEIPTS_UP, "", EnumSet.of(Rule.FOREIGN_ANSWER)),
-                        new Case(Fault.NONE, DRAIN, EnumSet.of(Rule.DRAIN_IGNORED)),
+                                EnumSet.of(Invariant.REFUSED_BUT_RAN, Invariant.RAN_TWICE)),
+                        new Case(Fault.MIXES_VALUES_UP, "", EnumSet.of(Invariant.FOREIGN_ANSWER)),
+                        new Case(Fault.MAKES_RECEIPTS_UP, "", EnumSet.of(Invariant.FOREIGN_ANSWER)),
+                        new Case(Fault.NONE, DRAIN, EnumSet.of(Invariant.DRAIN_IGNORED)),
                         new Case(
                                 Fault.SENDS_TO_THE_FIRST_ONLY,
                                 RESTART,
-                                EnumSet.of(Rule.COLD_OVERDRIVEN)))) {
+                                EnumSet.of(Invariant.COLD_OVERDRIVEN)))) {
             tests.add(
                     DynamicTest.dynamicTest(
-                            one.fault + " " + one.broken,
+                            testCase.fault + " " + testCase.violated,
                             () -> {
-                                Result result = play(one);
-                                for (Rule rule : Rule.values()) {
-                                    boolean may = one.broken.contains(rule);
+                                ScenarioResult result = play(testCase);
+                                for (Invariant invariant : Invariant.values()) {
+                                    boolean isExpected = testCase.violated.contains(invariant);
                                     assertTrue(
-                                            may || result.referee().count(rule) == 0,
-                                            result.referee().breaches().toString());
+                                            isExpected || result.invariantChecker().violationCount(invariant) == 0,
+                                            result.invariantChecker().violations().toString());
                                 }
                                 assertEquals(
-                                        !one.broken.isEmpty(),
-                                        result.referee().count() > 0,
+                                        !testCase.violated.isEmpty(),
+                                        result.invariantChecker().violationCount() > 0,
                                         result.text());
-                                assertTrue(result.tally().asked() > 100);
-                                assertEquals(one.broken.isEmpty(), result.good());
+                                assertTrue(result.statistics().requests() > 100);
+                                assertEquals(testCase.violated.isEmpty(), result.isSuccessful());
                                 assertEquals(
-                                        one.broken.contains(Rule.NO_ANSWER),
-                                        result.tally().count(Tally.End.LOST) > 0);
+                                        testCase.violated.contains(Invariant.NO_ANSWER),
+                                        result.statistics().count(ClientStatistics.Outcome.LOST) > 0);
                             }));
         }
         return tests;
--- a/rig/src/test/java/frostrelay/rig/soak/SoakPlanTest.java
+++ b/rig/src/test/java/frostrelay/rig/soak/SoakPlanTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostrelay.rig.day.Day;
+import frostrelay.rig.day.Scenario;
 import frostrelay.rig.day.FaultKind;
 import frostrelay.rig.day.FaultSpec;
 import frostrelay.rig.day.Targets;
@@ -20,41 +20,41 @@
  * seeds.
  */
 class SoakPlanTest {
-    private static final int SEEDS = 60;
+    private static final int SEED_COUNT = 60;
 
     @Test
-    void theSameSeedGivesTheSameDayAndAnotherOneAnother() {
+    void theSameSeedGivesTheSameScenarioAndAnotherOneAnother() {
         assertEquals(SoakPlan.draw(7, 0), SoakPlan.draw(7, 0));
         assertNotEquals(SoakPlan.draw(7, 0), SoakPlan.draw(8, 0));
         assertEquals(3, SoakPlan.draw(7, 3).balancers());
     }
 
     @Test
-    void faultsOverlapAndMeetSomebody() {
+    void faultsOverlapAndHaveTargets() {
         Set<FaultKind> kinds = EnumSet.noneOf(FaultKind.class);
-        for (long seed = 1; seed <= SEEDS; seed++) {
-            Day day = SoakPlan.draw(seed, 0);
-            assertTrue(day.balancers() >= 10 && day.balancers() <= 40, "seed " + seed);
-            List<FaultSpec> faults = day.faults();
+        for (long seed = 1; seed <= SEED_COUNT; seed++) {
+            Scenario scenario = SoakPlan.draw(seed, 0);
+            assertTrue(scenario.balancers() >= 10 && scenario.balancers() <= 40, "seed " + seed);
+            List<FaultSpec> faults = scenario.faults();
             for (FaultSpec fault : faults) {
                 kinds.add(fault.kind());
                 assertTrue(
-                        fault.at() + fault.length() <= day.length() + 1_000_000_000L, fault.text());
-                int most =
-                        fault.kind().meets == FaultKind.Meets.CACHE
-                                ? day.caches()
-                                : day.balancers();
-                String name = fault.kind().meets == FaultKind.Meets.CACHE ? "cache" : "balancer";
+                        fault.startNanos() + fault.durationNanos() <= scenario.durationNanos() + 1_000_000_000L, fault.describe());
+                int max =
+                        fault.kind().targetKind == FaultKind.TargetKind.CACHE
+                                ? scenario.caches()
+                                : scenario.balancers();
+                String name = fault.kind().targetKind == FaultKind.TargetKind.CACHE ? "cache" : "balancer";
                 assertTrue(
-                        fault.kind().meets == FaultKind.Meets.NOBODY
-                                || Targets.count(fault.target(), name, most) > 0,
-                        fault.text());
+                        fault.kind().targetKind == FaultKind.TargetKind.NONE
+                                || Targets.count(fault.target(), name, max) > 0,
+                        fault.describe());
             }
             long stops =
                     faults.stream()
                             .filter(fault -> fault.kind() == FaultKind.BALANCER_STOP)
                             .count();
-            assertTrue(stops > day.balancers() / 3, "seed " + seed);
+            assertTrue(stops > scenario.balancers() / 3, "seed " + seed);
             assertTrue(hangsDuringAStop(faults), "seed " + seed);
         }
         assertTrue(kinds.size() >= 16, kinds.toString());
@@ -69,9 +69,9 @@
                                         .anyMatch(
                                                 stop ->
                                                         stop.kind() == FaultKind.BALANCER_STOP
-                                                                && stop.at() >= hang.at()
-                                                                && stop.at()
-                                                                        <= hang.at()
-                                                                                + hang.length()));
+                                                                && stop.startNanos() >= hang.startNanos()
+                                                                && stop.startNanos()
+                                                                        <= hang.startNanos()
+                                                                                + hang.durationNanos()));
     }
 }
--- a/stragglers/src/main/java/frostrelay/stragglers/Overrides.java
+++ b/stragglers/src/main/java/frostrelay/stragglers/OperatorOverrides.java
@@ -7,7 +7,7 @@
  * keep-in}, {@code shut-out}, and {@code follow:config:7} or {@code follow:list:9} for a version
  * that is followed although others fail under it. Unknown words are passed over.
  */
-public record Overrides(Set<String> words) {
+public record OperatorOverrides(Set<String> directives) {
     /** Stays in however far it lags behind; goes before {@link #SHUT_OUT}. */
     public static final String KEEP_IN = "keep-in";
 
@@ -15,22 +15,22 @@
     public static final String SHUT_OUT = "shut-out";
 
     /** Nothing. */
-    public static final Overrides NONE = new Overrides(Set.of());
+    public static final OperatorOverrides NONE = new OperatorOverrides(Set.of());
 
     /** The word by which a version is followed all the same. */
-    public static String follow(Kind kind, long number) {
+    public static String followDirective(VersionKind kind, long number) {
         return "follow:" + kind.name().toLowerCase(java.util.Locale.ROOT) + ':' + number;
     }
 
-    boolean keepsIn() {
-        return words.contains(KEEP_IN);
+    boolean isKeptIn() {
+        return directives.contains(KEEP_IN);
     }
 
-    boolean shutsOut() {
-        return words.contains(SHUT_OUT) && !keepsIn();
+    boolean isShutOut() {
+        return directives.contains(SHUT_OUT) && !isKeptIn();
     }
 
-    boolean follows(Kind kind, long number) {
-        return words.contains(follow(kind, number));
+    boolean isFollowed(VersionKind kind, long number) {
+        return directives.contains(followDirective(kind, number));
     }
 }
--- a/stragglers/src/main/java/frostrelay/stragglers/Heed.java
+++ b/stragglers/src/main/java/frostrelay/stragglers/PeerFreshness.java
@@ -1,7 +1,7 @@
 package frostrelay.stragglers;
 
 /** Whether what another says of shared state is to be gone by. */
-public enum Heed {
+public enum PeerFreshness {
     /** It acts on a list as new as this balancer's, or has not been behind for long. */
     CURRENT,
     /**
