--- a/adapter/src/main/java/frostrelay/adapter/Adapter.java
+++ b/adapter/src/main/java/frostrelay/adapter/Adapter.java
@@ -1,7 +1,14 @@
 package frostrelay.adapter;
 
-import frostrelay.policy.Api;
 import frostrelay.policy.Router;
+import frostrelay.policy.api.AttemptOutcome;
+import frostrelay.policy.api.AttemptResult;
+import frostrelay.policy.api.EndpointState;
+import frostrelay.policy.api.EndpointUpdateMode;
+import frostrelay.policy.api.PolicySettings;
+import frostrelay.policy.api.Request;
+import frostrelay.policy.api.ResponseSource;
+import frostrelay.policy.api.Server;
 import frostrelay.settings.SettingsException;
 import frostrelay.settings.SettingsParser;
 
@@ -45,7 +52,7 @@
     private final boolean gossipEnabled;
     private final ReplyWriter reply = new ReplyWriter();
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<Api.Server>> serverLists = new ArrayList<>();
+    private final List<List<Server>> serverLists = new ArrayList<>();
     private ByteBuffer frame;
     private int tailOffset;
 
@@ -128,7 +135,8 @@
         Router router = instance.router();
         switch (code) {
             case 1 -> {
-                if (instance.gossip() != null && frame.getInt(offset + 5) == SimulatedGossip.TIMER_TOKEN) {
+                if (instance.gossip() != null
+                        && frame.getInt(offset + 5) == SimulatedGossip.TIMER_TOKEN) {
                     instance.gossip().onTimer(now);
                 } else {
                     router.onTimer(now, frame.getInt(offset + 5));
@@ -138,18 +146,21 @@
             case 3 -> instances.remove(balancer);
             case 4 -> handleGossipMessage(now, offset, instance);
             case 6 -> {
-                List<Api.Server> servers = serverListOf(offset);
+                List<Server> servers = serverListOf(offset);
                 router.onEndpointUpdate(now, readListMode(offset), servers);
-                if (instance.gossip() != null && readListMode(offset) != Api.ListMode.FAILED) {
+                if (instance.gossip() != null
+                        && readListMode(offset) != EndpointUpdateMode.FAILED) {
                     instance.gossip()
                             .onListApplied(
                                     now,
                                     frame.getLong(offset + 6),
-                                    readListMode(offset) == Api.ListMode.DELTA,
+                                    readListMode(offset) == EndpointUpdateMode.DELTA,
                                     servers);
                 }
             }
-            case 8 -> router.onFirstByte(now, frame.getLong(offset + 5), readUnsignedShort(offset + 13));
+            case 8 ->
+                    router.onFirstByte(
+                            now, frame.getLong(offset + 5), readUnsignedShort(offset + 13));
             case 9 -> router.onClientDisconnect(now, frame.getLong(offset + 5));
             case 10 -> router.onRequest(now, readRequest(offset, instance.classCount()));
             default -> {
@@ -158,7 +169,7 @@
         }
     }
 
-    private static Api.Settings parseSettings(String text) {
+    private static PolicySettings parseSettings(String text) {
         try {
             return SettingsParser.parse(text);
         } catch (SettingsException e) {
@@ -180,7 +191,7 @@
     private void startInstance(long now, int offset, int balancer) {
         int[] range = tailRange(offset + 13, 1);
         String text = new String(frame.array(), range[0], range[1], StandardCharsets.UTF_8);
-        Api.Settings settings = parseSettings(text);
+        PolicySettings settings = parseSettings(text);
         if (settings.classes().isEmpty()) {
             throw new WireException("settings of balancer " + balancer + " name no request class");
         }
@@ -204,7 +215,7 @@
 
     private void readServerList(int offset) {
         int[] range = tailRange(offset + 2, LIST_ENTRY_BYTES);
-        List<Api.Server> servers = new ArrayList<>(range[1]);
+        List<Server> servers = new ArrayList<>(range[1]);
         for (int i = 0; i < range[1]; i++) {
             int entryOffset = range[0] + i * LIST_ENTRY_BYTES;
             int state = frame.get(entryOffset + 11);
@@ -212,12 +223,12 @@
                 throw new WireException("unknown server condition " + state);
             }
             servers.add(
-                    new Api.Server(
+                    new Server(
                             readServerAddress(entryOffset),
                             readUnsignedShort(entryOffset + 6),
                             frame.get(entryOffset + 8) & 0xff,
                             readUnsignedShort(entryOffset + 9),
-                            Api.State.values()[state],
+                            EndpointState.values()[state],
                             frame.getFloat(entryOffset + 12),
                             frame.getLong(entryOffset + 16)));
         }
@@ -232,16 +243,16 @@
         return number;
     }
 
-    private Api.ListMode readListMode(int offset) {
+    private EndpointUpdateMode readListMode(int offset) {
         int mode = frame.get(offset + 5) & 0xff;
-        if (mode >= Api.ListMode.values().length) {
+        if (mode >= EndpointUpdateMode.values().length) {
             throw new WireException("unknown list mode " + mode);
         }
-        return Api.ListMode.values()[mode];
+        return EndpointUpdateMode.values()[mode];
     }
 
-    private List<Api.Server> serverListOf(int offset) {
-        if (readListMode(offset) == Api.ListMode.FAILED) {
+    private List<Server> serverListOf(int offset) {
+        if (readListMode(offset) == EndpointUpdateMode.FAILED) {
             return List.of();
         }
         int number = readListNumber(offset + 14);
@@ -251,13 +262,13 @@
         return serverLists.get(number);
     }
 
-    private Api.Request readRequest(int offset, int classCount) {
+    private Request readRequest(int offset, int classCount) {
         int attributes = frame.get(offset + 47);
         int requestClass = readUnsignedShort(offset + 13);
         if (requestClass >= classCount) {
             throw new WireException("unknown request class " + requestClass);
         }
-        return new Api.Request(
+        return new Request(
                 frame.getLong(offset + 5),
                 requestClass,
                 frame.getInt(offset + 15) & Integer.MAX_VALUE,
@@ -268,19 +279,19 @@
                 (attributes & ATTR_WRITE) != 0);
     }
 
-    private Api.Outcome readOutcome(int offset) {
+    private AttemptOutcome readOutcome(int offset) {
         int code = readUnsignedShort(offset + 21);
-        Api.Reason reason =
+        AttemptResult reason =
                 switch (code) {
-                    case 200 -> Api.Reason.OK;
-                    case 204 -> Api.Reason.MISS;
-                    case 408 -> Api.Reason.TIMEOUT;
-                    case 409 -> Api.Reason.SUPERSEDED;
-                    case 429 -> Api.Reason.REJECTED;
-                    case 444 -> Api.Reason.CANCELLED;
-                    case 502 -> Api.Reason.ERROR;
-                    case 520 -> Api.Reason.RESET;
-                    case 521 -> Api.Reason.CONNECT_FAILED;
+                    case 200 -> AttemptResult.OK;
+                    case 204 -> AttemptResult.MISS;
+                    case 408 -> AttemptResult.TIMEOUT;
+                    case 409 -> AttemptResult.SUPERSEDED;
+                    case 429 -> AttemptResult.REJECTED;
+                    case 444 -> AttemptResult.CANCELLED;
+                    case 502 -> AttemptResult.ERROR;
+                    case 520 -> AttemptResult.RESET;
+                    case 521 -> AttemptResult.CONNECT_FAILED;
                     default -> throw new WireException("unknown outcome " + code);
                 };
         int reportLength = Math.min(4, frame.get(offset + 36) & 0xff);
@@ -288,13 +299,13 @@
         for (int i = 0; i < reportLength; i++) {
             loadReport[i] = frame.getFloat(offset + 37 + 4 * i);
         }
-        Api.Source source =
+        ResponseSource source =
                 switch (frame.getInt(offset + 32)) {
-                    case 1 -> Api.Source.CACHE;
-                    case 2, 3 -> Api.Source.ORIGIN;
-                    default -> Api.Source.UNKNOWN;
+                    case 1 -> ResponseSource.CACHE;
+                    case 2, 3 -> ResponseSource.ORIGIN;
+                    default -> ResponseSource.UNKNOWN;
                 };
-        return new Api.Outcome(
+        return new AttemptOutcome(
                 frame.getLong(offset + 5),
                 readUnsignedShort(offset + 13),
                 reason,
--- a/adapter/src/main/java/frostrelay/adapter/Main.java
+++ b/adapter/src/main/java/frostrelay/adapter/Main.java
@@ -23,7 +23,8 @@
             System.err.println("frostrelay: usage: java -jar frostrelay-adapter.jar adapter");
             System.exit(1);
         }
-        InputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in), BUFFER_BYTES);
+        InputStream in =
+                new BufferedInputStream(new FileInputStream(FileDescriptor.in), BUFFER_BYTES);
         int status = serve(in, new FileOutputStream(FileDescriptor.out), System.err);
         if (status != 0) {
             System.exit(status);
--- a/adapter/src/main/java/frostrelay/adapter/ReplyWriter.java
+++ b/adapter/src/main/java/frostrelay/adapter/ReplyWriter.java
@@ -1,6 +1,6 @@
 package frostrelay.adapter;
 
-import frostrelay.policy.Api;
+import frostrelay.policy.api.PolicyActions;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -68,8 +68,8 @@
     }
 
     /** The actions of one instance. */
-    Api.Actions actionsOf(int balancer) {
-        return new Api.Actions() {
+    PolicyActions actionsOf(int balancer) {
+        return new PolicyActions() {
             @Override
             public void send(long requestId, long serverId, long abandonAtNanos) {
                 int offset = appendRecord(SEND, balancer);
--- a/adapter/src/main/java/frostrelay/adapter/SimulatedGossip.java
+++ b/adapter/src/main/java/frostrelay/adapter/SimulatedGossip.java
@@ -1,15 +1,18 @@
 package frostrelay.adapter;
 
-import frostrelay.peers.Incarnation;
-import frostrelay.peers.MemberSnapshot;
-import frostrelay.peers.GossipSettings;
-import frostrelay.peers.GossipNode;
-import frostrelay.peers.AppliedVersions;
-import frostrelay.peers.MemberState;
-import frostrelay.policy.Api;
-import frostrelay.stragglers.VersionKind;
-import frostrelay.stragglers.StalenessSettings;
-import frostrelay.stragglers.StalenessDetector;
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.gossip.GossipNode;
+import frostrelay.gossip.GossipSettings;
+import frostrelay.gossip.Incarnation;
+import frostrelay.gossip.MemberSnapshot;
+import frostrelay.gossip.MemberState;
+import frostrelay.policy.api.EndpointState;
+import frostrelay.policy.api.EndpointUpdateMode;
+import frostrelay.policy.api.PolicyEvents;
+import frostrelay.policy.api.Server;
+import frostrelay.staleness.StalenessDetector;
+import frostrelay.staleness.StalenessSettings;
+import frostrelay.staleness.VersionKind;
 
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -22,11 +25,12 @@
 
 /**
  * One hosted balancer's talk with its peers on the simulator's wire, and what it makes of that: the
- * same {@link GossipNode} and {@link StalenessDetector} as on sockets. The wire has no call of discovery out of
- * turn, no file to read again and no readiness: here a straggler leaves alone what others know as
- * draining, and no more.
+ * same {@link GossipNode} and {@link StalenessDetector} as on sockets. The wire has no call of
+ * discovery out of turn, no file to read again and no readiness: here a straggler leaves alone what
+ * others know as draining, and no more.
  */
-final class SimulatedGossip implements GossipNode.Actions, GossipNode.Listener, StalenessDetector.Actions {
+final class SimulatedGossip
+        implements GossipNode.Actions, GossipNode.Listener, StalenessDetector.Actions {
     /** No timer of the decision module has it. */
     static final int TIMER_TOKEN = Integer.MIN_VALUE;
 
@@ -44,9 +48,9 @@
     private final int balancer;
     private final GossipNode gossip;
     private final StalenessDetector stalenessDetector;
-    private final Api.Events policy;
+    private final PolicyEvents policy;
     private final Set<Long> readyCaches = new HashSet<>();
-    private final Map<Long, Api.Server> serversById = new HashMap<>();
+    private final Map<Long, Server> serversById = new HashMap<>();
     private Set<Long> avoidedCaches = Set.of();
     private AppliedVersions appliedVersions;
     private int sequence;
@@ -61,15 +65,18 @@
             int rank,
             int count,
             String settings,
-            Api.Events policy) {
+            PolicyEvents policy) {
         this.policy = policy;
         this.reply = reply;
         this.balancer = balancer;
         this.now = now;
         CRC32C digest = new CRC32C();
         digest.update(settings.getBytes(StandardCharsets.UTF_8));
-        appliedVersions = new AppliedVersions(1, AppliedVersions.NO_NUMBER, digest.getValue(), 0, 0, 0, 0);
-        stalenessDetector = new StalenessDetector(StalenessSettings.STANDARD, rank, count, seed, appliedVersions, this);
+        appliedVersions =
+                new AppliedVersions(1, AppliedVersions.NO_NUMBER, digest.getValue(), 0, 0, 0, 0);
+        stalenessDetector =
+                new StalenessDetector(
+                        StalenessSettings.STANDARD, rank, count, seed, appliedVersions, this);
         gossip =
                 new GossipNode(
                         GossipSettings.STANDARD,
@@ -95,7 +102,7 @@
             int rank,
             int count,
             String settings,
-            Api.Events policy) {
+            PolicyEvents policy) {
         boolean isEnabled = settings.lines().anyMatch(ENABLING_SETTING::equals);
         return isRequested && isEnabled && count > 1 && rank < count
                 ? new SimulatedGossip(reply, balancer, now, seed, rank, count, settings, policy)
@@ -103,7 +110,7 @@
     }
 
     /** It has taken this version of the list; {@code isDelta}: these are changes to it. */
-    void onListApplied(long atNanos, long listRevision, boolean isDelta, List<Api.Server> servers) {
+    void onListApplied(long atNanos, long listRevision, boolean isDelta, List<Server> servers) {
         now = atNanos;
         Set<Long> previouslyReady = new HashSet<>(readyCaches);
         if (!isDelta) {
@@ -111,8 +118,8 @@
             serversById.clear();
         }
         servers.forEach(server -> serversById.put(server.id(), server));
-        for (Api.Server server : servers) {
-            if (server.state() == Api.State.READY) {
+        for (Server server : servers) {
+            if (server.state() == EndpointState.READY) {
                 readyCaches.add(server.id());
             } else {
                 readyCaches.remove(server.id());
@@ -121,8 +128,21 @@
         Set<Long> changed = new HashSet<>(previouslyReady);
         changed.addAll(readyCaches);
         changed.removeIf(id -> previouslyReady.contains(id) == readyCaches.contains(id));
-        changed.stream().sorted().forEach(id -> gossip.announceCacheState(now, listRevision, id, readyCaches.contains(id)));
-        appliedVersions = new AppliedVersions(appliedVersions.buildDigest(), appliedVersions.configNumber(), appliedVersions.configDigest(), listRevision, 0, 0, 0);
+        changed.stream()
+                .sorted()
+                .forEach(
+                        id ->
+                                gossip.announceCacheState(
+                                        now, listRevision, id, readyCaches.contains(id)));
+        appliedVersions =
+                new AppliedVersions(
+                        appliedVersions.buildDigest(),
+                        appliedVersions.configNumber(),
+                        appliedVersions.configDigest(),
+                        listRevision,
+                        0,
+                        0,
+                        0);
         gossip.updateAppliedVersions(now, appliedVersions, ++sequence);
         stalenessDetector.onLocalVersions(now, appliedVersions, Set.copyOf(readyCaches));
         schedule();
@@ -200,23 +220,25 @@
         Set<Long> changed = new TreeSet<>(avoidedCaches);
         changed.addAll(caches);
         changed.removeIf(
-                id -> avoidedCaches.contains(id) == caches.contains(id) || !serversById.containsKey(id));
+                id ->
+                        avoidedCaches.contains(id) == caches.contains(id)
+                                || !serversById.containsKey(id));
         avoidedCaches = caches;
         policy.onEndpointUpdate(
                 now,
-                Api.ListMode.DELTA,
+                EndpointUpdateMode.DELTA,
                 changed.stream()
                         .map(serversById::get)
                         .map(
                                 server ->
                                         !caches.contains(server.id())
                                                 ? server
-                                                : new Api.Server(
+                                                : new Server(
                                                         server.id(),
                                                         server.zone(),
                                                         server.kind(),
                                                         server.cell(),
-                                                        Api.State.DRAINING,
+                                                        EndpointState.DRAINING,
                                                         server.weight(),
                                                         server.startedAtNanos()))
                         .toList());
--- a/audit/src/main/java/frostrelay/audit/AuditLog.java
+++ b/audit/src/main/java/frostrelay/audit/AuditLog.java
@@ -1,8 +1,8 @@
 package frostrelay.audit;
 
-import frostrelay.peers.GossipNode;
-import frostrelay.peers.AppliedVersions;
-import frostrelay.peers.MemberState;
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.gossip.GossipNode;
+import frostrelay.gossip.MemberState;
 
 import java.util.Arrays;
 import java.util.HashMap;
@@ -34,8 +34,8 @@
     private Cause cause = Cause.START;
 
     /**
-     * {@code recordsEachSend}: whether every send is entered by itself; {@code incarnation}: of this life
-     * among its peers.
+     * {@code recordsEachSend}: whether every send is entered by itself; {@code incarnation}: of
+     * this life among its peers.
      */
     public AuditLog(
             Recorder recorder,
@@ -52,7 +52,9 @@
         this.appliedAtNanos = now;
         this.appliedVersions = initialVersions;
         this.wallOffsetMillis = wallMillis;
-        recorder.append(new Entry.Started(0, name, rank, incarnation, initialVersions.buildDigest(), wallMillis));
+        recorder.append(
+                new Entry.Started(
+                        0, name, rank, incarnation, initialVersions.buildDigest(), wallMillis));
         recorder.append(new Entry.VersionsApplied(0, 0, Cause.START, wallMillis, initialVersions));
     }
 
@@ -73,11 +75,13 @@
 
     /** The list says this of a cache; to be told before {@link #recordVersionsApplied}. */
     public void recordEndpoint(long now, int cache, boolean ready, long serverStartMillis) {
-        recorder.append(new Entry.EndpointListed(now - startNanos, cache, ready, serverStartMillis));
+        recorder.append(
+                new Entry.EndpointListed(now - startNanos, cache, ready, serverStartMillis));
     }
 
     /** From now on decisions are made under this. */
-    public void recordVersionsApplied(long now, long wallMillis, AppliedVersions newVersions, Cause newCause) {
+    public void recordVersionsApplied(
+            long now, long wallMillis, AppliedVersions newVersions, Cause newCause) {
         if (newVersions.equals(appliedVersions)) {
             return;
         }
@@ -86,7 +90,9 @@
         cause = newCause;
         appliedAtNanos = now;
         sequence++;
-        recorder.append(new Entry.VersionsApplied(now - startNanos, sequence, newCause, wallMillis, newVersions));
+        recorder.append(
+                new Entry.VersionsApplied(
+                        now - startNanos, sequence, newCause, wallMillis, newVersions));
     }
 
     /** The number of the stamp that holds now. */
@@ -110,13 +116,21 @@
     }
 
     /**
-     * An attempt that was decided on under the stamp {@code decidedSequence} was written to a cache. {@code
-     * attempt}: its place among the request's; {@code hedged}: another is still out; {@code requestId}: the
-     * request's.
+     * An attempt that was decided on under the stamp {@code decidedSequence} was written to a
+     * cache. {@code attempt}: its place among the request's; {@code hedged}: another is still out;
+     * {@code requestId}: the request's.
      */
-    public void recordSend(long now, int decidedSequence, int cache, int attempt, boolean hedged, String requestId) {
+    public void recordSend(
+            long now,
+            int decidedSequence,
+            int cache,
+            int attempt,
+            boolean hedged,
+            String requestId) {
         if (recordsEachSend) {
-            recorder.append(new Entry.AttemptSent(now - startNanos, decidedSequence, cache, attempt, requestId));
+            recorder.append(
+                    new Entry.AttemptSent(
+                            now - startNanos, decidedSequence, cache, attempt, requestId));
         }
         if (decidedSequence != sequence) {
             // Decided on before the change, on its way while it came: under the old stamp.
@@ -156,7 +170,8 @@
      */
     public void tick(long now, long wallMillis) {
         flush(now);
-        long movedMillis = wallMillis - (now - startNanos) / NANOS_PER_MILLISECOND - wallOffsetMillis;
+        long movedMillis =
+                wallMillis - (now - startNanos) / NANOS_PER_MILLISECOND - wallOffsetMillis;
         if (Math.abs(movedMillis) >= CLOCK_JUMP_MILLIS) {
             wallOffsetMillis += movedMillis;
             recorder.append(new Entry.WallClockJumped(now - startNanos, movedMillis));
@@ -178,7 +193,14 @@
             }
         }
         recorder.append(
-                new Entry.SendCounts(now - startNanos, sequence, hedgedRequests, rejectedRequests, failedRequests, caches, counts));
+                new Entry.SendCounts(
+                        now - startNanos,
+                        sequence,
+                        hedgedRequests,
+                        rejectedRequests,
+                        failedRequests,
+                        caches,
+                        counts));
         hedgedRequests = 0;
         rejectedRequests = 0;
         failedRequests = 0;
@@ -191,8 +213,10 @@
     }
 
     @Override
-    public void onMemberState(long now, int rank, long incarnation, MemberState state, int reportedBy) {
-        recorder.append(new Entry.PeerStateChanged(now - startNanos, rank, incarnation, state, reportedBy));
+    public void onMemberState(
+            long now, int rank, long incarnation, MemberState state, int reportedBy) {
+        recorder.append(
+                new Entry.PeerStateChanged(now - startNanos, rank, incarnation, state, reportedBy));
     }
 
     @Override
@@ -201,12 +225,32 @@
     }
 
     @Override
-    public void onMemberEntry(long now, int rank, long incarnation, int sequenceNumber, int versionsRef, long ageNanos) {
-        recorder.append(new Entry.PeerVersionsHeard(now - startNanos, rank, incarnation, sequenceNumber, versionsRef, ageNanos));
+    public void onMemberEntry(
+            long now,
+            int rank,
+            long incarnation,
+            int sequenceNumber,
+            int versionsRef,
+            long ageNanos) {
+        recorder.append(
+                new Entry.PeerVersionsHeard(
+                        now - startNanos,
+                        rank,
+                        incarnation,
+                        sequenceNumber,
+                        versionsRef,
+                        ageNanos));
     }
 
     @Override
-    public void onClockSample(long now, int rank, long incarnation, long sentAtNanos, long peerUnixMillis) {
-        recorder.append(new Entry.PeerClockSampled(now - startNanos, rank, incarnation, sentAtNanos - startNanos, peerUnixMillis));
+    public void onClockSample(
+            long now, int rank, long incarnation, long sentAtNanos, long peerUnixMillis) {
+        recorder.append(
+                new Entry.PeerClockSampled(
+                        now - startNanos,
+                        rank,
+                        incarnation,
+                        sentAtNanos - startNanos,
+                        peerUnixMillis));
     }
 }
--- a/audit/src/main/java/frostrelay/audit/EntryRingBuffer.java
+++ b/audit/src/main/java/frostrelay/audit/EntryRingBuffer.java
@@ -49,7 +49,9 @@
         out.writeBytes(ByteBuffer.allocate(Long.BYTES).putLong(Codec.MAGIC).array());
         if (droppedEntries > 0) {
             preamble.entries().forEach(entry -> out.writeBytes(FramedEntries.encode(entry)));
-            out.writeBytes(FramedEntries.encode(new Entry.Gap(droppedUntilNanos, 0, droppedEntries, "no room")));
+            out.writeBytes(
+                    FramedEntries.encode(
+                            new Entry.Gap(droppedUntilNanos, 0, droppedEntries, "no room")));
         }
         entries.forEach(out::writeBytes);
         return out.toByteArray();
--- a/audit/src/main/java/frostrelay/audit/fleet/AuditedVersionKind.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/AuditedVersionKind.java
@@ -1,6 +1,6 @@
 package frostrelay.audit.fleet;
 
-import frostrelay.peers.AppliedVersions;
+import frostrelay.gossip.AppliedVersions;
 
 import java.util.Locale;
 
--- a/audit/src/main/java/frostrelay/audit/store/CollectedRecords.java
+++ b/audit/src/main/java/frostrelay/audit/store/CollectedRecords.java
@@ -20,7 +20,8 @@
      * All lives found in a folder and below it. {@code complaints}: hears of files that hold
      * nothing readable, which are passed over.
      */
-    public static List<IncarnationHistory> histories(Path folder, List<String> complaints) throws IOException {
+    public static List<IncarnationHistory> histories(Path folder, List<String> complaints)
+            throws IOException {
         List<Path> folders;
         try (Stream<Path> all = Files.walk(folder)) {
             folders = all.filter(Files::isDirectory).sorted().toList();
@@ -29,14 +30,17 @@
         for (Path one : folders) {
             Map<String, List<Path>> files = new LinkedHashMap<>();
             for (Path file : RecordFolder.files(one)) {
-                files.computeIfAbsent(RecordFolder.incarnationOf(file), incarnation -> new ArrayList<>()).add(file);
+                files.computeIfAbsent(
+                                RecordFolder.incarnationOf(file), incarnation -> new ArrayList<>())
+                        .add(file);
             }
             files.forEach((incarnation, parts) -> add(histories, parts, complaints));
         }
         return histories;
     }
 
-    private static void add(List<IncarnationHistory> histories, List<Path> parts, List<String> complaints) {
+    private static void add(
+            List<IncarnationHistory> histories, List<Path> parts, List<String> complaints) {
         List<AuditRecord> records = new ArrayList<>();
         for (Path part : parts) {
             try {
--- a/audit/src/main/java/frostrelay/audit/store/RecordFolder.java
+++ b/audit/src/main/java/frostrelay/audit/store/RecordFolder.java
@@ -25,10 +25,10 @@
 
 /**
  * A life's record in files that are only appended to, written by a thread of its own: an event loop
- * must not wait for a disk. What SIGKILL can take is what came within the last {@link #WRITE_INTERVAL_MILLIS};
- * what was written the system keeps, as no machine dies. Names of the files: life, then part; parts
- * of one life belong together, the oldest go first where the folder's bound is met. {@link #append}
- * may come from one thread; it only adds to a buffer.
+ * must not wait for a disk. What SIGKILL can take is what came within the last {@link
+ * #WRITE_INTERVAL_MILLIS}; what was written the system keeps, as no machine dies. Names of the
+ * files: life, then part; parts of one life belong together, the oldest go first where the folder's
+ * bound is met. {@link #append} may come from one thread; it only adds to a buffer.
  */
 public final class RecordFolder implements Recorder, AutoCloseable {
     /** The stated tail: what is not on its way to the disk yet is not older than this. */
@@ -76,16 +76,21 @@
     private boolean failing;
 
     /**
-     * {@code incarnation}: names this life's files, later lives sort behind earlier ones; {@code maxBytes}:
-     * bytes that all files of the folder may take; {@code onFailure}: hears on the writer's thread,
-     * once a spell, why nothing can be written.
+     * {@code incarnation}: names this life's files, later lives sort behind earlier ones; {@code
+     * maxBytes}: bytes that all files of the folder may take; {@code onFailure}: hears on the
+     * writer's thread, once a spell, why nothing can be written.
      */
-    public RecordFolder(Path folder, String incarnation, long maxBytes, Consumer<String> onFailure) {
+    public RecordFolder(
+            Path folder, String incarnation, long maxBytes, Consumer<String> onFailure) {
         this.folder = folder;
         this.incarnation = incarnation;
         this.maxPartBytes = maxBytes / MAX_PARTS;
         this.onFailure = onFailure;
-        writer.scheduleWithFixedDelay(this::writePending, WRITE_INTERVAL_MILLIS, WRITE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        writer.scheduleWithFixedDelay(
+                this::writePending,
+                WRITE_INTERVAL_MILLIS,
+                WRITE_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -110,7 +115,8 @@
             return;
         }
         if (pending.remaining() < bytes.length) {
-            ByteBuffer wider = ByteBuffer.allocate(Math.min(MAX_PENDING_BYTES, 2 * pending.capacity()));
+            ByteBuffer wider =
+                    ByteBuffer.allocate(Math.min(MAX_PENDING_BYTES, 2 * pending.capacity()));
             pending.flip();
             wider.put(pending);
             pending = wider;
@@ -143,7 +149,9 @@
                 if (partChannel == null || partBytesWritten >= maxPartBytes) {
                     openNextPart();
                 }
-                int to = FramedEntries.endOfFittingEntries(bytes, from, maxPartBytes - partBytesWritten);
+                int to =
+                        FramedEntries.endOfFittingEntries(
+                                bytes, from, maxPartBytes - partBytesWritten);
                 ByteBuffer out = ByteBuffer.wrap(bytes, from, to - from);
                 while (out.hasRemaining()) {
                     partChannel.write(out, partBytesWritten + out.position() - from);
@@ -153,7 +161,8 @@
                 }
                 partBytesWritten += to - from;
                 synchronized (lock) {
-                    FramedEntries.entries(Arrays.copyOfRange(bytes, from, to)).forEach(preamble::observe);
+                    FramedEntries.entries(Arrays.copyOfRange(bytes, from, to))
+                            .forEach(preamble::observe);
                 }
                 from = to;
             }
@@ -214,7 +223,9 @@
                 preamble.entries().forEach(entry -> head.writeBytes(FramedEntries.encode(entry)));
             }
         }
-        partFile = folder.resolve(String.format(Locale.ROOT, "%s-%06d%s", incarnation, partCount, SUFFIX));
+        partFile =
+                folder.resolve(
+                        String.format(Locale.ROOT, "%s-%06d%s", incarnation, partCount, SUFFIX));
         FileChannel channel =
                 FileChannel.open(partFile, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         try {
--- a/cli/src/main/java/frostrelay/cli/AuditCommand.java
+++ b/cli/src/main/java/frostrelay/cli/AuditCommand.java
@@ -1,8 +1,8 @@
 package frostrelay.cli;
 
 import frostrelay.audit.fleet.AuditedVersionKind;
-import frostrelay.audit.fleet.IncarnationHistory;
 import frostrelay.audit.fleet.FleetAudit;
+import frostrelay.audit.fleet.IncarnationHistory;
 import frostrelay.audit.store.CollectedRecords;
 import frostrelay.report.AuditPicture;
 
@@ -110,7 +110,8 @@
             for (String source : sources) {
                 if (isAddress(source)) {
                     byte[] record = fetchRecord(source);
-                    IncarnationHistory history = record == null ? null : CollectedRecords.history(source, record);
+                    IncarnationHistory history =
+                            record == null ? null : CollectedRecords.history(source, record);
                     if (history != null) {
                         found.add(history);
                     }
@@ -143,7 +144,9 @@
                         () ->
                                 new CommandLine.ParameterException(
                                         spec.commandLine(),
-                                        "found " + label + ", allowed: config, list, holds, build"));
+                                        "found "
+                                                + label
+                                                + ", allowed: config, list, holds, build"));
     }
 
     private static String indentedLines(List<?> all) {
@@ -172,7 +175,8 @@
             int copied = 0;
             for (String source : sources.sources) {
                 byte[] record = Sources.isAddress(source) ? sources.fetchRecord(source) : null;
-                IncarnationHistory history = record == null ? null : CollectedRecords.history(source, record);
+                IncarnationHistory history =
+                        record == null ? null : CollectedRecords.history(source, record);
                 if (history != null) {
                     Path folder = target.resolve(history.name());
                     Files.createDirectories(folder);
@@ -224,7 +228,8 @@
         @Override
         public Integer call() throws IOException {
             FleetAudit statement = new FleetAudit(sources.histories());
-            List<Map<String, Object>> who = statement.applicationsOf(parseKind(spec, kind), version);
+            List<Map<String, Object>> who =
+                    statement.applicationsOf(parseKind(spec, kind), version);
             output.result(
                     Map.of("who", who, "complaints", sources.complaints),
                     indentedLines(who)
@@ -325,7 +330,9 @@
                             + System.lineSeparator()
                             + indentedLines(violations)
                             + indentedLines(sources.complaints)
-                            + (violations.isEmpty() ? "they fit together" : "they do not fit together"));
+                            + (violations.isEmpty()
+                                    ? "they fit together"
+                                    : "they do not fit together"));
             return violations.isEmpty() ? 0 : 1;
         }
     }
--- a/cli/src/main/java/frostrelay/cli/BenchCommand.java
+++ b/cli/src/main/java/frostrelay/cli/BenchCommand.java
@@ -1,9 +1,9 @@
 package frostrelay.cli;
 
-import frostrelay.rig.bench.Bench;
-import frostrelay.rig.bench.Bench.Figures;
-import frostrelay.rig.bench.Bench.Phase;
-import frostrelay.rig.fleet.BalancerCommand;
+import frostrelay.testbed.bench.Bench;
+import frostrelay.testbed.bench.Bench.Figures;
+import frostrelay.testbed.bench.Bench.Phase;
+import frostrelay.testbed.fleet.BalancerCommand;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -97,7 +97,11 @@
                                     Figures::cpuMicros);
             double[] rate =
                     phases.get(0)
-                            .compare(BALANCER, RELAY, (one, other) -> one / other, Figures::perSecond);
+                            .compare(
+                                    BALANCER,
+                                    RELAY,
+                                    (one, other) -> one / other,
+                                    Figures::perSecond);
             double[] added =
                     phases.get(1)
                             .compare(
--- a/cli/src/main/java/frostrelay/cli/CampaignCommand.java
+++ b/cli/src/main/java/frostrelay/cli/CampaignCommand.java
@@ -1,15 +1,15 @@
 package frostrelay.cli;
 
-import frostrelay.rig.campaign.Campaign;
-import frostrelay.rig.campaign.CampaignRun;
-import frostrelay.rig.campaign.FaultEvent;
-import frostrelay.rig.campaign.CampaignSubject;
-import frostrelay.rig.campaign.Schedule;
-import frostrelay.rig.campaign.ScheduleFile;
-import frostrelay.rig.campaign.Violation;
-import frostrelay.rig.fleet.BalancerCommand;
-import frostrelay.start.SeededDefect;
-import frostrelay.start.Start;
+import frostrelay.defects.SeededDefect;
+import frostrelay.defects.Start;
+import frostrelay.testbed.campaign.Campaign;
+import frostrelay.testbed.campaign.CampaignRun;
+import frostrelay.testbed.campaign.CampaignSubject;
+import frostrelay.testbed.campaign.FaultEvent;
+import frostrelay.testbed.campaign.Schedule;
+import frostrelay.testbed.campaign.ScheduleFile;
+import frostrelay.testbed.campaign.Violation;
+import frostrelay.testbed.fleet.BalancerCommand;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -181,7 +181,9 @@
         requireValid(
                 seconds >= 6 && seconds <= 600,
                 "--seconds: found " + seconds + ", allowed: 6 to 600");
-        requireValid(parallelism >= 1 && parallelism <= 64, "--at-once: found " + parallelism + ", allowed: 1 to 64");
+        requireValid(
+                parallelism >= 1 && parallelism <= 64,
+                "--at-once: found " + parallelism + ", allowed: 1 to 64");
         requireValid(
                 defect == null
                         || defect.equals(CampaignRun.OFF)
@@ -249,7 +251,10 @@
             return schedules;
         }
         for (long seed = seeds.first(); seed <= seeds.last(); seed++) {
-            schedules.add(CampaignSubject.of(subject).generateSchedule(seed, processes, (long) (seconds * NANOS_PER_SECOND)));
+            schedules.add(
+                    CampaignSubject.of(subject)
+                            .generateSchedule(
+                                    seed, processes, (long) (seconds * NANOS_PER_SECOND)));
         }
         return schedules;
     }
@@ -292,7 +297,10 @@
                                                                     name,
                                                                     empty -> new ArrayList<>())
                                                             .add(((Number) ms).longValue())));
-            maxWithdrawn = Math.max(maxWithdrawn, ((Number) figures.getOrDefault("mostAside", 0)).longValue());
+            maxWithdrawn =
+                    Math.max(
+                            maxWithdrawn,
+                            ((Number) figures.getOrDefault("mostAside", 0)).longValue());
             maxLost =
                     Math.max(
                             maxLost,
--- a/cli/src/main/java/frostrelay/cli/CheckCommand.java
+++ b/cli/src/main/java/frostrelay/cli/CheckCommand.java
@@ -2,12 +2,12 @@
 
 import frostrelay.config.BadConfigException;
 import frostrelay.config.Problem;
-import frostrelay.config.TomlFile;
 import frostrelay.config.TableValues;
-import frostrelay.lab.ExperimentFile;
-import frostrelay.lab.SystemModelFile;
-import frostrelay.rig.campaign.ScheduleFile;
-import frostrelay.rig.day.ScenarioFile;
+import frostrelay.config.TomlFile;
+import frostrelay.experiment.ExperimentFile;
+import frostrelay.experiment.SystemModelFile;
+import frostrelay.testbed.campaign.ScheduleFile;
+import frostrelay.testbed.scenario.ScenarioFile;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
--- a/cli/src/main/java/frostrelay/cli/Checkout.java
+++ b/cli/src/main/java/frostrelay/cli/Checkout.java
@@ -1,6 +1,6 @@
 package frostrelay.cli;
 
-import frostrelay.rig.fleet.BalancerCommand;
+import frostrelay.testbed.fleet.BalancerCommand;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/cli/src/main/java/frostrelay/cli/DemoCommand.java
+++ b/cli/src/main/java/frostrelay/cli/DemoCommand.java
@@ -1,8 +1,8 @@
 package frostrelay.cli;
 
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.fleet.ScenarioRun;
-import frostrelay.rig.fleet.ScenarioResult;
+import frostrelay.testbed.fleet.ScenarioResult;
+import frostrelay.testbed.fleet.ScenarioRun;
+import frostrelay.testbed.scenario.Scenario;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -44,7 +44,8 @@
                             day.balancers(),
                             day.load().requestsPerSecond(),
                             day.durationNanos() / 1e9));
-            ScenarioResult result = ScenarioRun.run(day, folder, Checkout.balancer(), output::progress);
+            ScenarioResult result =
+                    ScenarioRun.run(day, folder, Checkout.balancer(), output::progress);
             output.result(result.json(), result.text());
             return result.isSuccessful() ? 0 : 1;
         } finally {
--- a/cli/src/main/java/frostrelay/cli/FaultCommand.java
+++ b/cli/src/main/java/frostrelay/cli/FaultCommand.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
-import frostrelay.rig.day.FaultKind;
-import frostrelay.rig.day.FaultSpec;
-import frostrelay.rig.fleet.ControlServer;
-import frostrelay.rig.wire.Loopback;
+import frostrelay.testbed.fleet.ControlServer;
+import frostrelay.testbed.scenario.FaultKind;
+import frostrelay.testbed.scenario.FaultSpec;
+import frostrelay.testbed.wire.Loopback;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -116,7 +116,9 @@
                                             .timeout(Duration.ofSeconds(5))
                                             .POST(
                                                     HttpRequest.BodyPublishers.ofString(
-                                                            JSON.std.asString(ControlServer.encodeFault(fault))))
+                                                            JSON.std.asString(
+                                                                    ControlServer.encodeFault(
+                                                                            fault))))
                                             .build(),
                                     HttpResponse.BodyHandlers.ofString());
             System.out.println(answer.body());
--- a/cli/src/main/java/frostrelay/cli/FleetCommand.java
+++ b/cli/src/main/java/frostrelay/cli/FleetCommand.java
@@ -1,11 +1,11 @@
 package frostrelay.cli;
 
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.fleet.ControlServer;
-import frostrelay.rig.fleet.FaultInjector;
-import frostrelay.rig.fleet.TestCluster;
-import frostrelay.rig.fleet.BalancerCommand;
-import frostrelay.rig.wire.Loopback;
+import frostrelay.testbed.fleet.BalancerCommand;
+import frostrelay.testbed.fleet.ControlServer;
+import frostrelay.testbed.fleet.FaultInjector;
+import frostrelay.testbed.fleet.TestCluster;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.wire.Loopback;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -50,8 +50,10 @@
         BalancerCommand program = configFolder == null ? Checkout.balancer() : null;
         try (TestCluster fleet = new TestCluster(scenario, folder, program);
                 FaultInjector faults =
-                        new FaultInjector(fleet, null, null, text -> System.out.println(">> " + text));
-                ControlServer calls = new ControlServer(control, () -> status(fleet), faults::inject)) {
+                        new FaultInjector(
+                                fleet, null, null, text -> System.out.println(">> " + text));
+                ControlServer calls =
+                        new ControlServer(control, () -> status(fleet), faults::inject)) {
             if (program != null) {
                 Runnable end = fleet::close;
                 Runtime.getRuntime()
@@ -97,7 +99,8 @@
         status.put("attempts", fleet.invariantChecker().attemptCount());
         Map<String, Object> balancers = new LinkedHashMap<>();
         fleet.balancers()
-                .forEach(place -> balancers.put(place.name(), Loopback.text(place.listenAddress())));
+                .forEach(
+                        place -> balancers.put(place.name(), Loopback.text(place.listenAddress())));
         status.put("balancers", balancers);
         return status;
     }
--- a/cli/src/main/java/frostrelay/cli/LabAccuracy.java
+++ b/cli/src/main/java/frostrelay/cli/LabAccuracy.java
@@ -2,12 +2,12 @@
 
 import frostrelay.emulator.Emulation;
 import frostrelay.emulator.SystemModel;
-import frostrelay.lab.Interval;
-import frostrelay.rig.client.ClientStatistics;
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.day.ScenarioFile;
-import frostrelay.rig.fleet.ScenarioRun;
-import frostrelay.rig.fleet.ScenarioResult;
+import frostrelay.experiment.Interval;
+import frostrelay.testbed.client.ClientStatistics;
+import frostrelay.testbed.fleet.ScenarioResult;
+import frostrelay.testbed.fleet.ScenarioRun;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.scenario.ScenarioFile;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -88,7 +88,9 @@
                             text,
                             "served in time",
                             real,
-                            r -> r.statistics().count(ClientStatistics.Outcome.IN_TIME) / (double) r.statistics().requests(),
+                            r ->
+                                    r.statistics().count(ClientStatistics.Outcome.IN_TIME)
+                                            / (double) r.statistics().requests(),
                             emulated,
                             r -> r.statistics().inTime() / (double) r.statistics().asked(),
                             MAX_SERVED_DIFFERENCE,
@@ -161,7 +163,8 @@
             boolean relative) {
         Interval sockets = Interval.of(real.stream().mapToDouble(ofReal).toArray());
         Interval model = Interval.of(emulated.stream().mapToDouble(ofEmulated).toArray());
-        double difference = relative ? model.mean() / sockets.mean() - 1 : model.mean() - sockets.mean();
+        double difference =
+                relative ? model.mean() / sockets.mean() - 1 : model.mean() - sockets.mean();
         boolean within = Math.abs(difference) <= maxDifference;
         row.put(
                 name,
--- a/cli/src/main/java/frostrelay/cli/LabCompare.java
+++ b/cli/src/main/java/frostrelay/cli/LabCompare.java
@@ -1,8 +1,8 @@
 package frostrelay.cli;
 
-import frostrelay.lab.Comparison;
-import frostrelay.lab.Comparison.Difference;
-import frostrelay.lab.ResultsFile;
+import frostrelay.experiment.Comparison;
+import frostrelay.experiment.Comparison.Difference;
+import frostrelay.experiment.ResultsFile;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
--- a/cli/src/main/java/frostrelay/cli/LabFleet.java
+++ b/cli/src/main/java/frostrelay/cli/LabFleet.java
@@ -1,11 +1,11 @@
 package frostrelay.cli;
 
-import frostrelay.lab.RunResult;
-import frostrelay.lab.Experiment;
-import frostrelay.lab.ExperimentFile;
-import frostrelay.lab.Interval;
-import frostrelay.lab.ExperimentRunner;
-import frostrelay.lab.ResultsFile;
+import frostrelay.experiment.Experiment;
+import frostrelay.experiment.ExperimentFile;
+import frostrelay.experiment.ExperimentRunner;
+import frostrelay.experiment.Interval;
+import frostrelay.experiment.ResultsFile;
+import frostrelay.experiment.RunResult;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -73,7 +73,9 @@
         ResultsFile.StoredResults results = ResultsFile.read(out);
         LabReport.Written report = LabReport.write(results, out);
         output.result(report.figures(), lines(results) + LabReport.where(out));
-        return results.allResults().stream().allMatch(scenario -> scenario.violationCount() == 0) ? 0 : 1;
+        return results.allResults().stream().allMatch(scenario -> scenario.violationCount() == 0)
+                ? 0
+                : 1;
     }
 
     private List<Path> files() throws IOException {
--- a/cli/src/main/java/frostrelay/cli/LabGossip.java
+++ b/cli/src/main/java/frostrelay/cli/LabGossip.java
@@ -144,7 +144,9 @@
         if (report != null) {
             Files.writeString(
                     report,
-                    late > 0 ? new StaleInstancesPage(played).html() : new GossipPage(played).html());
+                    late > 0
+                            ? new StaleInstancesPage(played).html()
+                            : new GossipPage(played).html());
         }
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("days", played);
--- a/cli/src/main/java/frostrelay/cli/LabHunt.java
+++ b/cli/src/main/java/frostrelay/cli/LabHunt.java
@@ -1,11 +1,11 @@
 package frostrelay.cli;
 
-import frostrelay.lab.ExperimentFile;
-import frostrelay.lab.FaultFormat;
-import frostrelay.lab.Objective;
-import frostrelay.lab.FaultSearch;
-import frostrelay.lab.RegressionRuns;
-import frostrelay.lab.SystemModelFile;
+import frostrelay.experiment.ExperimentFile;
+import frostrelay.experiment.FaultFormat;
+import frostrelay.experiment.FaultSearch;
+import frostrelay.experiment.Objective;
+import frostrelay.experiment.RegressionRuns;
+import frostrelay.experiment.SystemModelFile;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
--- a/cli/src/main/java/frostrelay/cli/LabReplay.java
+++ b/cli/src/main/java/frostrelay/cli/LabReplay.java
@@ -1,6 +1,6 @@
 package frostrelay.cli;
 
-import frostrelay.lab.RegressionRuns;
+import frostrelay.experiment.RegressionRuns;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
--- a/cli/src/main/java/frostrelay/cli/LabReport.java
+++ b/cli/src/main/java/frostrelay/cli/LabReport.java
@@ -1,6 +1,6 @@
 package frostrelay.cli;
 
-import frostrelay.lab.ResultsFile;
+import frostrelay.experiment.ResultsFile;
 import frostrelay.report.Page;
 
 import picocli.CommandLine.Command;
--- a/cli/src/main/java/frostrelay/cli/LabRun.java
+++ b/cli/src/main/java/frostrelay/cli/LabRun.java
@@ -1,9 +1,9 @@
 package frostrelay.cli;
 
-import frostrelay.lab.Experiment;
-import frostrelay.lab.ExperimentFile;
-import frostrelay.lab.ExperimentRunner;
-import frostrelay.lab.ResultsFile;
+import frostrelay.experiment.Experiment;
+import frostrelay.experiment.ExperimentFile;
+import frostrelay.experiment.ExperimentRunner;
+import frostrelay.experiment.ResultsFile;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
--- a/cli/src/main/java/frostrelay/cli/LabSpeed.java
+++ b/cli/src/main/java/frostrelay/cli/LabSpeed.java
@@ -2,8 +2,8 @@
 
 import frostrelay.emulator.Emulation;
 import frostrelay.emulator.SystemModel;
-import frostrelay.lab.Interval;
-import frostrelay.lab.SystemModelFile;
+import frostrelay.experiment.Interval;
+import frostrelay.experiment.SystemModelFile;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -53,7 +53,12 @@
                             "module",
                             speed(file, "with the module", plant, Emulation::simulate, text),
                             "plain",
-                            speed(file, "without it", plant, Emulation::simulateSingleAttempt, text)));
+                            speed(
+                                    file,
+                                    "without it",
+                                    plant,
+                                    Emulation::simulateSingleAttempt,
+                                    text)));
         }
         output.result(told, text.toString().stripTrailing());
         return 0;
--- a/cli/src/main/java/frostrelay/cli/LoadCommand.java
+++ b/cli/src/main/java/frostrelay/cli/LoadCommand.java
@@ -1,11 +1,11 @@
 package frostrelay.cli;
 
-import frostrelay.rig.client.RoundRobinFrontend;
-import frostrelay.rig.client.OpenLoopClients;
-import frostrelay.rig.client.ClientStatistics;
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.referee.ClientObserver;
-import frostrelay.rig.wire.Loopback;
+import frostrelay.testbed.client.ClientStatistics;
+import frostrelay.testbed.client.OpenLoopClients;
+import frostrelay.testbed.client.RoundRobinFrontend;
+import frostrelay.testbed.invariants.ClientObserver;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.wire.Loopback;
 
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.Future;
@@ -63,7 +63,11 @@
             ClientStatistics tally = new ClientStatistics();
             OpenLoopClients load =
                     new OpenLoopClients(
-                            day, new RoundRobinFrontend(addresses), group.next(), ClientObserver.NONE, tally);
+                            day,
+                            new RoundRobinFrontend(addresses),
+                            group.next(),
+                            ClientObserver.NONE,
+                            tally);
             Future<ClientStatistics> done = load.run();
             while (!done.await(1, TimeUnit.SECONDS)) {
                 ClientStatistics.Recent recent = tally.recent();
@@ -102,7 +106,9 @@
                             tally.wrongResponses(),
                             tally.latencyMillis(50),
                             tally.latencyMillis(99)));
-            return tally.wrongResponses() == 0 && tally.count(ClientStatistics.Outcome.LOST) == 0 ? 0 : 1;
+            return tally.wrongResponses() == 0 && tally.count(ClientStatistics.Outcome.LOST) == 0
+                    ? 0
+                    : 1;
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
--- a/cli/src/main/java/frostrelay/cli/LocalSettings.java
+++ b/cli/src/main/java/frostrelay/cli/LocalSettings.java
@@ -1,11 +1,11 @@
 package frostrelay.cli;
 
 import frostrelay.config.TableSchema;
-import frostrelay.config.TomlFile;
 import frostrelay.config.TableValues;
-import frostrelay.log.LogSetup;
-import frostrelay.node.ClusterOptions;
+import frostrelay.config.TomlFile;
 import frostrelay.node.Options;
+import frostrelay.node.cluster.ClusterOptions;
+import frostrelay.node.log.LogSetup;
 
 import org.slf4j.event.Level;
 
--- a/cli/src/main/java/frostrelay/cli/Platform.java
+++ b/cli/src/main/java/frostrelay/cli/Platform.java
@@ -2,8 +2,8 @@
 
 import frostrelay.config.BadConfigException;
 import frostrelay.config.Problem;
-import frostrelay.node.ConfigException;
-import frostrelay.node.ConfigFile;
+import frostrelay.node.config.ConfigException;
+import frostrelay.node.config.ConfigFile;
 
 import java.nio.file.Path;
 import java.util.List;
--- a/cli/src/main/java/frostrelay/cli/RelayCommand.java
+++ b/cli/src/main/java/frostrelay/cli/RelayCommand.java
@@ -1,7 +1,7 @@
 package frostrelay.cli;
 
-import frostrelay.rig.link.FaultProxy;
-import frostrelay.rig.wire.Loopback;
+import frostrelay.testbed.link.FaultProxy;
+import frostrelay.testbed.wire.Loopback;
 
 import io.netty.channel.nio.NioEventLoopGroup;
 
--- a/cli/src/main/java/frostrelay/cli/ScenarioModel.java
+++ b/cli/src/main/java/frostrelay/cli/ScenarioModel.java
@@ -1,13 +1,13 @@
 package frostrelay.cli;
 
 import frostrelay.emulator.SystemModel;
-import frostrelay.policy.Api;
-import frostrelay.rig.day.ClassSpec;
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.day.FaultKind;
-import frostrelay.rig.day.FaultSpec;
-import frostrelay.rig.day.Targets;
-import frostrelay.rig.referee.Referee;
+import frostrelay.policy.api.Idempotency;
+import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.scenario.ClassSpec;
+import frostrelay.testbed.scenario.FaultKind;
+import frostrelay.testbed.scenario.FaultSpec;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.scenario.Targets;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -26,7 +26,8 @@
     private static final long DECISION_COST_NANOS = 50_000L;
 
     /** Stand-ins ask no work for a handshake, and loopback no time. */
-    private static final SystemModel.Connections NO_LINKS = new SystemModel.Connections(false, 0, 0, 1, 1, 1, 1);
+    private static final SystemModel.Connections NO_LINKS =
+            new SystemModel.Connections(false, 0, 0, 1, 1, 1, 1);
 
     private static final Map<FaultKind, SystemModel.FaultKind> KINDS =
             Map.of(
@@ -99,7 +100,11 @@
                         scenario.cache().cores(),
                         scenario.cache().queueCapacity(),
                         0,
-                        (int) Math.max(1, scenario.cache().memoryBytes() / scenario.origin().meanValueBytes()),
+                        (int)
+                                Math.max(
+                                        1,
+                                        scenario.cache().memoryBytes()
+                                                / scenario.origin().meanValueBytes()),
                         SystemModel.Eviction.LRU,
                         scenario.cache().slowStart().initialFraction(),
                         scenario.cache().slowStart().rampNanos(),
@@ -133,11 +138,11 @@
                 faults);
     }
 
-    private static Api.Effect effect(Referee.Effect effect) {
+    private static Idempotency effect(Referee.Effect effect) {
         return switch (effect) {
-            case IDEMPOTENT -> Api.Effect.IDEMPOTENT;
-            case IDEMPOTENT_BY_KEY -> Api.Effect.IDEMPOTENCY_KEY;
-            case NON_IDEMPOTENT -> Api.Effect.NOT_IDEMPOTENT;
+            case IDEMPOTENT -> Idempotency.IDEMPOTENT;
+            case IDEMPOTENT_BY_KEY -> Idempotency.IDEMPOTENCY_KEY;
+            case NON_IDEMPOTENT -> Idempotency.NOT_IDEMPOTENT;
         };
     }
 }
--- a/cli/src/main/java/frostrelay/cli/ScenarioOptions.java
+++ b/cli/src/main/java/frostrelay/cli/ScenarioOptions.java
@@ -1,7 +1,7 @@
 package frostrelay.cli;
 
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.day.ScenarioFile;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.scenario.ScenarioFile;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Model.CommandSpec;
--- a/cli/src/main/java/frostrelay/cli/ServeCommand.java
+++ b/cli/src/main/java/frostrelay/cli/ServeCommand.java
@@ -1,7 +1,7 @@
 package frostrelay.cli;
 
-import frostrelay.node.Options;
 import frostrelay.node.NodeProcess;
+import frostrelay.node.Options;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
--- a/cli/src/main/java/frostrelay/cli/SoakCommand.java
+++ b/cli/src/main/java/frostrelay/cli/SoakCommand.java
@@ -1,10 +1,10 @@
 package frostrelay.cli;
 
-import frostrelay.rig.client.ClientStatistics;
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.fleet.ScenarioResult;
-import frostrelay.rig.soak.SoakPlan;
-import frostrelay.rig.soak.SoakRun;
+import frostrelay.testbed.client.ClientStatistics;
+import frostrelay.testbed.fleet.ScenarioResult;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.soak.SoakPlan;
+import frostrelay.testbed.soak.SoakRun;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
--- a/cli/src/main/java/frostrelay/cli/StaleInstancesCommand.java
+++ b/cli/src/main/java/frostrelay/cli/StaleInstancesCommand.java
@@ -44,7 +44,9 @@
     boolean readStatus(Map<String, Object> status, Map<String, Object> row) {
         row.put(
                 "list",
-                status.get("actsOn") instanceof Map<?, ?> versions ? versions.get("list") : "unknown");
+                status.get("actsOn") instanceof Map<?, ?> versions
+                        ? versions.get("list")
+                        : "unknown");
         SHOWN_FIELDS.forEach(name -> row.put(name, status.getOrDefault(name, "unknown")));
         return !STALE_STANDINGS.contains(String.valueOf(row.get("standing")))
                 && !STALE_STANDINGS.contains(String.valueOf(row.get("configStanding")));
--- a/cli/src/main/java/frostrelay/start/SeededDefect.java
+++ b/cli/src/main/java/frostrelay/defects/SeededDefect.java
@@ -1,14 +1,14 @@
-package frostrelay.start;
+package frostrelay.defects;
 
 import frostrelay.audit.Entry;
 import frostrelay.audit.Recorder;
-import frostrelay.judgements.HealthReportAggregator;
-import frostrelay.judgements.counts.ClusterCounter;
-import frostrelay.judgements.counts.CounterTotal;
-import frostrelay.node.TestHooks;
-import frostrelay.rig.campaign.CampaignSubject;
-import frostrelay.stragglers.VersionKind;
-import frostrelay.stragglers.StalenessDetector;
+import frostrelay.counters.ClusterCounter;
+import frostrelay.counters.CounterTotal;
+import frostrelay.healthreports.HealthReportAggregator;
+import frostrelay.node.cluster.TestHooks;
+import frostrelay.staleness.StalenessDetector;
+import frostrelay.staleness.VersionKind;
+import frostrelay.testbed.campaign.CampaignSubject;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -37,7 +37,8 @@
         Recorder wrap(Recorder inner) {
             return entry -> {
                 if (entry.atNanos() / 1_000_000_000L % 4 != 2
-                        || !(entry instanceof Entry.AttemptSent || entry instanceof Entry.SendCounts)) {
+                        || !(entry instanceof Entry.AttemptSent
+                                || entry instanceof Entry.SendCounts)) {
                     inner.append(entry);
                 }
             };
@@ -79,13 +80,14 @@
         Recorder wrap(Recorder inner) {
             return entry ->
                     inner.append(
-                            entry instanceof Entry.VersionsApplied one && one.versions().listRevision() > 1
+                            entry instanceof Entry.VersionsApplied one
+                                            && one.versions().listRevision() > 1
                                     ? new Entry.VersionsApplied(
                                             one.atNanos(),
                                             one.sequence(),
                                             one.cause(),
                                             one.wallMillis(),
-                                            new frostrelay.peers.AppliedVersions(
+                                            new frostrelay.gossip.AppliedVersions(
                                                     one.versions().buildDigest(),
                                                     one.versions().configNumber(),
                                                     one.versions().configDigest(),
@@ -148,7 +150,8 @@
             };
         }
     },
-    AVOIDS_OTHERS("Where one cache is to be avoided, five others are.", CampaignSubject.STRAGGLERS) {
+    AVOIDS_OTHERS(
+            "Where one cache is to be avoided, five others are.", CampaignSubject.STRAGGLERS) {
         @Override
         StalenessDetector.Actions wrap(StalenessDetector.Actions inner) {
             return new ForwardingStalenessActions(inner) {
@@ -159,7 +162,8 @@
             };
         }
     },
-    ASIDE_WITHOUT_PLACE("It steps aside at any hearsay, whatever its number.", CampaignSubject.STRAGGLERS) {
+    ASIDE_WITHOUT_PLACE(
+            "It steps aside at any hearsay, whatever its number.", CampaignSubject.STRAGGLERS) {
         @Override
         StalenessDetector.Actions wrap(StalenessDetector.Actions inner) {
             return new ForwardingStalenessActions(inner) {
@@ -172,7 +176,8 @@
         }
     },
     NEVER_FETCHES(
-            "A configuration that only others have is never asked of them.", CampaignSubject.STRAGGLERS) {
+            "A configuration that only others have is never asked of them.",
+            CampaignSubject.STRAGGLERS) {
         @Override
         StalenessDetector.Actions wrap(StalenessDetector.Actions inner) {
             return new ForwardingStalenessActions(inner) {
@@ -183,7 +188,9 @@
             };
         }
     },
-    FOLLOWS_HARM("A version under which others fail is followed all the same.", CampaignSubject.STRAGGLERS) {
+    FOLLOWS_HARM(
+            "A version under which others fail is followed all the same.",
+            CampaignSubject.STRAGGLERS) {
         @Override
         StalenessDetector.Actions wrap(StalenessDetector.Actions inner) {
             return new ForwardingStalenessActions(inner) {
@@ -275,12 +282,19 @@
         }
     },
     COUNTS_SILENCE_AS_NOTHING(
-            "Sums are at most what is known: who was not heard did nothing.", CampaignSubject.JUDGEMENTS) {
+            "Sums are at most what is known: who was not heard did nothing.",
+            CampaignSubject.JUDGEMENTS) {
         @Override
         TestHooks.CounterTotals wrap(TestHooks.CounterTotals inner) {
             return (now, one) -> {
                 CounterTotal sum = inner.total(now, one);
-                return new CounterTotal(sum.known(), sum.known(), sum.ratePerSecond(), sum.coveredMembers(), sum.aliveMembers(), 0);
+                return new CounterTotal(
+                        sum.known(),
+                        sum.known(),
+                        sum.ratePerSecond(),
+                        sum.coveredMembers(),
+                        sum.aliveMembers(),
+                        0);
             };
         }
     },
@@ -289,12 +303,19 @@
         TestHooks.CounterTotals wrap(TestHooks.CounterTotals inner) {
             return (now, one) -> {
                 CounterTotal sum = inner.total(now, one);
-                return new CounterTotal(sum.known(), sum.upperBound(), sum.ratePerSecond(), sum.aliveMembers(), sum.aliveMembers(), 0);
+                return new CounterTotal(
+                        sum.known(),
+                        sum.upperBound(),
+                        sum.ratePerSecond(),
+                        sum.aliveMembers(),
+                        sum.aliveMembers(),
+                        0);
             };
         }
     },
     COUNTS_LATE(
-            "Sums are those of four seconds ago, and say that they are fresh.", CampaignSubject.JUDGEMENTS) {
+            "Sums are those of four seconds ago, and say that they are fresh.",
+            CampaignSubject.JUDGEMENTS) {
         @Override
         TestHooks.CounterTotals wrap(TestHooks.CounterTotals inner) {
             return new DelayedTotals(inner);
@@ -363,7 +384,8 @@
 
     private static Entry withSequence(Entry entry, int sequence) {
         if (entry instanceof Entry.AttemptSent one) {
-            return new Entry.AttemptSent(one.atNanos(), sequence, one.cache(), one.attempt(), one.requestId());
+            return new Entry.AttemptSent(
+                    one.atNanos(), sequence, one.cache(), one.attempt(), one.requestId());
         }
         if (entry instanceof Entry.SendCounts one) {
             return new Entry.SendCounts(
@@ -535,7 +557,10 @@
                 }
                 delayed = one;
             } else {
-                recordedSequence = entry instanceof Entry.VersionsApplied one ? one.sequence() : recordedSequence;
+                recordedSequence =
+                        entry instanceof Entry.VersionsApplied one
+                                ? one.sequence()
+                                : recordedSequence;
                 inner.append(delayed == null ? entry : withSequence(entry, recordedSequence));
             }
         }
@@ -559,9 +584,17 @@
                 }
                 recordedSequence++;
                 inner.append(
-                        new Entry.VersionsApplied(one.atNanos(), recordedSequence, one.cause(), one.wallMillis(), one.versions()));
+                        new Entry.VersionsApplied(
+                                one.atNanos(),
+                                recordedSequence,
+                                one.cause(),
+                                one.wallMillis(),
+                                one.versions()));
             } else {
-                recordedSequence = entry instanceof Entry.VersionsApplied one ? one.sequence() : recordedSequence;
+                recordedSequence =
+                        entry instanceof Entry.VersionsApplied one
+                                ? one.sequence()
+                                : recordedSequence;
                 inner.append(withSequence(entry, recordedSequence));
             }
         }
--- a/cli/src/main/java/frostrelay/start/Start.java
+++ b/cli/src/main/java/frostrelay/defects/Start.java
@@ -1,12 +1,12 @@
-package frostrelay.start;
+package frostrelay.defects;
 
 import frostrelay.audit.Recorder;
-import frostrelay.judgements.HealthReportAggregator;
-import frostrelay.node.Options;
+import frostrelay.gossip.GossipSettings;
+import frostrelay.healthreports.HealthReportAggregator;
 import frostrelay.node.NodeProcess;
-import frostrelay.node.TestHooks;
-import frostrelay.peers.GossipSettings;
-import frostrelay.stragglers.StalenessDetector;
+import frostrelay.node.Options;
+import frostrelay.node.cluster.TestHooks;
+import frostrelay.staleness.StalenessDetector;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -44,7 +44,8 @@
                         totals,
                         wallClock(),
                         Integer.getInteger(PROPERTY_PREFIX + "build", 0),
-                        Integer.getInteger(PROPERTY_PREFIX + "form", GossipSettings.STANDARD.wireVersion())));
+                        Integer.getInteger(
+                                PROPERTY_PREFIX + "form", GossipSettings.STANDARD.wireVersion())));
     }
 
     /** Unix milliseconds, off by what a file says at the moment. */
--- a/config/src/main/java/frostrelay/config/Key.java
+++ b/config/src/main/java/frostrelay/config/Key.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * One key of a table: what it may hold and what it is for. {@code defaultValue}: the value where the
- * file has none, in the kind's own unit, or null where the file must have one. {@code min} and
+ * One key of a table: what it may hold and what it is for. {@code defaultValue}: the value where
+ * the file has none, in the kind's own unit, or null where the file must have one. {@code min} and
  * {@code max}: bounds in the kind's own unit, for kinds that have an order.
  */
 record Key(
--- a/config/src/main/java/frostrelay/config/TableSchema.java
+++ b/config/src/main/java/frostrelay/config/TableSchema.java
@@ -23,17 +23,20 @@
     }
 
     /** A length of time; bounds and standard in the form of a file. */
-    public TableSchema duration(String name, String defaultValue, String min, String max, String purpose) {
+    public TableSchema duration(
+            String name, String defaultValue, String min, String max, String purpose) {
         return quantity(name, Kind.DURATION, defaultValue, min, max, purpose);
     }
 
     /** A number of bytes; bounds and standard in the form of a file. */
-    public TableSchema bytes(String name, String defaultValue, String min, String max, String purpose) {
+    public TableSchema bytes(
+            String name, String defaultValue, String min, String max, String purpose) {
         return quantity(name, Kind.BYTES, defaultValue, min, max, purpose);
     }
 
     /** A number a second; bounds and standard in the form of a file. */
-    public TableSchema rate(String name, String defaultValue, String min, String max, String purpose) {
+    public TableSchema rate(
+            String name, String defaultValue, String min, String max, String purpose) {
         return quantity(name, Kind.RATE, defaultValue, min, max, purpose);
     }
 
@@ -56,7 +59,8 @@
     }
 
     /** A number, whole or not. */
-    public TableSchema number(String name, Double defaultValue, double min, double max, String purpose) {
+    public TableSchema number(
+            String name, Double defaultValue, double min, double max, String purpose) {
         return add(new Key(name, Kind.NUMBER, defaultValue, min, max, List.of(), purpose));
     }
 
@@ -66,7 +70,8 @@
     }
 
     /** One of some words; null where the file must have one. */
-    public TableSchema choice(String name, String defaultValue, List<String> choices, String purpose) {
+    public TableSchema choice(
+            String name, String defaultValue, List<String> choices, String purpose) {
         return add(new Key(name, Kind.CHOICE, defaultValue, 0, 0, choices, purpose));
     }
 
--- a/config/src/main/java/frostrelay/config/TableValues.java
+++ b/config/src/main/java/frostrelay/config/TableValues.java
@@ -23,7 +23,11 @@
     private final Map<String, List<TableValues>> tables;
     private final int line;
 
-    TableValues(TableSchema schema, Map<String, Object> values, Map<String, List<TableValues>> tables, int line) {
+    TableValues(
+            TableSchema schema,
+            Map<String, Object> values,
+            Map<String, List<TableValues>> tables,
+            int line) {
         this.schema = schema;
         this.values = Map.copyOf(values);
         this.tables = Map.copyOf(tables);
@@ -79,7 +83,8 @@
         if (dot >= 0) {
             Matcher step = PATH_STEP.matcher(path.substring(0, dot));
             List<TableValues> siblings = step.matches() ? tables.get(step.group(1)) : null;
-            int index = siblings == null || step.group(2) == null ? 0 : Integer.parseInt(step.group(2));
+            int index =
+                    siblings == null || step.group(2) == null ? 0 : Integer.parseInt(step.group(2));
             if (siblings == null || index >= siblings.size()) {
                 throw invalid(
                         file,
@@ -89,14 +94,16 @@
                         String.join(", ", tables.keySet()));
             }
             List<TableValues> updated = new ArrayList<>(siblings);
-            updated.set(index, siblings.get(index).with(path.substring(dot + 1), literal, file, line));
+            updated.set(
+                    index, siblings.get(index).with(path.substring(dot + 1), literal, file, line));
             Map<String, List<TableValues>> updatedTables = new HashMap<>(tables);
             updatedTables.put(step.group(1), List.copyOf(updated));
             return new TableValues(schema, values, updatedTables, this.line);
         }
         Key key = schema.keys.get(path);
         if (key == null) {
-            throw invalid(file, line, path, "an unknown key", String.join(", ", schema.allowedNames()));
+            throw invalid(
+                    file, line, path, "an unknown key", String.join(", ", schema.allowedNames()));
         }
         String unquoted = literal.strip().replaceAll("^\"|\"$", "");
         Object number = Toml.parse("x = " + unquoted).get("x");
--- a/config/src/main/java/frostrelay/config/TomlFile.java
+++ b/config/src/main/java/frostrelay/config/TomlFile.java
@@ -171,7 +171,8 @@
             addProblem(line, path, abbreviate(raw), "a table");
             return emptyValues(schema);
         }
-        TableValues values = readTable(path, raw == null ? Toml.parse("") : (TomlTable) raw, schema, line);
+        TableValues values =
+                readTable(path, raw == null ? Toml.parse("") : (TomlTable) raw, schema, line);
         return values == null ? emptyValues(schema) : values;
     }
 
@@ -180,14 +181,16 @@
         return new TableValues(schema, Map.of(), Map.of(), 0);
     }
 
-    private List<TableValues> readList(String path, Object raw, TableSchema.Nested inner, int line) {
+    private List<TableValues> readList(
+            String path, Object raw, TableSchema.Nested inner, int line) {
         List<TableValues> list = new ArrayList<>();
         if (raw == null) {
             return list;
         }
         if (!(raw instanceof TomlArray array)
                 || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
-            addProblem(line, path, abbreviate(raw), "a list of tables, each headed [[" + path + "]]");
+            addProblem(
+                    line, path, abbreviate(raw), "a list of tables, each headed [[" + path + "]]");
             return list;
         }
         if (array.size() > inner.max()) {
@@ -246,6 +249,8 @@
                                 ? "a table"
                                 : raw instanceof TomlArray ? "a list" : String.valueOf(raw);
         String line = text.replaceAll("\\p{Cntrl}", " ");
-        return line.length() > MAX_SHOWN_LENGTH ? line.substring(0, MAX_SHOWN_LENGTH) + "..." : line;
+        return line.length() > MAX_SHOWN_LENGTH
+                ? line.substring(0, MAX_SHOWN_LENGTH) + "..."
+                : line;
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/Emulation.java
+++ b/emulator/src/main/java/frostrelay/emulator/Emulation.java
@@ -1,7 +1,11 @@
 package frostrelay.emulator;
 
-import frostrelay.policy.Api;
 import frostrelay.policy.Router;
+import frostrelay.policy.api.DeduplicationScope;
+import frostrelay.policy.api.LoadReportLayout;
+import frostrelay.policy.api.PolicySettings;
+import frostrelay.policy.api.RequestClass;
+import frostrelay.policy.api.Tenant;
 
 import org.agrona.collections.Long2LongHashMap;
 
@@ -24,10 +28,10 @@
     private static final double TENANT_QUOTA_HEADROOM = 1.35;
 
     /**
-     * What a day came to. {@code receivedRequests}: tries that came to balancers, also while the plant
-     * settled; {@code listEntriesSent}: entries of lists that were told; {@code wastedWorkFraction}: the part of
-     * caches' work that nobody waited for when it was done; {@code wallNanos}: nanoseconds that it took
-     * to emulate.
+     * What a day came to. {@code receivedRequests}: tries that came to balancers, also while the
+     * plant settled; {@code listEntriesSent}: entries of lists that were told; {@code
+     * wastedWorkFraction}: the part of caches' work that nobody waited for when it was done; {@code
+     * wallNanos}: nanoseconds that it took to emulate.
      */
     public record Result(
             RunStatistics statistics,
@@ -62,7 +66,9 @@
 
         /** Sends beyond the first, for each try. */
         public double additionalAttemptRatio() {
-            return statistics.attemptCount() == 0 ? 0 : additionalAttempts / (double) statistics.attemptCount();
+            return statistics.attemptCount() == 0
+                    ? 0
+                    : additionalAttempts / (double) statistics.attemptCount();
         }
 
         /**
@@ -103,11 +109,20 @@
         origin = new SimOrigin(model.origin(), timeline, model.seed());
         int cacheCount = model.cacheCount() + model.replacementCount();
         discovery =
-                new SimDiscovery(timeline, model.discovery(), model.zoneCount(), model.cacheCount(), cacheCount);
-        NetworkDelays networkDelays = new NetworkDelays(model.network(), model.zoneCount(), model.seed());
+                new SimDiscovery(
+                        timeline,
+                        model.discovery(),
+                        model.zoneCount(),
+                        model.cacheCount(),
+                        cacheCount);
+        NetworkDelays networkDelays =
+                new NetworkDelays(model.network(), model.zoneCount(), model.seed());
         int[] versionByKey = new int[model.clients().keyCount()];
         Long2LongHashMap indexByServerId = new Long2LongHashMap(-1);
-        int maxConnections = model.connections().isModelled() ? model.connections().maxPerCache() : Integer.MAX_VALUE;
+        int maxConnections =
+                model.connections().isModelled()
+                        ? model.connections().maxPerCache()
+                        : Integer.MAX_VALUE;
         for (int i = 0; i < cacheCount; i++) {
             SimCache cache =
                     new SimCache(
@@ -117,7 +132,8 @@
                             timeline,
                             origin,
                             versionByKey,
-                            new SlowStartGuard(invariantChecker, model.cache(), model.meanWorkNanos()));
+                            new SlowStartGuard(
+                                    invariantChecker, model.cache(), model.meanWorkNanos()));
             caches.add(cache);
             indexByServerId.put(SimDiscovery.serverId(i), i);
             if (i >= model.cacheCount()) {
@@ -146,10 +162,19 @@
                             invariantChecker,
                             model.seed() * 31 + i));
         }
-        clients = new SimClients(model, timeline, networkDelays, balancers, statistics, invariantChecker);
+        clients =
+                new SimClients(
+                        model, timeline, networkDelays, balancers, statistics, invariantChecker);
         faults =
                 new SimFaults(
-                        model, timeline, networkDelays, origin, discovery, caches, cacheAtAddress, balancers,
+                        model,
+                        timeline,
+                        networkDelays,
+                        origin,
+                        discovery,
+                        caches,
+                        cacheAtAddress,
+                        balancers,
                         clients);
         timeSeries = new RunTimeSeries(statistics.seconds(), caches, balancers);
         timeSeries.addCounter("asked", statistics::asked);
@@ -199,17 +224,24 @@
         faults.scheduleAll();
         long endNanos = model.warmupNanos() + model.durationNanos();
         for (int second = 0; second < statistics.seconds(); second++) {
-            timeline.runUntil(Math.min(endNanos, model.warmupNanos() + (second + 1) * NANOS_PER_SECOND));
+            timeline.runUntil(
+                    Math.min(endNanos, model.warmupNanos() + (second + 1) * NANOS_PER_SECOND));
             timeSeries.recordSecond(second, statistics, model.cache().cores());
         }
         long latestNanos =
                 endNanos
-                        + model.requestClasses().stream().mapToLong(SystemModel.RequestClass::deadlineNanos).max().orElse(0)
+                        + model.requestClasses().stream()
+                                .mapToLong(SystemModel.RequestClass::deadlineNanos)
+                                .max()
+                                .orElse(0)
                         + NANOS_PER_SECOND;
-        for (long at = endNanos; clients.openRequests() > 0 && at <= latestNanos; at += NANOS_PER_SECOND) {
+        for (long at = endNanos;
+                clients.openRequests() > 0 && at <= latestNanos;
+                at += NANOS_PER_SECOND) {
             timeline.runUntil(at);
         }
-        invariantChecker.recordViolation(SimInvariantChecker.Rule.UNANSWERED, clients.openRequests());
+        invariantChecker.recordViolation(
+                SimInvariantChecker.Rule.UNANSWERED, clients.openRequests());
         return new Result(
                 statistics,
                 timeSeries,
@@ -228,28 +260,32 @@
                 System.nanoTime() - wallStartNanos);
     }
 
-    private static Api.Settings settings(SystemModel model, int instanceIndex) {
-        List<Api.RequestClass> classes = new ArrayList<>();
+    private static PolicySettings settings(SystemModel model, int instanceIndex) {
+        List<RequestClass> classes = new ArrayList<>();
         for (SystemModel.RequestClass requestClass : model.requestClasses()) {
             classes.add(
-                    new Api.RequestClass(
+                    new RequestClass(
                             requestClass.latencyObjectiveNanos(),
                             0,
                             requestClass.deadlineNanos(),
                             requestClass.priorityWeight(),
                             0.3,
                             requestClass.idempotency(),
-                            Api.Group.ALL,
+                            DeduplicationScope.ALL,
                             DEDUPLICATION_WINDOW_NANOS,
                             false,
                             false));
         }
         double requestsPerSecond = model.clients().requestsPerSecond();
-        List<Api.Tenant> tenants =
+        List<Tenant> tenants =
                 model.tenantShares().stream()
-                        .map(share -> new Api.Tenant(TENANT_QUOTA_HEADROOM * share * requestsPerSecond, share))
+                        .map(
+                                share ->
+                                        new Tenant(
+                                                TENANT_QUOTA_HEADROOM * share * requestsPerSecond,
+                                                share))
                         .toList();
-        return new Api.Settings(
+        return new PolicySettings(
                 classes,
                 tenants,
                 instanceIndex % model.zoneCount(),
@@ -273,6 +309,6 @@
                 1,
                 NANOS_PER_SECOND,
                 null,
-                new Api.ReportLayout(-1, -1, -1));
+                new LoadReportLayout(-1, -1, -1));
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/RunStatistics.java
+++ b/emulator/src/main/java/frostrelay/emulator/RunStatistics.java
@@ -148,16 +148,23 @@
      * before any price.
      */
     public double objective() {
-        double overall = Arrays.stream(earnedWeight[1]).sum() / Math.max(1e-9, Arrays.stream(requestedWeight[1]).sum());
+        double overall =
+                Arrays.stream(earnedWeight[1]).sum()
+                        / Math.max(1e-9, Arrays.stream(requestedWeight[1]).sum());
         double worstWindow = 1;
         for (int from = 0; from + WORST_WINDOW_SECONDS <= requestedWeight[0].length; from++) {
-            double windowWeight = Arrays.stream(requestedWeight[0], from, from + WORST_WINDOW_SECONDS).sum();
+            double windowWeight =
+                    Arrays.stream(requestedWeight[0], from, from + WORST_WINDOW_SECONDS).sum();
             worstWindow =
                     windowWeight == 0
                             ? worstWindow
                             : Math.min(
                                     worstWindow,
-                                    Arrays.stream(earnedWeight[0], from, from + WORST_WINDOW_SECONDS).sum()
+                                    Arrays.stream(
+                                                            earnedWeight[0],
+                                                            from,
+                                                            from + WORST_WINDOW_SECONDS)
+                                                    .sum()
                                             / windowWeight);
         }
         return OBJECTIVE_WEIGHTS[0] * overall
@@ -169,21 +176,28 @@
     private double minFraction(int by) {
         double minimum = 1;
         for (int i = 0; i < requestedWeight[by].length; i++) {
-            minimum = requestedWeight[by][i] == 0 ? minimum : Math.min(minimum, earnedWeight[by][i] / requestedWeight[by][i]);
+            minimum =
+                    requestedWeight[by][i] == 0
+                            ? minimum
+                            : Math.min(minimum, earnedWeight[by][i] / requestedWeight[by][i]);
         }
         return minimum;
     }
 
     /** A percentile of served latencies from the first try on, in milliseconds. */
     public double latencyMillis(double percentile) {
-        return latencyMicros.getTotalCount() == 0 ? 0 : latencyMicros.getValueAtPercentile(percentile) / 1e3;
+        return latencyMicros.getTotalCount() == 0
+                ? 0
+                : latencyMicros.getValueAtPercentile(percentile) / 1e3;
     }
 
     /**
      * A percentile of what was served since it was last forgotten, in milliseconds; 0 for nothing.
      */
     double recentLatencyMillis(double percentile) {
-        return recentLatencyMicros.getTotalCount() == 0 ? 0 : recentLatencyMicros.getValueAtPercentile(percentile) / 1e3;
+        return recentLatencyMicros.getTotalCount() == 0
+                ? 0
+                : recentLatencyMicros.getValueAtPercentile(percentile) / 1e3;
     }
 
     void resetRecent() {
--- a/emulator/src/main/java/frostrelay/emulator/RunTimeSeries.java
+++ b/emulator/src/main/java/frostrelay/emulator/RunTimeSeries.java
@@ -53,8 +53,10 @@
             previousBusyNanos[i] = sum(row(caches, i, utilization.length), SimCache::worked);
         }
         for (int i = 0; i < unservedFraction.length; i++) {
-            previousReceived[i] = sum(row(balancers, i, unservedFraction.length), SimBalancer::receivedRequests);
-            previousServed[i] = sum(row(balancers, i, unservedFraction.length), SimBalancer::servedRequests);
+            previousReceived[i] =
+                    sum(row(balancers, i, unservedFraction.length), SimBalancer::receivedRequests);
+            previousServed[i] =
+                    sum(row(balancers, i, unservedFraction.length), SimBalancer::servedRequests);
         }
     }
 
@@ -78,7 +80,8 @@
         counters.forEach(
                 (name, counter) -> {
                     long currentTotal = counter.getAsLong();
-                    countsBySecond.get(name)[second] = currentTotal - previousTotals.put(name, currentTotal);
+                    countsBySecond.get(name)[second] =
+                            currentTotal - previousTotals.put(name, currentTotal);
                 });
         p50Millis[second] = statistics.recentLatencyMillis(50);
         p99Millis[second] = statistics.recentLatencyMillis(99);
@@ -86,7 +89,8 @@
         for (int i = 0; i < utilization.length; i++) {
             List<SimCache> row = row(caches, i, utilization.length);
             long currentTotal = sum(row, SimCache::worked);
-            utilization[i][second] = (float) ((currentTotal - previousBusyNanos[i]) / 1e9 / cores / row.size());
+            utilization[i][second] =
+                    (float) ((currentTotal - previousBusyNanos[i]) / 1e9 / cores / row.size());
             previousBusyNanos[i] = currentTotal;
         }
         for (int i = 0; i < unservedFraction.length; i++) {
@@ -97,7 +101,12 @@
             unservedFraction[i][second] =
                     receivedTotal == previousReceived[i]
                             ? 0
-                            : Math.max(0, 1 - (servedTotal - previousServed[i]) / (float) (receivedTotal - previousReceived[i]));
+                            : Math.max(
+                                    0,
+                                    1
+                                            - (servedTotal - previousServed[i])
+                                                    / (float)
+                                                            (receivedTotal - previousReceived[i]));
             previousReceived[i] = receivedTotal;
             previousServed[i] = servedTotal;
         }
--- a/emulator/src/main/java/frostrelay/emulator/SimBalancer.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimBalancer.java
@@ -1,7 +1,15 @@
 package frostrelay.emulator;
 
-import frostrelay.policy.Api;
-import frostrelay.policy.Api.Reason;
+import frostrelay.policy.api.AttemptOutcome;
+import frostrelay.policy.api.AttemptResult;
+import frostrelay.policy.api.EndpointState;
+import frostrelay.policy.api.EndpointUpdateMode;
+import frostrelay.policy.api.PolicyActions;
+import frostrelay.policy.api.PolicyEvents;
+import frostrelay.policy.api.PolicySettings;
+import frostrelay.policy.api.Request;
+import frostrelay.policy.api.ResponseSource;
+import frostrelay.policy.api.Server;
 
 import org.agrona.collections.Long2LongHashMap;
 import org.agrona.collections.Long2ObjectHashMap;
@@ -16,15 +24,15 @@
  * One balancer: the real decision module with a ledger of open requests round it, as the real
  * balancer has one. Its one core takes a while for each event; what comes meanwhile waits.
  */
-final class SimBalancer implements Api.Actions, SimDiscovery.Subscriber {
+final class SimBalancer implements PolicyActions, SimDiscovery.Subscriber {
     /** Makes the decision module. */
     interface RouterFactory {
-        Api.Events create(Api.Settings settings, long seed, Api.Actions actions);
+        PolicyEvents create(PolicySettings settings, long seed, PolicyActions actions);
     }
 
     /** A request as a client made it; hears its one final answer. */
     interface IncomingRequest {
-        Api.Request createRequest(long id, long deadlineNanos);
+        Request createRequest(long id, long deadlineNanos);
 
         long timeoutNanos();
 
@@ -80,11 +88,12 @@
         final int startIncarnation = incarnation;
         boolean isCompleted;
         long timeoutTimer = Timeline.NO_TIMER;
-        Api.Source source = Api.Source.UNKNOWN;
+        ResponseSource source = ResponseSource.UNKNOWN;
         int cacheIndex;
 
         /**
-         * In which life of the cache its connection came up, {@link #NO_CONNECTION} while it has none.
+         * In which life of the cache its connection came up, {@link #NO_CONNECTION} while it has
+         * none.
          */
         int connectionIncarnation = NO_CONNECTION;
 
@@ -109,7 +118,8 @@
 
         @Override
         public double workNanos() {
-            return exchange.incomingRequest.workNanos() + (isFirstOnConnection ? connectionSpec.handshakeWorkNanos() : 0);
+            return exchange.incomingRequest.workNanos()
+                    + (isFirstOnConnection ? connectionSpec.handshakeWorkNanos() : 0);
         }
 
         @Override
@@ -134,24 +144,28 @@
 
         @Override
         public void onCompleted(long now, SimCache.Outcome outcome) {
-            Reason reason =
+            AttemptResult reason =
                     switch (outcome) {
-                        case SERVED, HIT, FETCHED -> Reason.OK;
-                        case FAILED -> Reason.ERROR;
-                        case REJECTED -> Reason.REJECTED;
-                        case CONNECTION_REFUSED -> Reason.CONNECT_FAILED;
-                        case RESET -> Reason.RESET;
+                        case SERVED, HIT, FETCHED -> AttemptResult.OK;
+                        case FAILED -> AttemptResult.ERROR;
+                        case REJECTED -> AttemptResult.REJECTED;
+                        case CONNECTION_REFUSED -> AttemptResult.CONNECT_FAILED;
+                        case RESET -> AttemptResult.RESET;
                     };
             source =
                     switch (outcome) {
-                        case HIT -> Api.Source.CACHE;
-                        case FETCHED -> Api.Source.ORIGIN;
-                        default -> Api.Source.UNKNOWN;
+                        case HIT -> ResponseSource.CACHE;
+                        case FETCHED -> ResponseSource.ORIGIN;
+                        default -> ResponseSource.UNKNOWN;
                     };
-            if (!networkDelays.isResponseLost() && networkDelays.isConnected(zone, zone(cacheIndex))) {
+            if (!networkDelays.isResponseLost()
+                    && networkDelays.isConnected(zone, zone(cacheIndex))) {
                 timeline.schedule(
                         now + networkDelays.sampleDelayNanos(zone(cacheIndex), zone),
-                        then -> runOnCore(then, at -> SimBalancer.this.completeAttempt(at, this, reason)));
+                        then ->
+                                runOnCore(
+                                        then,
+                                        at -> SimBalancer.this.completeAttempt(at, this, reason)));
             }
         }
     }
@@ -167,7 +181,7 @@
 
     private final Long2LongHashMap indexByServerId;
     private final RouterFactory routerFactory;
-    private final Api.Settings settings;
+    private final PolicySettings settings;
     private final int zone;
     private final int zoneCount;
     private final long seed;
@@ -187,7 +201,7 @@
     private final long[] drainingSinceNanos;
 
     private Set<Long> adminDrainedServers = Set.of();
-    private Api.Events router;
+    private PolicyEvents router;
     private int incarnation;
     private boolean isDown;
     private boolean isShuttingDown;
@@ -207,7 +221,7 @@
             List<SimCache> cacheAtAddress,
             Long2LongHashMap indexByServerId,
             RouterFactory routerFactory,
-            Api.Settings settings,
+            PolicySettings settings,
             SimInvariantChecker invariantChecker,
             long seed) {
         this.invariantChecker = invariantChecker;
@@ -224,7 +238,10 @@
         this.routerFactory = routerFactory;
         this.settings = settings;
         this.seed = seed;
-        connections = connectionSpec.isModelled() ? new SimConnectionPool(connectionSpec, cacheAtAddress) : null;
+        connections =
+                connectionSpec.isModelled()
+                        ? new SimConnectionPool(connectionSpec, cacheAtAddress)
+                        : null;
         start(0);
     }
 
@@ -239,30 +256,38 @@
         now = at;
         router = routerFactory.create(settings, seed + incarnation, this);
         router.onAdminDrains(at, adminDrainedServers);
-        List<Api.Server> list = discovery.currentServers();
-        recordDrainStates(at, Api.ListMode.CACHED, list);
-        router.onEndpointUpdate(at, Api.ListMode.CACHED, list);
+        List<Server> list = discovery.currentServers();
+        recordDrainStates(at, EndpointUpdateMode.CACHED, list);
+        router.onEndpointUpdate(at, EndpointUpdateMode.CACHED, list);
     }
 
-    private void recordDrainStates(long at, Api.ListMode mode, List<Api.Server> servers) {
-        if (mode != Api.ListMode.FAILED) {
-            for (Api.Server server : servers) {
+    private void recordDrainStates(long at, EndpointUpdateMode mode, List<Server> servers) {
+        if (mode != EndpointUpdateMode.FAILED) {
+            for (Server server : servers) {
                 setDraining(
                         (int) indexByServerId.get(server.id()),
                         at,
-                        server.state() != Api.State.READY || adminDrainedServers.contains(server.id()));
+                        server.state() != EndpointState.READY
+                                || adminDrainedServers.contains(server.id()));
             }
         }
     }
 
     private void setDraining(int cacheIndex, long at, boolean isDraining) {
         drainingSinceNanos[cacheIndex] =
-                !isDraining ? 0 : drainingSinceNanos[cacheIndex] == 0 ? Math.max(1, at) : drainingSinceNanos[cacheIndex];
+                !isDraining
+                        ? 0
+                        : drainingSinceNanos[cacheIndex] == 0
+                                ? Math.max(1, at)
+                                : drainingSinceNanos[cacheIndex];
     }
 
     /** Operators hold these caches out of use, all of them and no others. */
     void applyAdminDrains(long at, Set<Long> serverIds) {
-        adminDrainedServers.forEach(id -> setDraining((int) indexByServerId.get((long) id), at, serverIds.contains(id)));
+        adminDrainedServers.forEach(
+                id ->
+                        setDraining(
+                                (int) indexByServerId.get((long) id), at, serverIds.contains(id)));
         serverIds.forEach(id -> setDraining((int) indexByServerId.get((long) id), at, true));
         adminDrainedServers = Set.copyOf(serverIds);
         if (!isDown) {
@@ -341,7 +366,11 @@
             incomingRequest.onAnswer(at, Answer.LOST, 0);
             return id;
         }
-        Exchange exchange = new Exchange(id, incomingRequest, at + incomingRequest.timeoutNanos() - NETWORK_MARGIN_NANOS);
+        Exchange exchange =
+                new Exchange(
+                        id,
+                        incomingRequest,
+                        at + incomingRequest.timeoutNanos() - NETWORK_MARGIN_NANOS);
         exchanges.put(id, exchange);
         int startIncarnation = incarnation;
         exchange.deadlineTimer =
@@ -351,7 +380,8 @@
                             if (startIncarnation == incarnation && !exchange.isCompleted) {
                                 // The module has left it open past its deadline: one answer is owed
                                 // all the same.
-                                invariantChecker.recordViolation(SimInvariantChecker.Rule.LEFT_OPEN);
+                                invariantChecker.recordViolation(
+                                        SimInvariantChecker.Rule.LEFT_OPEN);
                                 now = then;
                                 completeRequest(exchange, Answer.FAILED, 0);
                                 router.onClientDisconnect(then, id);
@@ -362,7 +392,8 @@
                 then -> {
                     // Its client may have left while it waited for the core.
                     if (!exchange.isCompleted) {
-                        router.onRequest(then, incomingRequest.createRequest(id, exchange.deadlineNanos));
+                        router.onRequest(
+                                then, incomingRequest.createRequest(id, exchange.deadlineNanos));
                     }
                 });
         return id;
@@ -384,7 +415,9 @@
         exchange.isCompleted = true;
         timeline.cancel(exchange.deadlineTimer);
         IncomingRequest incomingRequest = exchange.incomingRequest;
-        timeline.schedule(now + networkDelays.sampleDelayNanos(), then -> incomingRequest.onAnswer(then, answer, retryAfterNanos));
+        timeline.schedule(
+                now + networkDelays.sampleDelayNanos(),
+                then -> incomingRequest.onAnswer(then, answer, retryAfterNanos));
         removeIfCompleted(exchange);
     }
 
@@ -394,7 +427,7 @@
         }
     }
 
-    private void completeAttempt(long at, Attempt attempt, Reason reason) {
+    private void completeAttempt(long at, Attempt attempt, AttemptResult reason) {
         if (attempt.isCompleted || attempt.startIncarnation != incarnation) {
             return;
         }
@@ -404,13 +437,13 @@
         Exchange exchange = attempt.exchange;
         exchange.pendingAttempts--;
         now = at;
-        if (reason == Reason.OK && !exchange.isCompleted) {
+        if (reason == AttemptResult.OK && !exchange.isCompleted) {
             servedRequests++;
             completeRequest(exchange, Answer.SERVED, 0);
         }
         router.onAttemptOutcome(
                 at,
-                new Api.Outcome(
+                new AttemptOutcome(
                         exchange.id,
                         attempt.number,
                         reason,
@@ -422,7 +455,7 @@
     }
 
     @Override
-    public void onList(long at, Api.ListMode mode, List<Api.Server> servers) {
+    public void onList(long at, EndpointUpdateMode mode, List<Server> servers) {
         if (!isDown) {
             now = at;
             recordDrainStates(at, mode, servers);
@@ -443,12 +476,16 @@
         exchange.attempts.add(attempt);
         exchange.pendingAttempts++;
         if (exchange.isCompleted || exchange.attempts.size() > spec.maxAttempts()) {
-            timeline.schedule(now, then -> completeAttempt(then, attempt, Reason.SUPERSEDED));
+            timeline.schedule(
+                    now, then -> completeAttempt(then, attempt, AttemptResult.SUPERSEDED));
             return;
         }
         attemptsSent++;
         additionalAttempts += exchange.attempts.size() > 1 ? 1 : 0;
-        long timeoutAtNanos = abandonAtNanos <= 0 ? exchange.deadlineNanos : Math.min(abandonAtNanos, exchange.deadlineNanos);
+        long timeoutAtNanos =
+                abandonAtNanos <= 0
+                        ? exchange.deadlineNanos
+                        : Math.min(abandonAtNanos, exchange.deadlineNanos);
         // What never left cannot have run: its connection did not come up in time.
         attempt.timeoutTimer =
                 timeline.schedule(
@@ -457,7 +494,9 @@
                                 completeAttempt(
                                         then,
                                         attempt,
-                                        attempt.isSent ? Reason.TIMEOUT : Reason.CONNECT_FAILED));
+                                        attempt.isSent
+                                                ? AttemptResult.TIMEOUT
+                                                : AttemptResult.CONNECT_FAILED));
         attempt.cacheIndex = (int) indexByServerId.get(serverId);
         if (drainingSinceNanos[attempt.cacheIndex] != 0
                 && now - drainingSinceNanos[attempt.cacheIndex] > Emulation.DRAIN_GRACE_NANOS) {
@@ -471,12 +510,14 @@
         } else if (connections.ensureCapacity(now)) {
             connect(attempt);
         } else {
-            timeline.schedule(now, then -> completeAttempt(then, attempt, Reason.SUPERSEDED));
+            timeline.schedule(
+                    now, then -> completeAttempt(then, attempt, AttemptResult.SUPERSEDED));
         }
     }
 
     private boolean isReachable(int cacheIndex) {
-        return !partitionedCaches.get(cacheIndex) && networkDelays.isConnected(zone, zone(cacheIndex));
+        return !partitionedCaches.get(cacheIndex)
+                && networkDelays.isConnected(zone, zone(cacheIndex));
     }
 
     private void connect(Attempt attempt) {
@@ -493,16 +534,22 @@
                     if (attempt.startIncarnation != incarnation) {
                         return;
                     }
-                    Boolean isAccepted = isReachable(cacheIndex) ? cacheAtAddress.get(cacheIndex).acceptConnection() : null;
+                    Boolean isAccepted =
+                            isReachable(cacheIndex)
+                                    ? cacheAtAddress.get(cacheIndex).acceptConnection()
+                                    : null;
                     if (isAccepted == null) {
-                        timeline.schedule(startedAtNanos + connectionSpec.connectTimeoutNanos(), at -> onConnectFailed(at, attempt));
+                        timeline.schedule(
+                                startedAtNanos + connectionSpec.connectTimeoutNanos(),
+                                at -> onConnectFailed(at, attempt));
                     } else if (!isAccepted) {
                         onConnectFailed(then, attempt);
                     } else {
                         connections.onConnected(then, cacheIndex);
                         if (attempt.isCompleted) {
                             // Cancelled while it came up: nothing was written, and it is kept.
-                            connections.release(then, cacheIndex, connections.incarnation(cacheIndex));
+                            connections.release(
+                                    then, cacheIndex, connections.incarnation(cacheIndex));
                         } else {
                             attempt.connectionIncarnation = connections.incarnation(cacheIndex);
                             attempt.isFirstOnConnection = true;
@@ -516,7 +563,7 @@
     private void onConnectFailed(long at, Attempt attempt) {
         if (attempt.startIncarnation == incarnation) {
             connections.onConnectFailed();
-            runOnCore(at, then -> completeAttempt(then, attempt, Reason.CONNECT_FAILED));
+            runOnCore(at, then -> completeAttempt(then, attempt, AttemptResult.CONNECT_FAILED));
         }
     }
 
@@ -533,8 +580,10 @@
                 then -> {
                     if (isReset) {
                         timeline.schedule(
-                                then + networkDelays.sampleDelayNanos(zone(attempt.cacheIndex), zone),
-                                back -> completeAttempt(back, attempt, Reason.RESET));
+                                then
+                                        + networkDelays.sampleDelayNanos(
+                                                zone(attempt.cacheIndex), zone),
+                                back -> completeAttempt(back, attempt, AttemptResult.RESET));
                     }
                     // Of those that are reset every other one has come, and may run.
                     if (!isReset || (attempt.exchange.id & 1) == 0) {
@@ -547,11 +596,13 @@
      * A connection is free after an answer; given up under a request it is closed, as the answer
      * may still come.
      */
-    private void releaseConnection(long at, Attempt attempt, Reason reason) {
+    private void releaseConnection(long at, Attempt attempt, AttemptResult reason) {
         if (attempt.connectionIncarnation == NO_CONNECTION) {
             return;
         }
-        if (reason.answered() || reason == Reason.ERROR || reason == Reason.REJECTED) {
+        if (reason.answered()
+                || reason == AttemptResult.ERROR
+                || reason == AttemptResult.REJECTED) {
             connections.release(at, attempt.cacheIndex, attempt.connectionIncarnation);
         } else {
             connections.close(attempt.cacheIndex, attempt.connectionIncarnation);
@@ -564,13 +615,17 @@
         Exchange exchange = exchanges.get(requestId);
         if (exchange != null && attempt < exchange.attempts.size()) {
             Attempt cancelled = exchange.attempts.get(attempt);
-            timeline.schedule(now, then -> completeAttempt(then, cancelled, Reason.CANCELLED));
+            timeline.schedule(
+                    now, then -> completeAttempt(then, cancelled, AttemptResult.CANCELLED));
         }
     }
 
     @Override
     public void reject(long requestId, long retryAfterNanos) {
-        answerClient(requestId, Answer.REJECTED, Math.min(retryAfterNanos, settings.maxRetryAfterNanos()));
+        answerClient(
+                requestId,
+                Answer.REJECTED,
+                Math.min(retryAfterNanos, settings.maxRetryAfterNanos()));
     }
 
     @Override
--- a/emulator/src/main/java/frostrelay/emulator/SimCache.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimCache.java
@@ -176,7 +176,10 @@
         double warmFraction =
                 ageNanos >= spec.slowStartNanos()
                         ? 1
-                        : spec.slowStartInitialFraction() + (1 - spec.slowStartInitialFraction()) * ageNanos / spec.slowStartNanos();
+                        : spec.slowStartInitialFraction()
+                                + (1 - spec.slowStartInitialFraction())
+                                        * ageNanos
+                                        / spec.slowStartNanos();
         return warmFraction / slowdownFactor;
     }
 
@@ -185,7 +188,11 @@
         int startIncarnation = incarnation;
         // Crowding: each that waits slows the one in work, as context switches and lost cache lines
         // do.
-        long durationNanos = (long) (jobNode.job.workNanos() * (1 + spec.slowdownPerQueued() * queue.size()) / currentSpeed(now));
+        long durationNanos =
+                (long)
+                        (jobNode.job.workNanos()
+                                * (1 + spec.slowdownPerQueued() * queue.size())
+                                / currentSpeed(now));
         busyNanos += durationNanos;
         timeline.schedule(
                 now + durationNanos,
@@ -209,7 +216,8 @@
     private void worked(long now, JobNode jobNode, long durationNanos) {
         Job job = jobNode.job;
         wastedNanos += job.isCancelled() ? durationNanos : 0;
-        if (failureFraction > 0 && (++failureCounter * GOLDEN_RATIO >>> 1) < failureFraction * Integer.MAX_VALUE) {
+        if (failureFraction > 0
+                && (++failureCounter * GOLDEN_RATIO >>> 1) < failureFraction * Integer.MAX_VALUE) {
             complete(now, jobNode, Outcome.FAILED);
             return;
         }
@@ -225,7 +233,8 @@
             return;
         }
         misses++;
-        List<JobNode> existingWaiters = spec.coalescesFetches() ? waitersByKey.get(job.key()) : null;
+        List<JobNode> existingWaiters =
+                spec.coalescesFetches() ? waitersByKey.get(job.key()) : null;
         if (existingWaiters != null) {
             existingWaiters.add(jobNode);
             return;
--- a/emulator/src/main/java/frostrelay/emulator/SimClients.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimClients.java
@@ -1,6 +1,7 @@
 package frostrelay.emulator;
 
-import frostrelay.policy.Api;
+import frostrelay.policy.api.Idempotency;
+import frostrelay.policy.api.Request;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.AliasMethodDiscreteSampler;
@@ -68,7 +69,8 @@
                                         rank == 0
                                                 ? 0
                                                 : Math.pow(
-                                                        rank + clients.zipfOffset(), -clients.zipfExponent()))
+                                                        rank + clients.zipfOffset(),
+                                                        -clients.zipfExponent()))
                         .toArray();
         return AliasMethodDiscreteSampler.of(random, weights);
     }
@@ -83,7 +85,9 @@
                         + (long)
                                 (exponentialSampler.sample()
                                         * NANOS_PER_SECOND
-                                        / (model.clients().requestsPerSecond() * rateFactor * rateFactorAt(now)));
+                                        / (model.clients().requestsPerSecond()
+                                                * rateFactor
+                                                * rateFactorAt(now)));
         if (arrivalNanos < model.warmupNanos() + model.durationNanos()) {
             timeline.schedule(
                     arrivalNanos,
@@ -97,7 +101,9 @@
     /** Where the day stands in its rise and fall: 1 on the mean. */
     private double rateFactorAt(long now) {
         double amplitude = model.clients().rateAmplitude();
-        return amplitude == 0 ? 1 : 1 + amplitude * Math.sin(2 * Math.PI * now / model.clients().ratePeriodNanos());
+        return amplitude == 0
+                ? 1
+                : 1 + amplitude * Math.sin(2 * Math.PI * now / model.clients().ratePeriodNanos());
     }
 
     /**
@@ -181,7 +187,11 @@
             classIndex = requestClassIndex(random.nextDouble());
             requestClass = model.requestClasses().get(classIndex);
             key = sampleKey(startedAtNanos);
-            workNanos = requestClass.meanWorkNanos() * (requestClass.workDistribution() == SystemModel.WorkDistribution.FIXED ? 1 : exponentialSampler.sample());
+            workNanos =
+                    requestClass.meanWorkNanos()
+                            * (requestClass.workDistribution() == SystemModel.WorkDistribution.FIXED
+                                    ? 1
+                                    : exponentialSampler.sample());
             tenant = sampleTenant();
             openRequests++;
             statistics.asked(startedAtNanos, classIndex, tenant, requestClass.priorityWeight());
@@ -197,24 +207,35 @@
         void onAttemptCompleted(long now, SimBalancer.Answer answer, long retryAfterNanos) {
             if (answer == SimBalancer.Answer.SERVED) {
                 openRequests--;
-                statistics.served(startedAtNanos, now - startedAtNanos, now - startedAtNanos <= requestClass.latencyObjectiveNanos(), classIndex, tenant, requestClass.priorityWeight());
+                statistics.served(
+                        startedAtNanos,
+                        now - startedAtNanos,
+                        now - startedAtNanos <= requestClass.latencyObjectiveNanos(),
+                        classIndex,
+                        tenant,
+                        requestClass.priorityWeight());
                 return;
             }
             // What may have run is made again only where a repeat does no harm or is dropped by its
             // key.
             boolean isRetryable =
-                    answer == SimBalancer.Answer.REJECTED || requestClass.idempotency() != Api.Effect.NOT_IDEMPOTENT;
+                    answer == SimBalancer.Answer.REJECTED
+                            || requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
             long backoffNanos =
                     (long)
-                            ((model.clients().initialBackoffNanos() << Math.min(attemptCount - 1, MAX_BACKOFF_SHIFT))
+                            ((model.clients().initialBackoffNanos()
+                                            << Math.min(attemptCount - 1, MAX_BACKOFF_SHIFT))
                                     * (0.5 + random.nextDouble()));
             long delayNanos =
                     retryFactor > 1
                             ? 0
-                            : model.clients().honorsRetryAfter() ? Math.max(retryAfterNanos, backoffNanos) : backoffNanos;
+                            : model.clients().honorsRetryAfter()
+                                    ? Math.max(retryAfterNanos, backoffNanos)
+                                    : backoffNanos;
             if (isRetryable
                     && attemptCount <= model.clients().maxRetries() * retryFactor
-                    && now + delayNanos + MIN_RETRY_WINDOW_NANOS < startedAtNanos + requestClass.deadlineNanos()) {
+                    && now + delayNanos + MIN_RETRY_WINDOW_NANOS
+                            < startedAtNanos + requestClass.deadlineNanos()) {
                 timeline.schedule(now + delayNanos, this::sendAttempt);
             } else {
                 openRequests--;
@@ -223,7 +244,7 @@
         }
 
         void onExecuted() {
-            if (requestClass.idempotency() == Api.Effect.NOT_IDEMPOTENT && ++executionCount > 1) {
+            if (requestClass.idempotency() == Idempotency.NOT_IDEMPOTENT && ++executionCount > 1) {
                 invariantChecker.recordViolation(SimInvariantChecker.Rule.RAN_TWICE);
             }
         }
@@ -241,8 +262,17 @@
 
         ClientAttempt(UserRequest userRequest, long now) {
             this.userRequest = userRequest;
-            long fullTimeoutNanos = (long) (userRequest.requestClass.deadlineNanos() * model.clients().timeoutFraction() / impatienceFactor);
-            timeoutNanos = Math.min(fullTimeoutNanos, userRequest.startedAtNanos + userRequest.requestClass.deadlineNanos() - now);
+            long fullTimeoutNanos =
+                    (long)
+                            (userRequest.requestClass.deadlineNanos()
+                                    * model.clients().timeoutFraction()
+                                    / impatienceFactor);
+            timeoutNanos =
+                    Math.min(
+                            fullTimeoutNanos,
+                            userRequest.startedAtNanos
+                                    + userRequest.requestClass.deadlineNanos()
+                                    - now);
             timeoutTimer = timeline.schedule(now + timeoutNanos, this::onTimeout);
         }
 
@@ -257,15 +287,17 @@
             if (!isCompleted) {
                 isCompleted = true;
                 if (balancer != null) {
-                    timeline.schedule(now + networkDelays.sampleDelayNanos(), then -> balancer.onClientDisconnect(then, balancerRequestId));
+                    timeline.schedule(
+                            now + networkDelays.sampleDelayNanos(),
+                            then -> balancer.onClientDisconnect(then, balancerRequestId));
                 }
                 userRequest.onAttemptCompleted(now, SimBalancer.Answer.FAILED, 0);
             }
         }
 
         @Override
-        public Api.Request createRequest(long requestId, long deadlineNanos) {
-            return new Api.Request(
+        public Request createRequest(long requestId, long deadlineNanos) {
+            return new Request(
                     requestId,
                     userRequest.classIndex,
                     userRequest.tenant,
@@ -293,7 +325,7 @@
 
         @Override
         public boolean isWrite() {
-            return userRequest.requestClass.idempotency() != Api.Effect.IDEMPOTENT;
+            return userRequest.requestClass.idempotency() != Idempotency.IDEMPOTENT;
         }
 
         @Override
--- a/emulator/src/main/java/frostrelay/emulator/SimConnectionPool.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimConnectionPool.java
@@ -35,7 +35,9 @@
             totalConnections -= openConnections[cacheIndex];
             openConnections[cacheIndex] = 0;
             idleConnections[cacheIndex] = 0;
-        } else if (idleConnections[cacheIndex] > 0 && now - lastUsedNanos[cacheIndex] > spec.idleTimeoutNanos() * IDLE_TIMEOUT_FRACTION) {
+        } else if (idleConnections[cacheIndex] > 0
+                && now - lastUsedNanos[cacheIndex]
+                        > spec.idleTimeoutNanos() * IDLE_TIMEOUT_FRACTION) {
             closeIdle(cacheIndex);
         }
     }
@@ -53,7 +55,9 @@
 
     /** Makes room for one more; false if all are in use. */
     boolean ensureCapacity(long now) {
-        for (int cacheIndex = 0; totalConnections >= spec.maxPerBalancer() && cacheIndex < openConnections.length; cacheIndex++) {
+        for (int cacheIndex = 0;
+                totalConnections >= spec.maxPerBalancer() && cacheIndex < openConnections.length;
+                cacheIndex++) {
             removeStale(now, cacheIndex);
         }
         if (totalConnections < spec.maxPerBalancer()) {
@@ -61,7 +65,9 @@
         }
         int leastRecentlyUsed = -1;
         for (int cacheIndex = 0; cacheIndex < openConnections.length; cacheIndex++) {
-            if (idleConnections[cacheIndex] > 0 && (leastRecentlyUsed < 0 || lastUsedNanos[cacheIndex] < lastUsedNanos[leastRecentlyUsed])) {
+            if (idleConnections[cacheIndex] > 0
+                    && (leastRecentlyUsed < 0
+                            || lastUsedNanos[cacheIndex] < lastUsedNanos[leastRecentlyUsed])) {
                 leastRecentlyUsed = cacheIndex;
             }
         }
