--- a/emulator/src/main/java/frostrelay/emulator/SimDiscovery.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimDiscovery.java
@@ -1,6 +1,8 @@
 package frostrelay.emulator;
 
-import frostrelay.policy.Api;
+import frostrelay.policy.api.EndpointState;
+import frostrelay.policy.api.EndpointUpdateMode;
+import frostrelay.policy.api.Server;
 
 import java.util.Arrays;
 import java.util.LinkedHashSet;
@@ -16,7 +18,7 @@
 final class SimDiscovery {
     /** Hears lists. */
     interface Subscriber {
-        void onList(long now, Api.ListMode mode, List<Api.Server> servers);
+        void onList(long now, EndpointUpdateMode mode, List<Server> servers);
     }
 
     private static final long CALL_NANOS = 5_000_000L;
@@ -28,7 +30,7 @@
     private final int zoneCount;
 
     /** By place; null for a cache that is not there yet. */
-    private final Api.Server[] servers;
+    private final Server[] servers;
 
     private final Set<Subscriber> subscribers = new LinkedHashSet<>();
     private boolean isDown;
@@ -39,13 +41,18 @@
     private long failedCalls;
 
     /** {@code listedCount} of {@code slotCount} are there from the start. */
-    SimDiscovery(Timeline timeline, SystemModel.Discovery spec, int zoneCount, int listedCount, int slotCount) {
+    SimDiscovery(
+            Timeline timeline,
+            SystemModel.Discovery spec,
+            int zoneCount,
+            int listedCount,
+            int slotCount) {
         this.timeline = timeline;
         this.spec = spec;
         this.zoneCount = zoneCount;
-        servers = new Api.Server[slotCount];
+        servers = new Server[slotCount];
         for (int i = 0; i < listedCount; i++) {
-            servers[i] = server(i, Api.State.READY, 0);
+            servers[i] = server(i, EndpointState.READY, 0);
         }
     }
 
@@ -54,17 +61,17 @@
         return (index + 1) * ID_MULTIPLIER;
     }
 
-    private Api.Server server(int index, Api.State state, long startedAtNanos) {
-        return new Api.Server(serverId(index), index % zoneCount, 0, 0, state, 1, startedAtNanos);
+    private Server server(int index, EndpointState state, long startedAtNanos) {
+        return new Server(serverId(index), index % zoneCount, 0, 0, state, 1, startedAtNanos);
     }
 
     /** What is listed now. */
-    List<Api.Server> currentServers() {
+    List<Server> currentServers() {
         return Arrays.stream(servers).filter(Objects::nonNull).toList();
     }
 
     /** A cache's state changes; it is told once the lateness has passed. */
-    void scheduleUpdate(long now, int index, Api.State state, long startedAtNanos) {
+    void scheduleUpdate(long now, int index, EndpointState state, long startedAtNanos) {
         timeline.schedule(
                 now + (long) (spec.delayNanos() * delayFactor),
                 then -> publish(then, index, server(index, state, startedAtNanos)));
@@ -75,17 +82,20 @@
      * once.
      */
     void setFalselyRemoved(long now, int index, boolean isRemoved) {
-        publish(now, index, server(index, isRemoved ? Api.State.REMOVED : Api.State.READY, 0));
+        publish(
+                now,
+                index,
+                server(index, isRemoved ? EndpointState.REMOVED : EndpointState.READY, 0));
     }
 
-    private void publish(long now, int index, Api.Server update) {
+    private void publish(long now, int index, Server update) {
         servers[index] = update;
         if (isDown) {
             return;
         }
         for (Subscriber subscriber : List.copyOf(subscribers)) {
             entriesSent++;
-            subscriber.onList(now, Api.ListMode.DELTA, List.of(update));
+            subscriber.onList(now, EndpointUpdateMode.DELTA, List.of(update));
             // The watch goes on with another call, which waits in turn as all do.
             long completedAtNanos = reserveCall(now);
             if (completedAtNanos < 0) {
@@ -104,7 +114,8 @@
         if (startNanos - now > spec.callTimeoutNanos()) {
             return -1;
         }
-        freeAtNanos = startNanos + (long) (NANOS_PER_SECOND * callCostFactor / spec.callsPerSecond());
+        freeAtNanos =
+                startNanos + (long) (NANOS_PER_SECOND * callCostFactor / spec.callsPerSecond());
         return freeAtNanos + CALL_NANOS;
     }
 
@@ -119,19 +130,20 @@
                 then -> {
                     if (isDown) {
                         failedCalls++;
-                        subscriber.onList(then, Api.ListMode.FAILED, List.of());
+                        subscriber.onList(then, EndpointUpdateMode.FAILED, List.of());
                     } else {
                         subscribers.add(subscriber);
-                        List<Api.Server> all = currentServers();
+                        List<Server> all = currentServers();
                         entriesSent += all.size();
-                        subscriber.onList(then, Api.ListMode.FULL, all);
+                        subscriber.onList(then, EndpointUpdateMode.FULL, all);
                     }
                 });
     }
 
     private void scheduleFailure(long at, Subscriber subscriber) {
         failedCalls++;
-        timeline.schedule(at, then -> subscriber.onList(then, Api.ListMode.FAILED, List.of()));
+        timeline.schedule(
+                at, then -> subscriber.onList(then, EndpointUpdateMode.FAILED, List.of()));
     }
 
     void unsubscribe(Subscriber subscriber) {
@@ -144,7 +156,7 @@
         if (isOutage) {
             List<Subscriber> all = List.copyOf(subscribers);
             subscribers.clear();
-            all.forEach(subscriber -> subscriber.onList(now, Api.ListMode.FAILED, List.of()));
+            all.forEach(subscriber -> subscriber.onList(now, EndpointUpdateMode.FAILED, List.of()));
         }
     }
 
--- a/emulator/src/main/java/frostrelay/emulator/SimFaults.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimFaults.java
@@ -1,6 +1,6 @@
 package frostrelay.emulator;
 
-import frostrelay.policy.Api;
+import frostrelay.policy.api.EndpointState;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.PermutationSampler;
@@ -64,7 +64,9 @@
         model.faults()
                 .forEach(
                         fault ->
-                                timeline.schedule(model.warmupNanos() + fault.startNanos(), now -> apply(now, fault)));
+                                timeline.schedule(
+                                        model.warmupNanos() + fault.startNanos(),
+                                        now -> apply(now, fault)));
     }
 
     private void apply(long now, SystemModel.Fault fault) {
@@ -72,7 +74,9 @@
                 fault.kind() == SystemModel.FaultKind.BALANCER_RESTART
                         || fault.kind() == SystemModel.FaultKind.BALANCER_WAVE;
         int machineCount = targetsBalancers ? balancers.size() : model.cacheCount();
-        int[] targets = new PermutationSampler(random, machineCount, fault.targetCount(machineCount)).sample();
+        int[] targets =
+                new PermutationSampler(random, machineCount, fault.targetCount(machineCount))
+                        .sample();
         int zone = model.zoneCount() == 1 ? 0 : random.nextInt(model.zoneCount());
         switch (fault.kind()) {
             case CACHE_REPLACE -> applyInSteps(now, fault, targets, this::replaceCache);
@@ -81,12 +85,15 @@
                             now,
                             fault,
                             targets,
-                            (then, index) -> balancers.get(index).restart(then, maxDeadlineNanos()));
+                            (then, index) ->
+                                    balancers.get(index).restart(then, maxDeadlineNanos()));
             case ZONE_LOST -> failZone(now, fault, zone);
             default -> {
                 setFault(now, fault, targets, zone, true);
                 if (fault.durationNanos() > 0) {
-                    timeline.schedule(now + fault.durationNanos(), then -> setFault(then, fault, targets, zone, false));
+                    timeline.schedule(
+                            now + fault.durationNanos(),
+                            then -> setFault(then, fault, targets, zone, false));
                 }
             }
         }
@@ -101,26 +108,32 @@
         for (int i = 0; i < targets.length; i++) {
             int index = targets[i];
             timeline.schedule(
-                    now + fault.durationNanos() * ((long) i * stepCount / targets.length) / stepCount,
+                    now
+                            + fault.durationNanos()
+                                    * ((long) i * stepCount / targets.length)
+                                    / stepCount,
                     then -> step.apply(then, index));
         }
     }
 
     private long maxDeadlineNanos() {
-        return model.requestClasses().stream().mapToLong(SystemModel.RequestClass::deadlineNanos).max().orElse(0);
+        return model.requestClasses().stream()
+                .mapToLong(SystemModel.RequestClass::deadlineNanos)
+                .max()
+                .orElse(0);
     }
 
     /** It drains and goes; another one under a new id comes at once, some at its address. */
     private void replaceCache(long now, int index) {
         int replacementIndex = nextReplacementIndex++;
-        discovery.scheduleUpdate(now, index, Api.State.DRAINING, 0);
+        discovery.scheduleUpdate(now, index, EndpointState.DRAINING, 0);
         caches.get(replacementIndex).startAsReplacement(now);
-        discovery.scheduleUpdate(now, replacementIndex, Api.State.READY, now);
+        discovery.scheduleUpdate(now, replacementIndex, EndpointState.READY, now);
         timeline.schedule(
                 now + DRAIN_NANOS,
                 then -> {
                     caches.get(index).kill(then);
-                    discovery.scheduleUpdate(then, index, Api.State.REMOVED, 0);
+                    discovery.scheduleUpdate(then, index, EndpointState.REMOVED, 0);
                     if (replacementIndex % ADDRESS_REUSE_INTERVAL == 0) {
                         cacheAtAddress.set(index, caches.get(replacementIndex));
                     }
@@ -131,7 +144,10 @@
     private void failZone(long now, SystemModel.Fault fault, int zone) {
         if (model.zoneCount() == 1) {
             int[] targets =
-                    new PermutationSampler(random, model.cacheCount(), fault.targetCount(model.cacheCount()))
+                    new PermutationSampler(
+                                    random,
+                                    model.cacheCount(),
+                                    fault.targetCount(model.cacheCount()))
                             .sample();
             Arrays.stream(targets).forEach(index -> takeCacheDown(now, fault, index));
             return;
@@ -148,16 +164,17 @@
 
     private void takeCacheDown(long now, SystemModel.Fault fault, int index) {
         caches.get(index).kill(now);
-        discovery.scheduleUpdate(now, index, Api.State.REMOVED, 0);
+        discovery.scheduleUpdate(now, index, EndpointState.REMOVED, 0);
         timeline.schedule(now + fault.durationNanos(), then -> bringCacheUp(then, index));
     }
 
     private void bringCacheUp(long now, int index) {
         caches.get(index).start(now);
-        discovery.scheduleUpdate(now, index, Api.State.READY, now);
+        discovery.scheduleUpdate(now, index, EndpointState.READY, now);
     }
 
-    private void setFault(long now, SystemModel.Fault fault, int[] targets, int zone, boolean isActive) {
+    private void setFault(
+            long now, SystemModel.Fault fault, int[] targets, int zone, boolean isActive) {
         switch (fault.kind()) {
             case ORIGIN_OUTAGE -> {
                 if (isActive) {
@@ -172,10 +189,13 @@
             case TENANT_SURGE -> clients.setFirstTenantFactor(isActive ? fault.factor() : 1);
             case CLIENTS_EAGER -> clients.setRetryFactor(isActive ? fault.factor() : 1);
             case CLIENTS_HASTY -> clients.setImpatienceFactor(isActive ? fault.factor() : 1);
-            case ZONE_SHIFT -> clients.frontend().shiftTraffic(zone, isActive ? fault.machineFraction() : 0);
+            case ZONE_SHIFT ->
+                    clients.frontend().shiftTraffic(zone, isActive ? fault.machineFraction() : 0);
             case ZONE_CUT -> networkDelays.setPartitioned(zone, isActive);
-            case ANSWERS_LOST -> networkDelays.setResponseLoss(isActive ? fault.machineFraction() : 0);
-            case LINKS_RESET -> networkDelays.setResetFraction(isActive ? fault.machineFraction() : 0);
+            case ANSWERS_LOST ->
+                    networkDelays.setResponseLoss(isActive ? fault.machineFraction() : 0);
+            case LINKS_RESET ->
+                    networkDelays.setResetFraction(isActive ? fault.machineFraction() : 0);
             case HOLD -> setAdminDrains(now, targets, isActive);
             default -> {
                 for (int index : targets) {
@@ -200,7 +220,8 @@
     }
 
     private void setMachineFault(long now, SystemModel.Fault fault, int index, boolean isActive) {
-        SimCache cache = fault.kind() == SystemModel.FaultKind.BALANCER_RESTART ? null : caches.get(index);
+        SimCache cache =
+                fault.kind() == SystemModel.FaultKind.BALANCER_RESTART ? null : caches.get(index);
         switch (fault.kind()) {
             case CACHE_SLOW -> cache.setSlowdownFactor(isActive ? fault.factor() : 1);
             case CACHE_SILENT -> cache.setUnresponsive(isActive);
@@ -218,7 +239,7 @@
             }
             case CACHE_DRAIN -> {
                 if (isActive) {
-                    discovery.scheduleUpdate(now, index, Api.State.DRAINING, 0);
+                    discovery.scheduleUpdate(now, index, EndpointState.DRAINING, 0);
                 } else {
                     cache.kill(now);
                     bringCacheUp(now, index);
@@ -227,9 +248,11 @@
             case CACHE_KILL, CACHE_RESTART -> {
                 if (isActive) {
                     cache.kill(now);
-                    discovery.scheduleUpdate(now, index, Api.State.REMOVED, 0);
+                    discovery.scheduleUpdate(now, index, EndpointState.REMOVED, 0);
                 }
-                if (!isActive || fault.durationNanos() == 0 && fault.kind() == SystemModel.FaultKind.CACHE_RESTART) {
+                if (!isActive
+                        || fault.durationNanos() == 0
+                                && fault.kind() == SystemModel.FaultKind.CACHE_RESTART) {
                     bringCacheUp(now, index);
                 }
             }
--- a/emulator/src/main/java/frostrelay/emulator/SimFrontend.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimFrontend.java
@@ -30,7 +30,11 @@
                 ZigguratSampler.NormalizedGaussian.of(RandomStreams.create(model.seed(), "front"));
         double[] weights =
                 balancers.stream()
-                        .mapToDouble(balancer -> Math.exp(model.clients().balancerSkew() * gaussianSampler.sample()))
+                        .mapToDouble(
+                                balancer ->
+                                        Math.exp(
+                                                model.clients().balancerSkew()
+                                                        * gaussianSampler.sample()))
                         .toArray();
         for (int zone = 0; zone < zoneCount; zone++) {
             double sum = 0;
@@ -63,9 +67,14 @@
     }
 
     private int chooseWeighted(UniformRandomProvider random) {
-        int zone = shiftedFraction > 0 && random.nextDouble() < shiftedFraction ? crowdedZone : random.nextInt(zoneCount);
+        int zone =
+                shiftedFraction > 0 && random.nextDouble() < shiftedFraction
+                        ? crowdedZone
+                        : random.nextInt(zoneCount);
         double[] zoneWeights = cumulativeWeights[zone];
-        int found = Arrays.binarySearch(zoneWeights, random.nextDouble() * zoneWeights[zoneWeights.length - 1]);
+        int found =
+                Arrays.binarySearch(
+                        zoneWeights, random.nextDouble() * zoneWeights[zoneWeights.length - 1]);
         // Sums stand still where others' balancers are: the first place past the draw is one of
         // this zone.
         return Math.min(zoneWeights.length - 1, found < 0 ? -found - 1 : found);
--- a/emulator/src/main/java/frostrelay/emulator/SimGossip.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimGossip.java
@@ -1,14 +1,14 @@
 package frostrelay.emulator;
 
-import frostrelay.peers.Incarnation;
-import frostrelay.peers.MemberSnapshot;
-import frostrelay.peers.GossipSettings;
-import frostrelay.peers.GossipNode;
-import frostrelay.peers.AppliedVersions;
-import frostrelay.peers.MemberState;
-import frostrelay.stragglers.VersionKind;
-import frostrelay.stragglers.StalenessSettings;
-import frostrelay.stragglers.StalenessDetector;
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.gossip.GossipNode;
+import frostrelay.gossip.GossipSettings;
+import frostrelay.gossip.Incarnation;
+import frostrelay.gossip.MemberSnapshot;
+import frostrelay.gossip.MemberState;
+import frostrelay.staleness.StalenessDetector;
+import frostrelay.staleness.StalenessSettings;
+import frostrelay.staleness.VersionKind;
 
 import org.apache.commons.rng.UniformRandomProvider;
 
@@ -19,9 +19,9 @@
 import java.util.Set;
 
 /**
- * A tier of balancers that talk, in simulated time, each with the real {@link GossipNode}: a network
- * between them that loses datagrams, takes its time and can be cut. The same seed gives the same
- * day.
+ * A tier of balancers that talk, in simulated time, each with the real {@link GossipNode}: a
+ * network between them that loses datagrams, takes its time and can be cut. The same seed gives the
+ * same day.
  */
 public final class SimGossip {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -174,11 +174,14 @@
                 int place = i;
                 boolean late = i < plan.late * nodes.length;
                 timeline.schedule(
-                        commonChangeAtNanos + events.nextLong(300 * NANOS_PER_MILLI) + (late ? DISCOVERY_DELAY_NANOS : 0),
+                        commonChangeAtNanos
+                                + events.nextLong(300 * NANOS_PER_MILLI)
+                                + (late ? DISCOVERY_DELAY_NANOS : 0),
                         now -> nodes[place].onListUpdate(now));
             }
             for (long second = 0; plan.late > 0 && second < plan.seconds; second++) {
-                timeline.schedule(commonChangeAtNanos + second * NANOS_PER_SECOND, this::recordSample);
+                timeline.schedule(
+                        commonChangeAtNanos + second * NANOS_PER_SECOND, this::recordSample);
             }
         }
         for (int i = 0; i < plan.killed; i++) {
@@ -327,7 +330,8 @@
                             place,
                             plan.balancers,
                             now,
-                            Incarnation.fromUnixMillis(WALL_CLOCK_START_MILLIS + now / NANOS_PER_MILLI),
+                            Incarnation.fromUnixMillis(
+                                    WALL_CLOCK_START_MILLIS + now / NANOS_PER_MILLI),
                             plan.seed * 31 + place,
                             stamp(1),
                             0,
@@ -443,7 +447,9 @@
 
         /** It is current, or out: the last one counts. */
         private void recordCatchUp() {
-            if (timeline.now() >= commonChangeAtNanos && plan.late > 0 && index < plan.late * nodes.length) {
+            if (timeline.now() >= commonChangeAtNanos
+                    && plan.late > 0
+                    && index < plan.late * nodes.length) {
                 lastCatchUpNanos = Math.max(lastCatchUpNanos, timeline.now() - commonChangeAtNanos);
             }
         }
@@ -488,14 +494,18 @@
         }
 
         @Override
-        public void onMemberEntry(long now, int rank, long incarnation, int row, int ref, long age) {
+        public void onMemberEntry(
+                long now, int rank, long incarnation, int row, int ref, long age) {
             refreshPeerState(now, rank);
             PendingChange waited = waiting.get(rank);
             if (waited != null && row >= waited.sequence) {
                 waiting.remove(rank);
                 propagationNanos.add(now - waited.sinceNanos);
             }
-            if (plan.together && now >= commonChangeAtNanos && !newer[rank] && ref == CHANGED_FINGERPRINT) {
+            if (plan.together
+                    && now >= commonChangeAtNanos
+                    && !newer[rank]
+                    && ref == CHANGED_FINGERPRINT) {
                 newer[rank] = true;
                 commonChangePropagationNanos.add(now - commonChangeAtNanos);
             }
--- a/emulator/src/main/java/frostrelay/emulator/SimHealthReports.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimHealthReports.java
@@ -1,17 +1,17 @@
 package frostrelay.emulator;
 
-import frostrelay.judgements.HealthReportSettings;
-import frostrelay.judgements.HealthReportAggregator;
-import frostrelay.judgements.AttemptObservation;
-import frostrelay.judgements.counts.ClusterCounter;
-import frostrelay.judgements.counts.ClusterCounterSettings;
-import frostrelay.judgements.counts.ClusterCounters;
-import frostrelay.judgements.counts.CounterTotal;
-import frostrelay.peers.Incarnation;
-import frostrelay.peers.GossipSettings;
-import frostrelay.peers.GossipNode;
-import frostrelay.peers.AppliedVersions;
-import frostrelay.peers.MemberState;
+import frostrelay.counters.ClusterCounter;
+import frostrelay.counters.ClusterCounterSettings;
+import frostrelay.counters.ClusterCounters;
+import frostrelay.counters.CounterTotal;
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.gossip.GossipNode;
+import frostrelay.gossip.GossipSettings;
+import frostrelay.gossip.Incarnation;
+import frostrelay.gossip.MemberState;
+import frostrelay.healthreports.AttemptObservation;
+import frostrelay.healthreports.HealthReportAggregator;
+import frostrelay.healthreports.HealthReportSettings;
 
 import org.apache.commons.rng.UniformRandomProvider;
 
@@ -24,9 +24,9 @@
 
 /**
  * A tier of balancers in simulated time that tell each other what they see of their caches, each
- * with the real {@link GossipNode} and {@link HealthReportAggregator}, and how many requests each takes, with the
- * real {@link ClusterCounters}: some caches fall silent for a while, all others fail now and then by chance.
- * The same seed gives the same day.
+ * with the real {@link GossipNode} and {@link HealthReportAggregator}, and how many requests each
+ * takes, with the real {@link ClusterCounters}: some caches fall silent for a while, all others
+ * fail now and then by chance. The same seed gives the same day.
  */
 public final class SimHealthReports {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -53,8 +53,8 @@
      * @param caches that all of them list
      * @param readsPerSecond of each balancer a second
      * @param lossFraction part of the datagrams that are lost
-     * @param failedCacheFraction part of the caches that fall silent, {@code outageSeconds} seconds long, from ten
-     *     seconds behind the settling on
+     * @param failedCacheFraction part of the caches that fall silent, {@code outageSeconds} seconds
+     *     long, from ten seconds behind the settling on
      * @param randomFailureFraction part of the attempts at a healthy cache that fail
      */
     public record Plan(
@@ -141,7 +141,9 @@
     }
 
     private boolean isFailed(int cache, long now) {
-        return cache < plan.failedCacheCount() && now >= plan.outageStartNanos() && now < plan.outageEndNanos();
+        return cache < plan.failedCacheCount()
+                && now >= plan.outageStartNanos()
+                && now < plan.outageEndNanos();
     }
 
     private Map<String, Object> run() {
@@ -151,7 +153,9 @@
                     readRandom.nextLong(NANOS_PER_SECOND),
                     now -> (nodes[index] = new Node(index, now)).start(now));
         }
-        for (long second = plan.outageStartNanos() - 5 * NANOS_PER_SECOND; second < plan.endNanos(); second += NANOS_PER_SECOND) {
+        for (long second = plan.outageStartNanos() - 5 * NANOS_PER_SECOND;
+                second < plan.endNanos();
+                second += NANOS_PER_SECOND) {
             timeline.schedule(second, this::recordSample);
         }
         timeline.runUntil(plan.outageStartNanos());
@@ -173,11 +177,15 @@
         int sampledNodes = 0;
         for (int i = 0; i < nodes.length; i += Math.max(1, nodes.length / 100)) {
             CounterTotal total = nodes[i].clusterCounters.total(now, ClusterCounter.FIRST_TRIES);
-            double error = Math.abs(total.ratePerSecond() / Math.max(1, plan.readsPerSecond * nodes.length) - 1);
+            double error =
+                    Math.abs(
+                            total.ratePerSecond() / Math.max(1, plan.readsPerSecond * nodes.length)
+                                    - 1);
             rateErrors.add(error);
             coverages.add(total.coveredMembers() / (double) total.aliveMembers());
             oldestReportAges.add(total.oldestAgeNanos());
-            boundViolations += total.known() > totalRequests || total.upperBound() < totalRequests ? 1 : 0;
+            boundViolations +=
+                    total.known() > totalRequests || total.upperBound() < totalRequests ? 1 : 0;
             errorSum += error;
             sampledNodes++;
         }
@@ -195,7 +203,8 @@
 
     private static double percentile(List<Double> values, double fraction) {
         List<Double> sorted = values.stream().sorted().toList();
-        return sorted.get((int) Math.min(sorted.size() - 1, Math.ceil(fraction * sorted.size()) - 1));
+        return sorted.get(
+                (int) Math.min(sorted.size() - 1, Math.ceil(fraction * sorted.size()) - 1));
     }
 
     private Map<String, Object> summarize(long outageBytes) {
@@ -231,9 +240,16 @@
         SimGossip.putPercentiles(summary, "loweredBehindDeath", ejectionAfterFailure);
         summary.put("loweredLaterThanASecond", lateEjections);
         summary.put("neverLowered", neverEjected);
-        double healthyCacheNanos = (double) nodes.length * (plan.caches - plan.failedCacheCount()) * plan.endNanos();
-        summary.put("healthyLost", (1 - 1.0 / EJECTED_READ_INTERVAL) * falseEjectionNanos / healthyCacheNanos);
-        summary.put("readsAtTheDead", attemptsDuringOutage == 0 ? null : attemptsAtFailedCaches / (double) attemptsDuringOutage);
+        double healthyCacheNanos =
+                (double) nodes.length * (plan.caches - plan.failedCacheCount()) * plan.endNanos();
+        summary.put(
+                "healthyLost",
+                (1 - 1.0 / EJECTED_READ_INTERVAL) * falseEjectionNanos / healthyCacheNanos);
+        summary.put(
+                "readsAtTheDead",
+                attemptsDuringOutage == 0
+                        ? null
+                        : attemptsAtFailedCaches / (double) attemptsDuringOutage);
         summary.put("countErrorP50", percentile(rateErrors, 0.5));
         summary.put("countErrorP99", percentile(rateErrors, 0.99));
         summary.put("countCoverP50", percentile(coverages, 0.5));
@@ -257,14 +273,16 @@
 
         Node(int index, long now) {
             network.super(index);
-            long incarnation = Incarnation.fromUnixMillis(WALL_CLOCK_START_MILLIS + now / NANOS_PER_MILLI);
+            long incarnation =
+                    Incarnation.fromUnixMillis(WALL_CLOCK_START_MILLIS + now / NANOS_PER_MILLI);
             healthReports =
                     new HealthReportAggregator(
                             HealthReportSettings.STANDARD,
                             index,
                             plan.balancers,
                             incarnation,
-                            (atNanos, rank) -> peers().snapshot(atNanos, rank).state() == MemberState.ALIVE,
+                            (atNanos, rank) ->
+                                    peers().snapshot(atNanos, rank).state() == MemberState.ALIVE,
                             this);
             peers =
                     new GossipNode(
@@ -285,7 +303,9 @@
                             plan.balancers,
                             now,
                             incarnation,
-                            rank -> peers.snapshot(timeline.now(), rank).state() == MemberState.ALIVE,
+                            rank ->
+                                    peers.snapshot(timeline.now(), rank).state()
+                                            == MemberState.ALIVE,
                             this::sendSection);
             peers.setPayloadProvider(
                     (atNanos, destination, payload) -> {
@@ -322,17 +342,25 @@
             clusterCounters.increment(ClusterCounter.FIRST_TRIES);
             totalRequests++;
             int cache = readRandom.nextInt(plan.caches);
-            if (ejectedCaches.contains((long) cache) && readRandom.nextInt(EJECTED_READ_INTERVAL) > 0) {
+            if (ejectedCaches.contains((long) cache)
+                    && readRandom.nextInt(EJECTED_READ_INTERVAL) > 0) {
                 return;
             }
             boolean isDuringOutage = now >= plan.outageStartNanos() && now < plan.outageEndNanos();
             attemptsDuringOutage += isDuringOutage ? 1 : 0;
             attemptsAtFailedCaches += isDuringOutage && isFailed(cache, now) ? 1 : 0;
-            boolean isUnresponsive = isFailed(cache, now) || readRandom.nextDouble() < plan.randomFailureFraction;
+            boolean isUnresponsive =
+                    isFailed(cache, now) || readRandom.nextDouble() < plan.randomFailureFraction;
             timeline.schedule(
                     now + (isUnresponsive ? NO_RESPONSE_NANOS : RESPONSE_NANOS),
                     then -> {
-                        healthReports.onAttemptObserved(then, cache, isUnresponsive ? AttemptObservation.SILENT : AttemptObservation.ANSWERED, now);
+                        healthReports.onAttemptObserved(
+                                then,
+                                cache,
+                                isUnresponsive
+                                        ? AttemptObservation.SILENT
+                                        : AttemptObservation.ANSWERED,
+                                now);
                         schedule(then);
                         scheduleReportTimer(then);
                     });
@@ -369,7 +397,8 @@
                         firstEjectedAtNanos[cache] = now;
                     }
                 } else if (!isEjected && ejectedSinceNanos[cache] > 0) {
-                    falseEjectionNanos += cache < plan.failedCacheCount() ? 0 : now - ejectedSinceNanos[cache];
+                    falseEjectionNanos +=
+                            cache < plan.failedCacheCount() ? 0 : now - ejectedSinceNanos[cache];
                     ejectedSinceNanos[cache] = 0;
                 }
             }
@@ -401,8 +430,14 @@
 
         @Override
         public void onPayload(
-                long now, long queueingDelayNanos, int sender, long incarnation, int type, ByteBuffer content) {
-            clusterCounters.onSection(now, queueingDelayNanos, sender, incarnation, type, content.duplicate());
+                long now,
+                long queueingDelayNanos,
+                int sender,
+                long incarnation,
+                int type,
+                ByteBuffer content) {
+            clusterCounters.onSection(
+                    now, queueingDelayNanos, sender, incarnation, type, content.duplicate());
             healthReports.onSection(now, queueingDelayNanos, sender, incarnation, type, content);
             scheduleReportTimer(now);
         }
--- a/emulator/src/main/java/frostrelay/emulator/SimNetwork.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimNetwork.java
@@ -1,6 +1,6 @@
 package frostrelay.emulator;
 
-import frostrelay.peers.GossipNode;
+import frostrelay.gossip.GossipNode;
 
 import org.apache.commons.rng.UniformRandomProvider;
 
@@ -103,7 +103,9 @@
             }
             byte[] copy = Arrays.copyOf(data, length);
             timeline.schedule(
-                    now + minDelayNanos + random.nextLong(Math.max(1, maxDelayNanos - minDelayNanos)),
+                    now
+                            + minDelayNanos
+                            + random.nextLong(Math.max(1, maxDelayNanos - minDelayNanos)),
                     then -> {
                         Station receiver = stations[destination];
                         if (receiver != null && !receiver.isDead) {
--- a/emulator/src/main/java/frostrelay/emulator/SimOrigin.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimOrigin.java
@@ -48,7 +48,11 @@
             windowStartNanos = now;
             callsInWindow = 0;
         }
-        if (++callsInWindow > spec.overloadMultiple() * spec.maxConcurrentFetches() * NANOS_PER_SECOND / spec.meanFetchNanos()
+        if (++callsInWindow
+                        > spec.overloadMultiple()
+                                * spec.maxConcurrentFetches()
+                                * NANOS_PER_SECOND
+                                / spec.meanFetchNanos()
                 && spec.overloadMultiple() > 0
                 && now >= downUntilNanos) {
             overloadCount++;
--- a/emulator/src/main/java/frostrelay/emulator/SingleAttemptPolicy.java
+++ b/emulator/src/main/java/frostrelay/emulator/SingleAttemptPolicy.java
@@ -1,6 +1,12 @@
 package frostrelay.emulator;
 
-import frostrelay.policy.Api;
+import frostrelay.policy.api.AttemptOutcome;
+import frostrelay.policy.api.EndpointUpdateMode;
+import frostrelay.policy.api.PolicyActions;
+import frostrelay.policy.api.PolicyEvents;
+import frostrelay.policy.api.PolicySettings;
+import frostrelay.policy.api.Request;
+import frostrelay.policy.api.Server;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,35 +16,35 @@
  * Sends each request once, to the cache that its key names, and fails it if that fails. It costs
  * next to nothing: what a day takes with it is the emulator's own time.
  */
-final class SingleAttemptPolicy implements Api.Events {
+final class SingleAttemptPolicy implements PolicyEvents {
     @Override
     public void onPeerHealthReports(long now, java.util.Set<Long> outliers) {
         // It knows no health.
     }
 
-    private final Api.Actions actions;
+    private final PolicyActions actions;
     private final List<Long> servers = new ArrayList<>();
 
-    SingleAttemptPolicy(Api.Actions actions) {
+    SingleAttemptPolicy(PolicyActions actions) {
         this.actions = actions;
     }
 
     @Override
-    public void onEndpointUpdate(long now, Api.ListMode mode, List<Api.Server> list) {
+    public void onEndpointUpdate(long now, EndpointUpdateMode mode, List<Server> list) {
         if (servers.isEmpty()) {
             list.forEach(server -> servers.add(server.id()));
         }
     }
 
     @Override
-    public void onRequest(long now, Api.Request request) {
+    public void onRequest(long now, Request request) {
         // Keys may differ in their upper bits alone.
         long mixed = (request.key() ^ request.key() >>> 32) * 0x9E3779B97F4A7C15L;
         actions.send(request.id(), servers.get((int) ((mixed >>> 33) % servers.size())), 0);
     }
 
     @Override
-    public void onAttemptOutcome(long now, Api.Outcome outcome) {
+    public void onAttemptOutcome(long now, AttemptOutcome outcome) {
         if (!outcome.requestCompleted()) {
             actions.fail(outcome.requestId());
         }
@@ -65,7 +71,7 @@
     }
 
     @Override
-    public void onSettings(long now, Api.Settings settings) {
+    public void onSettings(long now, PolicySettings settings) {
         // Nothing to decide.
     }
 
--- a/emulator/src/main/java/frostrelay/emulator/SlowStartGuard.java
+++ b/emulator/src/main/java/frostrelay/emulator/SlowStartGuard.java
@@ -15,7 +15,8 @@
     private double capacity;
     private double sent;
 
-    SlowStartGuard(SimInvariantChecker invariantChecker, SystemModel.Cache spec, double meanWorkNanos) {
+    SlowStartGuard(
+            SimInvariantChecker invariantChecker, SystemModel.Cache spec, double meanWorkNanos) {
         this.invariantChecker = invariantChecker;
         this.spec = spec;
         this.meanWorkNanos = meanWorkNanos;
--- a/emulator/src/main/java/frostrelay/emulator/Timeline.java
+++ b/emulator/src/main/java/frostrelay/emulator/Timeline.java
@@ -66,7 +66,8 @@
             return NO_TIMER;
         }
         if (slotsAhead < SLOT_COUNT) {
-            return insertIntoSlot((int) (atNanos >> SLOT_SHIFT) & SLOT_MASK, atNanos, nextOrder++, event);
+            return insertIntoSlot(
+                    (int) (atNanos >> SLOT_SHIFT) & SLOT_MASK, atNanos, nextOrder++, event);
         }
         farEvents.add(atNanos, nextOrder++, event);
         return NO_TIMER;
--- a/emulator/src/main/java/frostrelay/lab/Comparison.java
+++ b/emulator/src/main/java/frostrelay/experiment/Comparison.java
@@ -1,4 +1,4 @@
-package frostrelay.lab;
+package frostrelay.experiment;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -38,12 +38,17 @@
     /**
      * Compares points that both files have, by label, over the seeds that both have: at least two.
      */
-    public static List<Difference> of(ResultsFile.StoredResults first, ResultsFile.StoredResults second) {
+    public static List<Difference> of(
+            ResultsFile.StoredResults first, ResultsFile.StoredResults second) {
         List<Difference> all = new ArrayList<>();
         for (int point = 0; point < first.points().size(); point++) {
             int other = second.points().indexOf(first.points().get(point));
             if (other >= 0) {
-                all.addAll(compare(first.points().get(point), first.resultsOf(point), second.resultsOf(other)));
+                all.addAll(
+                        compare(
+                                first.points().get(point),
+                                first.resultsOf(point),
+                                second.resultsOf(other)));
             }
         }
         return correctByHolm(all);
@@ -51,10 +56,15 @@
 
     /** Compares two points of one file. */
     public static List<Difference> of(ResultsFile.StoredResults results, int first, int second) {
-        return correctByHolm(compare(results.points().get(second), results.resultsOf(first), results.resultsOf(second)));
+        return correctByHolm(
+                compare(
+                        results.points().get(second),
+                        results.resultsOf(first),
+                        results.resultsOf(second)));
     }
 
-    private static List<Difference> compare(String label, List<RunResult> first, List<RunResult> second) {
+    private static List<Difference> compare(
+            String label, List<RunResult> first, List<RunResult> second) {
         Map<Long, RunResult> bySeed =
                 second.stream().collect(Collectors.toMap(RunResult::seed, Function.identity()));
         List<RunResult[]> pairs = new ArrayList<>();
--- a/emulator/src/main/java/frostrelay/lab/Interval.java
+++ b/emulator/src/main/java/frostrelay/experiment/Interval.java
@@ -1,4 +1,4 @@
-package frostrelay.lab;
+package frostrelay.experiment;
 
 import org.apache.commons.statistics.distribution.TDistribution;
 
--- a/emulator/src/main/java/frostrelay/lab/Objective.java
+++ b/emulator/src/main/java/frostrelay/experiment/Objective.java
@@ -1,4 +1,4 @@
-package frostrelay.lab;
+package frostrelay.experiment;
 
 import java.util.Locale;
 import java.util.Map;
--- a/emulator/src/main/java/frostrelay/lab/RegressionRuns.java
+++ b/emulator/src/main/java/frostrelay/experiment/RegressionRuns.java
@@ -1,7 +1,7 @@
-package frostrelay.lab;
+package frostrelay.experiment;
 
-import frostrelay.config.TomlFile;
 import frostrelay.config.TableValues;
+import frostrelay.config.TomlFile;
 import frostrelay.emulator.Emulation;
 import frostrelay.emulator.SystemModel;
 
@@ -14,7 +14,8 @@
 /** Days that a hunt found, kept as plants with a goal that must hold since, and played again. */
 public final class RegressionRuns {
     /** How a kept day went. {@code shortfall}: 0 or less where its goal is met. */
-    public record ReplayResult(Objective required, double value, double shortfall, long violationCount) {
+    public record ReplayResult(
+            Objective required, double value, double shortfall, long violationCount) {
         /** Whether its goal is met and no rule was broken. */
         public boolean hasPassed() {
             return shortfall <= 0 && violationCount == 0;
--- a/emulator/src/main/java/frostrelay/lab/ResultsFile.java
+++ b/emulator/src/main/java/frostrelay/experiment/ResultsFile.java
@@ -1,4 +1,4 @@
-package frostrelay.lab;
+package frostrelay.experiment;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
@@ -23,16 +23,17 @@
 /**
  * Days that were played, one to a line, behind a line that says of which experiment. A day is on
  * disk before the next call returns; a line that was cut short by a crash is dropped when the file
- * is opened again. While days come in they stand in the order of coming; {@link #rewriteInOrder} puts them
- * in the order of points and seeds, so that the same experiment gives the same bytes however many
- * threads played it. One process at a time may write. Safe for threads.
+ * is opened again. While days come in they stand in the order of coming; {@link #rewriteInOrder}
+ * puts them in the order of points and seeds, so that the same experiment gives the same bytes
+ * however many threads played it. One process at a time may write. Safe for threads.
  */
 public final class ResultsFile implements Closeable {
     private static final int FORMAT = 1;
 
     /**
      * What a file holds. {@code points}: labels in their order; {@code settings}: what a sweep set,
-     * {@code faults} in words and {@code faultRanges}, from and to of each in seconds, for each point.
+     * {@code faults} in words and {@code faultRanges}, from and to of each in seconds, for each
+     * point.
      */
     public record StoredResults(
             String name,
@@ -279,7 +280,10 @@
                 ((List<?>) headerValues.get("faults")).stream().map(ResultsFile::strings).toList(),
                 ((List<?>) headerValues.get("spans"))
                         .stream()
-                                .map(point -> ((List<?>) point).stream().map(RunResult::numbers).toList())
+                                .map(
+                                        point ->
+                                                ((List<?>) point)
+                                                        .stream().map(RunResult::numbers).toList())
                                 .toList(),
                 byPoint);
     }
--- a/emulator/src/main/java/frostrelay/lab/RunResult.java
+++ b/emulator/src/main/java/frostrelay/experiment/RunResult.java
@@ -1,9 +1,9 @@
-package frostrelay.lab;
+package frostrelay.experiment;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
-import frostrelay.emulator.RunTimeSeries;
 import frostrelay.emulator.Emulation;
+import frostrelay.emulator.RunTimeSeries;
 import frostrelay.emulator.SystemModel;
 
 import java.io.IOException;
@@ -15,8 +15,8 @@
 
 /**
  * What is kept of a day that was played: nothing in it depends on the machine. {@code timeSeries}:
- * series by name, a value for each second; {@code cacheLoad}, a row for one cache or for several, and
- * {@code unservedByBalancer}, likewise of balancers; all empty where they are not kept.
+ * series by name, a value for each second; {@code cacheLoad}, a row for one cache or for several,
+ * and {@code unservedByBalancer}, likewise of balancers; all empty where they are not kept.
  */
 public record RunResult(
         int point,
@@ -116,7 +116,8 @@
     }
 
     private static List<List<Double>> rows(Map<String, Object> all, String name) {
-        return ((List<?>) all.getOrDefault(name, List.of())).stream().map(RunResult::numbers).toList();
+        return ((List<?>) all.getOrDefault(name, List.of()))
+                .stream().map(RunResult::numbers).toList();
     }
 
     private static Map<String, Object> map(Object value) {
--- a/peers/src/main/java/frostrelay/peers/AppliedVersions.java
+++ b/gossip/src/main/java/frostrelay/gossip/AppliedVersions.java
@@ -1,4 +1,4 @@
-package frostrelay.peers;
+package frostrelay.gossip;
 
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
@@ -60,8 +60,8 @@
     }
 
     /**
-     * A short name for it, the same at every balancer; never {@link #NO_FINGERPRINT}. Not proof against
-     * forgery.
+     * A short name for it, the same at every balancer; never {@link #NO_FINGERPRINT}. Not proof
+     * against forgery.
      */
     public int fingerprint() {
         ByteBuffer bytes = ByteBuffer.allocate(BYTES);
--- a/peers/src/main/java/frostrelay/peers/BandwidthLimiter.java
+++ b/gossip/src/main/java/frostrelay/gossip/BandwidthLimiter.java
@@ -1,4 +1,4 @@
-package frostrelay.peers;
+package frostrelay.gossip;
 
 /**
  * Bytes sent in the last second, kept to a most. Exact: no second whatever, wherever it begins,
--- a/peers/src/main/java/frostrelay/peers/GossipDatagram.java
+++ b/gossip/src/main/java/frostrelay/gossip/GossipDatagram.java
@@ -1,4 +1,4 @@
-package frostrelay.peers;
+package frostrelay.gossip;
 
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
@@ -139,8 +139,8 @@
     }
 
     /**
-     * Begins one, in a writer's form that readers of {@link #WIRE_VERSION} understand: what follows are
-     * sections, then {@link #finish}.
+     * Begins one, in a writer's form that readers of {@link #WIRE_VERSION} understand: what follows
+     * are sections, then {@link #finish}.
      */
     static void begin(
             ByteBuffer out,
--- a/peers/src/main/java/frostrelay/peers/GossipNode.java
+++ b/gossip/src/main/java/frostrelay/gossip/GossipNode.java
@@ -1,4 +1,4 @@
-package frostrelay.peers;
+package frostrelay.gossip;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -30,7 +30,8 @@
     /** Hears what changed in the knowledge of others; each method may be left out. */
     public interface Listener {
         /** {@code reportedBy}: who said so, by its number; itself for what it said itself. */
-        default void onMemberState(long now, int rank, long incarnation, MemberState state, int reportedBy) {}
+        default void onMemberState(
+                long now, int rank, long incarnation, MemberState state, int reportedBy) {}
 
         /**
          * This balancer goes by another incarnation: it objected, or overtook an earlier life of
@@ -39,13 +40,20 @@
         default void onLocalIncarnation(long now, long incarnation) {}
 
         /**
-         * A balancer acts on something else. {@code fingerprint}: of the stamp, whose content may come
-         * later.
+         * A balancer acts on something else. {@code fingerprint}: of the stamp, whose content may
+         * come later.
          */
-        default void onMemberEntry(long now, int rank, long incarnation, int sequence, int fingerprint, long ageNanos) {}
+        default void onMemberEntry(
+                long now,
+                int rank,
+                long incarnation,
+                int sequence,
+                int fingerprint,
+                long ageNanos) {}
 
         /** The content of a stamp is known now. */
-        default void onAppliedVersions(long now, int fingerprint, AppliedVersions appliedVersions) {}
+        default void onAppliedVersions(
+                long now, int fingerprint, AppliedVersions appliedVersions) {}
 
         /** A peer says, by its own list of that version, that a cache is not to be used. */
         default void onCacheUnavailable(long now, int from, long listRevision, long cache) {}
@@ -54,18 +62,25 @@
         default void onCacheRestored(long now, int from, long listRevision, long cache) {}
 
         /**
-         * A section of another module came, of a type from {@link PayloadProvider#FIRST_SECTION_TYPE} on; whatever it
-         * holds is unchecked. {@code queueingDelayNanos}: so many nanoseconds it was held up on its way, over the
-         * fastest way lately.
+         * A section of another module came, of a type from {@link
+         * PayloadProvider#FIRST_SECTION_TYPE} on; whatever it holds is unchecked. {@code
+         * queueingDelayNanos}: so many nanoseconds it was held up on its way, over the fastest way
+         * lately.
          */
         default void onPayload(
-                long now, long queueingDelayNanos, int from, long incarnation, int type, ByteBuffer content) {}
+                long now,
+                long queueingDelayNanos,
+                int from,
+                long incarnation,
+                int type,
+                ByteBuffer content) {}
 
         /**
-         * A peer answered a probe: its life was {@code peerUptimeMillis} old at some moment between {@code
-         * sent} and now.
+         * A peer answered a probe: its life was {@code peerUptimeMillis} old at some moment between
+         * {@code sent} and now.
          */
-        default void onClockSample(long now, int rank, long incarnation, long sentAtNanos, long peerUptimeMillis) {}
+        default void onClockSample(
+                long now, int rank, long incarnation, long sentAtNanos, long peerUptimeMillis) {}
     }
 
     /** Counts since the start, for whoever prints them. */
@@ -88,7 +103,10 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int NOBODY = 0xffff;
 
-    /** News goes to so many at once when it is new, then to {@link #NEXT_ROUND_FANOUT} every {@link #ROUND_INTERVAL_NANOS}. */
+    /**
+     * News goes to so many at once when it is new, then to {@link #NEXT_ROUND_FANOUT} every {@link
+     * #ROUND_INTERVAL_NANOS}.
+     */
     private static final int FIRST_ROUND_FANOUT = 3;
 
     private static final int NEXT_ROUND_FANOUT = 2;
@@ -222,9 +240,9 @@
     private boolean hasLeft;
 
     /**
-     * {@code localRank}: this balancer's number among {@code memberCount}; {@code incarnation}: of this life, by
-     * {@link Incarnation#fromUnixMillis}; {@code appliedVersions}: what it acts on from the first; {@code sequence}: how
-     * often that had changed before in this life.
+     * {@code localRank}: this balancer's number among {@code memberCount}; {@code incarnation}: of
+     * this life, by {@link Incarnation#fromUnixMillis}; {@code appliedVersions}: what it acts on
+     * from the first; {@code sequence}: how often that had changed before in this life.
      */
     public GossipNode(
             GossipSettings settings,
@@ -247,7 +265,11 @@
         members = new MembershipTable(count);
         random = new SplittableRandom(seed);
         bandwidthLimiter = new BandwidthLimiter(settings.maxBytesPerSecond());
-        updateLimiter = new BandwidthLimiter(Math.max(GossipDatagram.MAX_BYTES, (int) (settings.maxBytesPerSecond() * UPDATE_BANDWIDTH_FRACTION)));
+        updateLimiter =
+                new BandwidthLimiter(
+                        Math.max(
+                                GossipDatagram.MAX_BYTES,
+                                (int) (settings.maxBytesPerSecond() * UPDATE_BANDWIDTH_FRACTION)));
         startedAtNanos = now;
         startIncarnation = incarnation;
         lastHeardAtNanos = now;
@@ -329,15 +351,34 @@
 
     /** Each datagram says when it was written, by the clock of this life. */
     private void begin(long now, GossipDatagram.Kind kind, int nonce, int subject) {
-        GossipDatagram.begin(out, settings.wireVersion(), kind, localRank, members.incarnations[localRank], nonce, subject);
+        GossipDatagram.begin(
+                out,
+                settings.wireVersion(),
+                kind,
+                localRank,
+                members.incarnations[localRank],
+                nonce,
+                subject);
         out.put((byte) GossipDatagram.UPTIME)
                 .put((byte) Integer.BYTES)
                 .putInt((int) ((now - startedAtNanos) / NANOS_PER_MILLI));
     }
 
     private void announceLocalState(long now) {
-        enqueueUpdate(now, GossipDatagram.APPLIED_VERSIONS, NOBODY, 0, NOBODY, members.fingerprints[localRank]);
-        enqueueUpdate(now, GossipDatagram.MEMBER_ENTRIES, localRank, members.incarnations[localRank], localRank, 0);
+        enqueueUpdate(
+                now,
+                GossipDatagram.APPLIED_VERSIONS,
+                NOBODY,
+                0,
+                NOBODY,
+                members.fingerprints[localRank]);
+        enqueueUpdate(
+                now,
+                GossipDatagram.MEMBER_ENTRIES,
+                localRank,
+                members.incarnations[localRank],
+                localRank,
+                0);
     }
 
     /**
@@ -384,7 +425,8 @@
     }
 
     private boolean isPlausible(long now, long incarnation) {
-        return Incarnation.isPlausible(incarnation, startIncarnation, (now - startedAtNanos) / NANOS_PER_MILLI);
+        return Incarnation.isPlausible(
+                incarnation, startIncarnation, (now - startedAtNanos) / NANOS_PER_MILLI);
     }
 
     /** A peer lives, by its own word. */
@@ -408,7 +450,8 @@
         boolean isNewIncarnation = incarnation > members.incarnations[rank];
         boolean isNewMember = members.state(rank) == MemberState.UNKNOWN;
         if (isNewIncarnation) {
-            if (Incarnation.toUnixMillis(incarnation) != Incarnation.toUnixMillis(members.incarnations[rank])) {
+            if (Incarnation.toUnixMillis(incarnation)
+                    != Incarnation.toUnixMillis(members.incarnations[rank])) {
                 // Another life: nothing is known of what it acts on.
                 members.fingerprints[rank] = AppliedVersions.NO_FINGERPRINT;
                 members.sequences[rank] = 0;
@@ -424,7 +467,8 @@
         } else if (isNewIncarnation) {
             listener.onMemberState(now, rank, incarnation, MemberState.ALIVE, reportedBy);
         }
-        enqueueUpdate(now, GossipDatagram.MEMBER_ENTRIES, rank, incarnation, reportedBy, 0, isNewMember);
+        enqueueUpdate(
+                now, GossipDatagram.MEMBER_ENTRIES, rank, incarnation, reportedBy, 0, isNewMember);
     }
 
     /**
@@ -451,9 +495,16 @@
                         int fingerprint = stamp.fingerprint();
                         if (!versionsByFingerprint.containsKey(fingerprint)) {
                             storeVersions(now, fingerprint, stamp);
-                            enqueueUpdate(now, GossipDatagram.APPLIED_VERSIONS, NOBODY, 0, NOBODY, fingerprint);
+                            enqueueUpdate(
+                                    now,
+                                    GossipDatagram.APPLIED_VERSIONS,
+                                    NOBODY,
+                                    0,
+                                    NOBODY,
+                                    fingerprint);
                         } else {
-                            updates.recordDuplicate(GossipDatagram.APPLIED_VERSIONS, NOBODY, NOBODY, fingerprint);
+                            updates.recordDuplicate(
+                                    GossipDatagram.APPLIED_VERSIONS, NOBODY, NOBODY, fingerprint);
                         }
                     }
                 }
@@ -463,19 +514,27 @@
                     if (length >= Integer.BYTES) {
                         int fingerprint = section.getInt();
                         if (versionsByFingerprint.containsKey(fingerprint)) {
-                            enqueueUpdate(now, GossipDatagram.APPLIED_VERSIONS, NOBODY, 0, NOBODY, fingerprint);
+                            enqueueUpdate(
+                                    now,
+                                    GossipDatagram.APPLIED_VERSIONS,
+                                    NOBODY,
+                                    0,
+                                    NOBODY,
+                                    fingerprint);
                             hasRequestedVersions = true;
                         }
                     }
                 }
                 case GossipDatagram.CACHE_UNAVAILABLE -> {
                     while (section.remaining() >= GossipDatagram.CACHE_STATE_BYTES) {
-                        listener.onCacheUnavailable(now, in.sender, section.getLong(), section.getLong());
+                        listener.onCacheUnavailable(
+                                now, in.sender, section.getLong(), section.getLong());
                     }
                 }
                 case GossipDatagram.CACHE_RESTORED -> {
                     while (section.remaining() >= GossipDatagram.CACHE_STATE_BYTES) {
-                        listener.onCacheRestored(now, in.sender, section.getLong(), section.getLong());
+                        listener.onCacheRestored(
+                                now, in.sender, section.getLong(), section.getLong());
                     }
                 }
                 case GossipDatagram.UPTIME -> {
@@ -483,18 +542,25 @@
                         continue;
                     }
                     long uptimeMillis = section.getInt() & 0xffffffffL;
-                    queueingDelayNanos = members.queueingDelayNanos(now, in.sender, Incarnation.toUnixMillis(in.incarnation), uptimeMillis);
+                    queueingDelayNanos =
+                            members.queueingDelayNanos(
+                                    now,
+                                    in.sender,
+                                    Incarnation.toUnixMillis(in.incarnation),
+                                    uptimeMillis);
                     if (in.kind == GossipDatagram.Kind.ACK
                             && in.nonce == probeNonce
                             && in.sender == probeTarget
                             && in.subject == NOBODY) {
-                        listener.onClockSample(now, in.sender, in.incarnation, probeSentAtNanos, uptimeMillis);
+                        listener.onClockSample(
+                                now, in.sender, in.incarnation, probeSentAtNanos, uptimeMillis);
                     }
                 }
                 default -> {
                     // Others' cargo, or of a later build.
                     if (type >= PayloadProvider.FIRST_SECTION_TYPE) {
-                        listener.onPayload(now, queueingDelayNanos, in.sender, in.incarnation, type, section);
+                        listener.onPayload(
+                                now, queueingDelayNanos, in.sender, in.incarnation, type, section);
                     }
                 }
             }
@@ -520,17 +586,25 @@
             } else if (rank == localRank) {
                 refute(now, incarnation, incarnation > members.incarnations[localRank]);
             } else {
-                applyMemberEntry(now, in.sender, rank, incarnation, sequence, fingerprint, ageNanos);
+                applyMemberEntry(
+                        now, in.sender, rank, incarnation, sequence, fingerprint, ageNanos);
             }
         }
     }
 
     private void applyMemberEntry(
-            long now, int reportedBy, int rank, long incarnation, int sequence, int fingerprint, long ageNanos) {
+            long now,
+            int reportedBy,
+            int rank,
+            long incarnation,
+            int sequence,
+            int fingerprint,
+            long ageNanos) {
         if (incarnation < members.incarnations[rank]) {
             return;
         }
-        if (incarnation > members.incarnations[rank] || members.state(rank) == MemberState.UNKNOWN) {
+        if (incarnation > members.incarnations[rank]
+                || members.state(rank) == MemberState.UNKNOWN) {
             markAlive(now, rank, incarnation, reportedBy);
         }
         boolean isFirst = members.fingerprints[rank] == AppliedVersions.NO_FINGERPRINT;
@@ -539,7 +613,8 @@
             members.sequences[rank] = sequence;
             members.reportedAtNanos[rank] = Math.max(members.reportedAtNanos[rank], now - ageNanos);
             listener.onMemberEntry(now, rank, incarnation, sequence, fingerprint, ageNanos);
-            enqueueUpdate(now, GossipDatagram.MEMBER_ENTRIES, rank, incarnation, reportedBy, 0, isFirst);
+            enqueueUpdate(
+                    now, GossipDatagram.MEMBER_ENTRIES, rank, incarnation, reportedBy, 0, isFirst);
         } else if (sequence == members.sequences[rank]) {
             updates.recordDuplicate(GossipDatagram.MEMBER_ENTRIES, rank, reportedBy, 0);
             members.reportedAtNanos[rank] = Math.max(members.reportedAtNanos[rank], now - ageNanos);
@@ -583,7 +658,8 @@
         }
         counters.refutations++;
         members.incarnations[localRank] =
-                Incarnation.toUnixMillis(incarnation) == Incarnation.toUnixMillis(members.incarnations[localRank])
+                Incarnation.toUnixMillis(incarnation)
+                                == Incarnation.toUnixMillis(members.incarnations[localRank])
                         ? Incarnation.next(incarnation)
                         : Incarnation.nextStartAfter(incarnation);
         // Being suspected is a sign that this process is slow.
@@ -594,8 +670,8 @@
 
     /**
      * By this balancer's own list of a version, a cache is not to be used any more, or may be used
-     * again ({@code isAvailable}). Others that act on an older list care. One that was never ruled out is
-     * news to nobody.
+     * again ({@code isAvailable}). Others that act on an older list care. One that was never ruled
+     * out is news to nobody.
      */
     public void announceCacheState(long now, long listRevision, long cache, boolean isAvailable) {
         if (isAvailable && !cacheStates.containsKey(cache)) {
@@ -645,8 +721,10 @@
         double scale = Math.max(1, Math.log10(members.count));
         double minNanos = settings.suspicionTimeoutNanos() * scale;
         double maxNanos = minNanos * UNCONFIRMED_FACTOR * (1 + selfDoubt);
-        double confirmedFraction = Math.log(suspicion.reporters.size()) / Math.log(MAX_CONFIRMATIONS);
-        return suspicion.sinceNanos + (long) (maxNanos - (maxNanos - minNanos) * Math.min(1, confirmedFraction));
+        double confirmedFraction =
+                Math.log(suspicion.reporters.size()) / Math.log(MAX_CONFIRMATIONS);
+        return suspicion.sinceNanos
+                + (long) (maxNanos - (maxNanos - minNanos) * Math.min(1, confirmedFraction));
     }
 
     private void markEnded(long now, int rank, MemberState state, int reportedBy) {
@@ -673,7 +751,8 @@
         if (hasLeft) {
             return NEVER_NANOS;
         }
-        long nextNanos = Math.min(Math.min(nextPeriodAtNanos, nextAttemptAtNanos), nextRoundAtNanos);
+        long nextNanos =
+                Math.min(Math.min(nextPeriodAtNanos, nextAttemptAtNanos), nextRoundAtNanos);
         for (Suspicion suspicion : suspicions) {
             nextNanos = Math.min(nextNanos, suspicionExpiresAtNanos(suspicion));
         }
@@ -694,7 +773,8 @@
             nextAttemptAtNanos = NEVER_NANOS;
             List<Suspicion> restarted = new ArrayList<>();
             for (Suspicion suspicion : suspicions) {
-                Suspicion restartedSuspicion = new Suspicion(suspicion.rank, suspicion.incarnation, now);
+                Suspicion restartedSuspicion =
+                        new Suspicion(suspicion.rank, suspicion.incarnation, now);
                 restartedSuspicion.reporters.addAll(suspicion.reporters);
                 restarted.add(restartedSuspicion);
             }
@@ -709,7 +789,10 @@
         }
         if (now >= nextPeriodAtNanos) {
             finishPeriod(now);
-            nextPeriodAtNanos = Math.max(nextPeriodAtNanos + settings.probePeriodNanos(), now + settings.probePeriodNanos() / 2);
+            nextPeriodAtNanos =
+                    Math.max(
+                            nextPeriodAtNanos + settings.probePeriodNanos(),
+                            now + settings.probePeriodNanos() / 2);
             startProbe(now);
         } else if (now >= nextAttemptAtNanos) {
             sendProbeAttempt(now);
@@ -726,12 +809,14 @@
         int unanswered = probeTarget;
         probeTarget = NOBODY;
         nextAttemptAtNanos = NEVER_NANOS;
-        if (!members.state(unanswered).isParticipating() || members.heardAtNanos[unanswered] >= probeSentAtNanos) {
+        if (!members.state(unanswered).isParticipating()
+                || members.heardAtNanos[unanswered] >= probeSentAtNanos) {
             return;
         }
         selfDoubt = Math.min(MAX_SELF_DOUBT, selfDoubt + (isIsolated(now) ? 1 : 0));
         // A balancer that hears nobody has evidence against nobody.
-        if (!isIsolated(now) && ++members.missedProbes[unanswered] >= settings.missedProbesToSuspect()) {
+        if (!isIsolated(now)
+                && ++members.missedProbes[unanswered] >= settings.missedProbesToSuspect()) {
             members.missedProbes[unanswered] = 0;
             suspect(now, unanswered, localRank);
         }
@@ -795,13 +880,18 @@
             }
         }
         probeAttempt++;
-        nextAttemptAtNanos = probeAttempt < MAX_PROBE_ATTEMPTS && now + retryNanos < nextPeriodAtNanos ? now + retryNanos : NEVER_NANOS;
+        nextAttemptAtNanos =
+                probeAttempt < MAX_PROBE_ATTEMPTS && now + retryNanos < nextPeriodAtNanos
+                        ? now + retryNanos
+                        : NEVER_NANOS;
     }
 
     private void sendPing(long now, int to, int nonce, boolean shouldFill) {
         begin(now, GossipDatagram.Kind.PING, nonce, NOBODY);
         MemberState state = members.state(to);
-        if (state == MemberState.SUSPECTED || state == MemberState.GONE || state == MemberState.LEFT) {
+        if (state == MemberState.SUSPECTED
+                || state == MemberState.GONE
+                || state == MemberState.LEFT) {
             // So that it can object.
             putClaim(
                     state == MemberState.SUSPECTED ? GossipDatagram.SUSPECT : GossipDatagram.DEAD,
@@ -825,26 +915,34 @@
         if (fingerprint != AppliedVersions.NO_FINGERPRINT
                 && !versionsByFingerprint.containsKey(fingerprint)
                 && GossipDatagram.availableBytes(out, GossipDatagram.MAX_BYTES) >= Integer.BYTES) {
-            out.put((byte) GossipDatagram.VERSIONS_REQUEST).put((byte) Integer.BYTES).putInt(fingerprint);
+            out.put((byte) GossipDatagram.VERSIONS_REQUEST)
+                    .put((byte) Integer.BYTES)
+                    .putInt(fingerprint);
         }
     }
 
     /** A peer that acts on an older list may have missed which caches it should leave alone. */
     private void putNewerCacheStates(int to) {
-        AppliedVersions peerVersions = cacheStates.isEmpty() ? null : versionsByFingerprint.get(members.fingerprints[to]);
+        AppliedVersions peerVersions =
+                cacheStates.isEmpty() ? null : versionsByFingerprint.get(members.fingerprints[to]);
         if (peerVersions == null) {
             return;
         }
         for (Map.Entry<Long, CacheState> entry : cacheStates.entrySet()) {
             if (entry.getValue().listRevision > peerVersions.listRevision()
-                    && GossipDatagram.availableBytes(out, GossipDatagram.MAX_BYTES) >= GossipDatagram.CACHE_STATE_BYTES) {
+                    && GossipDatagram.availableBytes(out, GossipDatagram.MAX_BYTES)
+                            >= GossipDatagram.CACHE_STATE_BYTES) {
                 putCacheState(entry.getKey(), entry.getValue());
             }
         }
     }
 
     private void putCacheState(long cache, CacheState state) {
-        out.put((byte) (state.isAvailable ? GossipDatagram.CACHE_RESTORED : GossipDatagram.CACHE_UNAVAILABLE))
+        out.put(
+                        (byte)
+                                (state.isAvailable
+                                        ? GossipDatagram.CACHE_RESTORED
+                                        : GossipDatagram.CACHE_UNAVAILABLE))
                 .put((byte) GossipDatagram.CACHE_STATE_BYTES)
                 .putLong(state.listRevision)
                 .putLong(cache);
@@ -863,10 +961,13 @@
         while (availableBytes >= GossipDatagram.MEMBER_ENTRY_BYTES) {
             int fingerprint = members.fingerprints[fillIndex];
             boolean shouldSend =
-                    fillIndex != localRank && fingerprint != AppliedVersions.NO_FINGERPRINT && members.state(fillIndex) == MemberState.ALIVE;
+                    fillIndex != localRank
+                            && fingerprint != AppliedVersions.NO_FINGERPRINT
+                            && members.state(fillIndex) == MemberState.ALIVE;
             if (shouldSend) {
                 putMemberEntries(now, List.of(fillIndex), PROBE_FILL_BYTES);
-                availableBytes = GossipDatagram.availableBytes(out, PROBE_FILL_BYTES) - Integer.BYTES;
+                availableBytes =
+                        GossipDatagram.availableBytes(out, PROBE_FILL_BYTES) - Integer.BYTES;
             }
             fillIndex = (fillIndex + 1) % members.count;
             if (fillIndex == first) {
@@ -930,19 +1031,31 @@
 
     // News.
 
-    private void enqueueUpdate(long now, int type, int rank, long incarnation, int reportedBy, int fingerprint) {
+    private void enqueueUpdate(
+            long now, int type, int rank, long incarnation, int reportedBy, int fingerprint) {
         enqueueUpdate(now, type, rank, incarnation, reportedBy, fingerprint, false);
     }
 
     private void enqueueUpdate(
-            long now, int type, int rank, long incarnation, int reportedBy, int fingerprint, boolean isNewMember) {
+            long now,
+            int type,
+            int rank,
+            long incarnation,
+            int reportedBy,
+            int fingerprint,
+            boolean isNewMember) {
         int sends =
                 (int)
                         Math.ceil(
                                 (isNewMember ? SENDS_FACTOR / 2 : SENDS_FACTOR)
                                         * (Math.log(members.count + 1.0) / Math.log(2)));
-        sends = isSmallCluster() && !isNewMember ? Math.max(sends, SMALL_CLUSTER_SENDS_PER_PEER * probeOrder.length) : sends;
-        updates.add(new UpdateQueue.Update(type, rank, incarnation, reportedBy, fingerprint, isNewMember, sends));
+        sends =
+                isSmallCluster() && !isNewMember
+                        ? Math.max(sends, SMALL_CLUSTER_SENDS_PER_PEER * probeOrder.length)
+                        : sends;
+        updates.add(
+                new UpdateQueue.Update(
+                        type, rank, incarnation, reportedBy, fingerprint, isNewMember, sends));
         isFirstRound = true;
         nextRoundAtNanos = Math.min(nextRoundAtNanos, now + BATCH_DELAY_NANOS);
     }
@@ -952,7 +1065,12 @@
     }
 
     private void sendRound(long now) {
-        List<Integer> targets = pickPeers(isSmallCluster() ? probeOrder.length : isFirstRound ? FIRST_ROUND_FANOUT : NEXT_ROUND_FANOUT, NOBODY);
+        List<Integer> targets =
+                pickPeers(
+                        isSmallCluster()
+                                ? probeOrder.length
+                                : isFirstRound ? FIRST_ROUND_FANOUT : NEXT_ROUND_FANOUT,
+                        NOBODY);
         isFirstRound = false;
         boolean isRateLimited = false;
         for (int to : targets) {
@@ -960,16 +1078,28 @@
         }
         // With nobody to tell, it is kept for whoever comes: a probe finds them.
         nextRoundAtNanos =
-                updates.isEmpty() ? NEVER_NANOS : now + (targets.isEmpty() ? settings.probePeriodNanos() : ROUND_INTERVAL_NANOS);
+                updates.isEmpty()
+                        ? NEVER_NANOS
+                        : now
+                                + (targets.isEmpty()
+                                        ? settings.probePeriodNanos()
+                                        : ROUND_INTERVAL_NANOS);
     }
 
     /** Tells one peer what is new; false where the ceiling does not let it through. */
     private boolean sendUpdates(long now, int to) {
         List<UpdateQueue.Update> candidates = updates.mostUrgent();
         // A flood of greetings leaves half of the room to changes, which are not to wait for it.
-        int reservedBytes = !candidates.isEmpty() && candidates.get(0).isNewMember ? updateLimiter.maxBytesPerSecond() / 2 : 0;
+        int reservedBytes =
+                !candidates.isEmpty() && candidates.get(0).isNewMember
+                        ? updateLimiter.maxBytesPerSecond() / 2
+                        : 0;
         int maxBytes =
-                Math.min(GossipDatagram.MAX_BYTES, Math.min(bandwidthLimiter.availableBytes(now), updateLimiter.availableBytes(now) - reservedBytes));
+                Math.min(
+                        GossipDatagram.MAX_BYTES,
+                        Math.min(
+                                bandwidthLimiter.availableBytes(now),
+                                updateLimiter.availableBytes(now) - reservedBytes));
         if (maxBytes < MIN_UPDATE_BYTES) {
             counters.rateLimited++;
             return false;
@@ -984,19 +1114,23 @@
                     GossipDatagram.SECTION_HEADER_BYTES
                             + switch (item.type) {
                                 case GossipDatagram.APPLIED_VERSIONS -> AppliedVersions.BYTES;
-                                case GossipDatagram.MEMBER_ENTRIES -> GossipDatagram.MEMBER_ENTRY_BYTES + Integer.BYTES;
-                                case GossipDatagram.CACHE_UNAVAILABLE -> GossipDatagram.CACHE_STATE_BYTES;
+                                case GossipDatagram.MEMBER_ENTRIES ->
+                                        GossipDatagram.MEMBER_ENTRY_BYTES + Integer.BYTES;
+                                case GossipDatagram.CACHE_UNAVAILABLE ->
+                                        GossipDatagram.CACHE_STATE_BYTES;
                                 case GossipDatagram.PAYLOAD -> 0;
                                 default -> GossipDatagram.CLAIM_BYTES;
                             };
-            if (GossipDatagram.availableBytes(out, maxBytes) - entryBytes < requiredBytes - GossipDatagram.SECTION_HEADER_BYTES) {
+            if (GossipDatagram.availableBytes(out, maxBytes) - entryBytes
+                    < requiredBytes - GossipDatagram.SECTION_HEADER_BYTES) {
                 continue;
             }
             switch (item.type) {
                 case GossipDatagram.APPLIED_VERSIONS -> {
                     AppliedVersions stamp = versionsByFingerprint.get(item.fingerprint);
                     if (stamp != null) {
-                        out.put((byte) GossipDatagram.APPLIED_VERSIONS).put((byte) AppliedVersions.BYTES);
+                        out.put((byte) GossipDatagram.APPLIED_VERSIONS)
+                                .put((byte) AppliedVersions.BYTES);
                         stamp.write(out);
                     }
                 }
@@ -1019,7 +1153,8 @@
             }
             sentItems.add(item);
         }
-        entryRanks.sort((a, b) -> Integer.compare(members.fingerprints[a], members.fingerprints[b]));
+        entryRanks.sort(
+                (a, b) -> Integer.compare(members.fingerprints[a], members.fingerprints[b]));
         putMemberEntries(now, entryRanks, maxBytes);
         if (hasPayload) {
             payloadProvider.writeSections(now, to, payload.withMaxBytes(maxBytes));
@@ -1037,9 +1172,13 @@
         int start = 0;
         while (start < ranks.size()) {
             int fingerprint = members.fingerprints[ranks.get(start)];
-            int capacity = (GossipDatagram.availableBytes(out, maxBytes) - Integer.BYTES) / GossipDatagram.MEMBER_ENTRY_BYTES;
+            int capacity =
+                    (GossipDatagram.availableBytes(out, maxBytes) - Integer.BYTES)
+                            / GossipDatagram.MEMBER_ENTRY_BYTES;
             int end = start;
-            while (end < ranks.size() && end - start < capacity && members.fingerprints[ranks.get(end)] == fingerprint) {
+            while (end < ranks.size()
+                    && end - start < capacity
+                    && members.fingerprints[ranks.get(end)] == fingerprint) {
                 end++;
             }
             if (end == start) {
@@ -1053,14 +1192,19 @@
                 out.putShort((short) rank);
                 GossipDatagram.putU48(out, members.incarnations[rank]);
                 out.putShort((short) members.sequences[rank]);
-                long ageUnits = rank == localRank ? 0 : (now - members.reportedAtNanos[rank] + AGE_UNIT_NANOS - 1) / AGE_UNIT_NANOS;
+                long ageUnits =
+                        rank == localRank
+                                ? 0
+                                : (now - members.reportedAtNanos[rank] + AGE_UNIT_NANOS - 1)
+                                        / AGE_UNIT_NANOS;
                 out.put((byte) Math.max(0, Math.min(MAX_AGE_UNITS, ageUnits)));
             }
         }
     }
 
     private void putClaim(int type, int rank, long incarnation, int reportedBy) {
-        if (GossipDatagram.availableBytes(out, GossipDatagram.MAX_BYTES) < GossipDatagram.CLAIM_BYTES) {
+        if (GossipDatagram.availableBytes(out, GossipDatagram.MAX_BYTES)
+                < GossipDatagram.CLAIM_BYTES) {
             return;
         }
         out.put((byte) type).put((byte) GossipDatagram.CLAIM_BYTES).putShort((short) rank);
@@ -1080,7 +1224,9 @@
         return true;
     }
 
-    /** Up to so many others that are not known to be away, drawn; {@code excluded}: not this one. */
+    /**
+     * Up to so many others that are not known to be away, drawn; {@code excluded}: not this one.
+     */
     private List<Integer> pickPeers(int maxCount, int excluded) {
         List<Integer> picked = new ArrayList<>(maxCount);
         int start = probeOrder.length == 0 ? 0 : random.nextInt(probeOrder.length);
@@ -1144,9 +1290,11 @@
     /** What is known of a balancer at a moment. */
     public MemberSnapshot snapshot(long now, int rank) {
         boolean isNeverReported = members.reportedAtNanos[rank] == MembershipTable.NEVER_NANOS;
-        MemberState state = rank != localRank && isIsolated(now) ? MemberState.UNKNOWN : members.state(rank);
+        MemberState state =
+                rank != localRank && isIsolated(now) ? MemberState.UNKNOWN : members.state(rank);
         int fingerprint = members.fingerprints[rank];
-        long ageNanos = rank == localRank ? 0 : isNeverReported ? -1 : now - members.reportedAtNanos[rank];
+        long ageNanos =
+                rank == localRank ? 0 : isNeverReported ? -1 : now - members.reportedAtNanos[rank];
         return new MemberSnapshot(
                 rank,
                 state,
--- a/peers/src/main/java/frostrelay/peers/GossipSettings.java
+++ b/gossip/src/main/java/frostrelay/gossip/GossipSettings.java
@@ -1,4 +1,4 @@
-package frostrelay.peers;
+package frostrelay.gossip;
 
 /**
  * The bounds of talk between balancers, in nanoseconds and bytes. Each standard value has its
@@ -6,15 +6,24 @@
  *
  * @param maxBytesPerSecond most bytes that this balancer sends in any second, datagrams alone
  * @param probePeriodNanos from one probe to the next
- * @param probeRetryNanos an unanswered probe is sent again after this, and after as long again also through
- *     others
+ * @param probeRetryNanos an unanswered probe is sent again after this, and after as long again also
+ *     through others
  * @param missedProbesToSuspect so many periods in a row without an answer make a suspicion
- * @param suspicionTimeoutNanos how long a suspected balancer has to object, times the logarithm of the fleet
- * @param isolationTimeoutNanos having heard nothing for so long, this balancer knows nothing of the others any more
- * @param wireVersion of what it writes; readers go by the least form that can read it, which stays 1
+ * @param suspicionTimeoutNanos how long a suspected balancer has to object, times the logarithm of
+ *     the fleet
+ * @param isolationTimeoutNanos having heard nothing for so long, this balancer knows nothing of the
+ *     others any more
+ * @param wireVersion of what it writes; readers go by the least form that can read it, which stays
+ *     1
  */
 public record GossipSettings(
-        int maxBytesPerSecond, long probePeriodNanos, long probeRetryNanos, int missedProbesToSuspect, long suspicionTimeoutNanos, long isolationTimeoutNanos, int wireVersion) {
+        int maxBytesPerSecond,
+        long probePeriodNanos,
+        long probeRetryNanos,
+        int missedProbesToSuspect,
+        long suspicionTimeoutNanos,
+        long isolationTimeoutNanos,
+        int wireVersion) {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /**
@@ -38,11 +47,25 @@
 
     /** The same under another ceiling. */
     public GossipSettings withMaxBytesPerSecond(int bytesPerSecond) {
-        return new GossipSettings(bytesPerSecond, probePeriodNanos, probeRetryNanos, missedProbesToSuspect, suspicionTimeoutNanos, isolationTimeoutNanos, wireVersion);
+        return new GossipSettings(
+                bytesPerSecond,
+                probePeriodNanos,
+                probeRetryNanos,
+                missedProbesToSuspect,
+                suspicionTimeoutNanos,
+                isolationTimeoutNanos,
+                wireVersion);
     }
 
     /** The same as another build writes it. */
     public GossipSettings withWireVersion(int version) {
-        return new GossipSettings(maxBytesPerSecond, probePeriodNanos, probeRetryNanos, missedProbesToSuspect, suspicionTimeoutNanos, isolationTimeoutNanos, version);
+        return new GossipSettings(
+                maxBytesPerSecond,
+                probePeriodNanos,
+                probeRetryNanos,
+                missedProbesToSuspect,
+                suspicionTimeoutNanos,
+                isolationTimeoutNanos,
+                version);
     }
 }
--- a/peers/src/main/java/frostrelay/peers/Incarnation.java
+++ b/gossip/src/main/java/frostrelay/gossip/Incarnation.java
@@ -1,4 +1,4 @@
-package frostrelay.peers;
+package frostrelay.gossip;
 
 /**
  * Numbers the lives of a balancer: 48 bits, of which the upper 41 are the milliseconds of its start
@@ -32,16 +32,18 @@
 
     /** The first of a life behind all of those that the number may belong to. */
     static long nextStartAfter(long incarnation) {
-        return Math.min(MAX_VALUE, (incarnation / REFUTATIONS_PER_START + 1) * REFUTATIONS_PER_START);
+        return Math.min(
+                MAX_VALUE, (incarnation / REFUTATIONS_PER_START + 1) * REFUTATIONS_PER_START);
     }
 
     /**
-     * Whether a balancer can have it, seen from one whose own is {@code localIncarnation} and who has lived for
-     * so long.
+     * Whether a balancer can have it, seen from one whose own is {@code localIncarnation} and who
+     * has lived for so long.
      */
     static boolean isPlausible(long incarnation, long localIncarnation, long uptimeMillis) {
         return incarnation > 0
-                && incarnation >> REFUTATION_BITS <= (localIncarnation >> REFUTATION_BITS) + uptimeMillis + DAY_MILLIS;
+                && incarnation >> REFUTATION_BITS
+                        <= (localIncarnation >> REFUTATION_BITS) + uptimeMillis + DAY_MILLIS;
     }
 
     /** Its life's start in Unix milliseconds, as that process saw it. */
--- a/peers/src/main/java/frostrelay/peers/MemberState.java
+++ b/gossip/src/main/java/frostrelay/gossip/MemberState.java
@@ -1,4 +1,4 @@
-package frostrelay.peers;
+package frostrelay.gossip;
 
 /**
  * What is believed of a balancer. {@link #UNKNOWN} is a state of its own: neither fine nor dead.
--- a/peers/src/main/java/frostrelay/peers/MembershipTable.java
+++ b/gossip/src/main/java/frostrelay/gossip/MembershipTable.java
@@ -1,4 +1,4 @@
-package frostrelay.peers;
+package frostrelay.gossip;
 
 import java.util.Arrays;
 
@@ -63,8 +63,8 @@
     /**
      * For how long word was held up on its way, nanoseconds, over the fastest lately: a process
      * that was stopped finds it in its socket, and it is as old as that. By its writer's own clock,
-     * {@code uptimeMillis} milliseconds into its life; 0 where nothing is known to hold that against.
-     * Clocks may part by {@link #MAX_CLOCK_DRIFT}.
+     * {@code uptimeMillis} milliseconds into its life; 0 where nothing is known to hold that
+     * against. Clocks may part by {@link #MAX_CLOCK_DRIFT}.
      */
     long queueingDelayNanos(long now, int rank, long startMillis, long uptimeMillis) {
         long offsetMillis = now / NANOS_PER_MILLI - uptimeMillis;
@@ -72,9 +72,14 @@
             clockStartMillis[rank] = startMillis;
             clockOffsetMillis[rank] = offsetMillis;
         } else {
-            long maxOffsetMillis = clockOffsetMillis[rank] + (long) (MAX_CLOCK_DRIFT * (now - clockSampledAtNanos[rank])) / NANOS_PER_MILLI;
+            long maxOffsetMillis =
+                    clockOffsetMillis[rank]
+                            + (long) (MAX_CLOCK_DRIFT * (now - clockSampledAtNanos[rank]))
+                                    / NANOS_PER_MILLI;
             // Its clock has 32 bits and goes round.
-            offsetMillis -= Math.round((offsetMillis - maxOffsetMillis) / UPTIME_WRAP_MILLIS) * (1L << Integer.SIZE);
+            offsetMillis -=
+                    Math.round((offsetMillis - maxOffsetMillis) / UPTIME_WRAP_MILLIS)
+                            * (1L << Integer.SIZE);
             clockOffsetMillis[rank] = Math.min(maxOffsetMillis, offsetMillis);
         }
         clockSampledAtNanos[rank] = now;
--- a/peers/src/main/java/frostrelay/peers/PayloadBuffer.java
+++ b/gossip/src/main/java/frostrelay/gossip/PayloadBuffer.java
@@ -1,10 +1,10 @@
-package frostrelay.peers;
+package frostrelay.gossip;
 
 import java.nio.ByteBuffer;
 
 /**
- * The room that a datagram has left for {@link PayloadProvider}. Valid during the call that hands it out
- * only.
+ * The room that a datagram has left for {@link PayloadProvider}. Valid during the call that hands
+ * it out only.
  */
 public final class PayloadBuffer {
     private final ByteBuffer out;
@@ -27,7 +27,8 @@
     }
 
     /**
-     * Adds a section, of a type from {@link PayloadProvider#FIRST_SECTION_TYPE} to 255; false where it does not fit.
+     * Adds a section, of a type from {@link PayloadProvider#FIRST_SECTION_TYPE} to 255; false where
+     * it does not fit.
      */
     public boolean add(int type, ByteBuffer content) {
         if (type < PayloadProvider.FIRST_SECTION_TYPE || type > 255 || content.remaining() > 255) {
--- a/peers/src/main/java/frostrelay/peers/PayloadProvider.java
+++ b/gossip/src/main/java/frostrelay/gossip/PayloadProvider.java
@@ -1,4 +1,4 @@
-package frostrelay.peers;
+package frostrelay.gossip;
 
 /**
  * What other modules have told along in the talk of who is there: whole sections of types of their
--- a/peers/src/main/java/frostrelay/peers/UpdateQueue.java
+++ b/gossip/src/main/java/frostrelay/gossip/UpdateQueue.java
@@ -1,4 +1,4 @@
-package frostrelay.peers;
+package frostrelay.gossip;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -22,9 +22,9 @@
     private static final int TYPE_SHIFT = 40;
 
     /**
-     * One item. For stamps only {@code fingerprint} counts, for caches that is the lower half of the number
-     * and {@code incarnation} the whole; for rows the table has the values at the moment of
-     * sending.
+     * One item. For stamps only {@code fingerprint} counts, for caches that is the lower half of
+     * the number and {@code incarnation} the whole; for rows the table has the values at the moment
+     * of sending.
      */
     static final class Update {
         final int type;
@@ -39,7 +39,14 @@
         int remainingSends;
         private long order;
 
-        Update(int type, int rank, long incarnation, int reportedBy, int fingerprint, boolean isNewMember, int remainingSends) {
+        Update(
+                int type,
+                int rank,
+                long incarnation,
+                int reportedBy,
+                int fingerprint,
+                boolean isNewMember,
+                int remainingSends) {
             this.type = type;
             this.rank = rank;
             this.incarnation = incarnation;
@@ -59,13 +66,16 @@
          */
         private static long key(int type, int rank, int reportedBy, int fingerprint) {
             return switch (type) {
-                case GossipDatagram.APPLIED_VERSIONS -> (long) type << TYPE_SHIFT | fingerprint & 0xffffffffL;
-                case GossipDatagram.SUSPECT -> (long) type << TYPE_SHIFT | (long) rank << Short.SIZE | reportedBy;
+                case GossipDatagram.APPLIED_VERSIONS ->
+                        (long) type << TYPE_SHIFT | fingerprint & 0xffffffffL;
+                case GossipDatagram.SUSPECT ->
+                        (long) type << TYPE_SHIFT | (long) rank << Short.SIZE | reportedBy;
                 case GossipDatagram.MEMBER_ENTRIES -> (long) type << TYPE_SHIFT | rank;
                 case GossipDatagram.PAYLOAD -> (long) type << TYPE_SHIFT;
                 // By the lower half of the cache's number: two that share it would be told one
                 // after the other.
-                case GossipDatagram.CACHE_UNAVAILABLE -> (long) type << TYPE_SHIFT | fingerprint & 0xffffffffL;
+                case GossipDatagram.CACHE_UNAVAILABLE ->
+                        (long) type << TYPE_SHIFT | fingerprint & 0xffffffffL;
                 default -> (long) GossipDatagram.DEAD << TYPE_SHIFT | rank;
             };
         }
@@ -75,7 +85,9 @@
             (a, b) ->
                     a.isNewMember != b.isNewMember
                             ? a.isNewMember ? 1 : -1
-                            : a.remainingSends != b.remainingSends ? b.remainingSends - a.remainingSends : Long.compare(b.order, a.order);
+                            : a.remainingSends != b.remainingSends
+                                    ? b.remainingSends - a.remainingSends
+                                    : Long.compare(b.order, a.order);
 
     private final Map<Long, Update> items = new LinkedHashMap<>();
     private int claimCount;
@@ -92,7 +104,10 @@
                                             && other.incarnation < item.incarnation);
         } else if (isClaim(item) && item.type != GossipDatagram.SUSPECT) {
             items.values()
-                    .removeIf(other -> other.type == GossipDatagram.SUSPECT && other.rank == item.rank);
+                    .removeIf(
+                            other ->
+                                    other.type == GossipDatagram.SUSPECT
+                                            && other.rank == item.rank);
         }
         item.order = nextOrder++;
         items.put(item.key(), item);
@@ -128,7 +143,8 @@
      * by {@link #removeExhausted}.
      */
     List<Update> mostUrgent() {
-        PriorityQueue<Update> best = new PriorityQueue<>(MAX_ITEMS_PER_DATAGRAM + 1, BY_URGENCY.reversed());
+        PriorityQueue<Update> best =
+                new PriorityQueue<>(MAX_ITEMS_PER_DATAGRAM + 1, BY_URGENCY.reversed());
         for (Update item : items.values()) {
             if (best.size() < MAX_ITEMS_PER_DATAGRAM || BY_URGENCY.compare(item, best.peek()) < 0) {
                 best.add(item);
--- a/judgements/src/main/java/frostrelay/judgements/counts/ClusterCounter.java
+++ b/healthreports/src/main/java/frostrelay/counters/ClusterCounter.java
@@ -1,4 +1,4 @@
-package frostrelay.judgements.counts;
+package frostrelay.counters;
 
 import java.util.Locale;
 
--- a/judgements/src/main/java/frostrelay/judgements/counts/ClusterCounterSettings.java
+++ b/healthreports/src/main/java/frostrelay/counters/ClusterCounterSettings.java
@@ -1,4 +1,4 @@
-package frostrelay.judgements.counts;
+package frostrelay.counters;
 
 /**
  * Bounds, each with its reason; nanoseconds, a second, and parts of 1.
--- a/judgements/src/main/java/frostrelay/judgements/counts/ClusterCounters.java
+++ b/healthreports/src/main/java/frostrelay/counters/ClusterCounters.java
@@ -1,8 +1,8 @@
-package frostrelay.judgements.counts;
+package frostrelay.counters;
 
-import frostrelay.peers.PayloadProvider;
-import frostrelay.peers.PayloadBuffer;
-import frostrelay.peers.Incarnation;
+import frostrelay.gossip.Incarnation;
+import frostrelay.gossip.PayloadBuffer;
+import frostrelay.gossip.PayloadProvider;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -60,7 +60,10 @@
             }
             ratesPerSecond = new double[GrowOnlyCounters.COUNTER_COUNT];
             for (int i = 0; i < GrowOnlyCounters.COUNTER_COUNT; i++) {
-                ratesPerSecond[i] = (counters.values()[i] - rateBaseline[i]) * NANOS_PER_SECOND / (now - rateBaselineNanos);
+                ratesPerSecond[i] =
+                        (counters.values()[i] - rateBaseline[i])
+                                * NANOS_PER_SECOND
+                                / (now - rateBaselineNanos);
                 peakRatesPerSecond[i] = Math.max(peakRatesPerSecond[i], ratesPerSecond[i]);
             }
             rateBaseline = counters.values();
@@ -84,8 +87,8 @@
     private long rejectedCount;
 
     /**
-     * {@code localRank}: this balancer's number among {@code clusterSize}; {@code isAlive}: whether another is
-     * there as far as is known.
+     * {@code localRank}: this balancer's number among {@code clusterSize}; {@code isAlive}: whether
+     * another is there as far as is known.
      */
     public ClusterCounters(
             ClusterCounterSettings settings,
@@ -100,7 +103,8 @@
         this.clusterSize = clusterSize;
         this.isAlive = isAlive;
         this.actions = actions;
-        localState.reset(new GrowOnlyCounters(startedAtUnixMillis(incarnation), localValues.clone()), now);
+        localState.reset(
+                new GrowOnlyCounters(startedAtUnixMillis(incarnation), localValues.clone()), now);
     }
 
     private static long startedAtUnixMillis(long incarnation) {
@@ -116,7 +120,8 @@
      * A section came from a peer in that life of it, held up for so long on its way; one of another
      * module is passed over, and so is what nobody can have done.
      */
-    public void onSection(long now, long delayNanos, int sender, long incarnation, int type, ByteBuffer in) {
+    public void onSection(
+            long now, long delayNanos, int sender, long incarnation, int type, ByteBuffer in) {
         if (type != COUNTERS_SECTION || sender == localRank || sender >= clusterSize) {
             return;
         }
@@ -127,12 +132,15 @@
         }
         GrowOnlyCounters received = GrowOnlyCounters.read(startedAtUnixMillis(incarnation), in);
         WriterState peer = peerStates.computeIfAbsent(sender, rank -> new WriterState());
-        if (peer.counters == null || received.startedAtUnixMillis() > peer.counters.startedAtUnixMillis()) {
+        if (peer.counters == null
+                || received.startedAtUnixMillis() > peer.counters.startedAtUnixMillis()) {
             peer.reset(received, writtenAtNanos);
         } else if (received.startedAtUnixMillis() == peer.counters.startedAtUnixMillis()) {
             // A second more than the time since: what was under way when it was last heard came
             // late.
-            double maxIncrease = settings.maxRatePerSecond() * ((now - peer.updatedAtNanos) / NANOS_PER_SECOND + 1);
+            double maxIncrease =
+                    settings.maxRatePerSecond()
+                            * ((now - peer.updatedAtNanos) / NANOS_PER_SECOND + 1);
             for (ClusterCounter counter : ClusterCounter.values()) {
                 if (received.valueOf(counter) - peer.counters.valueOf(counter) > maxIncrease) {
                     rejectedCount++;
@@ -148,7 +156,8 @@
     @Override
     public void writeSections(long now, int to, PayloadBuffer hold) {
         Long lastSent = lastSentNanos.get(to);
-        if (lastSent != null && now - lastSent < settings.minSendIntervalNanos() || hold.availableBytes() < GrowOnlyCounters.encodedBytes()) {
+        if (lastSent != null && now - lastSent < settings.minSendIntervalNanos()
+                || hold.availableBytes() < GrowOnlyCounters.encodedBytes()) {
             return;
         }
         if (hold.add(COUNTERS_SECTION, encodeLocal())) {
@@ -164,7 +173,10 @@
 
     /** Those that were told longest ago hear it now: what rides along misses some for seconds. */
     private void sendToStalest(long now) {
-        int remainingSends = clusterSize - 1 <= settings.smallClusterPeers() ? settings.smallClusterSendsPerSecond() : settings.sendsPerSecond();
+        int remainingSends =
+                clusterSize - 1 <= settings.smallClusterPeers()
+                        ? settings.smallClusterSendsPerSecond()
+                        : settings.sendsPerSecond();
         for (int i = 0; i < clusterSize && remainingSends > 0; i++) {
             lastRecipient = (lastRecipient + 1) % clusterSize;
             Long lastSent = lastSentNanos.get(lastRecipient);
@@ -180,7 +192,9 @@
 
     /** To be called once a second: own rates are taken then, and some are told straight. */
     public void tick(long now) {
-        localState.counters = new GrowOnlyCounters(localState.counters.startedAtUnixMillis(), localValues.clone());
+        localState.counters =
+                new GrowOnlyCounters(
+                        localState.counters.startedAtUnixMillis(), localValues.clone());
         localState.updatedAtNanos = now;
         localState.updateRates(now, settings.rateWindowNanos());
         sendToStalest(now);
@@ -215,7 +229,9 @@
                             + ageNanos
                                     / NANOS_PER_SECOND
                                     * settings.maxRateGrowth()
-                                    * Math.max(settings.minPeakRatePerSecond(), peer.peakRatesPerSecond[index]);
+                                    * Math.max(
+                                            settings.minPeakRatePerSecond(),
+                                            peer.peakRatesPerSecond[index]);
             if (ageNanos >= settings.expiryNanos()) {
                 continue;
             }
@@ -228,7 +244,13 @@
                 rates += weight * peer.ratesPerSecond[index];
             }
         }
-        return new CounterTotal(known, upperBound, rates / weights * aliveMembers, covered, aliveMembers, oldestAgeNanos);
+        return new CounterTotal(
+                known,
+                upperBound,
+                rates / weights * aliveMembers,
+                covered,
+                aliveMembers,
+                oldestAgeNanos);
     }
 
     private static double rate(WriterState writer, int index) {
--- a/judgements/src/main/java/frostrelay/judgements/counts/GrowOnlyCounters.java
+++ b/healthreports/src/main/java/frostrelay/counters/GrowOnlyCounters.java
@@ -1,15 +1,16 @@
-package frostrelay.judgements.counts;
+package frostrelay.counters;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
 /**
  * One balancer's counts in one life of it: each only ever grows. A state-based CRDT, a map of
- * grow-only counters by writer (Shapiro et al. 2011): {@link #merge} takes the larger of each count,
- * and the later life as a whole, so it is commutative, associative and idempotent, and loss, order
- * and doubles do not matter. Immutable.
+ * grow-only counters by writer (Shapiro et al. 2011): {@link #merge} takes the larger of each
+ * count, and the later life as a whole, so it is commutative, associative and idempotent, and loss,
+ * order and doubles do not matter. Immutable.
  *
- * @param startedAtUnixMillis when the writer's life began, as its incarnation without objections has it
+ * @param startedAtUnixMillis when the writer's life began, as its incarnation without objections
+ *     has it
  * @param values by {@link ClusterCounter}
  */
 record GrowOnlyCounters(long startedAtUnixMillis, long[] values) {
--- a/judgements/src/main/java/frostrelay/judgements/AttemptObservation.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/AttemptObservation.java
@@ -1,4 +1,4 @@
-package frostrelay.judgements;
+package frostrelay.healthreports;
 
 /** What an attempt at a cache told its balancer of the cache. */
 public enum AttemptObservation {
--- a/judgements/src/main/java/frostrelay/judgements/HealthReport.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/HealthReport.java
@@ -1,25 +1,33 @@
-package frostrelay.judgements;
+package frostrelay.healthreports;
 
-import frostrelay.peers.Incarnation;
+import frostrelay.gossip.Incarnation;
 
 import java.nio.ByteBuffer;
 
 /**
  * What one balancer says that it saw of one cache lately. One writer for each balancer and cache,
- * so evidence is ordered by the writer's life and its own count, and {@link #newerOf} keeps the later:
- * a register of a last-writer-wins map, whose join is commutative, associative and idempotent.
- * Order, loss and doubles do not matter, and nobody's evidence counts twice: each speaks for itself
- * alone. Immutable.
+ * so evidence is ordered by the writer's life and its own count, and {@link #newerOf} keeps the
+ * later: a register of a last-writer-wins map, whose join is commutative, associative and
+ * idempotent. Order, loss and doubles do not matter, and nobody's evidence counts twice: each
+ * speaks for itself alone. Immutable.
  *
  * @param rank whose it is, by its number
  * @param incarnation the writer's incarnation
  * @param sequenceNumber how many it wrote of this cache in that life, 16 bits that go round
- * @param serverStart the cache's own start as the writer's list has it, milliseconds, the lower 32 bits
+ * @param serverStart the cache's own start as the writer's list has it, milliseconds, the lower 32
+ *     bits
  * @param successes answers lately, at most 255; 0 where its writer finds the cache bad
  * @param failures attempts that were none, likewise; 0 where it does not
  * @param observationBits what those were, a set of {@link AttemptObservation#bit}
  */
-public record HealthReport(int rank, long incarnation, int sequenceNumber, int serverStart, int successes, int failures, int observationBits) {
+public record HealthReport(
+        int rank,
+        long incarnation,
+        int sequenceNumber,
+        int serverStart,
+        int successes,
+        int failures,
+        int observationBits) {
     /**
      * On the wire, from its writer; and with the writer's number and life before that, from another
      * who brings it.
@@ -41,25 +49,43 @@
     /** Reads one, of that writer and life unless it is {@code relayed}. */
     static DecodedReport read(ByteBuffer in, int from, long senderIncarnation, boolean relayed) {
         int rank = relayed ? in.getShort() & U16_MASK : from;
-        long reporterIncarnation = relayed ? (in.getShort() & (long) U16_MASK) << 32 | in.getInt() & 0xffffffffL : senderIncarnation;
+        long reporterIncarnation =
+                relayed
+                        ? (in.getShort() & (long) U16_MASK) << 32 | in.getInt() & 0xffffffffL
+                        : senderIncarnation;
         long cache = in.getLong();
         int sequenceNumber = in.getShort() & U16_MASK;
         int serverStart = in.getInt();
         long ageNanos = (in.get() & U8_MASK) * AGE_UNIT_NANOS;
         return new DecodedReport(
                 cache,
-                new HealthReport(rank, reporterIncarnation, sequenceNumber, serverStart, in.get() & U8_MASK, in.get() & U8_MASK, in.get() & U8_MASK),
+                new HealthReport(
+                        rank,
+                        reporterIncarnation,
+                        sequenceNumber,
+                        serverStart,
+                        in.get() & U8_MASK,
+                        in.get() & U8_MASK,
+                        in.get() & U8_MASK),
                 ageNanos);
     }
 
     void write(ByteBuffer out, long cache, long ageNanos, boolean relayed) {
         if (relayed) {
-            out.putShort((short) rank).putShort((short) (incarnation >> 32)).putInt((int) incarnation);
+            out.putShort((short) rank)
+                    .putShort((short) (incarnation >> 32))
+                    .putInt((int) incarnation);
         }
         out.putLong(cache)
                 .putShort((short) sequenceNumber)
                 .putInt(serverStart)
-                .put((byte) Math.min(MAX_AGE_UNITS, Math.max(0, (ageNanos + AGE_UNIT_NANOS - 1) / AGE_UNIT_NANOS)))
+                .put(
+                        (byte)
+                                Math.min(
+                                        MAX_AGE_UNITS,
+                                        Math.max(
+                                                0,
+                                                (ageNanos + AGE_UNIT_NANOS - 1) / AGE_UNIT_NANOS)))
                 .put((byte) successes)
                 .put((byte) failures)
                 .put((byte) observationBits);
@@ -85,7 +111,10 @@
     }
 
     private long packedContent() {
-        return ((long) serverStart & 0xffffffffL) << 24 | (long) failures << 16 | (long) successes << 8 | observationBits;
+        return ((long) serverStart & 0xffffffffL) << 24
+                | (long) failures << 16
+                | (long) successes << 8
+                | observationBits;
     }
 
     /** The later of two of one writer; either may be null. */
--- a/judgements/src/main/java/frostrelay/judgements/HealthReportAggregator.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/HealthReportAggregator.java
@@ -1,7 +1,7 @@
-package frostrelay.judgements;
+package frostrelay.healthreports;
 
-import frostrelay.peers.PayloadProvider;
-import frostrelay.peers.PayloadBuffer;
+import frostrelay.gossip.PayloadBuffer;
+import frostrelay.gossip.PayloadProvider;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -90,7 +90,10 @@
     private long mergedCount;
     private long rejectedCount;
 
-    /** {@code localRank}: this balancer's number among {@code clusterSize}; {@code incarnation}: its incarnation. */
+    /**
+     * {@code localRank}: this balancer's number among {@code clusterSize}; {@code incarnation}: its
+     * incarnation.
+     */
     public HealthReportAggregator(
             HealthReportSettings settings,
             int localRank,
@@ -104,8 +107,19 @@
         this.incarnation = incarnation;
         this.trust = trust;
         this.actions = actions;
-        int fanout = (int) Math.ceil(settings.fanoutFactor() * Math.log(clusterSize + 1.0) / Math.log(2));
-        reportQueue = new ReportQueue(localRank, clusterSize, fanout, settings.relayFanout(), settings.expiryNanos());
+        int fanout =
+                (int)
+                        Math.ceil(
+                                settings.fanoutFactor()
+                                        * Math.log(clusterSize + 1.0)
+                                        / Math.log(2));
+        reportQueue =
+                new ReportQueue(
+                        localRank,
+                        clusterSize,
+                        fanout,
+                        settings.relayFanout(),
+                        settings.expiryNanos());
     }
 
     // What comes in.
@@ -117,12 +131,15 @@
     public void onEndpointList(long now, Map<Long, Long> caches) {
         Map<Long, Integer> updated = new HashMap<>();
         caches.forEach((cache, serverStart) -> updated.put(cache, (int) (long) serverStart));
-        localStats.keySet()
+        localStats
+                .keySet()
                 .removeIf(
                         cache ->
                                 !updated.containsKey(cache)
                                         || readyCaches.containsKey(cache)
-                                                && !readyCaches.get(cache).equals(updated.get(cache)));
+                                                && !readyCaches
+                                                        .get(cache)
+                                                        .equals(updated.get(cache)));
         readyCaches = updated;
         evaluate(now);
     }
@@ -138,8 +155,11 @@
         evaluate(now);
     }
 
-    /** An attempt of this balancer at a cache, which began at {@code sentAtNanos}, told this of it. */
-    public void onAttemptObserved(long now, long cache, AttemptObservation observation, long sentAtNanos) {
+    /**
+     * An attempt of this balancer at a cache, which began at {@code sentAtNanos}, told this of it.
+     */
+    public void onAttemptObserved(
+            long now, long cache, AttemptObservation observation, long sentAtNanos) {
         Integer serverStart = readyCaches.get(cache);
         if (serverStart == null) {
             return;
@@ -157,11 +177,26 @@
         boolean isUnhealthy = stats.isUnhealthy(now, settings);
         boolean wasUnhealthy = stats.lastReport != null && stats.lastReport.isUnhealthy();
         boolean recovered = wasUnhealthy && !isUnhealthy;
-        boolean worsened = isUnhealthy && !wasUnhealthy && now - stats.lastReportNanos >= settings.minReportIntervalNanos();
-        boolean renewalDue = isUnhealthy && wasUnhealthy && now - stats.lastReportNanos >= settings.renewalIntervalNanos();
+        boolean worsened =
+                isUnhealthy
+                        && !wasUnhealthy
+                        && now - stats.lastReportNanos >= settings.minReportIntervalNanos();
+        boolean renewalDue =
+                isUnhealthy
+                        && wasUnhealthy
+                        && now - stats.lastReportNanos >= settings.renewalIntervalNanos();
         if (recovered || worsened || renewalDue) {
-            boolean shouldSend = recovered || directReporterCount(now, cache, serverStart) < settings.sufficientReporters();
-            stats.writeReport(now, localRank, incarnation, serverStart, isUnhealthy, settings.halfLifeNanos());
+            boolean shouldSend =
+                    recovered
+                            || directReporterCount(now, cache, serverStart)
+                                    < settings.sufficientReporters();
+            stats.writeReport(
+                    now,
+                    localRank,
+                    incarnation,
+                    serverStart,
+                    isUnhealthy,
+                    settings.halfLifeNanos());
             if (worsened) {
                 actions.onLocallyUnhealthy(cache);
             }
@@ -185,33 +220,48 @@
      * A section came from a peer in that life of it, held up for so long on its way; one of another
      * module is passed over. What it brings of others is kept apart from what it says itself.
      */
-    public void onSection(long now, long delayNanos, int sender, long senderIncarnation, int type, ByteBuffer in) {
+    public void onSection(
+            long now,
+            long delayNanos,
+            int sender,
+            long senderIncarnation,
+            int type,
+            ByteBuffer in) {
         boolean relayed = type == RELAYED_SECTION;
         if (type != DIRECT_SECTION && !relayed || sender == localRank || sender >= clusterSize) {
             return;
         }
         int reportBytes = relayed ? HealthReport.RELAYED_BYTES : HealthReport.BYTES;
         while (in.remaining() >= reportBytes) {
-            HealthReport.DecodedReport decoded = HealthReport.read(in, sender, senderIncarnation, relayed);
+            HealthReport.DecodedReport decoded =
+                    HealthReport.read(in, sender, senderIncarnation, relayed);
             HealthReport report = decoded.report();
             boolean invalid =
                     report.rank() == localRank
                             || relayed
-                                    && (report.rank() == sender || report.rank() >= clusterSize || !report.isUnhealthy());
+                                    && (report.rank() == sender
+                                            || report.rank() >= clusterSize
+                                            || !report.isUnhealthy());
             if (invalid
                     || decoded.ageNanos() + delayNanos >= settings.expiryNanos()
-                    || peerReports.size() >= MAX_CACHES && !peerReports.containsKey(decoded.cache())) {
+                    || peerReports.size() >= MAX_CACHES
+                            && !peerReports.containsKey(decoded.cache())) {
                 rejectedCount++;
                 continue;
             }
-            PeerReports cacheReports = peerReports.computeIfAbsent(decoded.cache(), id -> new PeerReports());
+            PeerReports cacheReports =
+                    peerReports.computeIfAbsent(decoded.cache(), id -> new PeerReports());
             long writtenAtNanos = now - delayNanos - decoded.ageNanos();
-            boolean accepted = relayed ? cacheReports.addRelayed(sender, report, writtenAtNanos) : cacheReports.addDirect(report, writtenAtNanos);
+            boolean accepted =
+                    relayed
+                            ? cacheReports.addRelayed(sender, report, writtenAtNanos)
+                            : cacheReports.addDirect(report, writtenAtNanos);
             mergedCount += accepted ? 1 : 0;
             if (accepted
                     && !relayed
                     && report.isUnhealthy()
-                    && Integer.valueOf(report.serverStart()).equals(readyCaches.get(decoded.cache()))) {
+                    && Integer.valueOf(report.serverStart())
+                            .equals(readyCaches.get(decoded.cache()))) {
                 relay(now, decoded.cache(), report, writtenAtNanos);
             }
         }
@@ -226,7 +276,8 @@
         if (reportQueue.isSmallCluster()) {
             return;
         }
-        if (directReporterCount(now, cache, report.serverStart()) > settings.sufficientReporters()) {
+        if (directReporterCount(now, cache, report.serverStart())
+                > settings.sufficientReporters()) {
             reportQueue.dropRelayed(cache);
         } else {
             enqueue(now, cache, report, writtenAtNanos);
@@ -240,7 +291,9 @@
     }
 
     private void addSection(long now, int to, PayloadBuffer hold, boolean local) {
-        ByteBuffer section = reportQueue.nextBatch(now, to, Math.min(MAX_SECTION_BYTES, hold.availableBytes()), local);
+        ByteBuffer section =
+                reportQueue.nextBatch(
+                        now, to, Math.min(MAX_SECTION_BYTES, hold.availableBytes()), local);
         if (section.hasRemaining()) {
             hold.add(local ? DIRECT_SECTION : RELAYED_SECTION, section);
         }
@@ -276,14 +329,18 @@
             sendToAll(now);
         }
         if (now >= evaluateAtNanos) {
-            peerReports.values().forEach(cacheReports -> cacheReports.expire(now, settings.expiryNanos()));
+            peerReports
+                    .values()
+                    .forEach(cacheReports -> cacheReports.expire(now, settings.expiryNanos()));
             peerReports.values().removeIf(PeerReports::isEmpty);
             evaluate(now);
         }
     }
 
     private int requiredReporters() {
-        return clusterSize - 1 >= FULL_QUORUM_PEERS ? settings.requiredReporters() : Math.max(1, clusterSize - 2);
+        return clusterSize - 1 >= FULL_QUORUM_PEERS
+                ? settings.requiredReporters()
+                : Math.max(1, clusterSize - 2);
     }
 
     /**
@@ -292,7 +349,11 @@
      */
     private int directReporterCount(long now, long cache, int serverStart) {
         PeerReports cacheReports = peerReports.get(cache);
-        return cacheReports == null ? 0 : cacheReports.directReporters(now, settings.expiryNanos(), serverStart, true).size();
+        return cacheReports == null
+                ? 0
+                : cacheReports
+                        .directReporters(now, settings.expiryNanos(), serverStart, true)
+                        .size();
     }
 
     /**
@@ -308,21 +369,29 @@
                         return;
                     }
                     LocalHealthStats local = localStats.get(cache);
-                    List<Integer> unhealthyReporters = cacheReports.directReporters(now, settings.expiryNanos(), serverStart, true);
+                    List<Integer> unhealthyReporters =
+                            cacheReports.directReporters(
+                                    now, settings.expiryNanos(), serverStart, true);
                     boolean hasHealthyReport =
                             local != null && local.hasFreshSuccess(now, settings.freshNanos())
-                                    || !cacheReports.directReporters(now, settings.expiryNanos(), serverStart, false)
+                                    || !cacheReports
+                                            .directReporters(
+                                                    now, settings.expiryNanos(), serverStart, false)
                                             .isEmpty();
                     for (int rank : unhealthyReporters) {
-                        int[] totalAndContradicted = counts.computeIfAbsent(rank, one -> new int[2]);
+                        int[] totalAndContradicted =
+                                counts.computeIfAbsent(rank, one -> new int[2]);
                         totalAndContradicted[0]++;
-                        totalAndContradicted[1] += hasHealthyReport && unhealthyReporters.size() <= 1 ? 1 : 0;
+                        totalAndContradicted[1] +=
+                                hasHealthyReport && unhealthyReporters.size() <= 1 ? 1 : 0;
                     }
                 });
         Set<Integer> untrusted = new HashSet<>();
         counts.forEach(
                 (rank, totalAndContradicted) -> {
-                    if (totalAndContradicted[1] >= 2 && totalAndContradicted[1] > MAX_CONTRADICTED_FRACTION * totalAndContradicted[0]) {
+                    if (totalAndContradicted[1] >= 2
+                            && totalAndContradicted[1]
+                                    > MAX_CONTRADICTED_FRACTION * totalAndContradicted[0]) {
                         untrusted.add(rank);
                     }
                 });
@@ -345,7 +414,9 @@
                     (cache, cacheReports) -> {
                         Integer serverStart = readyCaches.get(cache);
                         LocalHealthStats local = localStats.get(cache);
-                        if (serverStart == null || local != null && local.hasFreshSuccess(now, settings.freshNanos())) {
+                        if (serverStart == null
+                                || local != null
+                                        && local.hasFreshSuccess(now, settings.freshNanos())) {
                             return;
                         }
                         PeerReports.Summary summary =
@@ -354,7 +425,9 @@
                                         settings.expiryNanos(),
                                         serverStart,
                                         local == null ? Long.MIN_VALUE : local.answeredAtNanos(),
-                                        rank -> !untrusted.contains(rank) && trust.isTrusted(now, rank));
+                                        rank ->
+                                                !untrusted.contains(rank)
+                                                        && trust.isTrusted(now, rank));
                         if (summary.observationBits() == AttemptObservation.SILENT.bit()
                                 && local != null
                                 && local.hasFreshSuccess(now, settings.halfLifeNanos())) {
@@ -378,16 +451,32 @@
         }
         // Where so many fail, or leave some unanswered, the cause is behind them all: no cache is
         // worse than another.
-        int minReporters = Math.max(1, reportQueue.isSmallCluster() ? requiredReporters() - 1 : requiredReporters());
-        long commonCauseSuspects = suspects.stream().filter(suspect -> suspect.reporters >= minReporters && suspect.isReachable()).count();
+        int minReporters =
+                Math.max(
+                        1,
+                        reportQueue.isSmallCluster()
+                                ? requiredReporters() - 1
+                                : requiredReporters());
+        long commonCauseSuspects =
+                suspects.stream()
+                        .filter(
+                                suspect ->
+                                        suspect.reporters >= minReporters && suspect.isReachable())
+                        .count();
         suspects.removeIf(
                 suspect ->
                         suspect.reporters < requiredReporters()
-                                || commonCauseSuspects > settings.commonCauseFraction() * readyCaches.size()
+                                || commonCauseSuspects
+                                                > settings.commonCauseFraction()
+                                                        * readyCaches.size()
                                         && suspect.isReachable());
         suspects.sort(
-                Comparator.comparingInt((Suspect suspect) -> -suspect.reporters).thenComparingLong(Suspect::cache));
-        int maxOutliers = readyCaches.size() < 2 ? 0 : (int) Math.ceil(readyCaches.size() * settings.maxEjectedFraction());
+                Comparator.comparingInt((Suspect suspect) -> -suspect.reporters)
+                        .thenComparingLong(Suspect::cache));
+        int maxOutliers =
+                readyCaches.size() < 2
+                        ? 0
+                        : (int) Math.ceil(readyCaches.size() * settings.maxEjectedFraction());
         Set<Long> newOutliers = new TreeSet<>();
         suspects.stream().limit(maxOutliers).forEach(suspect -> newOutliers.add(suspect.cache));
         if (!newOutliers.equals(outliers)) {
--- a/judgements/src/main/java/frostrelay/judgements/HealthReportSettings.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/HealthReportSettings.java
@@ -1,4 +1,4 @@
-package frostrelay.judgements;
+package frostrelay.healthreports;
 
 /**
  * Bounds, in nanoseconds and parts of 1, each with its reason.
@@ -6,17 +6,20 @@
  * @param halfLifeNanos a balancer's own counts of a cache are halved in this time
  * @param freshNanos own answers so lately outweigh whatever others say
  * @param expiryNanos evidence older than this is passed over and dropped
- * @param minReportIntervalNanos one writes no sooner again of one cache, but for a change to the better
+ * @param minReportIntervalNanos one writes no sooner again of one cache, but for a change to the
+ *     better
  * @param renewalIntervalNanos as long as a cache is bad here its evidence is written anew so often
- * @param batchDelayNanos what is news within this is told together, in a tier so small that all are told
- * @param fanoutFactor own evidence is told to this times the logarithm of the tier, to base 2, in one that
- *     is not
+ * @param batchDelayNanos what is news within this is told together, in a tier so small that all are
+ *     told
+ * @param fanoutFactor own evidence is told to this times the logarithm of the tier, to base 2, in
+ *     one that is not
  * @param relayFanout and what one said itself is passed on to so many
  * @param requiredReporters so many others with bad evidence lower a cache
  * @param sufficientReporters with so many bad witnesses known, further ones are not told on
- * @param maxEjectedFraction part of the listed caches that others' word may lower, whoever says what
- * @param commonCauseFraction more than this part of the caches bad while they are there is one cause behind them
- *     all, not theirs
+ * @param maxEjectedFraction part of the listed caches that others' word may lower, whoever says
+ *     what
+ * @param commonCauseFraction more than this part of the caches bad while they are there is one
+ *     cause behind them all, not theirs
  */
 public record HealthReportSettings(
         long halfLifeNanos,
