--- a/judgements/src/main/java/frostrelay/judgements/LocalHealthStats.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/LocalHealthStats.java
@@ -1,4 +1,4 @@
-package frostrelay.judgements;
+package frostrelay.healthreports;
 
 /** What this balancer saw of one cache lately: counts that fade. */
 final class LocalHealthStats {
@@ -23,10 +23,11 @@
     int sequenceNumber;
 
     /**
-     * {@code sentAtNanos}: of the attempt. One unanswered while its cache answered others tells of its
-     * key, not of the cache.
+     * {@code sentAtNanos}: of the attempt. One unanswered while its cache answered others tells of
+     * its key, not of the cache.
      */
-    void recordAttempt(long now, AttemptObservation observation, long sentAtNanos, long halfLifeNanos) {
+    void recordAttempt(
+            long now, AttemptObservation observation, long sentAtNanos, long halfLifeNanos) {
         if (observation == AttemptObservation.SILENT && lastSuccessNanos >= sentAtNanos) {
             return;
         }
@@ -75,13 +76,22 @@
      */
     boolean isUnhealthy(long now, HealthReportSettings settings) {
         decay(now, settings.halfLifeNanos());
-        if (observationBits == AttemptObservation.SILENT.bit() && now - lastSuccessNanos < settings.halfLifeNanos()) {
+        if (observationBits == AttemptObservation.SILENT.bit()
+                && now - lastSuccessNanos < settings.halfLifeNanos()) {
             return false;
         }
-        return failures > successes || consecutiveFailures >= 2 || consecutiveFailures == 1 && now - lastSuccessNanos >= settings.halfLifeNanos();
+        return failures > successes
+                || consecutiveFailures >= 2
+                || consecutiveFailures == 1 && now - lastSuccessNanos >= settings.halfLifeNanos();
     }
 
-    HealthReport writeReport(long now, int rank, long incarnation, int serverStart, boolean unhealthy, long halfLifeNanos) {
+    HealthReport writeReport(
+            long now,
+            int rank,
+            long incarnation,
+            int serverStart,
+            boolean unhealthy,
+            long halfLifeNanos) {
         decay(now, halfLifeNanos);
         lastReport =
                 new HealthReport(
--- a/judgements/src/main/java/frostrelay/judgements/PeerReports.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/PeerReports.java
@@ -1,4 +1,4 @@
-package frostrelay.judgements;
+package frostrelay.healthreports;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -52,7 +52,8 @@
 
     /** A balancer's own word came from itself. */
     boolean addDirect(HealthReport report, long writtenAtNanos) {
-        return direct.computeIfAbsent(report.rank(), rank -> new LatestReport()).merge(report, writtenAtNanos);
+        return direct.computeIfAbsent(report.rank(), rank -> new LatestReport())
+                .merge(report, writtenAtNanos);
     }
 
     /** A balancer brings what another said to it; whether it was taken. */
@@ -68,12 +69,19 @@
         if (!byRelay.containsKey(relay) && byRelay.size() >= MAX_RELAYS_PER_REPORTER) {
             return false;
         }
-        return byRelay.computeIfAbsent(relay, rank -> new LatestReport()).merge(report, writtenAtNanos);
+        return byRelay.computeIfAbsent(relay, rank -> new LatestReport())
+                .merge(report, writtenAtNanos);
     }
 
     void expire(long now, long expiryNanos) {
         direct.values().removeIf(known -> now - known.writtenAtNanos >= expiryNanos);
-        relayed.values().forEach(byRelay -> byRelay.values().removeIf(known -> now - known.writtenAtNanos >= expiryNanos));
+        relayed.values()
+                .forEach(
+                        byRelay ->
+                                byRelay.values()
+                                        .removeIf(
+                                                known ->
+                                                        now - known.writtenAtNanos >= expiryNanos));
         relayed.values().removeIf(Map::isEmpty);
     }
 
@@ -90,17 +98,23 @@
     /**
      * A voice is a writer that spoke itself, or one with somebody who brings it; nobody takes part
      * in two voices, as writer or as bringer, so that one liar is one voice whatever it writes in
-     * whose name. Word that is older than {@code supersededBeforeNanos} does not count, nor does that of those
-     * who do not {@code isTrusted}.
+     * whose name. Word that is older than {@code supersededBeforeNanos} does not count, nor does
+     * that of those who do not {@code isTrusted}.
      */
-    Summary summarize(long now, long expiryNanos, int serverStart, long supersededBeforeNanos, IntPredicate isTrusted) {
+    Summary summarize(
+            long now,
+            long expiryNanos,
+            int serverStart,
+            long supersededBeforeNanos,
+            IntPredicate isTrusted) {
         int unhealthyReporters = 0;
         int healthyReporters = 0;
         int observationBits = 0;
         Set<Integer> usedReporters = new HashSet<>();
         for (Map.Entry<Integer, LatestReport> entry : direct.entrySet()) {
             LatestReport latest = entry.getValue();
-            if (!latest.isCurrent(now, expiryNanos, serverStart) || !isTrusted.test(entry.getKey())) {
+            if (!latest.isCurrent(now, expiryNanos, serverStart)
+                    || !isTrusted.test(entry.getKey())) {
                 continue;
             }
             if (latest.report.isUnhealthy() && latest.writtenAtNanos > supersededBeforeNanos) {
@@ -123,7 +137,8 @@
                         latest.isCurrent(now, expiryNanos, serverStart)
                                 && latest.writtenAtNanos > supersededBeforeNanos
                                 && latest.report.isUnhealthy()
-                                && (directReport == null || !directReport.report.isNewerThan(latest.report))
+                                && (directReport == null
+                                        || !directReport.report.isNewerThan(latest.report))
                                 && !usedReporters.contains(relayEntry.getKey())
                                 && isTrusted.test(relayEntry.getKey());
                 if (counts) {
@@ -143,7 +158,8 @@
         List<Integer> found = new ArrayList<>();
         direct.forEach(
                 (rank, known) -> {
-                    if (known.isCurrent(now, expiryNanos, serverStart) && known.report.isUnhealthy() == unhealthy) {
+                    if (known.isCurrent(now, expiryNanos, serverStart)
+                            && known.report.isUnhealthy() == unhealthy) {
                         found.add(rank);
                     }
                 });
@@ -165,13 +181,13 @@
                                                         known,
                                                         (a, b) ->
                                                                 a.report.isNewerThan(b.report)
-                                                                                || a.report
-                                                                                        .equals(
-                                                                                                b.report)
+                                                                                || a.report.equals(
+                                                                                        b.report)
                                                                         ? a
                                                                         : b)));
         Map<HealthReport, Long> agesByReport = new LinkedHashMap<>();
-        latest.values().forEach(known -> agesByReport.put(known.report, now - known.writtenAtNanos));
+        latest.values()
+                .forEach(known -> agesByReport.put(known.report, now - known.writtenAtNanos));
         return agesByReport;
     }
 }
--- a/judgements/src/main/java/frostrelay/judgements/ReportQueue.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/ReportQueue.java
@@ -1,4 +1,4 @@
-package frostrelay.judgements;
+package frostrelay.healthreports;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -44,8 +44,8 @@
     private final Map<Key, Item> lastBatch = new LinkedHashMap<>();
 
     /**
-     * {@code fanout}: of own evidence; {@code relayFanout}: of what another said, in tiers that are not
-     * small.
+     * {@code fanout}: of own evidence; {@code relayFanout}: of what another said, in tiers that are
+     * not small.
      */
     ReportQueue(int localRank, int clusterSize, int fanout, int relayFanout, long expiryNanos) {
         this.localRank = localRank;
@@ -74,7 +74,8 @@
         Item item = new Item();
         item.report = report;
         item.writtenAtNanos = writtenAtNanos;
-        item.remainingSends = smallCluster ? SENDS_PER_PEER * peerCount : local ? fanout : relayFanout;
+        item.remainingSends =
+                smallCluster ? SENDS_PER_PEER * peerCount : local ? fanout : relayFanout;
         items.put(key, item);
     }
 
--- a/judgements/src/test/java/frostrelay/peers/Datagrams.java
+++ b/healthreports/src/test/java/frostrelay/gossip/Datagrams.java
@@ -1,4 +1,4 @@
-package frostrelay.peers;
+package frostrelay.gossip;
 
 import java.nio.ByteBuffer;
 
--- a/judgements/src/test/java/frostrelay/judgements/LoadedSections.java
+++ b/healthreports/src/test/java/frostrelay/healthreports/LoadedSections.java
@@ -1,7 +1,7 @@
-package frostrelay.judgements;
+package frostrelay.healthreports;
 
-import frostrelay.peers.PayloadProvider;
-import frostrelay.peers.Datagrams;
+import frostrelay.gossip.Datagrams;
+import frostrelay.gossip.PayloadProvider;
 
 import java.nio.ByteBuffer;
 import java.util.function.BiConsumer;
--- a/node/src/main/java/frostrelay/node/ClassArchiveTraining.java
+++ b/node/src/main/java/frostrelay/node/ClassArchiveTraining.java
@@ -1,8 +1,13 @@
 package frostrelay.node;
 
-import frostrelay.lifecycle.SharedDirectory;
-import frostrelay.log.Event;
-import frostrelay.log.Log;
+import frostrelay.node.cluster.ClusterOptions;
+import frostrelay.node.cluster.TestHooks;
+import frostrelay.node.config.Config;
+import frostrelay.node.config.Json;
+import frostrelay.node.lifecycle.SharedDirectory;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
+import frostrelay.node.time.Clock;
 import frostrelay.policy.Router;
 
 import io.netty.channel.EventLoop;
@@ -75,7 +80,9 @@
         try (ServerSocket discovery = startServer(ClassArchiveTraining::respondAsDiscovery);
                 ServerSocket cacheServer = startServer(ClassArchiveTraining::respondAsCache);
                 SharedDirectory sharedDirectory = new SharedDirectory(sharedPath, "rehearsal")) {
-            int[] ports = {discovery.getLocalPort(), cacheServer.getLocalPort(), freeUdpPort(), freeUdpPort()};
+            int[] ports = {
+                discovery.getLocalPort(), cacheServer.getLocalPort(), freeUdpPort(), freeUdpPort()
+            };
             Node standaloneNode = start(loop, ports, 0, sharedDirectory, Options.DEFAULTS);
             int correctResponses = sendCommands(listen(loop, standaloneNode));
             loop.submit(() -> standaloneNode.stop(false, Clock.now())).get().sync();
@@ -142,21 +149,24 @@
             int correctResponses =
                     countIfAnswered(in, out, "mn", "MN")
                             + countIfAnswered(in, out, "nonsense", "ERROR")
-                            + countIfAnswered(in, out, "ms 5 1 O5 Pc=copy,t=t,d=900\r\nx", "HD O5 c1")
+                            + countIfAnswered(
+                                    in, out, "ms 5 1 O5 Pc=copy,t=t,d=900\r\nx", "HD O5 c1")
                             + countIfAnswered(
                                     in,
                                     out,
                                     "mg silent v O6 Pc=read,t=t,d=60",
                                     "SERVER_ERROR busy");
             for (int i = 0; i < READ_COUNT; i++) {
-                correctResponses += countIfAnswered(in, out, "mg " + i + " v O7 Pc=read,t=t,d=900", "VA 1 O7");
+                correctResponses +=
+                        countIfAnswered(in, out, "mg " + i + " v O7 Pc=read,t=t,d=900", "VA 1 O7");
                 in.readLine();
             }
             return correctResponses;
         }
     }
 
-    private static int countIfAnswered(BufferedReader in, PrintStream out, String command, String response)
+    private static int countIfAnswered(
+            BufferedReader in, PrintStream out, String command, String response)
             throws IOException {
         out.print(command + "\r\n");
         out.flush();
--- a/node/src/main/java/frostrelay/node/Main.java
+++ b/node/src/main/java/frostrelay/node/Main.java
@@ -1,5 +1,7 @@
 package frostrelay.node;
 
+import frostrelay.node.cluster.ClusterOptions;
+
 /** The real balancer as the platform starts it. */
 public final class Main {
     private Main() {}
--- a/node/src/main/java/frostrelay/node/Node.java
+++ b/node/src/main/java/frostrelay/node/Node.java
@@ -1,15 +1,29 @@
 package frostrelay.node;
 
-import frostrelay.console.AdminServer;
-import frostrelay.console.AdminOperations;
-import frostrelay.lifecycle.ActionGuard;
-import frostrelay.lifecycle.DrainSchedule;
-import frostrelay.lifecycle.SharedDirectory;
-import frostrelay.lifecycle.DescriptorUsage;
-import frostrelay.log.Event;
-import frostrelay.log.Log;
-import frostrelay.peers.AppliedVersions;
-import frostrelay.policy.Api;
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.node.admin.AdminOperations;
+import frostrelay.node.admin.AdminServer;
+import frostrelay.node.client.ClientListener;
+import frostrelay.node.cluster.ClusterMembership;
+import frostrelay.node.cluster.TestHooks;
+import frostrelay.node.config.Config;
+import frostrelay.node.config.ConfigException;
+import frostrelay.node.config.EndpointList;
+import frostrelay.node.config.Json;
+import frostrelay.node.config.SharedSettingsCodec;
+import frostrelay.node.lifecycle.ActionGuard;
+import frostrelay.node.lifecycle.DescriptorUsage;
+import frostrelay.node.lifecycle.DrainSchedule;
+import frostrelay.node.lifecycle.SharedDirectory;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
+import frostrelay.node.metrics.Counters;
+import frostrelay.node.metrics.InvariantViolation;
+import frostrelay.node.net.MemoryLimiter;
+import frostrelay.node.proxy.RequestDispatcher;
+import frostrelay.node.time.Clock;
+import frostrelay.node.upstream.UpstreamConnectionPool;
+import frostrelay.policy.api.EndpointUpdateMode;
 
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -117,7 +131,9 @@
 
     private long progressLoggedAtNanos;
 
-    /** To be called on the loop, as all of this class. {@code sharedState}: what the folder showed. */
+    /**
+     * To be called on the loop, as all of this class. {@code sharedState}: what the folder showed.
+     */
     Node(
             Config config,
             EventLoop loop,
@@ -175,12 +191,23 @@
         this.loop = loop;
         this.sharedDirectory = sharedDirectory;
         int descriptorLimit = config.descriptorLimit();
-        int maxSurplusClients = Math.min(MAX_SURPLUS_CLIENTS, descriptorLimit / SURPLUS_CLIENTS_DIVISOR);
+        int maxSurplusClients =
+                Math.min(MAX_SURPLUS_CLIENTS, descriptorLimit / SURPLUS_CLIENTS_DIVISOR);
         peerProcessCount = sharedState.peerProcessCount();
         adminDrains = sharedState.adminDrains();
         overrides = sharedState.overrides();
-        maxClientDescriptors = Math.max(1, descriptorLimit / REQUEST_CLIENTS_DIVISOR + descriptorLimit / EXTRA_CLIENTS_DIVISOR);
-        maxUpstreamDescriptors = Math.max(1, descriptorLimit - reservedDescriptors() - maxClientDescriptors - maxSurplusClients);
+        maxClientDescriptors =
+                Math.max(
+                        1,
+                        descriptorLimit / REQUEST_CLIENTS_DIVISOR
+                                + descriptorLimit / EXTRA_CLIENTS_DIVISOR);
+        maxUpstreamDescriptors =
+                Math.max(
+                        1,
+                        descriptorLimit
+                                - reservedDescriptors()
+                                - maxClientDescriptors
+                                - maxSurplusClients);
         dispatcher =
                 new RequestDispatcher(
                         config,
@@ -188,7 +215,12 @@
                         counters,
                         module,
                         (currentSettings, listener) ->
-                                new UpstreamConnectionPool(currentSettings, loop, counters, maxUpstreamConnections(sharedState), listener),
+                                new UpstreamConnectionPool(
+                                        currentSettings,
+                                        loop,
+                                        counters,
+                                        maxUpstreamConnections(sharedState),
+                                        listener),
                         memoryLimiter,
                         actionGuard,
                         sharedState,
@@ -199,22 +231,37 @@
         }
         clientListener =
                 new ClientListener(
-                        dispatcher, loop, counters, memoryLimiter, actionGuard, maxClients(sharedState), maxSurplusClients);
+                        dispatcher,
+                        loop,
+                        counters,
+                        memoryLimiter,
+                        actionGuard,
+                        maxClients(sharedState),
+                        maxSurplusClients);
     }
 
     private int reservedDescriptors() {
-        return Math.min(MAX_RESERVED_DESCRIPTORS, config.descriptorLimit() / RESERVED_DESCRIPTORS_DIVISOR);
+        return Math.min(
+                MAX_RESERVED_DESCRIPTORS, config.descriptorLimit() / RESERVED_DESCRIPTORS_DIVISOR);
     }
 
     /** What the other processes have in use is theirs, but for a part that is always ours. */
     private int maxClients(SharedDirectory.Snapshot sharedState) {
-        return Math.max(maxClientDescriptors / (1 + sharedState.peerProcessCount()), maxClientDescriptors - sharedState.peerUsage().clients());
+        return Math.max(
+                maxClientDescriptors / (1 + sharedState.peerProcessCount()),
+                maxClientDescriptors - sharedState.peerUsage().clients());
     }
 
     /** Likewise; each further process has a reserve of its own. */
     private int maxUpstreamConnections(SharedDirectory.Snapshot sharedState) {
-        int availableDescriptors = Math.max(1 + sharedState.peerProcessCount(), maxUpstreamDescriptors - sharedState.peerProcessCount() * reservedDescriptors());
-        return Math.max(availableDescriptors / (1 + sharedState.peerProcessCount()), availableDescriptors - sharedState.peerUsage().upstreams());
+        int availableDescriptors =
+                Math.max(
+                        1 + sharedState.peerProcessCount(),
+                        maxUpstreamDescriptors
+                                - sharedState.peerProcessCount() * reservedDescriptors());
+        return Math.max(
+                availableDescriptors / (1 + sharedState.peerProcessCount()),
+                availableDescriptors - sharedState.peerUsage().upstreams());
     }
 
     /**
@@ -222,7 +269,8 @@
      * clients' channel.
      */
     Future<ChannelFuture> start() {
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         Promise<ChannelFuture> started = loop.newPromise();
         if (config.adminAddress() == null) {
             listenOnceEndpointsKnown(started);
@@ -257,7 +305,9 @@
                         phase = Phase.SERVING;
                         membership.onServing();
                         membership.setOverrides(overrides);
-                        sharedDirectory.announceAndPoll(() -> descriptorUsage, sharedState -> loop.execute(() -> applySharedState(sharedState)));
+                        sharedDirectory.announceAndPoll(
+                                () -> descriptorUsage,
+                                sharedState -> loop.execute(() -> applySharedState(sharedState)));
                         started.setSuccess(bindFuture);
                     } else if (!bound.isSuccess()) {
                         started.setFailure(bound.cause());
@@ -274,13 +324,18 @@
         }
         int count = sharedState.peerProcessCount();
         if (count != peerProcessCount) {
-            Log.write(count > peerProcessCount ? Event.PEER_PROCESS_SERVING : Event.PEER_PROCESS_ENDED, count);
+            Log.write(
+                    count > peerProcessCount
+                            ? Event.PEER_PROCESS_SERVING
+                            : Event.PEER_PROCESS_ENDED,
+                    count);
             // The younger speaks for both: it is the one that goes on.
             membership.setGossipActive(count < peerProcessCount);
             peerProcessCount = count;
             dispatcher.onSiblingProcesses(peerProcessCount);
         }
-        descriptorUsage = new DescriptorUsage(clientListener.connectionCount(), dispatcher.connectionCount());
+        descriptorUsage =
+                new DescriptorUsage(clientListener.connectionCount(), dispatcher.connectionCount());
         // Descriptors are counted over all processes of this balancer.
         clientListener.setMaxConnections(maxClients(sharedState));
         dispatcher.setMaxConnections(maxUpstreamConnections(sharedState));
@@ -317,13 +372,18 @@
     }
 
     /** A list of hosts from elsewhere than discovery. */
-    void onEndpointList(Api.ListMode mode, List<EndpointList.Endpoint> members) {
+    void onEndpointList(EndpointUpdateMode mode, List<EndpointList.Endpoint> members) {
         dispatcher.onEndpointList(mode, 0, members);
     }
 
     /** From now on counts are printed every so many nanoseconds. */
     final void setReportInterval(long intervalNanos) {
-        sweepsPerReport = (int) Math.max(1, intervalNanos / (SWEEP_INTERVAL_MILLIS * Clock.NANOS_PER_MILLISECOND));
+        sweepsPerReport =
+                (int)
+                        Math.max(
+                                1,
+                                intervalNanos
+                                        / (SWEEP_INTERVAL_MILLIS * Clock.NANOS_PER_MILLISECOND));
     }
 
     String name() {
@@ -337,7 +397,8 @@
     boolean reload(Map<?, ?> json) {
         try {
             config = config.replacedBy(json);
-            longestDeadlineNanos = Math.min(longestDeadlineNanos, config.settings().longestDeadlineNanos());
+            longestDeadlineNanos =
+                    Math.min(longestDeadlineNanos, config.settings().longestDeadlineNanos());
             dispatcher.reload(config);
             Log.write(
                     Event.SETTINGS_APPLIED,
@@ -347,7 +408,8 @@
         } catch (ConfigException e) {
             Log.write(Event.SETTINGS_REJECTED, e.getMessage());
             membership.observer().onConfigRejected(e.getMessage());
-            membership.onConfigRejected(Json.get(json, "version", Number.class, AppliedVersions.NO_NUMBER).longValue());
+            membership.onConfigRejected(
+                    Json.get(json, "version", Number.class, AppliedVersions.NO_NUMBER).longValue());
             return false;
         }
     }
@@ -467,8 +529,8 @@
     /**
      * Stops in order; the future is done when every request has been answered and every client is
      * gone. {@code isReplaced}: another process of this balancer listens, so that new clients need
-     * not be waited for; {@code signalledAtNanos}: when it was asked for, from which on the time until a
-     * kill runs.
+     * not be waited for; {@code signalledAtNanos}: when it was asked for, from which on the time
+     * until a kill runs.
      */
     Future<Void> stop(boolean isReplaced, long signalledAtNanos) {
         shutdownRequestedAtNanos = signalledAtNanos;
@@ -486,7 +548,9 @@
         // What has already been accepted by the system is read first: it would be reset with the
         // socket.
         long listenForNanos =
-                isReplaced ? SHUTDOWN_POLL_MILLIS * Clock.NANOS_PER_MILLISECOND : schedule.acceptUntilNanos() - Clock.now();
+                isReplaced
+                        ? SHUTDOWN_POLL_MILLIS * Clock.NANOS_PER_MILLISECOND
+                        : schedule.acceptUntilNanos() - Clock.now();
         loop.schedule(
                 () -> {
                     clientListener.stopListening();
@@ -500,18 +564,23 @@
     private void awaitQuiescence(Promise<Void> completion, long deadlineNanos) {
         // By the end every request is answered: only a client that does not read can still be
         // there.
-        if (clientListener.connectionCount() == 0 && dispatcher.openRequestCount() == 0 || Clock.now() >= deadlineNanos) {
+        if (clientListener.connectionCount() == 0 && dispatcher.openRequestCount() == 0
+                || Clock.now() >= deadlineNanos) {
             if (dispatcher.openRequestCount() > 0) {
                 counters.recordViolation(
                         InvariantViolation.UNANSWERED,
-                        "at the end of the process: " + dispatcher.openRequests(MAX_LISTED_REQUESTS));
+                        "at the end of the process: "
+                                + dispatcher.openRequests(MAX_LISTED_REQUESTS));
             }
             logCounters();
             membership.close();
             completion.setSuccess(null);
         } else {
             logProgress();
-            loop.schedule(() -> awaitQuiescence(completion, deadlineNanos), SHUTDOWN_POLL_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> awaitQuiescence(completion, deadlineNanos),
+                    SHUTDOWN_POLL_MILLIS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
--- a/node/src/main/java/frostrelay/node/NodeProcess.java
+++ b/node/src/main/java/frostrelay/node/NodeProcess.java
@@ -1,9 +1,14 @@
 package frostrelay.node;
 
-import frostrelay.lifecycle.SharedDirectory;
-import frostrelay.log.Event;
-import frostrelay.log.Log;
-import frostrelay.log.LogSetup;
+import frostrelay.node.cluster.TestHooks;
+import frostrelay.node.config.Config;
+import frostrelay.node.config.ConfigException;
+import frostrelay.node.config.ConfigFile;
+import frostrelay.node.lifecycle.SharedDirectory;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
+import frostrelay.node.log.LogSetup;
+import frostrelay.node.time.Clock;
 import frostrelay.policy.Router;
 
 import io.netty.channel.EventLoop;
@@ -45,7 +50,12 @@
     private final EventLoop loop;
     private final SharedDirectory sharedDirectory;
 
-    private NodeProcess(ConfigFile configFile, OptionsSource optionsSource, Node node, EventLoop loop, SharedDirectory sharedDirectory) {
+    private NodeProcess(
+            ConfigFile configFile,
+            OptionsSource optionsSource,
+            Node node,
+            EventLoop loop,
+            SharedDirectory sharedDirectory) {
         this.configFile = configFile;
         this.optionsSource = optionsSource;
         this.node = node;
@@ -54,8 +64,8 @@
     }
 
     /**
-     * Starts to serve and returns; the process ends with 1 if that fails. {@code configPath}: of the
-     * configuration.
+     * Starts to serve and returns; the process ends with 1 if that fails. {@code configPath}: of
+     * the configuration.
      */
     public static void start(String configPath, OptionsSource optionsSource) {
         start(configPath, optionsSource, TestHooks.NONE);
@@ -71,7 +81,8 @@
             LogSetup.apply(options.logFormat(), options.logLevel(), config.name());
             EventLoop loop = new NioEventLoopGroup(1, new DefaultThreadFactory("loop")).next();
             SharedDirectory sharedDirectory =
-                    new SharedDirectory(temporaryDirectory(), Long.toString(ProcessHandle.current().pid()));
+                    new SharedDirectory(
+                            temporaryDirectory(), Long.toString(ProcessHandle.current().pid()));
             SharedDirectory.Snapshot sharedState = sharedDirectory.snapshot();
             Node node =
                     loop.submit(
@@ -85,14 +96,19 @@
                                                     options,
                                                     hooks))
                             .get();
-            NodeProcess process = new NodeProcess(configFile, optionsSource, node, loop, sharedDirectory);
+            NodeProcess process =
+                    new NodeProcess(configFile, optionsSource, node, loop, sharedDirectory);
             // A JVM that SIGTERM ends exits with 143; halting at the end of its hook makes that 0.
             Runtime.getRuntime().addShutdownHook(new Thread(process::stop, "stop"));
             if (options.cluster().stalenessDetection()) {
                 ScheduledExecutorService rereadExecutor =
                         Executors.newSingleThreadScheduledExecutor(
                                 new DefaultThreadFactory("reread", true));
-                loop.submit(() -> node.setRereadAction(() -> process.reloadOnceStable(rereadExecutor))).get();
+                loop.submit(
+                                () ->
+                                        node.setRereadAction(
+                                                () -> process.reloadOnceStable(rereadExecutor)))
+                        .get();
             }
             loop.submit(node::start).get().sync();
             reloadSignal.setReloadAction(process::reload);
@@ -114,7 +130,8 @@
      * Looks at the file now and then where operators want that, or where no signal would be heard.
      */
     private void watchConfigFile(boolean isSignalIgnored, long requestedIntervalNanos) {
-        long intervalNanos = requestedIntervalNanos > 0 ? requestedIntervalNanos : DEFAULT_POLL_INTERVAL_NANOS;
+        long intervalNanos =
+                requestedIntervalNanos > 0 ? requestedIntervalNanos : DEFAULT_POLL_INTERVAL_NANOS;
         if (isSignalIgnored) {
             Log.write(Event.SIGNAL_IGNORED, "HUP", intervalNanos / Clock.NANOS_PER_MILLISECOND);
         }
@@ -172,7 +189,9 @@
     private static Path temporaryDirectory() {
         String configuredPath = System.getenv("TMPDIR");
         return Path.of(
-                configuredPath == null || configuredPath.isEmpty() ? System.getProperty("java.io.tmpdir") : configuredPath);
+                configuredPath == null || configuredPath.isEmpty()
+                        ? System.getProperty("java.io.tmpdir")
+                        : configuredPath);
     }
 
     private void stop() {
--- a/node/src/main/java/frostrelay/node/ReloadSignal.java
+++ b/node/src/main/java/frostrelay/node/ReloadSignal.java
@@ -32,7 +32,8 @@
                             return null;
                         });
         Object previousHandler =
-                signalClass.getMethod("handle", signalClass, handlerClass)
+                signalClass
+                        .getMethod("handle", signalClass, handlerClass)
                         .invoke(
                                 null,
                                 signalClass.getConstructor(String.class).newInstance("HUP"),
--- a/node/src/main/java/frostrelay/console/AdminOperations.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminOperations.java
@@ -1,4 +1,4 @@
-package frostrelay.console;
+package frostrelay.node.admin;
 
 import io.netty.util.concurrent.Future;
 
@@ -20,8 +20,8 @@
 
     /**
      * Decides in place of the program how this balancer stands to the others, lastingly: {@code
-     * keep-in}, {@code shut-out} or {@code follow:KIND:NUMBER}; an empty word with {@code isActive} false
-     * ends all of that. Done with false where it minds nobody.
+     * keep-in}, {@code shut-out} or {@code follow:KIND:NUMBER}; an empty word with {@code isActive}
+     * false ends all of that. Done with false where it minds nobody.
      */
     Future<Boolean> setOverride(String decision, boolean isActive);
 
--- a/node/src/main/java/frostrelay/console/AdminResponse.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminResponse.java
@@ -1,4 +1,4 @@
-package frostrelay.console;
+package frostrelay.node.admin;
 
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
@@ -16,7 +16,11 @@
  * {@code allowedMethod}: the method of the path, or null.
  */
 record AdminResponse(
-        HttpResponseStatus status, String text, HttpMethod allowedMethod, byte[] body, CharSequence contentType) {
+        HttpResponseStatus status,
+        String text,
+        HttpMethod allowedMethod,
+        byte[] body,
+        CharSequence contentType) {
     AdminResponse(HttpResponseStatus status, String text, HttpMethod allowedMethod) {
         this(status, text, allowedMethod, null, HttpHeaderValues.APPLICATION_JSON);
     }
@@ -31,7 +35,8 @@
 
     /** None of the texts holds what JSON would have to escape. */
     FullHttpResponse toHttpResponse() {
-        String fieldName = status.code() < HttpResponseStatus.BAD_REQUEST.code() ? "status" : "error";
+        String fieldName =
+                status.code() < HttpResponseStatus.BAD_REQUEST.code() ? "status" : "error";
         byte[] bodyBytes =
                 body != null
                         ? body
--- a/node/src/main/java/frostrelay/console/AdminRoutes.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminRoutes.java
@@ -1,4 +1,4 @@
-package frostrelay.console;
+package frostrelay.node.admin;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
@@ -17,7 +17,8 @@
 import java.util.Map;
 
 /**
- * Translates calls into {@link AdminOperations} and what comes of them into answers; it decides nothing.
+ * Translates calls into {@link AdminOperations} and what comes of them into answers; it decides
+ * nothing.
  */
 final class AdminRoutes {
     private final AdminOperations operations;
@@ -70,7 +71,11 @@
                                     ? AdminResponse.of(HttpResponseStatus.OK, "ready")
                                     : AdminResponse.of(
                                             HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready"));
-            case "/ops/audit" -> completed(binaryResponse(operations.auditStatement(), HttpHeaderValues.APPLICATION_JSON));
+            case "/ops/audit" ->
+                    completed(
+                            binaryResponse(
+                                    operations.auditStatement(),
+                                    HttpHeaderValues.APPLICATION_JSON));
             case "/ops/audit/record" ->
                     completed(
                             binaryResponse(
@@ -110,13 +115,18 @@
     private Future<AdminResponse> setAdminDrain(FullHttpRequest request, boolean isDrained) {
         Object body = parseBody(request);
         if (body == null) {
-            return completed(AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "the body is no JSON"));
+            return completed(
+                    AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "the body is no JSON"));
         }
         if (!(body instanceof Map<?, ?> call && call.get("id") instanceof String id)
                 || id.isEmpty()) {
-            return completed(AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "the body has no id"));
+            return completed(
+                    AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "the body has no id"));
         }
-        return respondWhenDone(operations.setAdminDrain(id, isDrained), isDrained ? "down" : "up", "nobody has this id");
+        return respondWhenDone(
+                operations.setAdminDrain(id, isDrained),
+                isDrained ? "down" : "up",
+                "nobody has this id");
     }
 
     private Future<AdminResponse> followVersion(FullHttpRequest request) {
@@ -128,21 +138,28 @@
                             HttpResponseStatus.BAD_REQUEST,
                             "the body is {\"kind\": \"list\" or \"config\", \"number\": N}"));
         }
-        return setOverride("follow:" + call.get("kind") + ':' + number.longValue(), true, "followed");
+        return setOverride(
+                "follow:" + call.get("kind") + ':' + number.longValue(), true, "followed");
     }
 
-    private Future<AdminResponse> setOverride(String decision, boolean isActive, String successText) {
-        return respondWhenDone(operations.setOverride(decision, isActive), successText, "this balancer minds no others");
+    private Future<AdminResponse> setOverride(
+            String decision, boolean isActive, String successText) {
+        return respondWhenDone(
+                operations.setOverride(decision, isActive),
+                successText,
+                "this balancer minds no others");
     }
 
-    private Future<AdminResponse> respondWhenDone(Future<Boolean> future, String successText, String notFoundText) {
+    private Future<AdminResponse> respondWhenDone(
+            Future<Boolean> future, String successText, String notFoundText) {
         Promise<AdminResponse> response = loop.newPromise();
         future.addListener(
                 (Future<Boolean> done) -> {
                     if (!done.isSuccess()) {
                         response.setFailure(done.cause());
                     } else if (!done.getNow()) {
-                        response.setSuccess(AdminResponse.of(HttpResponseStatus.NOT_FOUND, notFoundText));
+                        response.setSuccess(
+                                AdminResponse.of(HttpResponseStatus.NOT_FOUND, notFoundText));
                     } else {
                         response.setSuccess(AdminResponse.of(HttpResponseStatus.OK, successText));
                     }
--- a/node/src/main/java/frostrelay/console/AdminServer.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminServer.java
@@ -1,7 +1,7 @@
-package frostrelay.console;
+package frostrelay.node.admin;
 
-import frostrelay.log.Event;
-import frostrelay.log.Log;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -47,8 +47,8 @@
     private final Set<Connection> connections = new LinkedHashSet<>();
 
     /**
-     * {@code callTimeoutMillis}: within this a call must be whole, and as long again its caller has to take
-     * the answer.
+     * {@code callTimeoutMillis}: within this a call must be whole, and as long again its caller has
+     * to take the answer.
      */
     public AdminServer(EventLoop loop, AdminOperations operations, long callTimeoutMillis) {
         this.loop = loop;
@@ -74,7 +74,9 @@
                                 fresh.pipeline()
                                         .addLast(
                                                 new HttpServerCodec(
-                                                        MAX_REQUEST_LINE_BYTES, MAX_HEADER_BYTES, MAX_BODY_BYTES),
+                                                        MAX_REQUEST_LINE_BYTES,
+                                                        MAX_HEADER_BYTES,
+                                                        MAX_BODY_BYTES),
                                                 connection.new RequestAggregator(),
                                                 connection);
                             }
@@ -131,7 +133,8 @@
                                 if (done.isSuccess()) {
                                     respond(done.getNow());
                                 } else {
-                                    Log.write(Event.ADMIN_CALL_FAILED, String.valueOf(done.cause()));
+                                    Log.write(
+                                            Event.ADMIN_CALL_FAILED, String.valueOf(done.cause()));
                                     respond(
                                             AdminResponse.of(
                                                     HttpResponseStatus.INTERNAL_SERVER_ERROR,
@@ -151,7 +154,8 @@
             hasResponded = true;
             hasRequest = true;
             timeout.cancel(false);
-            timeout = loop.schedule(() -> channel.close(), callTimeoutMillis, TimeUnit.MILLISECONDS);
+            timeout =
+                    loop.schedule(() -> channel.close(), callTimeoutMillis, TimeUnit.MILLISECONDS);
             channel.writeAndFlush(response.toHttpResponse())
                     .addListener(
                             sent -> {
--- a/node/src/main/java/frostrelay/node/ClientListener.java
+++ b/node/src/main/java/frostrelay/node/client/ClientListener.java
@@ -1,8 +1,22 @@
-package frostrelay.node;
-
-import frostrelay.lifecycle.ActionGuard;
-import frostrelay.log.Event;
-import frostrelay.log.Log;
+package frostrelay.node.client;
+
+import frostrelay.node.lifecycle.ActionGuard;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
+import frostrelay.node.memcache.MetaCommand;
+import frostrelay.node.memcache.MetaDecoder;
+import frostrelay.node.memcache.MetaFrame;
+import frostrelay.node.metrics.CloseReason;
+import frostrelay.node.metrics.Counters;
+import frostrelay.node.metrics.InvariantViolation;
+import frostrelay.node.metrics.RejectionReason;
+import frostrelay.node.net.MemoryLimiter;
+import frostrelay.node.proxy.ActiveRequest;
+import frostrelay.node.proxy.IdInUseException;
+import frostrelay.node.proxy.RequestDispatcher;
+import frostrelay.node.proxy.UpstreamResponse;
+import frostrelay.node.proxy.ValueStream;
+import frostrelay.node.time.Clock;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -30,7 +44,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Clients' connections: reads commands and writes their answers in the order of the commands. */
-final class ClientListener {
+public final class ClientListener {
     /** Requests of one connection that may be open at once; further ones wait to be begun. */
     private static final int MAX_PIPELINED = 64;
 
@@ -125,9 +139,10 @@
     private final ActionGuard guard;
 
     /**
-     * {@code maxOverflow}: connections over {@code maxConnections} that are kept just to be refused.
+     * {@code maxOverflow}: connections over {@code maxConnections} that are kept just to be
+     * refused.
      */
-    ClientListener(
+    public ClientListener(
             RequestDispatcher dispatcher,
             EventLoop loop,
             Counters counters,
@@ -143,7 +158,7 @@
         this.limiter = new ConnectionLimiter<>(loop, maxConnections, maxOverflow);
     }
 
-    ChannelFuture listen(InetSocketAddress address) {
+    public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bindFuture =
                 new ServerBootstrap()
                         .group(loop, loop)
@@ -171,7 +186,8 @@
                                 new ChannelInitializer<>() {
                                     @Override
                                     protected void initChannel(Channel fresh) {
-                                        MetaDecoder decoder = MetaDecoder.forCommands(memoryLimiter);
+                                        MetaDecoder decoder =
+                                                MetaDecoder.forCommands(memoryLimiter);
                                         Connection connection =
                                                 new Connection((SocketChannel) fresh, decoder);
                                         fresh.pipeline()
@@ -184,7 +200,7 @@
     }
 
     /** Takes no more connections. */
-    void stopListening() {
+    public void stopListening() {
         if (listeningChannel != null) {
             listeningChannel.close();
         }
@@ -193,11 +209,11 @@
     /**
      * From now on so many connections are held at most; idle ones make room as further ones come.
      */
-    void setMaxConnections(int maxConnections) {
+    public void setMaxConnections(int maxConnections) {
         limiter.setMaxConnections(maxConnections);
     }
 
-    int connectionCount() {
+    public int connectionCount() {
         return limiter.size();
     }
 
@@ -205,7 +221,7 @@
      * Closes those that say nothing, stop halfway or have been idle for long: each holds a
      * descriptor and memory that others need. To be called a few times a second.
      */
-    void closeTimedOut() {
+    public void closeTimedOut() {
         long now = Clock.now();
         for (Connection connection : limiter.openConnections()) {
             connection.checkTimeouts(now);
@@ -246,7 +262,8 @@
     }
 
     /** The place of one command in the order of answers. */
-    private final class PendingResponse implements ActiveRequest.ResponseListener, ValueStream.Sink {
+    private final class PendingResponse
+            implements ActiveRequest.ResponseListener, ValueStream.Sink {
         private final Connection connection;
         private ByteBuf response;
         private MetaCommand command;
@@ -358,7 +375,10 @@
         public void onStreamComplete() {
             valueStream = null;
             unreadBytes += 2;
-            connection.channel.write(Unpooled.wrappedBuffer(CRLF)).addListener(done -> unreadBytes -= 2);
+            connection
+                    .channel
+                    .write(Unpooled.wrappedBuffer(CRLF))
+                    .addListener(done -> unreadBytes -= 2);
             connection.onValueStreamed(this);
         }
 
@@ -376,7 +396,9 @@
 
         /** Whether neither end has moved for too long. */
         private boolean isStalled(long now) {
-            return streaming && valueStream != null && now - lastProgressNanos > VALUE_STALL_TIMEOUT_NANOS;
+            return streaming
+                    && valueStream != null
+                    && now - lastProgressNanos > VALUE_STALL_TIMEOUT_NANOS;
         }
     }
 
@@ -502,7 +524,12 @@
             if (reason.isInitiatedLocally()) {
                 counters.recordViolation(
                         InvariantViolation.CLOSED_UNANSWERED,
-                        reason + ": " + pendingResponses.size() + " open, " + receivedCommands.size() + " read");
+                        reason
+                                + ": "
+                                + pendingResponses.size()
+                                + " open, "
+                                + receivedCommands.size()
+                                + " read");
             }
         }
 
@@ -525,16 +552,22 @@
                 close(CloseReason.VALUE_STALLED);
             } else if (isIdle()
                     && !outputClosing
-                    && guard.mayCloseIdle(now, hasSentValidCommand, stateSinceNanos, partialCommandSinceNanos != 0)) {
+                    && guard.mayCloseIdle(
+                            now,
+                            hasSentValidCommand,
+                            stateSinceNanos,
+                            partialCommandSinceNanos != 0)) {
                 closeGracefully(gracefulCloseReason());
             } else if (outputClosing) {
-                if (now - stateSinceNanos > (outputShutdown ? LINGER_NANOS : LAST_RESPONSE_TIMEOUT_NANOS)) {
+                if (now - stateSinceNanos
+                        > (outputShutdown ? LINGER_NANOS : LAST_RESPONSE_TIMEOUT_NANOS)) {
                     channel.close();
                 }
             } else if (isIdle()) {
                 boolean hasCommandTimedOut =
                         !hasSentValidCommand && now - stateSinceNanos > COMMAND_TIMEOUT_NANOS
-                                || partialCommandSinceNanos != 0 && now - partialCommandSinceNanos > COMMAND_TIMEOUT_NANOS;
+                                || partialCommandSinceNanos != 0
+                                        && now - partialCommandSinceNanos > COMMAND_TIMEOUT_NANOS;
                 if (hasCommandTimedOut) {
                     closeGracefully(CloseReason.INCOMPLETE_COMMAND);
                 } else if (now - stateSinceNanos > IDLE_TIMEOUT_NANOS) {
@@ -574,7 +607,8 @@
                 readAhead.markPaused();
             } else if (readAhead.markResumed()) {
                 // Its end may have come meanwhile: it is read before anything more of it is begun.
-                dispatchDelayedUntilNanos = Clock.now() + RESUMED_READ_DELAY_MILLIS * Clock.NANOS_PER_MILLISECOND;
+                dispatchDelayedUntilNanos =
+                        Clock.now() + RESUMED_READ_DELAY_MILLIS * Clock.NANOS_PER_MILLISECOND;
                 loop.schedule(updateStateTask, RESUMED_READ_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             }
             channel.config().setAutoRead(enabled);
@@ -650,7 +684,8 @@
          * other one reading rests, so that a client which sends the same again at once takes no
          * time from the others.
          */
-        private void rejectMalformed(PendingResponse pendingResponse, String errorResponse, boolean last) {
+        private void rejectMalformed(
+                PendingResponse pendingResponse, String errorResponse, boolean last) {
             counters.malformed++;
             protocolErrorCount++;
             if (last || protocolErrorCount >= MAX_PROTOCOL_ERRORS) {
@@ -666,7 +701,8 @@
                 case "mn" -> {
                     hasSentValidCommand = true;
                     boolean isDraining = guard.isDraining() && !guard.isShuttingDown();
-                    pendingResponse.respond(isDraining ? "SERVER_ERROR draining\r\n" : "MN\r\n", null);
+                    pendingResponse.respond(
+                            isDraining ? "SERVER_ERROR draining\r\n" : "MN\r\n", null);
                 }
                 case "quit" -> {
                     pendingResponses.remove(pendingResponse);
@@ -684,8 +720,10 @@
                 return;
             }
             try {
-                pendingResponse.command = new MetaCommand(next.frame, dispatcher.deploymentSettings());
-                pendingResponse.activeRequest = dispatcher.accept(pendingResponse.command, next.atNanos, pendingResponse);
+                pendingResponse.command =
+                        new MetaCommand(next.frame, dispatcher.deploymentSettings());
+                pendingResponse.activeRequest =
+                        dispatcher.accept(pendingResponse.command, next.atNanos, pendingResponse);
                 hasSentValidCommand = true;
             } catch (MetaCommand.MalformedCommandException e) {
                 rejectMalformed(pendingResponse, e.getMessage(), false);
@@ -713,7 +751,9 @@
                 return;
             }
             boolean hasWritten = false;
-            while (!pendingResponses.isEmpty() && pendingResponses.peek().response != null && !pendingResponses.peek().streaming) {
+            while (!pendingResponses.isEmpty()
+                    && pendingResponses.peek().response != null
+                    && !pendingResponses.peek().streaming) {
                 PendingResponse pendingResponse = pendingResponses.peek();
                 hasWritten = true;
                 if (pendingResponse.valueStream == null) {
@@ -741,7 +781,8 @@
 
         private void write(PendingResponse pendingResponse) {
             int responseBytes = pendingResponse.response.readableBytes();
-            channel.write(pendingResponse.response).addListener(new ResponseWriteListener(responseBytes));
+            channel.write(pendingResponse.response)
+                    .addListener(new ResponseWriteListener(responseBytes));
         }
 
         /** The long value of the first slot has been passed on whole. */
@@ -847,7 +888,11 @@
             CloseReason reason = closeReason == null ? CloseReason.CLIENT_CLOSED : closeReason;
             counters.recordClose(reason);
             if (Log.isEnabled(Event.CLIENT_CLOSED)) {
-                Log.write(Event.CLIENT_CLOSED, channel.remoteAddress(), reason, pendingResponses.size());
+                Log.write(
+                        Event.CLIENT_CLOSED,
+                        channel.remoteAddress(),
+                        reason,
+                        pendingResponses.size());
             }
         }
 
--- a/node/src/main/java/frostrelay/node/ConnectionLimiter.java
+++ b/node/src/main/java/frostrelay/node/client/ConnectionLimiter.java
@@ -1,4 +1,6 @@
-package frostrelay.node;
+package frostrelay.node.client;
+
+import frostrelay.node.time.Clock;
 
 import io.netty.channel.EventLoop;
 
@@ -65,7 +67,10 @@
 
     private int maxConnections;
 
-    /** {@code maxOverflow}: connections over {@code maxConnections} that are kept just to be refused. */
+    /**
+     * {@code maxOverflow}: connections over {@code maxConnections} that are kept just to be
+     * refused.
+     */
     ConnectionLimiter(EventLoop loop, int maxConnections, int maxOverflow) {
         this.loop = loop;
         this.maxConnections = maxConnections;
@@ -96,7 +101,8 @@
      * even be refused.
      */
     boolean admit(C connection) {
-        if (openConnections.size() >= maxConnections + maxOverflow && !evictFirst(IdleState.CLOSING, 0)) {
+        if (openConnections.size() >= maxConnections + maxOverflow
+                && !evictFirst(IdleState.CLOSING, 0)) {
             return false;
         }
         openConnections.add(connection);
@@ -134,8 +140,12 @@
      * lost by a close.
      */
     private void evictForWaiting() {
-        for (C connection = awaitingCapacity.poll(); connection != null; connection = awaitingCapacity.poll()) {
-            if (openConnections.contains(connection) && openConnections.size() > maxConnections && !evictAny()) {
+        for (C connection = awaitingCapacity.poll();
+                connection != null;
+                connection = awaitingCapacity.poll()) {
+            if (openConnections.contains(connection)
+                    && openConnections.size() > maxConnections
+                    && !evictAny()) {
                 connection.rejectRequests();
             }
         }
@@ -144,7 +154,10 @@
     private boolean evictAny() {
         // In a crowd that says nothing all are young: good idle connections must not make room for
         // it.
-        long minAgeNanos = idleByState.get(IdleState.UNPROVEN).size() > maxConnections / UNPROVEN_FLOOD_DIVISOR ? 0 : MIN_UNPROVEN_AGE_NANOS;
+        long minAgeNanos =
+                idleByState.get(IdleState.UNPROVEN).size() > maxConnections / UNPROVEN_FLOOD_DIVISOR
+                        ? 0
+                        : MIN_UNPROVEN_AGE_NANOS;
         return evictFirst(IdleState.CLOSING, 0)
                 || evictFirst(IdleState.UNPROVEN, minAgeNanos)
                 || evictFirst(IdleState.IDLE, 0);
--- a/node/src/main/java/frostrelay/node/ReadAhead.java
+++ b/node/src/main/java/frostrelay/node/client/ReadAhead.java
@@ -1,6 +1,7 @@
-package frostrelay.node;
+package frostrelay.node.client;
 
-import frostrelay.lifecycle.ActionGuard;
+import frostrelay.node.lifecycle.ActionGuard;
+import frostrelay.node.time.Clock;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -52,8 +53,8 @@
         void onBytesBuffered();
 
         /**
-         * All that had come has been read, or what one turn may read and the next; {@code hasBytes}:
-         * something was.
+         * All that had come has been read, or what one turn may read and the next; {@code
+         * hasBytes}: something was.
          */
         void onReadComplete(boolean hasBytes);
     }
@@ -160,7 +161,9 @@
      * would.
      */
     long disconnectUndetectableSince(long now) {
-        boolean wasPaused = pausedSinceNanos != 0 && (resumedAtNanos == 0 || now - resumedAtNanos <= RESUME_WINDOW_NANOS);
+        boolean wasPaused =
+                pausedSinceNanos != 0
+                        && (resumedAtNanos == 0 || now - resumedAtNanos <= RESUME_WINDOW_NANOS);
         long sinceNanos = wasPaused ? pausedSinceNanos : ActionGuard.NEVER;
         return behindSinceNanos == 0 ? sinceNanos : Math.min(sinceNanos, behindSinceNanos);
     }
@@ -232,7 +235,9 @@
 
     /** Whether to read on: one connection alone, or all together, may leave so much unserved. */
     boolean hasCapacity() {
-        return !buffer.isReadable() || buffer.readableBytes() < MAX_BUFFERED_BYTES && bufferedTotal.bytes < BufferedTotal.MAX_TOTAL_BYTES;
+        return !buffer.isReadable()
+                || buffer.readableBytes() < MAX_BUFFERED_BYTES
+                        && bufferedTotal.bytes < BufferedTotal.MAX_TOTAL_BYTES;
     }
 
     boolean isEmpty() {
--- a/node/src/main/java/frostrelay/node/AppliedVersionTracker.java
+++ b/node/src/main/java/frostrelay/node/cluster/AppliedVersionTracker.java
@@ -1,10 +1,19 @@
-package frostrelay.node;
+package frostrelay.node.cluster;
 
 import frostrelay.audit.AuditLog;
 import frostrelay.audit.Cause;
-import frostrelay.judgements.AttemptObservation;
-import frostrelay.peers.AppliedVersions;
-import frostrelay.policy.Api;
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.healthreports.AttemptObservation;
+import frostrelay.node.config.Config;
+import frostrelay.node.config.Digests;
+import frostrelay.node.config.EndpointList;
+import frostrelay.node.proxy.ClientRequest;
+import frostrelay.node.proxy.DecisionObserver;
+import frostrelay.node.time.Clock;
+import frostrelay.policy.api.AttemptResult;
+import frostrelay.policy.api.EndpointState;
+import frostrelay.policy.api.EndpointUpdateMode;
+import frostrelay.policy.api.ResponseSource;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -66,14 +75,21 @@
     }
 
     @Override
-    public void onEndpointList(Api.ListMode mode, long revision, List<EndpointList.Endpoint> members) {
-        if (mode == Api.ListMode.FAILED) {
+    public void onEndpointList(
+            EndpointUpdateMode mode, long revision, List<EndpointList.Endpoint> members) {
+        if (mode == EndpointUpdateMode.FAILED) {
             return;
         }
-        if (mode != Api.ListMode.DELTA) {
+        if (mode != EndpointUpdateMode.DELTA) {
             Set<String> removed = new TreeSet<>(listedCaches.keySet());
             members.forEach(member -> removed.remove(member.uid()));
-            removed.forEach(uid -> applyEntry(revision, uid, Api.State.REMOVED, listedCaches.get(uid).serverStartMillis));
+            removed.forEach(
+                    uid ->
+                            applyEntry(
+                                    revision,
+                                    uid,
+                                    EndpointState.REMOVED,
+                                    listedCaches.get(uid).serverStartMillis));
         }
         members.forEach(
                 member ->
@@ -102,26 +118,32 @@
                         listDigest,
                         current.adminDrainsDigest(),
                         current.termsDigest()),
-                mode == Api.ListMode.CACHED ? Cause.START : Cause.DISCOVERY);
+                mode == EndpointUpdateMode.CACHED ? Cause.START : Cause.DISCOVERY);
     }
 
     /** The list's digest is a sum, so that it is the same in whatever order entries come and go. */
-    private void applyEntry(long revision, String uid, Api.State state, long serverStartMillis) {
+    private void applyEntry(
+            long revision, String uid, EndpointState state, long serverStartMillis) {
         ListedCache previous = listedCaches.get(uid);
-        if (state == Api.State.REMOVED && previous == null) {
+        if (state == EndpointState.REMOVED && previous == null) {
             return;
         }
-        long digest = state == Api.State.REMOVED ? 0 : Digests.of(uid + '|' + state + '|' + serverStartMillis);
+        long digest =
+                state == EndpointState.REMOVED
+                        ? 0
+                        : Digests.of(uid + '|' + state + '|' + serverStartMillis);
         listDigest += digest - (previous == null ? 0 : previous.digest);
         int number = cacheNumber(uid);
-        boolean ready = state == Api.State.READY;
-        if (previous == null || previous.ready != ready || previous.serverStartMillis != serverStartMillis) {
+        boolean ready = state == EndpointState.READY;
+        if (previous == null
+                || previous.ready != ready
+                || previous.serverStartMillis != serverStartMillis) {
             audit.recordEndpoint(Clock.now(), number, ready, serverStartMillis);
             if (previous != null || ready) {
                 listener.onCacheReadiness(revision, EndpointList.serverId(uid), ready);
             }
         }
-        if (state == Api.State.REMOVED) {
+        if (state == EndpointState.REMOVED) {
             listedCaches.remove(uid);
         } else {
             listedCaches.put(uid, new ListedCache(number, ready, serverStartMillis, digest));
@@ -197,7 +219,8 @@
     }
 
     @Override
-    public void onAttemptSent(int versionSequence, int cache, int attempt, boolean hedged, ClientRequest request) {
+    public void onAttemptSent(
+            int versionSequence, int cache, int attempt, boolean hedged, ClientRequest request) {
         audit.recordSend(Clock.now(), versionSequence, cache, attempt, hedged, request.id());
         listener.trafficObserver().onAttemptSent(versionSequence, cache, attempt, hedged, request);
     }
@@ -213,7 +236,7 @@
     }
 
     @Override
-    public void onAttemptCompleted(Api.Reason result, Api.Source source) {
+    public void onAttemptCompleted(AttemptResult result, ResponseSource source) {
         listener.trafficObserver().onAttemptCompleted(result, source);
     }
 
--- a/node/src/main/java/frostrelay/node/ClusterCounterService.java
+++ b/node/src/main/java/frostrelay/node/cluster/ClusterCounterService.java
@@ -1,12 +1,16 @@
-package frostrelay.node;
+package frostrelay.node.cluster;
 
-import frostrelay.judgements.counts.ClusterCounter;
-import frostrelay.judgements.counts.ClusterCounterSettings;
-import frostrelay.judgements.counts.ClusterCounters;
-import frostrelay.judgements.counts.CounterTotal;
-import frostrelay.peers.PayloadProvider;
-import frostrelay.peers.MemberState;
-import frostrelay.policy.Api;
+import frostrelay.counters.ClusterCounter;
+import frostrelay.counters.ClusterCounterSettings;
+import frostrelay.counters.ClusterCounters;
+import frostrelay.counters.CounterTotal;
+import frostrelay.gossip.MemberState;
+import frostrelay.gossip.PayloadProvider;
+import frostrelay.node.proxy.ClientRequest;
+import frostrelay.node.proxy.DecisionObserver;
+import frostrelay.node.time.Clock;
+import frostrelay.policy.api.AttemptResult;
+import frostrelay.policy.api.ResponseSource;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -20,7 +24,12 @@
     private final ClusterCounters counters;
     private final TestHooks.CounterTotals totals;
 
-    ClusterCounterService(GossipTransport transport, int rank, int clusterSize, long incarnation, UnaryOperator<TestHooks.CounterTotals> testHook) {
+    ClusterCounterService(
+            GossipTransport transport,
+            int rank,
+            int clusterSize,
+            long incarnation,
+            UnaryOperator<TestHooks.CounterTotals> testHook) {
         counters =
                 new ClusterCounters(
                         ClusterCounterSettings.STANDARD,
@@ -46,7 +55,8 @@
     }
 
     @Override
-    public void onAttemptSent(int versionSequence, int cache, int attempt, boolean hedged, ClientRequest request) {
+    public void onAttemptSent(
+            int versionSequence, int cache, int attempt, boolean hedged, ClientRequest request) {
         counters.increment(ClusterCounter.SENDS);
         if (hedged) {
             counters.increment(ClusterCounter.COPIES);
@@ -54,12 +64,12 @@
     }
 
     @Override
-    public void onAttemptCompleted(Api.Reason result, Api.Source source) {
+    public void onAttemptCompleted(AttemptResult result, ResponseSource source) {
         counters.increment(ClusterCounter.ENDS);
-        if (source == Api.Source.ORIGIN) {
+        if (source == ResponseSource.ORIGIN) {
             counters.increment(ClusterCounter.FETCHES);
         }
-        if (result == Api.Reason.ERROR) {
+        if (result == AttemptResult.ERROR) {
             counters.increment(ClusterCounter.FAILED);
         }
     }
@@ -69,7 +79,13 @@
         counters.increment(ClusterCounter.REFUSED);
     }
 
-    void onSection(long now, long delayNanos, int sender, long senderIncarnation, int type, ByteBuffer content) {
+    void onSection(
+            long now,
+            long delayNanos,
+            int sender,
+            long senderIncarnation,
+            int type,
+            ByteBuffer content) {
         counters.onSection(now, delayNanos, sender, senderIncarnation, type, content);
     }
 
@@ -87,7 +103,9 @@
             fields.put("known", total.known());
             fields.put(
                     "most",
-                    Double.isInfinite(total.upperBound()) ? "unknown" : (Object) Math.round(total.upperBound()));
+                    Double.isInfinite(total.upperBound())
+                            ? "unknown"
+                            : (Object) Math.round(total.upperBound()));
             fields.put("rate", Math.round(total.ratePerSecond() * 10) / 10.0);
             fields.put("covered", total.coveredMembers());
             fields.put("of", total.aliveMembers());
--- a/node/src/main/java/frostrelay/node/ClusterMembership.java
+++ b/node/src/main/java/frostrelay/node/cluster/ClusterMembership.java
@@ -1,21 +1,27 @@
-package frostrelay.node;
+package frostrelay.node.cluster;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
 import frostrelay.audit.AuditLog;
-import frostrelay.audit.Recorder;
 import frostrelay.audit.EntryRingBuffer;
+import frostrelay.audit.Recorder;
 import frostrelay.audit.store.RecordFolder;
-import frostrelay.judgements.AttemptObservation;
-import frostrelay.log.Event;
-import frostrelay.log.Log;
-import frostrelay.peers.PayloadBuffer;
-import frostrelay.peers.Incarnation;
-import frostrelay.peers.MemberSnapshot;
-import frostrelay.peers.GossipSettings;
-import frostrelay.peers.GossipNode;
-import frostrelay.peers.AppliedVersions;
-import frostrelay.peers.MemberState;
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.gossip.GossipNode;
+import frostrelay.gossip.GossipSettings;
+import frostrelay.gossip.Incarnation;
+import frostrelay.gossip.MemberSnapshot;
+import frostrelay.gossip.MemberState;
+import frostrelay.gossip.PayloadBuffer;
+import frostrelay.healthreports.AttemptObservation;
+import frostrelay.node.config.Config;
+import frostrelay.node.config.EndpointList;
+import frostrelay.node.config.Json;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
+import frostrelay.node.metrics.Counters;
+import frostrelay.node.proxy.DecisionObserver;
+import frostrelay.node.time.Clock;
 
 import io.netty.channel.EventLoop;
 
@@ -40,7 +46,7 @@
  * This balancer's part in its tier: its talk with the others and its account of itself. Both may be
  * off.
  */
-class ClusterMembership {
+public class ClusterMembership {
     private static final ClusterMembership STANDALONE = new ClusterMembership();
     private static final long TICK_NANOS = Clock.NANOS_PER_SECOND;
     private static final int MAX_PEERS = 4096;
@@ -50,7 +56,7 @@
     private static final int FUTURE_SECTION_TYPE = 250;
 
     /** What the fleet may lead this balancer to. */
-    interface Actions {
+    public interface Actions {
         /** Discovery is asked anew. */
         void refreshEndpoints();
 
@@ -77,7 +83,7 @@
     }
 
     /** What the options and the platform allow; both have to. */
-    static ClusterMembership of(
+    public static ClusterMembership of(
             Config config,
             ClusterOptions options,
             TestHooks testHooks,
@@ -90,47 +96,48 @@
         return new Member(config, options, testHooks, loop, counters, actions);
     }
 
-    DecisionObserver observer() {
+    public DecisionObserver observer() {
         return DecisionObserver.NONE;
     }
 
     /** The process serves from now on. */
-    void onServing() {}
+    public void onServing() {}
 
     /** Whether this process talks for its balancer. */
-    void setGossipActive(boolean active) {}
+    public void setGossipActive(boolean active) {}
 
     /** The process begins to end; {@code replaced}: another goes on under its name. */
-    void onShutdown(boolean replaced) {}
+    public void onShutdown(boolean replaced) {}
 
     /** To be called a few times a second. */
-    void tick() {}
+    public void tick() {}
 
     /** What is known, as JSON; null where nothing is kept. */
-    byte[] statusJson() {
+    public byte[] statusJson() {
         return null;
     }
 
     /** The record so far; null where none is kept. */
-    byte[] auditRecord() {
+    public byte[] auditRecord() {
         return null;
     }
 
     /** Whether it minds how it stands to the others, so that operators may decide in its place. */
-    boolean detectsStaleness() {
+    public boolean detectsStaleness() {
         return false;
     }
 
-    /** What operators decided, as {@link frostrelay.stragglers.Overrides} has it. */
-    void setOverrides(Set<String> overrides) {}
+    /** What operators decided, as {@link frostrelay.staleness.Overrides} has it. */
+    public void setOverrides(Set<String> overrides) {}
 
     /** A configuration with that number was read and cannot be used. */
-    void onConfigRejected(long configVersion) {}
+    public void onConfigRejected(long configVersion) {}
 
     /** The process ends in order. */
-    void close() {}
+    public void close() {}
 
-    private static final class Member extends ClusterMembership implements GossipNode.Listener, AppliedVersionTracker.Listener {
+    private static final class Member extends ClusterMembership
+            implements GossipNode.Listener, AppliedVersionTracker.Listener {
         private final ClusterOptions options;
         private final TestHooks testHooks;
         private final Config config;
@@ -172,11 +179,15 @@
             startNanos = Clock.now();
             long startUnixMillis = testHooks.wallClock().getAsLong();
             incarnation = Incarnation.fromUnixMillis(startUnixMillis);
-            List<InetSocketAddress> addresses = options.gossipEnabled() ? addresses(config) : List.of();
+            List<InetSocketAddress> addresses =
+                    options.gossipEnabled() ? addresses(config) : List.of();
             rank = config.settings().policySettings.instanceIndex();
             clusterSize = addresses.size();
             ringBuffer = new EntryRingBuffer(options.ringBytes());
-            recordFolder = options.auditEnabled() && options.recordFolder() != null ? openRecordFolder() : null;
+            recordFolder =
+                    options.auditEnabled() && options.recordFolder() != null
+                            ? openRecordFolder()
+                            : null;
             Recorder recorder =
                     !options.auditEnabled()
                             ? entry -> {}
@@ -186,7 +197,8 @@
                                     recordFolder.append(entry);
                                 }
                             };
-            AppliedVersions initialVersions = AppliedVersionTracker.initialVersions(config, buildNumber());
+            AppliedVersions initialVersions =
+                    AppliedVersionTracker.initialVersions(config, buildNumber());
             auditLog =
                     new AuditLog(
                             testHooks.recorder().apply(recorder),
@@ -236,7 +248,12 @@
             clusterCounters =
                     transport == null || !options.sharesCounters()
                             ? null
-                            : new ClusterCounterService(transport, rank, clusterSize, incarnation, testHooks.counterTotals());
+                            : new ClusterCounterService(
+                                    transport,
+                                    rank,
+                                    clusterSize,
+                                    incarnation,
+                                    testHooks.counterTotals());
             versionTracker = new AppliedVersionTracker(auditLog, testHooks.wallClock(), this);
         }
 
@@ -328,7 +345,10 @@
                     rank,
                     clusterSize,
                     options.maxBytesPerSecond());
-            GossipSettings settings = GossipSettings.STANDARD.withMaxBytesPerSecond(options.maxBytesPerSecond()).withWireVersion(testHooks.datagramFormat());
+            GossipSettings settings =
+                    GossipSettings.STANDARD
+                            .withMaxBytesPerSecond(options.maxBytesPerSecond())
+                            .withWireVersion(testHooks.datagramFormat());
             GossipNode node =
                     new GossipNode(
                             settings,
@@ -391,7 +411,8 @@
         }
 
         @Override
-        public void onAttemptObserved(long cache, AttemptObservation observation, long sentAtNanos) {
+        public void onAttemptObserved(
+                long cache, AttemptObservation observation, long sentAtNanos) {
             if (healthReports != null) {
                 healthReports.onAttemptObserved(cache, observation, sentAtNanos);
             }
@@ -427,18 +448,18 @@
         }
 
         @Override
-        DecisionObserver observer() {
+        public DecisionObserver observer() {
             return versionTracker;
         }
 
         @Override
-        void onServing() {
+        public void onServing() {
             serving = true;
             setGossipActive(true);
         }
 
         @Override
-        void setGossipActive(boolean active) {
+        public void setGossipActive(boolean active) {
             if (transport == null) {
                 return;
             }
@@ -451,7 +472,7 @@
         }
 
         @Override
-        void onShutdown(boolean replaced) {
+        public void onShutdown(boolean replaced) {
             serving = false;
             if (transport != null) {
                 transport.close(!replaced);
@@ -459,7 +480,7 @@
         }
 
         @Override
-        void tick() {
+        public void tick() {
             long now = Clock.now();
             if (now >= nextTickNanos) {
                 // Looks come four times a second: without this a second would be one and a quarter.
@@ -478,31 +499,31 @@
         }
 
         @Override
-        boolean detectsStaleness() {
+        public boolean detectsStaleness() {
             return staleInstances != null;
         }
 
         @Override
-        void setOverrides(Set<String> overrides) {
+        public void setOverrides(Set<String> overrides) {
             if (staleInstances != null) {
                 staleInstances.onOverrides(overrides);
             }
         }
 
         @Override
-        void onConfigRejected(long configVersion) {
+        public void onConfigRejected(long configVersion) {
             if (staleInstances != null) {
                 staleInstances.onConfigRejected(configVersion);
             }
         }
 
         @Override
-        byte[] auditRecord() {
+        public byte[] auditRecord() {
             return options.auditEnabled() ? ringBuffer.record() : null;
         }
 
         @Override
-        void close() {
+        public void close() {
             auditLog.recordStop(Clock.now());
             if (recordFolder != null) {
                 recordFolder.close();
@@ -510,7 +531,7 @@
         }
 
         @Override
-        byte[] statusJson() {
+        public byte[] statusJson() {
             long now = Clock.now();
             Map<String, Object> fields = new LinkedHashMap<>();
             fields.put("balancer", config.name());
@@ -527,7 +548,9 @@
                     "record",
                     recordFolder == null
                             ? "memory"
-                            : recordFailure == null ? "folder" : "folder, lacking: " + recordFailure);
+                            : recordFailure == null
+                                    ? "folder"
+                                    : "folder, lacking: " + recordFailure);
             if (staleInstances != null) {
                 staleInstances.describe(fields);
             }
@@ -592,7 +615,9 @@
                 if (staleInstances != null) {
                     row.put("heeded", staleInstances.freshnessLabel(i));
                 }
-                row.put("ageMs", known.ageNanos() < 0 ? -1 : known.ageNanos() / Clock.NANOS_PER_MILLISECOND);
+                row.put(
+                        "ageMs",
+                        known.ageNanos() < 0 ? -1 : known.ageNanos() / Clock.NANOS_PER_MILLISECOND);
                 rows.add(row);
             }
             return rows;
@@ -602,7 +627,8 @@
             Map<String, Object> fields = new LinkedHashMap<>();
             fields.put("build", String.format(Locale.ROOT, "%08x", versions.buildDigest()));
             fields.put("config", versions.configNumber());
-            fields.put("configDigest", String.format(Locale.ROOT, "%016x", versions.configDigest()));
+            fields.put(
+                    "configDigest", String.format(Locale.ROOT, "%016x", versions.configDigest()));
             fields.put("list", versions.listRevision());
             fields.put("listDigest", String.format(Locale.ROOT, "%016x", versions.listDigest()));
             fields.put("holds", String.format(Locale.ROOT, "%016x", versions.adminDrainsDigest()));
@@ -610,10 +636,15 @@
         }
 
         @Override
-        public void onMemberState(long now, int peerRank, long peerIncarnation, MemberState state, int reportedBy) {
+        public void onMemberState(
+                long now, int peerRank, long peerIncarnation, MemberState state, int reportedBy) {
             auditLog.onMemberState(now, peerRank, peerIncarnation, state, reportedBy);
             if (counters.mayLogPeerState()) {
-                Log.write(Event.PEER_STATE, peerRank, state.name().toLowerCase(Locale.ROOT), reportedBy);
+                Log.write(
+                        Event.PEER_STATE,
+                        peerRank,
+                        state.name().toLowerCase(Locale.ROOT),
+                        reportedBy);
             }
             onPeerUpdated(peerRank);
         }
@@ -633,7 +664,13 @@
         }
 
         @Override
-        public void onPayload(long now, long delayNanos, int sender, long senderIncarnation, int type, ByteBuffer content) {
+        public void onPayload(
+                long now,
+                long delayNanos,
+                int sender,
+                long senderIncarnation,
+                int type,
+                ByteBuffer content) {
             if (staleInstances != null) {
                 staleInstances.onSection(now, sender, type, content);
             }
@@ -641,7 +678,8 @@
                 healthReports.onSection(now, delayNanos, sender, senderIncarnation, type, content);
             }
             if (clusterCounters != null) {
-                clusterCounters.onSection(now, delayNanos, sender, senderIncarnation, type, content);
+                clusterCounters.onSection(
+                        now, delayNanos, sender, senderIncarnation, type, content);
             }
         }
 
@@ -654,7 +692,13 @@
         }
 
         @Override
-        public void onMemberEntry(long now, int peerRank, long peerIncarnation, int sequence, int versionsRef, long ageNanos) {
+        public void onMemberEntry(
+                long now,
+                int peerRank,
+                long peerIncarnation,
+                int sequence,
+                int versionsRef,
+                long ageNanos) {
             auditLog.onMemberEntry(now, peerRank, peerIncarnation, sequence, versionsRef, ageNanos);
             onPeerUpdated(peerRank);
         }
@@ -663,13 +707,20 @@
         public void onAppliedVersions(long now, int versionsRef, AppliedVersions versions) {
             // The record of who acts on it has it. Peers that were heard of before their stamp's
             // content was:
-            for (int i = 0; staleInstances != null && transport.node() != null && i < clusterSize; i++) {
+            for (int i = 0;
+                    staleInstances != null && transport.node() != null && i < clusterSize;
+                    i++) {
                 onPeerUpdated(i);
             }
         }
 
         @Override
-        public void onClockSample(long now, int peerRank, long peerIncarnation, long sentAtNanos, long peerUnixMillis) {
+        public void onClockSample(
+                long now,
+                int peerRank,
+                long peerIncarnation,
+                long sentAtNanos,
+                long peerUnixMillis) {
             auditLog.onClockSample(now, peerRank, peerIncarnation, sentAtNanos, peerUnixMillis);
         }
     }
--- a/node/src/main/java/frostrelay/node/ClusterOptions.java
+++ b/node/src/main/java/frostrelay/node/cluster/ClusterOptions.java
@@ -1,4 +1,6 @@
-package frostrelay.node;
+package frostrelay.node.cluster;
+
+import frostrelay.node.config.ConfigException;
 
 import java.nio.file.Path;
 import java.util.function.Function;
@@ -8,19 +10,20 @@
  *
  * @param gossipEnabled whether it talks with its peers, where the platform allows it
  * @param maxBytesPerSecond most bytes of such talk in any second
- * @param stalenessDetection whether it brings itself up, avoids caches on hearsay and steps aside where it
- *     lags behind; needs peers
- * @param sharesAdminDrains whether it tells its operators' holds and heeds those that several others' operators
- *     set; needs stragglers
- * @param transfersConfig whether it gives settings to those that lack them and takes them from others;
- *     needs stragglers
- * @param sharesHealthReports whether it tells what it sees of caches and lowers those that others find bad;
- *     needs peers
+ * @param stalenessDetection whether it brings itself up, avoids caches on hearsay and steps aside
+ *     where it lags behind; needs peers
+ * @param sharesAdminDrains whether it tells its operators' holds and heeds those that several
+ *     others' operators set; needs stragglers
+ * @param transfersConfig whether it gives settings to those that lack them and takes them from
+ *     others; needs stragglers
+ * @param sharesHealthReports whether it tells what it sees of caches and lowers those that others
+ *     find bad; needs peers
  * @param sharesCounters whether it tells what it does and sums up what the others say; needs peers
  * @param auditEnabled whether it keeps account of what it acts on
  * @param ringBytes bytes of that in memory
  * @param recordsEachSend whether every send is entered by itself
- * @param recordFolder where the record is kept besides, or null; below {@code $TMPDIR} if it is relative
+ * @param recordFolder where the record is kept besides, or null; below {@code $TMPDIR} if it is
+ *     relative
  * @param maxFolderBytes bytes that the folder may take
  */
 public record ClusterOptions(
@@ -58,7 +61,7 @@
      * From the JVM's own properties, where no file is read: {@code -Dfrostrelay.peers=on} and so
      * on.
      */
-    static ClusterOptions of(Function<String, String> properties) {
+    public static ClusterOptions of(Function<String, String> properties) {
         String recordFolder = properties.apply(PREFIX + "audit.folder");
         return new ClusterOptions(
                 isOn(properties, "peers"),
@@ -83,7 +86,8 @@
         return "on".equals(value);
     }
 
-    private static long byteCount(Function<String, String> properties, String name, long defaultValue) {
+    private static long byteCount(
+            Function<String, String> properties, String name, long defaultValue) {
         String value = properties.apply(PREFIX + name);
         try {
             long bytes = value == null ? defaultValue : Long.parseLong(value);
--- a/node/src/main/java/frostrelay/node/GossipTransport.java
+++ b/node/src/main/java/frostrelay/node/cluster/GossipTransport.java
@@ -1,8 +1,9 @@
-package frostrelay.node;
+package frostrelay.node.cluster;
 
-import frostrelay.log.Event;
-import frostrelay.log.Log;
-import frostrelay.peers.GossipNode;
+import frostrelay.gossip.GossipNode;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
+import frostrelay.node.time.Clock;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -25,9 +26,11 @@
 import java.util.function.Function;
 
 /**
- * The datagrams of one balancer: hands them to {@link GossipNode} and keeps its time. On the event loop.
+ * The datagrams of one balancer: hands them to {@link GossipNode} and keeps its time. On the event
+ * loop.
  */
-final class GossipTransport extends SimpleChannelInboundHandler<DatagramPacket> implements GossipNode.Actions {
+final class GossipTransport extends SimpleChannelInboundHandler<DatagramPacket>
+        implements GossipNode.Actions {
     /** One byte more than is ever valid, so that what is longer shows as such. */
     private static final int RECEIVE_BUFFER_BYTES = 257;
 
@@ -44,8 +47,8 @@
     private long foreignDatagrams;
 
     /**
-     * {@code addresses}: of all balancers of the tier in their order; {@code nodeFactory}: of a talk from
-     * its begin on.
+     * {@code addresses}: of all balancers of the tier in their order; {@code nodeFactory}: of a
+     * talk from its begin on.
      */
     GossipTransport(
             EventLoop loop,
@@ -73,7 +76,9 @@
                         // During an upgrade the older process has the address until it sees the
                         // younger one.
                         .option(ChannelOption.SO_REUSEADDR, true)
-                        .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES))
+                        .option(
+                                ChannelOption.RCVBUF_ALLOCATOR,
+                                new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES))
                         .handler(this)
                         .bind(listenAddress)
                         .addListener(
@@ -151,7 +156,11 @@
                 wakeTimer.cancel(false);
             }
             wakeAtNanos = nextNanos;
-            wakeTimer = loop.schedule(this::onTimer, Math.max(0, nextNanos - Clock.now()), TimeUnit.NANOSECONDS);
+            wakeTimer =
+                    loop.schedule(
+                            this::onTimer,
+                            Math.max(0, nextNanos - Clock.now()),
+                            TimeUnit.NANOSECONDS);
         }
     }
 
--- a/node/src/main/java/frostrelay/node/HealthReportService.java
+++ b/node/src/main/java/frostrelay/node/cluster/HealthReportService.java
@@ -1,12 +1,14 @@
-package frostrelay.node;
-
-import frostrelay.judgements.HealthReport;
-import frostrelay.judgements.HealthReportSettings;
-import frostrelay.judgements.HealthReportAggregator;
-import frostrelay.judgements.AttemptObservation;
-import frostrelay.log.Event;
-import frostrelay.log.Log;
-import frostrelay.peers.PayloadProvider;
+package frostrelay.node.cluster;
+
+import frostrelay.gossip.PayloadProvider;
+import frostrelay.healthreports.AttemptObservation;
+import frostrelay.healthreports.HealthReport;
+import frostrelay.healthreports.HealthReportAggregator;
+import frostrelay.healthreports.HealthReportSettings;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
+import frostrelay.node.metrics.Counters;
+import frostrelay.node.time.Clock;
 
 import io.netty.channel.EventLoop;
 
@@ -21,8 +23,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * What this balancer and the others see of their caches: attempts go to {@link HealthReportAggregator}, what
- * comes of that to the module.
+ * What this balancer and the others see of their caches: attempts go to {@link
+ * HealthReportAggregator}, what comes of that to the module.
  */
 final class HealthReportService implements HealthReportAggregator.Actions {
     private final EventLoop loop;
@@ -81,7 +83,13 @@
         schedule();
     }
 
-    void onSection(long now, long delayNanos, int sender, long senderIncarnation, int type, ByteBuffer content) {
+    void onSection(
+            long now,
+            long delayNanos,
+            int sender,
+            long senderIncarnation,
+            int type,
+            ByteBuffer content) {
         aggregator.onSection(now, delayNanos, sender, senderIncarnation, type, content);
         schedule();
     }
@@ -147,7 +155,8 @@
             fields.put("cache", cacheNames.getOrDefault(cache, "unlisted"));
             fields.put("lowered", aggregator.outliers().contains(cache));
             List<Object> reports = new ArrayList<>();
-            for (Map.Entry<HealthReport, Long> entry : aggregator.reportAges(now, cache).entrySet()) {
+            for (Map.Entry<HealthReport, Long> entry :
+                    aggregator.reportAges(now, cache).entrySet()) {
                 HealthReport report = entry.getKey();
                 Map<String, Object> reportFields = new LinkedHashMap<>();
                 reportFields.put("by", report.rank());
--- a/node/src/main/java/frostrelay/node/StaleInstanceService.java
+++ b/node/src/main/java/frostrelay/node/cluster/StaleInstanceService.java
@@ -1,19 +1,21 @@
-package frostrelay.node;
+package frostrelay.node.cluster;
 
 import frostrelay.audit.AuditLog;
-import frostrelay.log.Event;
-import frostrelay.log.Log;
-import frostrelay.peers.PayloadProvider;
-import frostrelay.peers.Incarnation;
-import frostrelay.peers.MemberSnapshot;
-import frostrelay.peers.AppliedVersions;
-import frostrelay.stragglers.ConfigTransfer;
-import frostrelay.stragglers.PeerFreshness;
-import frostrelay.stragglers.VersionKind;
-import frostrelay.stragglers.OperatorOverrides;
-import frostrelay.stragglers.StalenessSettings;
-import frostrelay.stragglers.StalenessDetector;
-import frostrelay.stragglers.StalenessCodec;
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.gossip.Incarnation;
+import frostrelay.gossip.MemberSnapshot;
+import frostrelay.gossip.PayloadProvider;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
+import frostrelay.node.metrics.Counters;
+import frostrelay.node.time.Clock;
+import frostrelay.staleness.ConfigTransfer;
+import frostrelay.staleness.OperatorOverrides;
+import frostrelay.staleness.PeerFreshness;
+import frostrelay.staleness.StalenessCodec;
+import frostrelay.staleness.StalenessDetector;
+import frostrelay.staleness.StalenessSettings;
+import frostrelay.staleness.VersionKind;
 
 import io.netty.channel.EventLoop;
 
@@ -28,10 +30,11 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Where this balancer stands to the others of its tier: what it hears goes to {@link StalenessDetector},
- * and what comes of that is carried out. On the event loop.
+ * Where this balancer stands to the others of its tier: what it hears goes to {@link
+ * StalenessDetector}, and what comes of that is carried out. On the event loop.
  */
-final class StaleInstanceService implements StalenessDetector.Actions, StalenessCodec.Listener, ConfigTransfer.Actions {
+final class StaleInstanceService
+        implements StalenessDetector.Actions, StalenessCodec.Listener, ConfigTransfer.Actions {
     private final ClusterOptions options;
     private final EventLoop loop;
     private final ClusterMembership.Actions actions;
@@ -89,7 +92,10 @@
     }
 
     private boolean knowsAdminDrains(int peer, long digest) {
-        AppliedVersions versions = transport.node() == null ? null : transport.node().snapshot(Clock.now(), peer).appliedVersions();
+        AppliedVersions versions =
+                transport.node() == null
+                        ? null
+                        : transport.node().snapshot(Clock.now(), peer).appliedVersions();
         return versions != null && versions.adminDrainsDigest() == digest;
     }
 
@@ -172,7 +178,8 @@
     }
 
     @Override
-    public void onVersionFailing(long now, int sender, VersionKind kind, long number, boolean fails) {
+    public void onVersionFailing(
+            long now, int sender, VersionKind kind, long number, boolean fails) {
         detector.onVersionFailing(now, sender, kind, number, fails);
     }
 
@@ -198,7 +205,8 @@
 
     private void schedule() {
         long now = Clock.now();
-        long nextNanos = Math.min(detector.nextTimerAtNanos(now), configTransfer.nextTimerAtNanos());
+        long nextNanos =
+                Math.min(detector.nextTimerAtNanos(now), configTransfer.nextTimerAtNanos());
         if (nextNanos < wakeAtNanos) {
             wakeAtNanos = nextNanos;
             loop.schedule(
@@ -234,7 +242,10 @@
 
     @Override
     public void requestPiece(int holder, long digest, int piece) {
-        transport.sendSection(holder, StalenessCodec.pieceRequestType(), StalenessCodec.encodePieceRequest(digest, piece));
+        transport.sendSection(
+                holder,
+                StalenessCodec.pieceRequestType(),
+                StalenessCodec.encodePieceRequest(digest, piece));
     }
 
     @Override
@@ -292,7 +303,8 @@
     @Override
     public void onVersionNotFollowed(VersionKind kind, long number, String why) {
         Log.write(Event.VERSION_NOT_FOLLOWED, kind.displayName(), number, why);
-        auditLog.recordRejection(Clock.now(), kind.displayName() + ' ' + number + " is not followed: " + why);
+        auditLog.recordRejection(
+                Clock.now(), kind.displayName() + ' ' + number + " is not followed: " + why);
     }
 
     @Override
@@ -306,7 +318,9 @@
         target.put("standing", label(detector.listStanding()));
         target.put(
                 "newestList",
-                detector.newestListRevision() == Long.MIN_VALUE ? "unknown" : detector.newestListRevision());
+                detector.newestListRevision() == Long.MIN_VALUE
+                        ? "unknown"
+                        : detector.newestListRevision());
         long behindNanos = detector.behindForNanos(Clock.now());
         target.put("behindMs", behindNanos < 0 ? 0 : behindNanos / Clock.NANOS_PER_MILLISECOND);
         target.put("configStanding", label(detector.configStanding()));
@@ -332,8 +346,7 @@
 
     /** Whether what that one says of shared state is to be gone by. */
     String freshnessLabel(int peer) {
-        return detector
-                .freshnessOf(Clock.now(), peer)
+        return detector.freshnessOf(Clock.now(), peer)
                 .name()
                 .toLowerCase(Locale.ROOT)
                 .replace('_', '-');
--- a/node/src/main/java/frostrelay/node/Config.java
+++ b/node/src/main/java/frostrelay/node/config/Config.java
@@ -1,15 +1,16 @@
-package frostrelay.node;
+package frostrelay.node.config;
 
-import frostrelay.peers.AppliedVersions;
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.node.time.Clock;
 
 import java.net.InetSocketAddress;
 import java.util.Map;
 
 /**
- * What the deployment tells this balancer. {@code adminAddress}: where operators call, or null; {@code
- * json}: all of it as it was told.
+ * What the deployment tells this balancer. {@code adminAddress}: where operators call, or null;
+ * {@code json}: all of it as it was told.
  */
-record Config(
+public record Config(
         String name,
         InetSocketAddress listenAddress,
         InetSocketAddress adminAddress,
@@ -21,20 +22,22 @@
         Map<?, ?> json) {
     private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
 
-    static Config read(ConfigFile file) {
+    public static Config read(ConfigFile file) {
         return parse(file.load());
     }
 
     /**
      * What replaces this configuration: it must be whole, and goes by the numbering of this one.
      */
-    Config replacedBy(Map<?, ?> newJson) {
+    public Config replacedBy(Map<?, ?> newJson) {
         ConfigValidator.checkReplacement(json, newJson);
-        return parse(newJson, settings.replacedBy(Json.get(newJson, "settings", Map.class), Clock.now()));
+        return parse(
+                newJson,
+                settings.replacedBy(Json.get(newJson, "settings", Map.class), Clock.now()));
     }
 
     /** The operators' version number of it, or {@link AppliedVersions#NO_NUMBER}. */
-    long version() {
+    public long version() {
         return Json.get(json, "version", Number.class, AppliedVersions.NO_NUMBER).longValue();
     }
 
@@ -42,11 +45,11 @@
      * Of the settings that all balancers of a tier share: the same for the same, in whatever order
      * they stand.
      */
-    long settingsDigest() {
+    public long settingsDigest() {
         return Digests.of(DeploymentSettings.sharedText(Json.get(json, "settings", Map.class)));
     }
 
-    static Config parse(Map<?, ?> json) {
+    public static Config parse(Map<?, ?> json) {
         ConfigValidator.checkValues(json);
         return parse(json, new DeploymentSettings(Json.get(json, "settings", Map.class)));
     }
--- a/node/src/main/java/frostrelay/node/ConfigFile.java
+++ b/node/src/main/java/frostrelay/node/config/ConfigFile.java
@@ -1,4 +1,4 @@
-package frostrelay.node;
+package frostrelay.node.config;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -21,7 +21,7 @@
 
     private FileVersion lastCheckedVersion;
 
-    ConfigFile(String path) {
+    public ConfigFile(String path) {
         if (path == null || path.isEmpty()) {
             throw new ConfigException("GW_CONFIG is not set");
         }
@@ -29,7 +29,7 @@
     }
 
     /** What it tells, as yet unchecked; throws {@link ConfigException} if that is no object. */
-    synchronized Map<?, ?> load() {
+    public synchronized Map<?, ?> load() {
         try {
             byte[] bytes = Files.readAllBytes(path);
             loadedChecksum = checksum(bytes);
@@ -46,7 +46,7 @@
      * counts once two looks in a row have found the file the same, lest half of it be read while it
      * is written.
      */
-    synchronized boolean hasChanged() {
+    public synchronized boolean hasChanged() {
         try {
             BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
             FileVersion version = new FileVersion(attributes.lastModifiedTime(), attributes.size());
--- a/node/src/main/java/frostrelay/node/ConfigValidator.java
+++ b/node/src/main/java/frostrelay/node/config/ConfigValidator.java
@@ -1,4 +1,4 @@
-package frostrelay.node;
+package frostrelay.node.config;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -35,7 +35,9 @@
                             Object replacementValue = newValue.get(name);
                             requireSameShape(
                                     path.isEmpty() ? (String) name : path + "." + name,
-                                    INITIAL_ENDPOINTS_KEY.equals(name) && path.isEmpty() && replacementValue != null
+                                    INITIAL_ENDPOINTS_KEY.equals(name)
+                                                    && path.isEmpty()
+                                                    && replacementValue != null
                                             ? replacementValue
                                             : value,
                                     replacementValue);
--- a/node/src/main/java/frostrelay/node/CurrentSettings.java
+++ b/node/src/main/java/frostrelay/node/config/CurrentSettings.java
@@ -1,21 +1,21 @@
-package frostrelay.node;
+package frostrelay.node.config;
 
 /**
  * The settings that hold now: one value, swapped whole, so that nothing ever goes by half of the
  * new ones.
  */
-final class CurrentSettings {
+public final class CurrentSettings {
     private DeploymentSettings settings;
 
-    CurrentSettings(DeploymentSettings settings) {
+    public CurrentSettings(DeploymentSettings settings) {
         this.settings = settings;
     }
 
-    DeploymentSettings get() {
+    public DeploymentSettings get() {
         return settings;
     }
 
-    void replace(DeploymentSettings newSettings) {
+    public void replace(DeploymentSettings newSettings) {
         settings = newSettings;
     }
 }
--- a/node/src/main/java/frostrelay/node/DeploymentSettings.java
+++ b/node/src/main/java/frostrelay/node/config/DeploymentSettings.java
@@ -1,6 +1,7 @@
-package frostrelay.node;
+package frostrelay.node.config;
 
-import frostrelay.policy.Api;
+import frostrelay.node.time.Clock;
+import frostrelay.policy.api.PolicySettings;
 import frostrelay.settings.SettingsParser;
 
 import java.nio.charset.StandardCharsets;
@@ -14,7 +15,7 @@
  * The settings of a site: those of the module, the names that stand on sockets for its numbers, and
  * the figures that only sockets need.
  */
-final class DeploymentSettings {
+public final class DeploymentSettings {
     /** Load report fields: their names on sockets and in the settings, where these differ. */
     private static final Map<String, String> REPORT_FIELD_ALIASES =
             Map.of(
@@ -38,9 +39,9 @@
     private static final char MAX_ASCII = 0x7f;
     private static final long REMOVED_CLASS_GRACE_NANOS = 5 * Clock.NANOS_PER_SECOND;
 
-    final Api.Settings policySettings;
-    final long idleTimeoutNanos;
-    final int maxOpenRequests;
+    public final PolicySettings policySettings;
+    public final long idleTimeoutNanos;
+    public final int maxOpenRequests;
     private final Map<String, Integer> classNumbers;
     private final Map<String, Integer> tenantNumbers;
     private final Map<String, Integer> zoneNumbers;
@@ -56,7 +57,7 @@
      */
     private final Map<String, Long> removedClassUntilNanos;
 
-    DeploymentSettings(Map<?, ?> json) {
+    public DeploymentSettings(Map<?, ?> json) {
         this(json, new HashMap<>());
     }
 
@@ -88,11 +89,15 @@
      * What holds once these settings are told: names keep their numbers, and dropped classes live
      * on for a while.
      */
-    DeploymentSettings replacedBy(Map<?, ?> newJson, long now) {
+    public DeploymentSettings replacedBy(Map<?, ?> newJson, long now) {
         Map<String, Long> removedUntilNanos = new HashMap<>();
         for (String name : SettingsMerge.removedNames(json, newJson, "categories")) {
-            long deadlineNanos = policySettings.classes().get(classNumbers.get(name)).deadlineNanos();
-            removedUntilNanos.put(name, removedClassUntilNanos.getOrDefault(name, now + Math.max(REMOVED_CLASS_GRACE_NANOS, deadlineNanos)));
+            long deadlineNanos =
+                    policySettings.classes().get(classNumbers.get(name)).deadlineNanos();
+            removedUntilNanos.put(
+                    name,
+                    removedClassUntilNanos.getOrDefault(
+                            name, now + Math.max(REMOVED_CLASS_GRACE_NANOS, deadlineNanos)));
         }
         return new DeploymentSettings(SettingsMerge.merge(json, newJson), removedUntilNanos);
     }
@@ -130,7 +135,9 @@
                 flatten(path + "." + i, list.get(i), lines);
             }
         } else if (value instanceof List<?> list) {
-            lines.put(path, String.join(",", list.stream().map(DeploymentSettings::formatScalar).toList()));
+            lines.put(
+                    path,
+                    String.join(",", list.stream().map(DeploymentSettings::formatScalar).toList()));
         } else if (value != null) {
             lines.put(path, formatScalar(value));
         }
@@ -182,22 +189,29 @@
      * The number of a request class, or null for a name that the settings do not hold, or no
      * longer.
      */
-    Integer classNumber(String line) {
+    public Integer classNumber(String line) {
         String name = decodeName(line);
         Long removedUntilNanos = removedClassUntilNanos.get(name);
-        return removedUntilNanos == null || Clock.now() < removedUntilNanos ? classNumbers.get(name) : null;
+        return removedUntilNanos == null || Clock.now() < removedUntilNanos
+                ? classNumbers.get(name)
+                : null;
     }
 
     /** The longest deadline of a class that the settings name. */
-    long longestDeadlineNanos() {
+    public long longestDeadlineNanos() {
         return classNames().stream()
-                .mapToLong(name -> policySettings.classes().get(classNumbers.get(name)).deadlineNanos())
+                .mapToLong(
+                        name ->
+                                policySettings
+                                        .classes()
+                                        .get(classNumbers.get(name))
+                                        .deadlineNanos())
                 .max()
                 .orElse(0);
     }
 
     /** The classes that the settings name, those named no more left out. */
-    List<String> classNames() {
+    public List<String> classNames() {
         return classNumbers.keySet().stream()
                 .filter(name -> !removedClassUntilNanos.containsKey(name))
                 .sorted()
@@ -205,12 +219,12 @@
     }
 
     /** The number of a tenant; where the site has none, every name is tenant 0. */
-    Integer tenantNumber(String line) {
+    public Integer tenantNumber(String line) {
         return tenantNumbers.isEmpty() ? Integer.valueOf(0) : tenantNumbers.get(decodeName(line));
     }
 
     /** A zone that the settings do not name gets a number of its own: it is nobody's own zone. */
-    int zoneNumber(String name) {
+    public int zoneNumber(String name) {
         return zoneNumbers.computeIfAbsent(name, n -> zoneNumbers.size());
     }
 
@@ -221,7 +235,7 @@
     /**
      * The values of a load report, as the settings order them; empty unless it holds all of them.
      */
-    float[] parseReport(String text) {
+    public float[] parseReport(String text) {
         if (text == null || reportFieldNumbers.isEmpty()) {
             return EMPTY_REPORT;
         }
--- a/node/src/main/java/frostrelay/node/Digests.java
+++ b/node/src/main/java/frostrelay/node/config/Digests.java
@@ -1,4 +1,4 @@
-package frostrelay.node;
+package frostrelay.node.config;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -9,10 +9,10 @@
  * Digests of what balancers act on: the first 8 bytes of SHA-256, the same at every balancer and
  * for whoever checks.
  */
-final class Digests {
+public final class Digests {
     private Digests() {}
 
-    static long of(byte[] bytes) {
+    public static long of(byte[] bytes) {
         try {
             return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(bytes)).getLong();
         } catch (NoSuchAlgorithmException e) {
@@ -20,7 +20,7 @@
         }
     }
 
-    static long of(String text) {
+    public static long of(String text) {
         return of(text.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/node/src/main/java/frostrelay/node/EndpointList.java
+++ b/node/src/main/java/frostrelay/node/config/EndpointList.java
@@ -1,6 +1,8 @@
-package frostrelay.node;
+package frostrelay.node.config;
 
-import frostrelay.policy.Api;
+import frostrelay.node.time.Clock;
+import frostrelay.policy.api.EndpointState;
+import frostrelay.policy.api.Server;
 
 import io.netty.util.NetUtil;
 
@@ -13,15 +15,15 @@
 import java.util.Map;
 
 /** A list of cache hosts in discovery's form: all of them, or those that changed. */
-record EndpointList(long revision, boolean isFull, List<Endpoint> endpoints) {
+public record EndpointList(long revision, boolean isFull, List<Endpoint> endpoints) {
     private static final int MAX_PORT = 0xffff;
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
     /** A host as the module knows it, and where it is reached from here. */
-    record Endpoint(String uid, Api.Server server, InetSocketAddress address) {}
+    public record Endpoint(String uid, Server server, InetSocketAddress address) {}
 
-    static EndpointList parse(Map<?, ?> json, DeploymentSettings settings) {
+    public static EndpointList parse(Map<?, ?> json, DeploymentSettings settings) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (Object target : Json.list(json, "targets")) {
             endpoints.add(parseEndpoint(Json.object(target), settings));
@@ -33,11 +35,11 @@
     }
 
     private static Endpoint parseEndpoint(Map<?, ?> json, DeploymentSettings settings) {
-        Api.State state =
+        EndpointState state =
                 switch (Json.get(json, "state", String.class)) {
-                    case "Ready" -> Api.State.READY;
-                    case "Terminating" -> Api.State.DRAINING;
-                    case "Gone" -> Api.State.REMOVED;
+                    case "Ready" -> EndpointState.READY;
+                    case "Terminating" -> EndpointState.DRAINING;
+                    case "Gone" -> EndpointState.REMOVED;
                     default ->
                             throw new ConfigException(
                                     "unknown state of a cache host: " + json.get("state"));
@@ -46,20 +48,21 @@
         // balancer:
         // rendezvous hashing and slow start need the same id everywhere.
         String uid = Json.get(json, "uid", String.class);
-        Api.Server server =
-                new Api.Server(
+        Server server =
+                new Server(
                         serverId(uid),
                         settings.zoneNumber(Json.get(json, "az", String.class, "")),
                         settings.kindNumber(Json.get(json, "model", String.class, "")),
                         Json.get(json, "pod_group", Number.class, 0).intValue(),
                         state,
                         Json.get(json, "capacity_hint", Number.class, 1).doubleValue(),
-                        Json.get(json, "boot_ms", Number.class, 0).longValue() * Clock.NANOS_PER_MILLISECOND);
+                        Json.get(json, "boot_ms", Number.class, 0).longValue()
+                                * Clock.NANOS_PER_MILLISECOND);
         return new Endpoint(uid, server, parseAddress(Json.get(json, "endpoint", String.class)));
     }
 
     /** FNV-1a: the same 64-bit number for a text at every balancer. */
-    static long serverId(String text) {
+    public static long serverId(String text) {
         long hash = FNV_OFFSET;
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
             hash = (hash ^ (b & 0xff)) * FNV_PRIME;
@@ -68,7 +71,7 @@
     }
 
     /** Reads ADDRESS:PORT; names are not looked up, as there is no DNS. */
-    static InetSocketAddress parseAddress(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] address =
                 colon < 0
--- a/node/src/main/java/frostrelay/node/Json.java
+++ b/node/src/main/java/frostrelay/node/config/Json.java
@@ -1,4 +1,4 @@
-package frostrelay.node;
+package frostrelay.node.config;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
@@ -8,10 +8,10 @@
 import java.util.Map;
 
 /** Typed looks into parsed JSON; what is missing or of another type is said in one line. */
-final class Json {
+public final class Json {
     private Json() {}
 
-    static Map<?, ?> parse(byte[] utf8) {
+    public static Map<?, ?> parse(byte[] utf8) {
         try {
             return JSON.std.mapFrom(new String(utf8, StandardCharsets.UTF_8));
         } catch (IOException e) {
@@ -20,7 +20,7 @@
         }
     }
 
-    static <T> T get(Map<?, ?> object, String name, Class<T> type) {
+    public static <T> T get(Map<?, ?> object, String name, Class<T> type) {
         Object value = object.get(name);
         if (!type.isInstance(value)) {
             throw new ConfigException("'" + name + "' is missing or no " + type.getSimpleName());
@@ -28,18 +28,18 @@
         return type.cast(value);
     }
 
-    static <T> T get(Map<?, ?> object, String name, Class<T> type, T defaultValue) {
+    public static <T> T get(Map<?, ?> object, String name, Class<T> type, T defaultValue) {
         return object.get(name) == null ? defaultValue : get(object, name, type);
     }
 
-    static Map<?, ?> object(Object value) {
+    public static Map<?, ?> object(Object value) {
         if (value instanceof Map<?, ?> map) {
             return map;
         }
         throw new ConfigException("a list holds something else than objects");
     }
 
-    static List<?> list(Map<?, ?> object, String name) {
+    public static List<?> list(Map<?, ?> object, String name) {
         return get(object, name, List.class, List.of());
     }
 }
--- a/node/src/main/java/frostrelay/node/SettingsMerge.java
+++ b/node/src/main/java/frostrelay/node/config/SettingsMerge.java
@@ -1,4 +1,4 @@
-package frostrelay.node;
+package frostrelay.node.config;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -21,7 +21,8 @@
             merged.put(list, mergeByName(Json.list(current, list), Json.list(replacement, list)));
         }
         renumber(merged, current, replacement, "zones", "my-zone");
-        Map<String, Object> family = copy(Json.get(replacement, "family-info", Map.class, Map.of()));
+        Map<String, Object> family =
+                copy(Json.get(replacement, "family-info", Map.class, Map.of()));
         renumber(family, current, replacement, "kinds", "origin-kind");
         merged.put("kinds", family.remove("kinds"));
         merged.put("family-info", family);
@@ -61,8 +62,8 @@
     }
 
     /**
-     * Puts the merged list into an object, and into its {@code indexKey} where that points to in the
-     * list.
+     * Puts the merged list into an object, and into its {@code indexKey} where that points to in
+     * the list.
      */
     private static void renumber(
             Map<String, Object> object,
@@ -70,13 +71,16 @@
             Map<?, ?> replacement,
             String list,
             String indexKey) {
-        object.computeIfPresent(indexKey, (name, oldIndex) -> mergedIndex(current, replacement, list, oldIndex));
+        object.computeIfPresent(
+                indexKey, (name, oldIndex) -> mergedIndex(current, replacement, list, oldIndex));
         object.put(list, mergeValues(current, replacement, list));
     }
 
     private static List<Object> mergeValues(Map<?, ?> current, Map<?, ?> replacement, String list) {
         List<Object> merged = new ArrayList<>(Json.list(current, list));
-        Json.list(replacement, list).stream().filter(value -> !merged.contains(value)).forEach(merged::add);
+        Json.list(replacement, list).stream()
+                .filter(value -> !merged.contains(value))
+                .forEach(merged::add);
         return merged;
     }
 
@@ -84,7 +88,8 @@
      * Where what stands at a place of the fresh list stands in the merged one; a place outside it
      * stays.
      */
-    private static Object mergedIndex(Map<?, ?> current, Map<?, ?> replacement, String list, Object oldIndex) {
+    private static Object mergedIndex(
+            Map<?, ?> current, Map<?, ?> replacement, String list, Object oldIndex) {
         List<?> newValues = Json.list(replacement, list);
         int index = oldIndex instanceof Number number ? number.intValue() : -1;
         return index >= 0 && index < newValues.size()
--- a/node/src/main/java/frostrelay/node/SharedSettingsCodec.java
+++ b/node/src/main/java/frostrelay/node/config/SharedSettingsCodec.java
@@ -1,4 +1,4 @@
-package frostrelay.node;
+package frostrelay.node.config;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
@@ -16,7 +16,7 @@
  * What all balancers of a tier share of a configuration, the settings but for those of one balancer
  * and the operators' number, as bytes that can be handed to another.
  */
-final class SharedSettingsCodec {
+public final class SharedSettingsCodec {
     /** A hundred times what a configuration has: what unpacks to more is none. */
     private static final int MAX_INFLATED_BYTES = 512 * 1024;
 
@@ -24,7 +24,7 @@
 
     private SharedSettingsCodec() {}
 
-    static byte[] encode(Map<?, ?> json) {
+    public static byte[] encode(Map<?, ?> json) {
         Map<String, Object> shared = new TreeMap<>();
         shared.put("version", json.get("version"));
         Map<String, Object> settings = copy(Json.get(json, "settings", Map.class));
@@ -52,7 +52,7 @@
      * A running configuration with what another balancer packed in place of its own; throws {@link
      * ConfigException} where that is nothing of the kind or has another digest.
      */
-    static Map<?, ?> withSharedSettings(Map<?, ?> running, byte[] encoded, long digest) {
+    public static Map<?, ?> withSharedSettings(Map<?, ?> running, byte[] encoded, long digest) {
         Map<?, ?> shared = Json.parse(inflate(encoded));
         Map<String, Object> settings = copy(Json.get(shared, "settings", Map.class));
         settings.keySet().removeAll(DeploymentSettings.LOCAL_KEYS);
--- a/node/src/main/java/frostrelay/node/DiscoveryClient.java
+++ b/node/src/main/java/frostrelay/node/discovery/DiscoveryClient.java
@@ -1,9 +1,16 @@
-package frostrelay.node;
+package frostrelay.node.discovery;
 
-import frostrelay.log.Event;
-import frostrelay.log.Log;
-import frostrelay.policy.Api;
-import frostrelay.policy.Api.ListMode;
+import frostrelay.node.config.Config;
+import frostrelay.node.config.ConfigException;
+import frostrelay.node.config.CurrentSettings;
+import frostrelay.node.config.EndpointList;
+import frostrelay.node.config.Json;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
+import frostrelay.node.net.Connector;
+import frostrelay.node.time.Clock;
+import frostrelay.policy.api.EndpointUpdateMode;
+import frostrelay.policy.api.PolicySettings;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -31,10 +38,11 @@
 import java.util.concurrent.TimeUnit;
 
 /** Follows discovery's list of cache hosts, from when the module asks until a call fails. */
-final class DiscoveryClient {
+public final class DiscoveryClient {
     /** Hears every list in order. A failure ends the watch; the module says when to ask again. */
-    interface Listener {
-        void onEndpointList(ListMode mode, long revision, List<EndpointList.Endpoint> endpoints);
+    public interface Listener {
+        void onEndpointList(
+                EndpointUpdateMode mode, long revision, List<EndpointList.Endpoint> endpoints);
     }
 
     /**
@@ -86,7 +94,8 @@
     /** The call that is out or about to begin; null while nobody watches. */
     private WatchCall currentCall;
 
-    DiscoveryClient(Config config, CurrentSettings currentSettings, EventLoop loop, Listener listener) {
+    public DiscoveryClient(
+            Config config, CurrentSettings currentSettings, EventLoop loop, Listener listener) {
         this.address = config.discoveryAddress();
         this.currentSettings = currentSettings;
         this.loop = loop;
@@ -96,16 +105,18 @@
     }
 
     private long watchWaitMillis() {
-        Api.Settings settings = currentSettings.get().policySettings;
+        PolicySettings settings = currentSettings.get().policySettings;
         return settings.subscribe()
                 ? Math.max(
                         MIN_WATCH_WAIT_MILLIS,
-                        Math.min(MAX_WATCH_WAIT_MILLIS, settings.instanceCount() * WATCH_WAIT_PER_INSTANCE_MILLIS))
+                        Math.min(
+                                MAX_WATCH_WAIT_MILLIS,
+                                settings.instanceCount() * WATCH_WAIT_PER_INSTANCE_MILLIS))
                 : MIN_WATCH_WAIT_MILLIS;
     }
 
     /** Begins a watch from the last known version, unless one is on. */
-    void subscribe() {
+    public void subscribe() {
         if (currentCall == null) {
             currentCall = new WatchCall();
             currentCall.start();
@@ -116,7 +127,7 @@
      * Asks anew from the last known version: what the call that is out should have told may have
      * been lost.
      */
-    void refresh() {
+    public void refresh() {
         if (currentCall != null) {
             currentCall.cancel();
             currentCall = new WatchCall();
@@ -129,7 +140,7 @@
      * its end is no failure that anyone should wait after, and the new address is asked at once:
      * the old one tells nothing any more, and what the new one knows is wanted within seconds.
      */
-    void moveTo(InetSocketAddress newAddress) {
+    public void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
@@ -160,7 +171,12 @@
             }
             startedAtNanos = Clock.now();
             // Before the connection: a refused one may fail within this very call.
-            long timeoutMillis = needsFullList ? QUEUEING_TIMEOUT_MILLIS : Math.max(QUEUEING_TIMEOUT_MILLIS, watchWaitMillis() + RESPONSE_GRACE_MILLIS);
+            long timeoutMillis =
+                    needsFullList
+                            ? QUEUEING_TIMEOUT_MILLIS
+                            : Math.max(
+                                    QUEUEING_TIMEOUT_MILLIS,
+                                    watchWaitMillis() + RESPONSE_GRACE_MILLIS);
             timeoutTask = loop.schedule(this::onTimeout, timeoutMillis, TimeUnit.MILLISECONDS);
             Bootstrap bootstrap =
                     new Bootstrap()
@@ -175,7 +191,8 @@
                                             fresh.pipeline()
                                                     .addLast(
                                                             new HttpClientCodec(),
-                                                            new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                                            new HttpObjectAggregator(
+                                                                    MAX_RESPONSE_BYTES),
                                                             WatchCall.this);
                                         }
                                     });
@@ -194,7 +211,12 @@
                             HttpVersion.HTTP_1_1,
                             HttpMethod.GET,
                             "/catalog/members"
-                                    + (needsFullList ? "" : "?since=" + revision + "&timeout_ms=" + watchWaitMillis()));
+                                    + (needsFullList
+                                            ? ""
+                                            : "?since="
+                                                    + revision
+                                                    + "&timeout_ms="
+                                                    + watchWaitMillis()));
             request.headers()
                     .set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort())
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -216,24 +238,33 @@
             try {
                 endpointList =
                         EndpointList.parse(
-                                Json.parse(ByteBufUtil.getBytes(response.content())), currentSettings.get());
+                                Json.parse(ByteBufUtil.getBytes(response.content())),
+                                currentSettings.get());
             } catch (ConfigException e) {
                 fail(e.getMessage());
                 return;
             }
             finish();
             if (isAddressNew) {
-                Log.write(Event.DISCOVERY_ADDRESS_CONNECTED, address, endpointList.revision(), revision);
+                Log.write(
+                        Event.DISCOVERY_ADDRESS_CONNECTED,
+                        address,
+                        endpointList.revision(),
+                        revision);
             }
             isAddressNew = false;
             needsFullList = false;
             revision = endpointList.revision();
             WatchCall nextCall = new WatchCall();
             currentCall = nextCall;
-            long delayMillis = Math.max(0, MIN_CALL_INTERVAL_MILLIS - (Clock.now() - startedAtNanos) / Clock.NANOS_PER_MILLISECOND);
+            long delayMillis =
+                    Math.max(
+                            0,
+                            MIN_CALL_INTERVAL_MILLIS
+                                    - (Clock.now() - startedAtNanos) / Clock.NANOS_PER_MILLISECOND);
             loop.schedule(nextCall::start, delayMillis, TimeUnit.MILLISECONDS);
             listener.onEndpointList(
-                    endpointList.isFull() ? ListMode.FULL : ListMode.DELTA,
+                    endpointList.isFull() ? EndpointUpdateMode.FULL : EndpointUpdateMode.DELTA,
                     endpointList.revision(),
                     endpointList.endpoints());
         }
@@ -279,7 +310,7 @@
             cancel();
             currentCall = null;
             Log.write(Event.DISCOVERY_FAILED, reason);
-            listener.onEndpointList(ListMode.FAILED, revision, List.of());
+            listener.onEndpointList(EndpointUpdateMode.FAILED, revision, List.of());
         }
     }
 }
--- a/node/src/main/java/frostrelay/node/ServerStartTimes.java
+++ b/node/src/main/java/frostrelay/node/discovery/ServerStartTimes.java
@@ -1,4 +1,6 @@
-package frostrelay.node;
+package frostrelay.node.discovery;
+
+import frostrelay.node.time.Clock;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -9,7 +11,7 @@
  * clock, which no step of the wall clock moves: taken as they are behind a step, a server that has
  * just started would count as warm, or as cold for an hour. It reads no clock.
  */
-final class ServerStartTimes {
+public final class ServerStartTimes {
     /** The wall clock is set by so much at least where it is set at all; less is drift. */
     private static final long MIN_CLOCK_STEP_NANOS = 500 * Clock.NANOS_PER_MILLISECOND;
 
@@ -36,10 +38,11 @@
     private long nowNanos;
 
     /** A list has come; {@code wallNanos}: Unix time in nanoseconds. */
-    void onEndpointList(long nowNanos, long wallNanos) {
+    public void onEndpointList(long nowNanos, long wallNanos) {
         this.nowNanos = nowNanos;
         long newOffsetNanos = wallNanos - nowNanos;
-        if (lastListAtNanos != 0 && Math.abs(newOffsetNanos - wallClockOffsetNanos) > MIN_CLOCK_STEP_NANOS) {
+        if (lastListAtNanos != 0
+                && Math.abs(newOffsetNanos - wallClockOffsetNanos) > MIN_CLOCK_STEP_NANOS) {
             earliestStartNanos = lastListAtNanos;
             earliestStartUntilNanos = nowNanos + CLOCK_STEP_GRACE_NANOS;
         }
@@ -48,10 +51,10 @@
     }
 
     /**
-     * When a server of the present list started; {@code unixNanos}: in Unix time in nanoseconds, 0 for
-     * long ago.
+     * When a server of the present list started; {@code unixNanos}: in Unix time in nanoseconds, 0
+     * for long ago.
      */
-    long toLocalStart(long server, long unixNanos) {
+    public long toLocalStart(long server, long unixNanos) {
         if (unixNanos <= 0) {
             forget(server);
             return 0;
@@ -66,16 +69,18 @@
 
     private long translate(long unixNanos) {
         long localNanos = Math.min(unixNanos - wallClockOffsetNanos, nowNanos);
-        return nowNanos < earliestStartUntilNanos ? Math.max(localNanos, earliestStartNanos) : localNanos;
+        return nowNanos < earliestStartUntilNanos
+                ? Math.max(localNanos, earliestStartNanos)
+                : localNanos;
     }
 
     /** A server is gone. */
-    void forget(long server) {
+    public void forget(long server) {
         starts.remove(server);
     }
 
     /** Forgets all servers but these. */
-    void retainOnly(Set<Long> servers) {
+    public void retainOnly(Set<Long> servers) {
         starts.keySet().retainAll(servers);
     }
 }
--- a/node/src/main/java/frostrelay/lifecycle/ActionGuard.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/ActionGuard.java
@@ -1,4 +1,4 @@
-package frostrelay.lifecycle;
+package frostrelay.node.lifecycle;
 
 /**
  * The one place that decides whether a request may be accepted, sent or sent again, and a
@@ -58,14 +58,15 @@
      * What is known of an attempt that is about to be written.
      *
      * @param isRequestOver whether the request has its final answer or its client has left
-     * @param unobservedSinceNanos since when its client could have left without being seen to; {@link
-     *     #NEVER} while it is watched
-     * @param attemptDeadlineNanos until when the attempt is waited for; its server is told what is left of that
+     * @param unobservedSinceNanos since when its client could have left without being seen to;
+     *     {@link #NEVER} while it is watched
+     * @param attemptDeadlineNanos until when the attempt is waited for; its server is told what is
+     *     left of that
      * @param requestDeadlineNanos when the request's final answer is due
-     * @param serverUsableUntilNanos when the last send to the server may begin; {@link #NEVER} while it is in
-     *     use
-     * @param retryUntilNanos when it may be sent at the latest, for what its earlier attempts may have
-     *     done; {@link #NEVER} for no limit
+     * @param serverUsableUntilNanos when the last send to the server may begin; {@link #NEVER}
+     *     while it is in use
+     * @param retryUntilNanos when it may be sent at the latest, for what its earlier attempts may
+     *     have done; {@link #NEVER} for no limit
      */
     public record PendingSend(
             boolean isRequestOver,
@@ -110,20 +111,22 @@
      * Whether a client could have left too long ago: nothing is begun for one that left more than
      * 100 ms before.
      *
-     * @param unobservedSinceNanos since when it could have left without being seen to; {@link #NEVER} while
-     *     it is watched
+     * @param unobservedSinceNanos since when it could have left without being seen to; {@link
+     *     #NEVER} while it is watched
      */
     public boolean isClientUnobserved(long now, long unobservedSinceNanos) {
         return unobservedSinceNanos != NEVER && now - unobservedSinceNanos > MAX_UNOBSERVED_NANOS;
     }
 
     /**
-     * When the final answer of a request is due that came at {@code arrivedAtNanos} and whose client
-     * waits for {@code timeoutNanos}.
+     * When the final answer of a request is due that came at {@code arrivedAtNanos} and whose
+     * client waits for {@code timeoutNanos}.
      */
     public long requestDeadlineNanos(long arrivedAtNanos, long timeoutNanos) {
         long clientDeadlineNanos = arrivedAtNanos + timeoutNanos;
-        return schedule == null ? clientDeadlineNanos : Math.min(clientDeadlineNanos, schedule.answerUntilNanos());
+        return schedule == null
+                ? clientDeadlineNanos
+                : Math.min(clientDeadlineNanos, schedule.answerUntilNanos());
     }
 
     /**
@@ -131,9 +134,11 @@
      * than the client has left once this process has been held up for a moment and the bytes have
      * had their way.
      */
-    public long forwardedTimeoutNanos(long now, long attemptDeadlineNanos, long requestDeadlineNanos) {
+    public long forwardedTimeoutNanos(
+            long now, long attemptDeadlineNanos, long requestDeadlineNanos) {
         long clientRemainingNanos = requestDeadlineNanos - now;
-        long marginNanos = Math.min(MAX_TIMEOUT_MARGIN_NANOS, clientRemainingNanos / TIMEOUT_MARGIN_DIVISOR);
+        long marginNanos =
+                Math.min(MAX_TIMEOUT_MARGIN_NANOS, clientRemainingNanos / TIMEOUT_MARGIN_DIVISOR);
         return Math.min(attemptDeadlineNanos - now, clientRemainingNanos - marginNanos);
     }
 
@@ -162,14 +167,20 @@
      * @param idleSinceNanos when it came, or fell idle
      * @param hasPartialRequest whether a request has come in part
      */
-    public boolean mayCloseIdle(long now, boolean hasAcceptedRequest, long idleSinceNanos, boolean hasPartialRequest) {
+    public boolean mayCloseIdle(
+            long now, boolean hasAcceptedRequest, long idleSinceNanos, boolean hasPartialRequest) {
         if (schedule == null) {
             return false;
         }
         if (now >= schedule.answerUntilNanos()) {
             return true;
         }
-        boolean isNewConnection = !hasAcceptedRequest && now - idleSinceNanos < NEW_CONNECTION_GRACE_NANOS;
-        return !isNewConnection && now >= (hasPartialRequest ? schedule.partialRequestUntilNanos() : schedule.idleUntilNanos());
+        boolean isNewConnection =
+                !hasAcceptedRequest && now - idleSinceNanos < NEW_CONNECTION_GRACE_NANOS;
+        return !isNewConnection
+                && now
+                        >= (hasPartialRequest
+                                ? schedule.partialRequestUntilNanos()
+                                : schedule.idleUntilNanos());
     }
 }
--- a/node/src/main/java/frostrelay/lifecycle/AdminStateStore.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/AdminStateStore.java
@@ -1,9 +1,9 @@
-package frostrelay.lifecycle;
+package frostrelay.node.lifecycle;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
-import frostrelay.log.Event;
-import frostrelay.log.Log;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -86,7 +86,9 @@
                     ? ids.add(id)
                     : id.isEmpty() ? ids.removeAll(Set.copyOf(ids)) : ids.remove(id)) {
                 Files.writeString(
-                        temporaryFile, JSON.std.asString(Map.of(name, ids)), StandardCharsets.UTF_8);
+                        temporaryFile,
+                        JSON.std.asString(Map.of(name, ids)),
+                        StandardCharsets.UTF_8);
                 Files.move(
                         temporaryFile,
                         file,
--- a/node/src/main/java/frostrelay/lifecycle/DescriptorUsage.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/DescriptorUsage.java
@@ -1,4 +1,4 @@
-package frostrelay.lifecycle;
+package frostrelay.node.lifecycle;
 
 import java.nio.ByteBuffer;
 
--- a/node/src/main/java/frostrelay/lifecycle/DrainSchedule.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/DrainSchedule.java
@@ -1,4 +1,4 @@
-package frostrelay.lifecycle;
+package frostrelay.node.lifecycle;
 
 /**
  * The schedule by which clients are sent away, for a drain or for a shutdown. A connection closes
@@ -64,14 +64,19 @@
     }
 
     /**
-     * For a shutdown that was asked for at {@code signalledAtNanos}, under settings with this longest
-     * deadline of a request.
+     * For a shutdown that was asked for at {@code signalledAtNanos}, under settings with this
+     * longest deadline of a request.
      */
     public static DrainSchedule forShutdown(long signalledAtNanos, long longestDeadlineNanos) {
-        long killAtNanos = signalledAtNanos + Math.min(longestDeadlineNanos, MAX_DEADLINE_NANOS) + KILL_DELAY_NANOS;
+        long killAtNanos =
+                signalledAtNanos
+                        + Math.min(longestDeadlineNanos, MAX_DEADLINE_NANOS)
+                        + KILL_DELAY_NANOS;
         long answerUntilNanos = killAtNanos - KILL_MARGIN_NANOS;
-        long acceptUntilNanos = Math.min(signalledAtNanos + SHUTDOWN_ACCEPT_NANOS, answerUntilNanos);
-        return new DrainSchedule(true, acceptUntilNanos, acceptUntilNanos, answerUntilNanos, answerUntilNanos);
+        long acceptUntilNanos =
+                Math.min(signalledAtNanos + SHUTDOWN_ACCEPT_NANOS, answerUntilNanos);
+        return new DrainSchedule(
+                true, acceptUntilNanos, acceptUntilNanos, answerUntilNanos, answerUntilNanos);
     }
 
     /** When the process ends at the latest, if nobody ends it before. */
--- a/node/src/main/java/frostrelay/lifecycle/ProcessRegistry.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/ProcessRegistry.java
@@ -1,7 +1,7 @@
-package frostrelay.lifecycle;
+package frostrelay.node.lifecycle;
 
-import frostrelay.log.Event;
-import frostrelay.log.Log;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -48,7 +48,8 @@
     /** Tells the others that this process serves, until it ends. */
     void announce() {
         try {
-            ownChannel = FileChannel.open(ownFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            ownChannel =
+                    FileChannel.open(ownFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
             ownChannel.lock();
         } catch (IOException e) {
             Log.write(Event.PEER_PROCESSES_UNREADABLE, "they cannot see this one: " + e);
--- a/node/src/main/java/frostrelay/lifecycle/SharedDirectory.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/SharedDirectory.java
@@ -1,7 +1,7 @@
-package frostrelay.lifecycle;
+package frostrelay.node.lifecycle;
 
-import frostrelay.log.Event;
-import frostrelay.log.Log;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -25,7 +25,11 @@
      * What a look showed: the ids held, what else operators decided, the further processes of this
      * balancer that serve now, and their use.
      */
-    public record Snapshot(Set<String> adminDrains, Set<String> overrides, int peerProcessCount, DescriptorUsage peerUsage) {}
+    public record Snapshot(
+            Set<String> adminDrains,
+            Set<String> overrides,
+            int peerProcessCount,
+            DescriptorUsage peerUsage) {}
 
     /** Hears on the folder's thread what it shows; every look is told, changed or not. */
     public interface Listener {
@@ -65,9 +69,13 @@
      * Whether other processes of this balancer serve now; no, where the folder does not tell within
      * the limit.
      */
-    public boolean hasServingPeers(long timeoutMillis) throws InterruptedException, ExecutionException {
+    public boolean hasServingPeers(long timeoutMillis)
+            throws InterruptedException, ExecutionException {
         try {
-            return executor.submit(processRegistry::servingPeers).get(timeoutMillis, TimeUnit.MILLISECONDS).count() > 0;
+            return executor.submit(processRegistry::servingPeers)
+                            .get(timeoutMillis, TimeUnit.MILLISECONDS)
+                            .count()
+                    > 0;
         } catch (TimeoutException e) {
             Log.write(Event.SHARED_DIRECTORY_FAILED, "no answer within " + timeoutMillis + " ms");
             return false;
@@ -76,7 +84,8 @@
 
     private Snapshot read() {
         ProcessRegistry.PeerProcesses peers = processRegistry.servingPeers();
-        return new Snapshot(adminDrainStore.read(), overrideStore.read(), peers.count(), peers.usage());
+        return new Snapshot(
+                adminDrainStore.read(), overrideStore.read(), peers.count(), peers.usage());
     }
 
     /**
@@ -85,7 +94,10 @@
     public void announceAndPoll(Supplier<DescriptorUsage> usage, Listener listener) {
         executor.execute(processRegistry::announce);
         executor.scheduleWithFixedDelay(
-                () -> publishAndRead(usage, listener), 0, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+                () -> publishAndRead(usage, listener),
+                0,
+                POLL_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     private void publishAndRead(Supplier<DescriptorUsage> usage, Listener listener) {
@@ -99,23 +111,28 @@
     }
 
     /**
-     * Holds an id or lets it go; {@code callback} hears on the folder's thread what is held then, or
-     * why it failed.
+     * Holds an id or lets it go; {@code callback} hears on the folder's thread what is held then,
+     * or why it failed.
      */
-    public void setAdminDrain(String id, boolean isDrained, BiConsumer<Set<String>, Exception> callback) {
+    public void setAdminDrain(
+            String id, boolean isDrained, BiConsumer<Set<String>, Exception> callback) {
         change(adminDrainStore, id, isDrained, callback);
     }
 
     /**
-     * Likewise for a decision in place of the program; an empty word with {@code isActive} false ends all
-     * of them.
+     * Likewise for a decision in place of the program; an empty word with {@code isActive} false
+     * ends all of them.
      */
-    public void setOverride(String decision, boolean isActive, BiConsumer<Set<String>, Exception> callback) {
+    public void setOverride(
+            String decision, boolean isActive, BiConsumer<Set<String>, Exception> callback) {
         change(overrideStore, decision, isActive, callback);
     }
 
     private void change(
-            AdminStateStore store, String id, boolean isPresent, BiConsumer<Set<String>, Exception> callback) {
+            AdminStateStore store,
+            String id,
+            boolean isPresent,
+            BiConsumer<Set<String>, Exception> callback) {
         executor.execute(
                 () -> {
                     try {
--- a/node/src/main/java/frostrelay/log/Event.java
+++ b/node/src/main/java/frostrelay/node/log/Event.java
@@ -1,4 +1,4 @@
-package frostrelay.log;
+package frostrelay.node.log;
 
 import org.slf4j.event.Level;
 
@@ -9,14 +9,14 @@
  * docs/events.md} is made from this and a test holds it to it.
  */
 public enum Event {
-    SERVING(Level.INFO, "Clients are taken from now on.", "listen", "console"),
+    SERVING(Level.INFO, "Clients are taken from now on.", "listen", "admin"),
     CANNOT_START(Level.ERROR, "It ends with 1.", "reason"),
     SHUTDOWN_STARTED(
             Level.INFO,
             "SIGTERM came: requests are accepted and answered for so many milliseconds more.",
             "replaced",
-            "accepts-ms",
-            "answers-ms"),
+            "accept-ms",
+            "answer-ms"),
     SHUTDOWN_PROGRESS(
             Level.INFO,
             "How far a shutdown is: connections of clients, and the first open requests with the milliseconds"
@@ -27,13 +27,14 @@
             "requests"),
     REQUEST(Level.DEBUG, "A request changed its state.", "id", "state", "detail"),
     CLIENT_CLOSED(Level.DEBUG, "A client's connection ended.", "client", "reason", "unanswered"),
-    SHUTDOWN_FAILED(Level.ERROR, "The orderly stop failed; the process ends all the same.", "reason"),
+    SHUTDOWN_FAILED(
+            Level.ERROR, "The orderly stop failed; the process ends all the same.", "reason"),
     SIGNAL_IGNORED(
             Level.WARN,
             "It was started where SIGHUP is ignored, as under nohup: a replaced configuration is"
                     + " found by looking at the file instead.",
             "signal",
-            "look-ms"),
+            "poll-interval-ms"),
     SETTINGS_APPLIED(
             Level.INFO, "A replaced configuration holds from now on.", "classes", "attempts"),
     SETTINGS_REJECTED(
@@ -51,8 +52,8 @@
     PEER_PROCESS_SERVING(
             Level.INFO,
             "Another process of this balancer serves: descriptors are shared with it.",
-            "others"),
-    PEER_PROCESS_ENDED(Level.INFO, "Another process of this balancer has ended.", "others"),
+            "peer-processes"),
+    PEER_PROCESS_ENDED(Level.INFO, "Another process of this balancer has ended.", "peer-processes"),
     PEER_PROCESSES_UNREADABLE(
             Level.WARN,
             "Other processes of this balancer cannot be looked for, or cannot see this one.",
@@ -62,10 +63,13 @@
             "The file of holds is torn or somebody else's; those known so far stay.",
             "file",
             "reason"),
-    SHARED_DIRECTORY_FAILED(Level.WARN, "A look at the folder shared with other processes failed.", "reason"),
+    SHARED_DIRECTORY_FAILED(
+            Level.WARN, "A look at the folder shared with other processes failed.", "reason"),
     ADMIN_CALL_FAILED(Level.WARN, "An operators' call could not be carried out.", "reason"),
-    DISCOVERY_ADDRESS_CHANGED(Level.INFO, "The configuration names another discovery.", "from", "to"),
-    DISCOVERY_ADDRESS_CONNECTED(Level.INFO, "The other discovery has answered.", "at", "version", "known"),
+    DISCOVERY_ADDRESS_CHANGED(
+            Level.INFO, "The configuration names another discovery.", "from", "to"),
+    DISCOVERY_ADDRESS_CONNECTED(
+            Level.INFO, "The other discovery has answered.", "address", "version", "known-version"),
     DISCOVERY_FAILED(
             Level.WARN,
             "A call or a watch ended without a list; the module says when to ask again. `silence`: another one is opened at once.",
@@ -73,13 +77,13 @@
     PROTOCOL_VIOLATION(
             Level.WARN,
             "A peer did what the protocol does not allow. At most 20 such lines between two counts.",
-            "what"),
+            "detail"),
     INVARIANT_VIOLATION(
             Level.ERROR,
             "What must never happen did: a fault of this program, or a machine that gave it no time. Bounded as lines"
                     + " of peers are.",
             "invariant",
-            "what"),
+            "detail"),
     UNEXPECTED_EXCEPTION(
             Level.ERROR,
             "An exception that nobody expected. Bounded as lines of peers are.",
@@ -95,34 +99,34 @@
     GOSSIP_STARTED(
             Level.INFO,
             "It talks with the balancers of its tier from now on.",
-            "at",
-            "number",
-            "of",
-            "ceiling"),
+            "address",
+            "member",
+            "members",
+            "max-bytes-per-second"),
     GOSSIP_DISABLED(Level.WARN, "It was to talk with its peers and does not.", "reason"),
     PEER_STATE(
             Level.INFO,
             "What is believed of another balancer has changed. At most 200 such lines between two counts.",
-            "number",
+            "member",
             "state",
-            "said-by"),
+            "reported-by"),
     STALE_INSTANCE(
             Level.WARN,
             "This balancer has become a straggler, or is none any more, or a version has two contents.",
-            "what"),
+            "detail"),
     CACHES_AVOIDED(
             Level.INFO,
             "So many caches are avoided on others' word, as their lists or their operators' holds have it.",
             "caches",
             "list",
-            "others-list",
-            "held"),
+            "peers-list",
+            "admin-drained"),
     VERSION_NOT_FOLLOWED(
             Level.ERROR,
             "Others act on a newer version and fail under it: it is not followed. Operators decide.",
             "kind",
             "number",
-            "why"),
+            "reason"),
     DEGRADATION_REPORTED(
             Level.WARN,
             "By its own counts this balancer serves worse since it took a version of these kinds; others are told.",
@@ -141,17 +145,19 @@
             Level.INFO,
             "Exactly these caches are lowered now, as others find them bad. Bounded as lines on peers' states are.",
             "caches"),
-    OVERRIDES(Level.INFO, "What operators decided in place of the program has changed.", "decided"),
+    OVERRIDES(
+            Level.INFO, "What operators decided in place of the program has changed.", "overrides"),
     STALE_DRAIN_STARTED(
             Level.WARN,
             "Behind for long and not brought up, it sends clients away until it is current.",
-            "why"),
-    STALE_DRAIN_ENDED(Level.INFO, "It is current again, or may not be aside, and takes clients.", "why"),
+            "reason"),
+    STALE_DRAIN_ENDED(
+            Level.INFO, "It is current again, or may not be aside, and takes clients.", "reason"),
     AUDIT_GAP(
             Level.ERROR,
             "The audit's record cannot be written; what is missing is named in it as a gap. Service goes on.",
             "reason"),
-    CLASS_ARCHIVE_TRAINED(Level.INFO, "The build has played a balancer's life once.", "answers");
+    CLASS_ARCHIVE_TRAINED(Level.INFO, "The build has played a balancer's life once.", "responses");
 
     /** How much it matters. */
     public final Level level;
--- a/node/src/main/java/frostrelay/log/LineEncoder.java
+++ b/node/src/main/java/frostrelay/node/log/LineEncoder.java
@@ -1,4 +1,4 @@
-package frostrelay.log;
+package frostrelay.node.log;
 
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.classic.spi.IThrowableProxy;
@@ -49,7 +49,8 @@
         Map<String, Object> fields = fields(event);
         String time = Instant.ofEpochMilli(event.getTimeStamp()).toString();
         String level = event.getLevel().toString().toLowerCase(Locale.ROOT);
-        String balancer = event.getLoggerContextVO().getPropertyMap().get(LogSetup.BALANCER_PROPERTY);
+        String balancer =
+                event.getLoggerContextVO().getPropertyMap().get(LogSetup.BALANCER_PROPERTY);
         boolean isBalancerEvent = event.getLoggerName().equals(Log.NAME);
         String name = isBalancerEvent ? event.getMessage() : Event.LIBRARY_WARNING.logName();
         return (isJson
--- a/node/src/main/java/frostrelay/log/Log.java
+++ b/node/src/main/java/frostrelay/node/log/Log.java
@@ -1,4 +1,4 @@
-package frostrelay.log;
+package frostrelay.node.log;
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/node/src/main/java/frostrelay/log/LogSetup.java
+++ b/node/src/main/java/frostrelay/node/log/LogSetup.java
@@ -1,4 +1,4 @@
-package frostrelay.log;
+package frostrelay.node.log;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.Logger;
--- a/node/src/main/java/frostrelay/node/MetaCommand.java
+++ b/node/src/main/java/frostrelay/node/memcache/MetaCommand.java
@@ -1,6 +1,11 @@
-package frostrelay.node;
+package frostrelay.node.memcache;
 
-import frostrelay.policy.Api;
+import frostrelay.node.config.DeploymentSettings;
+import frostrelay.node.config.EndpointList;
+import frostrelay.node.proxy.ClientRequest;
+import frostrelay.node.time.Clock;
+import frostrelay.policy.api.Idempotency;
+import frostrelay.policy.api.RequestClass;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -9,7 +14,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** A client's read or write, checked, with what is needed to pass it on in the same words. */
-final class MetaCommand implements ClientRequest {
+public final class MetaCommand implements ClientRequest {
     private static final int MAX_KEY_LENGTH = 250;
     private static final int MAX_OPAQUE_LENGTH = 32;
     private static final int MAX_HEX_KEY_LENGTH = 16;
@@ -18,7 +23,7 @@
     private static final long MAX_WORK_MICROS = 3_600_000_000L;
 
     /** A command that cannot be taken; the message is the answer. */
-    static final class MalformedCommandException extends Exception {
+    public static final class MalformedCommandException extends Exception {
         private static final long serialVersionUID = 1L;
 
         MalformedCommandException(String description) {
@@ -41,7 +46,8 @@
     private final String[] parameters;
     private int timeoutParameterIndex = -1;
 
-    MetaCommand(MetaFrame frame, DeploymentSettings deploymentSettings) throws MalformedCommandException {
+    public MetaCommand(MetaFrame frame, DeploymentSettings deploymentSettings)
+            throws MalformedCommandException {
         write = frame.tokenEquals(0, "ms");
         value = frame.data();
         if (frame.tokens().size() < 2 || frame.tokens().get(1).length() > MAX_KEY_LENGTH) {
@@ -75,13 +81,16 @@
         parameters = parameterList == null ? new String[0] : parameterList.split(",", -1);
         requestClass = requireKnown(deploymentSettings.classNumber(parameter("c")), "class");
         tenant = requireKnown(deploymentSettings.tenantNumber(parameter("t")), "tenant");
-        Api.RequestClass classSettings = deploymentSettings.policySettings.classes().get(requestClass);
+        RequestClass classSettings = deploymentSettings.policySettings.classes().get(requestClass);
         // No client of this class waits longer: an hour asked for would hold its place for an hour.
-        clientTimeoutMillis = Math.min(classSettings.deadlineNanos() / Clock.NANOS_PER_MILLISECOND, nonNegativeParameter("d", -1));
+        clientTimeoutMillis =
+                Math.min(
+                        classSettings.deadlineNanos() / Clock.NANOS_PER_MILLISECOND,
+                        nonNegativeParameter("d", -1));
         if (clientTimeoutMillis < 0) {
             throw new MalformedCommandException("missing d");
         }
-        if (classSettings.idempotency() == Api.Effect.IDEMPOTENCY_KEY && parameter("k") == null) {
+        if (classSettings.idempotency() == Idempotency.IDEMPOTENCY_KEY && parameter("k") == null) {
             // Without it hosts cannot tell a repeat.
             throw new MalformedCommandException("missing k");
         }
@@ -100,7 +109,8 @@
         }
     }
 
-    private static int requireKnown(Integer number, String description) throws MalformedCommandException {
+    private static int requireKnown(Integer number, String description)
+            throws MalformedCommandException {
         if (number == null) {
             throw new MalformedCommandException("unknown " + description);
         }
@@ -120,7 +130,8 @@
         return null;
     }
 
-    private long nonNegativeParameter(String name, long defaultValue) throws MalformedCommandException {
+    private long nonNegativeParameter(String name, long defaultValue)
+            throws MalformedCommandException {
         String text = parameter(name);
         try {
             long number = text == null ? defaultValue : Long.parseLong(text);
@@ -205,7 +216,7 @@
     }
 
     /** A line and, behind it, a data block if there is one. */
-    static ByteBuf encodeLine(ByteBufAllocator alloc, String line, byte[] data) {
+    public static ByteBuf encodeLine(ByteBufAllocator alloc, String line, byte[] data) {
         ByteBuf bytes = alloc.buffer(line.length() + (data == null ? 0 : data.length + 2));
         bytes.writeCharSequence(line, StandardCharsets.ISO_8859_1);
         if (data != null) {
--- a/node/src/main/java/frostrelay/node/MetaDecoder.java
+++ b/node/src/main/java/frostrelay/node/memcache/MetaDecoder.java
@@ -1,4 +1,6 @@
-package frostrelay.node;
+package frostrelay.node.memcache;
+
+import frostrelay.node.net.MemoryLimiter;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -15,7 +17,7 @@
  * itself (an overlong line, a length that cannot be, a data block without its end) is the last
  * frame of a stream: parsing on would take somebody's data for commands or answers.
  */
-final class MetaDecoder extends ByteToMessageDecoder {
+public final class MetaDecoder extends ByteToMessageDecoder {
     /** Far above the longest honest line: a key of 250 bytes, an id and a list of figures. */
     static final int MAX_LINE_BYTES = 2048;
 
@@ -51,7 +53,11 @@
 
     private boolean failed;
 
-    private MetaDecoder(String dataCommand, int lengthTokenIndex, int maxValueBytes, MemoryLimiter memoryLimiter) {
+    private MetaDecoder(
+            String dataCommand,
+            int lengthTokenIndex,
+            int maxValueBytes,
+            MemoryLimiter memoryLimiter) {
         this.maxValueBytes = maxValueBytes;
         this.dataCommand = dataCommand;
         this.lengthTokenIndex = lengthTokenIndex;
@@ -59,17 +65,17 @@
     }
 
     /** Reads what clients send: {@code ms} brings data. */
-    static MetaDecoder forCommands(MemoryLimiter memoryLimiter) {
+    public static MetaDecoder forCommands(MemoryLimiter memoryLimiter) {
         return new MetaDecoder("ms", 2, MetaFrame.MAX_BUFFERED_VALUE_BYTES, memoryLimiter);
     }
 
     /** Reads what cache hosts answer: {@code VA} brings data. */
-    static MetaDecoder forResponses(MemoryLimiter memoryLimiter) {
+    public static MetaDecoder forResponses(MemoryLimiter memoryLimiter) {
         return new MetaDecoder("VA", 1, MetaFrame.MAX_VALUE_BYTES, memoryLimiter);
     }
 
     /** Whether the stream stands right between two frames, with not a byte of the next one here. */
-    boolean isAtFrameBoundary() {
+    public boolean isAtFrameBoundary() {
         return !failed && pendingTokens == null && actualReadableBytes() == 0;
     }
 
@@ -142,7 +148,8 @@
         String lengthText = tokens.size() > lengthTokenIndex ? tokens.get(lengthTokenIndex) : "";
         if (lengthText.isEmpty() || !lengthText.chars().allMatch(c -> c >= '0' && c <= '9')) {
             failStream(BAD_CHUNK_RESPONSE, in, out);
-        } else if (lengthText.length() > MAX_LENGTH_DIGITS || Integer.parseInt(lengthText) > maxValueBytes) {
+        } else if (lengthText.length() > MAX_LENGTH_DIGITS
+                || Integer.parseInt(lengthText) > maxValueBytes) {
             failStream("CLIENT_ERROR value too large", in, out);
         } else {
             pendingTokens = tokens;
@@ -190,12 +197,18 @@
             failStream(BAD_CHUNK_RESPONSE, in, out);
             return;
         }
-        out.add(MetaFrame.of(pendingTokens, data.length == dataLength ? data : Arrays.copyOf(data, dataLength)));
+        out.add(
+                MetaFrame.of(
+                        pendingTokens,
+                        data.length == dataLength ? data : Arrays.copyOf(data, dataLength)));
         dropData();
     }
 
     private boolean grow(int minBytes) {
-        int newBytes = Math.min(dataLength, Math.max(minBytes, Math.max(INITIAL_BUFFER_BYTES, 2 * data.length)));
+        int newBytes =
+                Math.min(
+                        dataLength,
+                        Math.max(minBytes, Math.max(INITIAL_BUFFER_BYTES, 2 * data.length)));
         if (!memoryLimiter.tryReserve(newBytes - data.length)) {
             return false;
         }
--- a/node/src/main/java/frostrelay/node/MetaFrame.java
+++ b/node/src/main/java/frostrelay/node/memcache/MetaFrame.java
@@ -1,27 +1,30 @@
-package frostrelay.node;
+package frostrelay.node.memcache;
 
-import frostrelay.policy.Api;
+import frostrelay.node.proxy.UpstreamResponse;
+import frostrelay.policy.api.ResponseSource;
 
 import java.util.List;
 
 /**
  * One line of the meta protocol with its data block, in either direction. The data of a {@code
- * streamed} frame come behind it, piece by piece, up to {@link #END_OF_VALUE}. Where {@code fault} is set
- * the line broke the protocol and {@code fault} is what its sender should be told. Behind a {@code
- * last} frame nobody knows where the next line begins: nothing that follows may be read as one.
+ * streamed} frame come behind it, piece by piece, up to {@link #END_OF_VALUE}. Where {@code fault}
+ * is set the line broke the protocol and {@code fault} is what its sender should be told. Behind a
+ * {@code last} frame nobody knows where the next line begins: nothing that follows may be read as
+ * one.
  */
-record MetaFrame(List<String> tokens, byte[] data, String fault, boolean last, boolean streamed)
+public record MetaFrame(
+        List<String> tokens, byte[] data, String fault, boolean last, boolean streamed)
         implements UpstreamResponse {
     /** Values may hold so many bytes. */
-    static final int MAX_VALUE_BYTES = 4 * 1024 * 1024;
+    public static final int MAX_VALUE_BYTES = 4 * 1024 * 1024;
 
     /** Those up to here are gathered before they are passed on. */
-    static final int MAX_BUFFERED_VALUE_BYTES = 64 * 1024;
+    public static final int MAX_BUFFERED_VALUE_BYTES = 64 * 1024;
 
     /** Stands behind the last piece of a streamed frame's data. */
-    static final MetaFrame END_OF_VALUE = new MetaFrame(List.of(), null, null, false, false);
+    public static final MetaFrame END_OF_VALUE = new MetaFrame(List.of(), null, null, false, false);
 
-    static MetaFrame of(List<String> tokens, byte[] data) {
+    public static MetaFrame of(List<String> tokens, byte[] data) {
         return new MetaFrame(tokens, data, null, false, false);
     }
 
@@ -44,11 +47,11 @@
     }
 
     @Override
-    public Api.Source source() {
+    public ResponseSource source() {
         String hit = flagToken(1, 'h');
         return hit == null
-                ? Api.Source.UNKNOWN
-                : hit.equals("1") ? Api.Source.CACHE : Api.Source.ORIGIN;
+                ? ResponseSource.UNKNOWN
+                : hit.equals("1") ? ResponseSource.CACHE : ResponseSource.ORIGIN;
     }
 
     @Override
@@ -56,14 +59,15 @@
         return flagToken(1, 'L');
     }
 
-    boolean tokenEquals(int index, String token) {
+    public boolean tokenEquals(int index, String token) {
         return index < tokens.size() && tokens.get(index).equals(token);
     }
 
     /**
-     * The token of a flag behind the first {@code fromIndex} words, without its letter; null if absent.
+     * The token of a flag behind the first {@code fromIndex} words, without its letter; null if
+     * absent.
      */
-    String flagToken(int fromIndex, char letter) {
+    public String flagToken(int fromIndex, char letter) {
         for (int i = fromIndex; i < tokens.size(); i++) {
             if (tokens.get(i).charAt(0) == letter) {
                 return tokens.get(i).substring(1);
--- a/node/src/main/java/frostrelay/node/CloseReason.java
+++ b/node/src/main/java/frostrelay/node/metrics/CloseReason.java
@@ -1,7 +1,7 @@
-package frostrelay.node;
+package frostrelay.node.metrics;
 
 /** Why a client's connection ended. */
-enum CloseReason {
+public enum CloseReason {
     /** The client closed or reset it. */
     CLIENT_CLOSED,
     /** The client sent {@code quit}. */
@@ -35,9 +35,15 @@
     CONNECTION_ERROR;
 
     /** Whether this end chose to close, and had to answer what it had read before that. */
-    boolean isInitiatedLocally() {
+    public boolean isInitiatedLocally() {
         return switch (this) {
-            case SHUTTING_DOWN, DRAINING, EVICTED, OVER_CONNECTION_LIMIT, IDLE, INCOMPLETE_COMMAND -> true;
+            case SHUTTING_DOWN,
+                    DRAINING,
+                    EVICTED,
+                    OVER_CONNECTION_LIMIT,
+                    IDLE,
+                    INCOMPLETE_COMMAND ->
+                    true;
             case CLIENT_CLOSED,
                     CLIENT_QUIT,
                     CONNECTION_REJECTED,
--- a/node/src/main/java/frostrelay/node/Counters.java
+++ b/node/src/main/java/frostrelay/node/metrics/Counters.java
@@ -1,9 +1,10 @@
-package frostrelay.node;
+package frostrelay.node.metrics;
 
-import frostrelay.lifecycle.ActionGuard;
-import frostrelay.log.Event;
-import frostrelay.log.Log;
-import frostrelay.policy.Api.Reason;
+import frostrelay.node.lifecycle.ActionGuard;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
+import frostrelay.node.time.Clock;
+import frostrelay.policy.api.AttemptResult;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -14,7 +15,7 @@
 /**
  * Sparse counts for the log, to find causes by: how requests and attempts end, and how late we run.
  */
-final class Counters {
+public final class Counters {
     private static final long NANOS_PER_MICROSECOND = 1_000L;
 
     /** Lines that peers may cause between two prints, and the length of one. */
@@ -26,7 +27,7 @@
     /** Twice a large tier: every balancer of it may go and come back between two prints. */
     private static final int MAX_PEER_STATES_PER_REPORT = 200;
 
-    private final long[] outcomes = new long[Reason.values().length];
+    private final long[] outcomes = new long[AttemptResult.values().length];
     private final long[] rejections = new long[RejectionReason.values().length];
     private final long[] closes = new long[CloseReason.values().length];
     private final long[] violations = new long[InvariantViolation.values().length];
@@ -36,26 +37,26 @@
      * Further attempts, by how the one before them ended; the last place counts those beside one
      * that is still out.
      */
-    private final long[] retries = new long[Reason.values().length + 1];
+    private final long[] retries = new long[AttemptResult.values().length + 1];
 
-    long accepted;
-    long served;
-    long failed;
-    long disconnectedClients;
+    public long accepted;
+    public long served;
+    public long failed;
+    public long disconnectedClients;
 
     /** Commands whose clients had closed their connections before anything was done. */
-    long abandonedCommands;
+    public long abandonedCommands;
 
-    long malformed;
+    public long malformed;
 
     /** Long values whose client got only part of them. */
-    long truncatedValues;
+    public long truncatedValues;
 
-    long lastCalls;
-    long connects;
+    public long lastCalls;
+    public long connects;
 
     /** Attempts for which there was no connection to a cache, nor room for one. */
-    long noConnectionCapacity;
+    public long noConnectionCapacity;
 
     private long timers;
     private long lateTimers;
@@ -63,25 +64,25 @@
     private long warnings;
     private int loggedPeerStates;
 
-    void recordOutcome(Reason reason) {
+    public void recordOutcome(AttemptResult reason) {
         outcomes[reason.ordinal()]++;
     }
 
-    void rejected(RejectionReason reason) {
+    public void rejected(RejectionReason reason) {
         rejections[reason.ordinal()]++;
     }
 
-    void recordClose(CloseReason reason) {
+    public void recordClose(CloseReason reason) {
         closes[reason.ordinal()]++;
     }
 
     /** The guard kept an attempt from being written. */
-    void recordDenial(ActionGuard.SendDecision verdict) {
+    public void recordDenial(ActionGuard.SendDecision verdict) {
         denials[verdict.ordinal()]++;
     }
 
     /** An invariant does not hold; {@code what}: whose, and by how much. */
-    void recordViolation(InvariantViolation violation, String what) {
+    public void recordViolation(InvariantViolation violation, String what) {
         violations[violation.ordinal()]++;
         if (++warnings <= MAX_WARNINGS_PER_REPORT) {
             Log.write(Event.INVARIANT_VIOLATION, violation, what);
@@ -89,11 +90,14 @@
     }
 
     /**
-     * One more attempt of a request; {@code previousOutcome}: how the one before it ended, null while that is
-     * still out.
+     * One more attempt of a request; {@code previousOutcome}: how the one before it ended, null
+     * while that is still out.
      */
-    void recordRetry(Reason previousOutcome) {
-        retries[previousOutcome == null ? Reason.values().length : previousOutcome.ordinal()]++;
+    public void recordRetry(AttemptResult previousOutcome) {
+        retries[
+                previousOutcome == null
+                        ? AttemptResult.values().length
+                        : previousOutcome.ordinal()]++;
     }
 
     private static long sum(long[] counts) {
@@ -105,7 +109,7 @@
     }
 
     /** Requests that were refused. */
-    long rejected() {
+    public long rejected() {
         return sum(rejections);
     }
 
@@ -125,14 +129,14 @@
     }
 
     private Map<String, Object> retriesByName() {
-        Map<String, Object> named = byName(Reason.values(), retries);
-        if (retries[Reason.values().length] > 0) {
-            named.put("hedged", retries[Reason.values().length]);
+        Map<String, Object> named = byName(AttemptResult.values(), retries);
+        if (retries[AttemptResult.values().length] > 0) {
+            named.put("hedged", retries[AttemptResult.values().length]);
         }
         return named;
     }
 
-    void recordTimer(long latenessNanos) {
+    public void recordTimer(long latenessNanos) {
         timers++;
         lateTimers += latenessNanos > 5 * Clock.NANOS_PER_MILLISECOND ? 1 : 0;
         maxLatenessNanos = Math.max(maxLatenessNanos, latenessNanos);
@@ -142,29 +146,30 @@
      * Writes what has been counted so far. What explains requests without an answer comes first,
      * and what is 0 is left out: where logs are shown, long lines are cut.
      */
-    void logReport(Map<String, Object> gauges) {
+    public void logReport(Map<String, Object> gauges) {
         Map<String, Object> counts = new LinkedHashMap<>();
-        counts.put("taken", accepted);
+        counts.put("accepted", accepted);
         counts.put("served", served);
-        counts.put("refused", rejected());
+        counts.put("rejected", rejected());
         counts.put("failed", failed);
         putUnlessEmpty(counts, "violations", byName(InvariantViolation.values(), violations));
         putUnlessEmpty(counts, "denials", byName(ActionGuard.SendDecision.values(), denials));
-        putUnlessEmpty(counts, "refusals", byName(RejectionReason.values(), rejections));
+        putUnlessEmpty(counts, "rejections", byName(RejectionReason.values(), rejections));
         putUnlessEmpty(counts, "closes", byName(CloseReason.values(), closes));
-        putUnlessEmpty(counts, "repeats", retriesByName());
-        putUnlessZero(counts, "gone", disconnectedClients);
-        putUnlessZero(counts, "departed", abandonedCommands);
+        putUnlessEmpty(counts, "retries", retriesByName());
+        putUnlessZero(counts, "clients-disconnected", disconnectedClients);
+        putUnlessZero(counts, "abandoned", abandonedCommands);
         putUnlessZero(counts, "malformed", malformed);
-        putUnlessZero(counts, "cut-short", truncatedValues);
-        putUnlessZero(counts, "last-calls", lastCalls);
+        putUnlessZero(counts, "truncated", truncatedValues);
+        putUnlessZero(counts, "fallback-answers", lastCalls);
         putUnlessZero(counts, "connects", connects);
-        putUnlessZero(counts, "no-link-room", noConnectionCapacity);
+        putUnlessZero(counts, "no-connection-capacity", noConnectionCapacity);
         putUnlessZero(counts, "timers", timers);
-        putUnlessZero(counts, "timers-late", lateTimers);
-        putUnlessZero(counts, "timer-worst-us", maxLatenessNanos / NANOS_PER_MICROSECOND);
-        counts.putAll(byName(Reason.values(), outcomes));
-        putUnlessZero(counts, "not-logged", Math.max(0, warnings - MAX_WARNINGS_PER_REPORT));
+        putUnlessZero(counts, "late-timers", lateTimers);
+        putUnlessZero(counts, "timer-max-lateness-us", maxLatenessNanos / NANOS_PER_MICROSECOND);
+        counts.putAll(byName(AttemptResult.values(), outcomes));
+        putUnlessZero(
+                counts, "warnings-suppressed", Math.max(0, warnings - MAX_WARNINGS_PER_REPORT));
         warnings = 0;
         loggedPeerStates = 0;
         maxLatenessNanos = 0;
@@ -185,21 +190,23 @@
     }
 
     /** What a peer can cause as often as it likes: told in part, so that it cannot fill the log. */
-    void warn(String what) {
+    public void warn(String what) {
         if (++warnings <= MAX_WARNINGS_PER_REPORT) {
             Log.write(
                     Event.PROTOCOL_VIOLATION,
-                    what.length() > MAX_WARNING_LENGTH ? what.substring(0, MAX_WARNING_LENGTH) + "..." : what);
+                    what.length() > MAX_WARNING_LENGTH
+                            ? what.substring(0, MAX_WARNING_LENGTH) + "..."
+                            : what);
         }
     }
 
     /** Whether one more change of a peer's state may be told before the next print. */
-    boolean mayLogPeerState() {
+    public boolean mayLogPeerState() {
         return ++loggedPeerStates <= MAX_PEER_STATES_PER_REPORT;
     }
 
     /** An exception that nobody expected: the place where it arose is what finds its cause. */
-    void logUnexpected(String where, Throwable cause) {
+    public void logUnexpected(String where, Throwable cause) {
         if (++warnings > MAX_WARNINGS_PER_REPORT) {
             return;
         }
--- a/node/src/main/java/frostrelay/node/InvariantViolation.java
+++ b/node/src/main/java/frostrelay/node/metrics/InvariantViolation.java
@@ -1,7 +1,7 @@
-package frostrelay.node;
+package frostrelay.node.metrics;
 
 /** What must never happen and is looked for while the program runs: each is counted and logged. */
-enum InvariantViolation {
+public enum InvariantViolation {
     /** A request had no final answer when it was due, or this process ended. */
     UNANSWERED,
     /** A connection was closed from this end with a request on it that had no answer. */
--- a/node/src/main/java/frostrelay/node/RejectionReason.java
+++ b/node/src/main/java/frostrelay/node/metrics/RejectionReason.java
@@ -1,7 +1,7 @@
-package frostrelay.node;
+package frostrelay.node.metrics;
 
 /** Why a request was refused. */
-enum RejectionReason {
+public enum RejectionReason {
     /** The decision module refused it. */
     BY_POLICY,
     /**
--- a/node/src/main/java/frostrelay/node/Connector.java
+++ b/node/src/main/java/frostrelay/node/net/Connector.java
@@ -1,4 +1,4 @@
-package frostrelay.node;
+package frostrelay.node.net;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -9,16 +9,19 @@
 import java.util.function.Consumer;
 
 /** Opens connections. */
-final class Connector {
+public final class Connector {
     private Connector() {}
 
     /**
-     * Connects. {@code onFailure} hears on the loop why that came to nothing: where there is not even
-     * a descriptor, Netty tells it on a thread of its own, and all that hears of it belongs to the
-     * loop. May be called back before this returns.
+     * Connects. {@code onFailure} hears on the loop why that came to nothing: where there is not
+     * even a descriptor, Netty tells it on a thread of its own, and all that hears of it belongs to
+     * the loop. May be called back before this returns.
      */
-    static Channel connect(
-            Bootstrap bootstrap, InetSocketAddress address, EventLoop loop, Consumer<Throwable> onFailure) {
+    public static Channel connect(
+            Bootstrap bootstrap,
+            InetSocketAddress address,
+            EventLoop loop,
+            Consumer<Throwable> onFailure) {
         ChannelFuture connectFuture = bootstrap.connect(address);
         connectFuture.addListener(
                 done -> {
