--- a/node/src/main/java/frostrelay/node/MemoryLimiter.java
+++ b/node/src/main/java/frostrelay/node/net/MemoryLimiter.java
@@ -1,20 +1,20 @@
-package frostrelay.node;
+package frostrelay.node.net;
 
 /**
  * Bytes of values that may be held at one time, those of open requests and those still coming in
  * alike. What peers announce costs nothing; what they have sent counts, so that no crowd of them
  * can fill the heap.
  */
-final class MemoryLimiter {
+public final class MemoryLimiter {
     private final long limitBytes;
     private long reservedBytes;
 
-    MemoryLimiter(long limitBytes) {
+    public MemoryLimiter(long limitBytes) {
         this.limitBytes = limitBytes;
     }
 
     /** Takes some; false, and nothing taken, if there is no room. */
-    boolean tryReserve(int bytes) {
+    public boolean tryReserve(int bytes) {
         if (bytes > 0 && reservedBytes + bytes > limitBytes) {
             return false;
         }
@@ -22,11 +22,11 @@
         return true;
     }
 
-    void release(int bytes) {
+    public void release(int bytes) {
         reservedBytes -= bytes;
     }
 
-    long reservedBytes() {
+    public long reservedBytes() {
         return reservedBytes;
     }
 }
--- a/node/src/main/java/frostrelay/node/ActiveRequest.java
+++ b/node/src/main/java/frostrelay/node/proxy/ActiveRequest.java
@@ -1,7 +1,7 @@
-package frostrelay.node;
+package frostrelay.node.proxy;
 
-import frostrelay.lifecycle.ActionGuard;
-import frostrelay.policy.Api;
+import frostrelay.node.lifecycle.ActionGuard;
+import frostrelay.policy.api.RequestClass;
 
 import io.netty.util.concurrent.Future;
 
@@ -9,9 +9,9 @@
 import java.util.List;
 
 /** A request that was taken, from its arrival until the outcome of its last attempt. */
-final class ActiveRequest {
+public final class ActiveRequest {
     /** Where the one final answer goes, in whatever protocol. */
-    interface ResponseListener {
+    public interface ResponseListener {
         /** {@code value}: what is still coming in, or null. */
         void onServed(UpstreamResponse response, ValueStream value);
 
@@ -28,10 +28,10 @@
     }
 
     final long id;
-    final ClientRequest clientRequest;
+    public final ClientRequest clientRequest;
 
     /** Its class, as the settings had it when the request was accepted. */
-    final Api.RequestClass requestClass;
+    final RequestClass requestClass;
 
     /**
      * When the final answer is due, on this program's clock; earlier than at first once a shutdown
@@ -58,7 +58,7 @@
     ActiveRequest(
             long id,
             ClientRequest clientRequest,
-            Api.RequestClass requestClass,
+            RequestClass requestClass,
             long acceptedAtNanos,
             long deadlineNanos,
             ResponseListener client) {
--- a/node/src/main/java/frostrelay/node/Attempt.java
+++ b/node/src/main/java/frostrelay/node/proxy/Attempt.java
@@ -1,12 +1,12 @@
-package frostrelay.node;
+package frostrelay.node.proxy;
 
-import frostrelay.policy.Api.Reason;
+import frostrelay.policy.api.AttemptResult;
 
 import io.netty.util.concurrent.Future;
 
 /** One send of a request to a cache host; numbered by its place among the request's sends. */
-final class Attempt {
-    final ActiveRequest activeRequest;
+public final class Attempt {
+    public final ActiveRequest activeRequest;
     final int number;
 
     /** The host that it goes to, by its number on the list. */
@@ -22,7 +22,7 @@
     boolean completed;
 
     /** That outcome; null before. */
-    Reason result;
+    AttemptResult result;
 
     /** Whether it went out whole. */
     boolean writeStarted;
@@ -31,12 +31,18 @@
     Future<?> timeoutTask;
 
     /** The milliseconds that its server was told it is waited for; 0 before it is written. */
-    long announcedTimeoutMillis;
+    public long announcedTimeoutMillis;
 
     /** What carries it, or will once it is up; null before and after. */
-    Upstream.AttemptConnection connection;
-
-    Attempt(ActiveRequest activeRequest, int number, long serverId, long sentAtNanos, long timeoutAtNanos, int appliedVersionIndex) {
+    public Upstream.AttemptConnection connection;
+
+    Attempt(
+            ActiveRequest activeRequest,
+            int number,
+            long serverId,
+            long sentAtNanos,
+            long timeoutAtNanos,
+            int appliedVersionIndex) {
         this.activeRequest = activeRequest;
         this.number = number;
         this.serverId = serverId;
--- a/node/src/main/java/frostrelay/node/ClientRequest.java
+++ b/node/src/main/java/frostrelay/node/proxy/ClientRequest.java
@@ -1,4 +1,4 @@
-package frostrelay.node;
+package frostrelay.node.proxy;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -7,7 +7,7 @@
  * What a client asks for, checked, whatever protocol it speaks: as much as a request's life needs
  * to know of it.
  */
-interface ClientRequest {
+public interface ClientRequest {
     /** Under which its hosts know the request. */
     String id();
 
--- a/node/src/main/java/frostrelay/node/DecisionObserver.java
+++ b/node/src/main/java/frostrelay/node/proxy/DecisionObserver.java
@@ -1,18 +1,23 @@
-package frostrelay.node;
+package frostrelay.node.proxy;
 
-import frostrelay.judgements.AttemptObservation;
-import frostrelay.policy.Api;
+import frostrelay.healthreports.AttemptObservation;
+import frostrelay.node.config.Config;
+import frostrelay.node.config.EndpointList;
+import frostrelay.policy.api.AttemptResult;
+import frostrelay.policy.api.EndpointUpdateMode;
+import frostrelay.policy.api.ResponseSource;
 
 import java.util.List;
 import java.util.Set;
 
 /** Hears what a balancer acts on, just before it does, and what it does. On the event loop. */
-interface DecisionObserver {
+public interface DecisionObserver {
     /** Where nobody wants to know. */
     DecisionObserver NONE = new DecisionObserver() {};
 
     /** The list is applied; what failed changes nothing. */
-    default void onEndpointList(Api.ListMode mode, long revision, List<EndpointList.Endpoint> members) {}
+    default void onEndpointList(
+            EndpointUpdateMode mode, long revision, List<EndpointList.Endpoint> members) {}
 
     default void onConfig(Config config) {}
 
@@ -33,14 +38,15 @@
     }
 
     /**
-     * An attempt is written; {@code versionSequence}: the stamp it was decided on under; {@code hedged}:
-     * another is still out.
+     * An attempt is written; {@code versionSequence}: the stamp it was decided on under; {@code
+     * hedged}: another is still out.
      */
-    default void onAttemptSent(int versionSequence, int cache, int attempt, boolean hedged, ClientRequest request) {}
+    default void onAttemptSent(
+            int versionSequence, int cache, int attempt, boolean hedged, ClientRequest request) {}
 
     /**
-     * An attempt at a cache, begun at {@code sentAtNanos}, has ended and told this of it; {@code cache}:
-     * its number on the list.
+     * An attempt at a cache, begun at {@code sentAtNanos}, has ended and told this of it; {@code
+     * cache}: its number on the list.
      */
     default void onAttemptObserved(long cache, AttemptObservation observation, long sentAtNanos) {}
 
@@ -48,7 +54,7 @@
     default void onRequestAccepted(boolean clientRetry) {}
 
     /** An attempt that was written has ended. */
-    default void onAttemptCompleted(Api.Reason result, Api.Source source) {}
+    default void onAttemptCompleted(AttemptResult result, ResponseSource source) {}
 
     /** A request is refused by decision. */
     default void onRequestRejected() {}
--- a/node/src/main/java/frostrelay/node/IdInUseException.java
+++ b/node/src/main/java/frostrelay/node/proxy/IdInUseException.java
@@ -1,7 +1,7 @@
-package frostrelay.node;
+package frostrelay.node.proxy;
 
 /** Hosts know requests by their ids alone, and another one is open under this. */
-final class IdInUseException extends Exception {
+public final class IdInUseException extends Exception {
     private static final long serialVersionUID = 1L;
 
     IdInUseException() {
--- a/node/src/main/java/frostrelay/node/RequestDispatcher.java
+++ b/node/src/main/java/frostrelay/node/proxy/RequestDispatcher.java
@@ -1,12 +1,32 @@
-package frostrelay.node;
-
-import frostrelay.judgements.AttemptObservation;
-import frostrelay.lifecycle.ActionGuard;
-import frostrelay.lifecycle.SharedDirectory;
-import frostrelay.log.Event;
-import frostrelay.log.Log;
-import frostrelay.policy.Api;
-import frostrelay.policy.Api.Reason;
+package frostrelay.node.proxy;
+
+import frostrelay.healthreports.AttemptObservation;
+import frostrelay.node.config.Config;
+import frostrelay.node.config.CurrentSettings;
+import frostrelay.node.config.DeploymentSettings;
+import frostrelay.node.config.EndpointList;
+import frostrelay.node.discovery.DiscoveryClient;
+import frostrelay.node.discovery.ServerStartTimes;
+import frostrelay.node.lifecycle.ActionGuard;
+import frostrelay.node.lifecycle.SharedDirectory;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
+import frostrelay.node.metrics.Counters;
+import frostrelay.node.metrics.InvariantViolation;
+import frostrelay.node.metrics.RejectionReason;
+import frostrelay.node.net.MemoryLimiter;
+import frostrelay.node.time.Clock;
+import frostrelay.policy.api.AttemptOutcome;
+import frostrelay.policy.api.AttemptResult;
+import frostrelay.policy.api.EndpointState;
+import frostrelay.policy.api.EndpointUpdateMode;
+import frostrelay.policy.api.PolicyActions;
+import frostrelay.policy.api.PolicyEvents;
+import frostrelay.policy.api.PolicySettings;
+import frostrelay.policy.api.Request;
+import frostrelay.policy.api.RequestClass;
+import frostrelay.policy.api.ResponseSource;
+import frostrelay.policy.api.Server;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -33,7 +53,8 @@
  * an action causes at once is queued and handed over when the module has returned, as the module is
  * not reentrant.
  */
-final class RequestDispatcher implements Api.Actions, Upstream.Listener, DiscoveryClient.Listener {
+public final class RequestDispatcher
+        implements PolicyActions, Upstream.Listener, DiscoveryClient.Listener {
     /**
      * A client counts its wait from when it sent, not from when the request was read here, and the
      * answer has its way to go as well: this much is taken off, so that a final answer is there
@@ -66,11 +87,12 @@
      * A final answer that is later than this has another cause than a process that was held up for
      * as long as it may be.
      */
-    private static final long MAX_LATENESS_NANOS = ActionGuard.MAX_PROCESS_STALL_NANOS + 50 * Clock.NANOS_PER_MILLISECOND;
+    private static final long MAX_LATENESS_NANOS =
+            ActionGuard.MAX_PROCESS_STALL_NANOS + 50 * Clock.NANOS_PER_MILLISECOND;
 
     /** Makes the decision module, given where its actions go. */
-    interface PolicyFactory {
-        Api.Events create(Api.Settings settings, long seed, Api.Actions actions);
+    public interface PolicyFactory {
+        PolicyEvents create(PolicySettings settings, long seed, PolicyActions actions);
     }
 
     /**
@@ -116,7 +138,7 @@
             observer.onRequestAccepted(clientRequest.isClientRetry());
             policy.onRequest(
                     Clock.now(),
-                    new Api.Request(
+                    new Request(
                             activeRequest.id,
                             clientRequest.requestClass(),
                             clientRequest.tenant(),
@@ -130,11 +152,15 @@
 
     private final class AttemptOutcomeEvent extends PolicyEvent {
         private final Attempt attempt;
-        private final Reason reason;
+        private final AttemptResult reason;
         private final UpstreamResponse response;
         private final ValueStream value;
 
-        AttemptOutcomeEvent(Attempt attempt, Reason reason, UpstreamResponse response, ValueStream value) {
+        AttemptOutcomeEvent(
+                Attempt attempt,
+                AttemptResult reason,
+                UpstreamResponse response,
+                ValueStream value) {
             super(attempt.activeRequest);
             this.attempt = attempt;
             this.reason = reason;
@@ -145,7 +171,7 @@
         @Override
         void dispatch() {
             activeRequest.pendingOutcomes--;
-            if (reason == Reason.OK && markCompleted(activeRequest)) {
+            if (reason == AttemptResult.OK && markCompleted(activeRequest)) {
                 activeRequest.winningAttempt = attempt.number;
                 counters.served++;
                 trace(activeRequest, "served", attempt.number);
@@ -155,17 +181,20 @@
             }
             AttemptObservation attemptObservation = observation();
             if (attemptObservation != null) {
-                observer.onAttemptObserved(attempt.serverId, attemptObservation, attempt.sentAtNanos);
+                observer.onAttemptObserved(
+                        attempt.serverId, attemptObservation, attempt.sentAtNanos);
             }
-            Api.Source source = response == null ? Api.Source.UNKNOWN : response.source();
+            ResponseSource source = response == null ? ResponseSource.UNKNOWN : response.source();
             if (attempt.writeStarted) {
                 observer.onAttemptCompleted(reason, source);
             }
-            float[] loadReport = deploymentSettings().parseReport(response == null ? null : response.loadReport());
+            float[] loadReport =
+                    deploymentSettings()
+                            .parseReport(response == null ? null : response.loadReport());
             long now = Clock.now();
             policy.onAttemptOutcome(
                     now,
-                    new Api.Outcome(
+                    new AttemptOutcome(
                             activeRequest.id,
                             attempt.number,
                             reason,
@@ -187,7 +216,10 @@
                 case RESET -> AttemptObservation.RESET;
                 case CONNECT_FAILED -> AttemptObservation.UNREACHABLE;
                 // Its copy, sent later, was answered first.
-                case CANCELLED -> activeRequest.winningAttempt > attempt.number ? AttemptObservation.SILENT : null;
+                case CANCELLED ->
+                        activeRequest.winningAttempt > attempt.number
+                                ? AttemptObservation.SILENT
+                                : null;
                 case REJECTED, SUPERSEDED -> null;
             };
         }
@@ -246,14 +278,16 @@
         public void run() {
             counters.recordTimer(Clock.now() - attempt.timeoutAtNanos);
             // What never left cannot have run: its connection did not come up in time.
-            abandonAttempt(attempt, attempt.isWritten() ? Reason.TIMEOUT : Reason.CONNECT_FAILED);
+            abandonAttempt(
+                    attempt,
+                    attempt.isWritten() ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED);
         }
     }
 
     private final CurrentSettings currentSettings;
     private final EventLoop loop;
     private final Counters counters;
-    private final Api.Events policy;
+    private final PolicyEvents policy;
     private final Upstream upstream;
     private final DiscoveryClient discovery;
     private final Map<Long, ActiveRequest> activeRequests = new HashMap<>();
@@ -275,7 +309,7 @@
     private Set<Long> avoidedServers = Set.of();
 
     /** The list's entries as discovery told them. */
-    private final Map<Long, Api.Server> listedServers = new HashMap<>();
+    private final Map<Long, Server> listedServers = new HashMap<>();
 
     /**
      * When the last sweep was, and whether requests that come behind a pause wait for what others
@@ -290,7 +324,7 @@
     /** Done once discovery was heard, or failed, where its list binds from the first moment on. */
     private final Promise<Void> initialListReceived;
 
-    RequestDispatcher(
+    public RequestDispatcher(
             Config config,
             EventLoop loop,
             Counters counters,
@@ -315,11 +349,14 @@
         onSiblingProcesses(sharedState.peerProcessCount());
         onAdminDrains(sharedState.adminDrains());
         EndpointList cachedList = config.initialEndpoints();
-        onEndpointList(Api.ListMode.CACHED, cachedList.revision(), cachedList.endpoints());
+        onEndpointList(EndpointUpdateMode.CACHED, cachedList.revision(), cachedList.endpoints());
         if (deploymentSettings().policySettings.subscribe()) {
             initialListReceived.setSuccess(null);
         } else {
-            loop.schedule(() -> initialListReceived.trySuccess(null), INITIAL_LIST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> initialListReceived.trySuccess(null),
+                    INITIAL_LIST_TIMEOUT_MILLIS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
@@ -328,7 +365,7 @@
      * moment of this process, and the one of the configuration may be old: nothing is sent before
      * the agent was heard, or has failed.
      */
-    Future<Void> heard() {
+    public Future<Void> heard() {
         return initialListReceived;
     }
 
@@ -337,25 +374,34 @@
     /**
      * Takes a request, which is answered exactly once unless its client leaves first. Hosts know
      * requests by their ids alone: a second one under an open id could be served with what was made
-     * for the first. {@code arrivedAtNanos}: when it had come whole; its client's wait has run since,
-     * however long it stood in line here.
+     * for the first. {@code arrivedAtNanos}: when it had come whole; its client's wait has run
+     * since, however long it stood in line here.
      */
-    ActiveRequest accept(ClientRequest clientRequest, long arrivedAtNanos, ActiveRequest.ResponseListener client) throws IdInUseException {
+    public ActiveRequest accept(
+            ClientRequest clientRequest, long arrivedAtNanos, ActiveRequest.ResponseListener client)
+            throws IdInUseException {
         if (openRequestIds.contains(clientRequest.id())) {
             throw new IdInUseException();
         }
         long now = Clock.now();
-        long deadlineNanos = guard.requestDeadlineNanos(arrivedAtNanos, clientRequest.clientTimeoutMillis() * Clock.NANOS_PER_MILLISECOND - NETWORK_ALLOWANCE_NANOS);
+        long deadlineNanos =
+                guard.requestDeadlineNanos(
+                        arrivedAtNanos,
+                        clientRequest.clientTimeoutMillis() * Clock.NANOS_PER_MILLISECOND
+                                - NETWORK_ALLOWANCE_NANOS);
         ActiveRequest activeRequest =
                 new ActiveRequest(
                         ++lastRequestId,
                         clientRequest,
-                        deploymentSettings().policySettings.classes().get(clientRequest.requestClass()),
+                        deploymentSettings()
+                                .policySettings
+                                .classes()
+                                .get(clientRequest.requestClass()),
                         now,
                         deadlineNanos,
                         client);
         counters.accepted++;
-        trace(activeRequest, "taken", clientRequest.clientTimeoutMillis());
+        trace(activeRequest, "accepted", clientRequest.clientTimeoutMillis());
         // Running out of room is told to the client: a refusal of what never went out does no harm.
         if (openRequestCount() >= deploymentSettings().maxOpenRequests) {
             respondRejected(activeRequest, RejectionReason.TOO_MANY_OPEN, 0);
@@ -371,7 +417,10 @@
         if (catchUpEnabled && now - lastSweepNanos > PAUSE_THRESHOLD_NANOS) {
             // This process stood still: what others have told it meanwhile waits in its sockets,
             // and is read first.
-            loop.schedule(() -> post(new RequestEvent(activeRequest)), CATCH_UP_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> post(new RequestEvent(activeRequest)),
+                    CATCH_UP_DELAY_MILLIS,
+                    TimeUnit.MILLISECONDS);
         } else {
             post(new RequestEvent(activeRequest));
         }
@@ -389,7 +438,7 @@
     /**
      * From now on every request is answered by this moment, also those that were accepted before.
      */
-    void capDeadlines(long latestDeadlineNanos) {
+    public void capDeadlines(long latestDeadlineNanos) {
         long now = Clock.now();
         for (ActiveRequest activeRequest : activeRequests.values()) {
             if (!activeRequest.completed && activeRequest.deadlineNanos > latestDeadlineNanos) {
@@ -407,32 +456,37 @@
     }
 
     /** The client of an open request has closed its connection: nothing is owed any more. */
-    void onClientDisconnect(ActiveRequest activeRequest) {
+    public void onClientDisconnect(ActiveRequest activeRequest) {
         if (markCompleted(activeRequest)) {
             counters.disconnectedClients++;
-            trace(activeRequest, "client-gone", null);
+            trace(activeRequest, "client-disconnected", null);
             post(activeRequest, () -> policy.onClientDisconnect(Clock.now(), activeRequest.id));
         }
     }
 
     @Override
-    public void onEndpointList(Api.ListMode mode, long rev, List<EndpointList.Endpoint> members) {
+    public void onEndpointList(
+            EndpointUpdateMode mode, long rev, List<EndpointList.Endpoint> members) {
         observer.onEndpointList(mode, rev, members);
         upstream.update(mode, members);
-        boolean isFullList = mode == Api.ListMode.FULL || mode == Api.ListMode.CACHED;
+        boolean isFullList = mode == EndpointUpdateMode.FULL || mode == EndpointUpdateMode.CACHED;
         if (isFullList) {
             listedServers.clear();
         }
-        if (mode != Api.ListMode.FAILED) {
-            startTimes.onEndpointList(Clock.now(), wallClockMillis.getAsLong() * Clock.NANOS_PER_MILLISECOND);
+        if (mode != EndpointUpdateMode.FAILED) {
+            startTimes.onEndpointList(
+                    Clock.now(), wallClockMillis.getAsLong() * Clock.NANOS_PER_MILLISECOND);
         }
-        List<Api.Server> localServers =
-                members.stream().map(EndpointList.Endpoint::server).map(this::withLocalStartTime).toList();
+        List<Server> localServers =
+                members.stream()
+                        .map(EndpointList.Endpoint::server)
+                        .map(this::withLocalStartTime)
+                        .toList();
         localServers.forEach(server -> listedServers.put(server.id(), server));
         if (isFullList) {
             startTimes.retainOnly(listedServers.keySet());
         }
-        List<Api.Server> servers = localServers.stream().map(this::heard).toList();
+        List<Server> servers = localServers.stream().map(this::heard).toList();
         post(null, () -> policy.onEndpointUpdate(Clock.now(), mode, servers));
         if (!deploymentSettings().policySettings.subscribe()) {
             resubscribeIfNeeded(mode);
@@ -443,13 +497,13 @@
      * Where lists are pushed, the module asks for none: the agent beside this process is watched
      * all the time, at no cost.
      */
-    private void resubscribeIfNeeded(Api.ListMode mode) {
-        if (mode == Api.ListMode.CACHED) {
+    private void resubscribeIfNeeded(EndpointUpdateMode mode) {
+        if (mode == EndpointUpdateMode.CACHED) {
             discovery.subscribe();
             return;
         }
         initialListReceived.trySuccess(null);
-        if (mode == Api.ListMode.FAILED) {
+        if (mode == EndpointUpdateMode.FAILED) {
             loop.schedule(discovery::subscribe, AGENT_RECONNECT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
@@ -462,10 +516,12 @@
 
     @Override
     public long remainingTimeoutNanos(Attempt attempt) {
-        return guard.forwardedTimeoutNanos(Clock.now(), attempt.timeoutAtNanos, attempt.activeRequest.deadlineNanos);
+        return guard.forwardedTimeoutNanos(
+                Clock.now(), attempt.timeoutAtNanos, attempt.activeRequest.deadlineNanos);
     }
 
-    private ActionGuard.PendingSend sendConditions(long now, Attempt attempt, long sendAllowedUntilNanos) {
+    private ActionGuard.PendingSend sendConditions(
+            long now, Attempt attempt, long sendAllowedUntilNanos) {
         ActiveRequest activeRequest = attempt.activeRequest;
         return new ActionGuard.PendingSend(
                 activeRequest.completed,
@@ -483,8 +539,11 @@
         for (int i = 0; i < attempt.number; i++) {
             Attempt earlier = attempt.activeRequest.attempts.get(i);
             if (earlier.result == null || !earlier.result.neverRan) {
-                Api.RequestClass current =
-                        deploymentSettings().policySettings.classes().get(attempt.activeRequest.clientRequest.requestClass());
+                RequestClass current =
+                        deploymentSettings()
+                                .policySettings
+                                .classes()
+                                .get(attempt.activeRequest.clientRequest.requestClass());
                 return Math.min(
                         retryAllowedUntilNanos(attempt.activeRequest.requestClass, earlier),
                         retryAllowedUntilNanos(current, earlier));
@@ -493,10 +552,13 @@
         return ActionGuard.NEVER;
     }
 
-    private static long retryAllowedUntilNanos(Api.RequestClass requestClass, Attempt attempt) {
+    private static long retryAllowedUntilNanos(RequestClass requestClass, Attempt attempt) {
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> ActionGuard.NEVER;
-            case IDEMPOTENCY_KEY -> attempt.sentAtNanos + requestClass.deduplicationWindowNanos() - ActionGuard.MAX_PROCESS_STALL_NANOS;
+            case IDEMPOTENCY_KEY ->
+                    attempt.sentAtNanos
+                            + requestClass.deduplicationWindowNanos()
+                            - ActionGuard.MAX_PROCESS_STALL_NANOS;
             case NOT_IDEMPOTENT -> attempt.sentAtNanos;
         };
     }
@@ -509,16 +571,25 @@
     public void onWritten(Attempt attempt, long sendAllowedUntilNanos) {
         long now = Clock.now();
         ActionGuard.SendDecision verdict =
-                guard.checkSend(now - ActionGuard.MAX_PROCESS_STALL_NANOS, sendConditions(now, attempt, sendAllowedUntilNanos));
+                guard.checkSend(
+                        now - ActionGuard.MAX_PROCESS_STALL_NANOS,
+                        sendConditions(now, attempt, sendAllowedUntilNanos));
         if (verdict != ActionGuard.SendDecision.ALLOWED) {
             counters.recordViolation(
-                    InvariantViolation.WRITTEN_AGAINST_GUARD, attempt.activeRequest.clientRequest.id() + ": " + verdict);
+                    InvariantViolation.WRITTEN_AGAINST_GUARD,
+                    attempt.activeRequest.clientRequest.id() + ": " + verdict);
         }
-        long overstatedNanos = now + attempt.announcedTimeoutMillis * Clock.NANOS_PER_MILLISECOND - attempt.activeRequest.deadlineNanos;
+        long overstatedNanos =
+                now
+                        + attempt.announcedTimeoutMillis * Clock.NANOS_PER_MILLISECOND
+                        - attempt.activeRequest.deadlineNanos;
         if (overstatedNanos > ActionGuard.MAX_PROCESS_STALL_NANOS) {
             counters.recordViolation(
                     InvariantViolation.DEADLINE_OVERSTATED,
-                    attempt.activeRequest.clientRequest.id() + ": by " + overstatedNanos / Clock.NANOS_PER_MILLISECOND + " ms");
+                    attempt.activeRequest.clientRequest.id()
+                            + ": by "
+                            + overstatedNanos / Clock.NANOS_PER_MILLISECOND
+                            + " ms");
         }
     }
 
@@ -530,7 +601,12 @@
         }
         attempt.writeStarted = true;
         trace(attempt.activeRequest, "attempt-written", attempt.number);
-        observer.onAttemptSent(attempt.appliedVersionIndex, serverNumber, attempt.number, isHedge, attempt.activeRequest.clientRequest);
+        observer.onAttemptSent(
+                attempt.appliedVersionIndex,
+                serverNumber,
+                attempt.number,
+                isHedge,
+                attempt.activeRequest.clientRequest);
     }
 
     @Override
@@ -539,7 +615,8 @@
     }
 
     @Override
-    public void onAttemptCompleted(Attempt attempt, Reason reason, UpstreamResponse response, ValueStream value) {
+    public void onAttemptCompleted(
+            Attempt attempt, AttemptResult reason, UpstreamResponse response, ValueStream value) {
         completeAttempt(attempt, reason, response, value);
     }
 
@@ -547,47 +624,49 @@
      * The configuration was replaced: of what it tells, the settings and where discovery is change
      * under way.
      */
-    void reload(Config newConfig) {
+    public void reload(Config newConfig) {
         observer.onConfig(newConfig);
         currentSettings.replace(newConfig.settings());
         post(null, () -> policy.onSettings(Clock.now(), newConfig.settings().policySettings));
         discovery.moveTo(newConfig.discoveryAddress());
     }
 
-    DeploymentSettings deploymentSettings() {
+    public DeploymentSettings deploymentSettings() {
         return currentSettings.get();
     }
 
     /** The number of requests that are owed an answer. */
-    int openRequestCount() {
+    public int openRequestCount() {
         return openRequestIds.size();
     }
 
     /** The first open requests, each by its id and the milliseconds that are left to answer it. */
-    Map<String, Object> openRequests(int maxEntries) {
+    public Map<String, Object> openRequests(int maxEntries) {
         long now = Clock.now();
         Map<String, Object> open = new LinkedHashMap<>();
         for (ActiveRequest activeRequest : activeRequests.values()) {
             if (!activeRequest.completed && open.size() < maxEntries) {
-                open.put(activeRequest.clientRequest.id(), (activeRequest.deadlineNanos - now) / Clock.NANOS_PER_MILLISECOND);
+                open.put(
+                        activeRequest.clientRequest.id(),
+                        (activeRequest.deadlineNanos - now) / Clock.NANOS_PER_MILLISECOND);
             }
         }
         return open;
     }
 
     /** Connections to hosts. */
-    int connectionCount() {
+    public int connectionCount() {
         return upstream.connectionCount();
     }
 
-    void collectGauges(Map<String, Object> gauges) {
+    public void collectGauges(Map<String, Object> gauges) {
         gauges.put("open", openRequestCount());
         gauges.put("ledger", activeRequests.size());
         upstream.collectGauges(gauges);
     }
 
     /** Operators hold these servers out of use, by the names that the list has for them. */
-    void onAdminDrains(Set<String> names) {
+    public void onAdminDrains(Set<String> names) {
         Set<Long> servers = new HashSet<>();
         names.forEach(name -> servers.add(EndpointList.serverId(name)));
         observer.onAdminDrains(names);
@@ -599,25 +678,27 @@
      * On others' word these are avoided: by their newer lists, for which the module takes them as
      * drained, and {@code locallyDrained} by their operators, which is as though ours did.
      */
-    void onPeerDrains(Set<Long> servers, Set<Long> adminDrainedByPeers) {
+    public void onPeerDrains(Set<Long> servers, Set<Long> adminDrainedByPeers) {
         Set<Long> changed = new TreeSet<>(avoidedServers);
         changed.addAll(servers);
         changed.removeIf(
-                id -> avoidedServers.contains(id) == servers.contains(id) || !listedServers.containsKey(id));
+                id ->
+                        avoidedServers.contains(id) == servers.contains(id)
+                                || !listedServers.containsKey(id));
         avoidedServers = servers;
         drainedByPeers = adminDrainedByPeers;
-        List<Api.Server> entries = changed.stream().map(listedServers::get).map(this::heard).toList();
-        post(null, () -> policy.onEndpointUpdate(Clock.now(), Api.ListMode.DELTA, entries));
+        List<Server> entries = changed.stream().map(listedServers::get).map(this::heard).toList();
+        post(null, () -> policy.onEndpointUpdate(Clock.now(), EndpointUpdateMode.DELTA, entries));
         applyDrains();
     }
 
     /** An entry of the list with its start on this program's clock. */
-    private Api.Server withLocalStartTime(Api.Server listedServer) {
-        if (listedServer.state() == Api.State.REMOVED) {
+    private Server withLocalStartTime(Server listedServer) {
+        if (listedServer.state() == EndpointState.REMOVED) {
             startTimes.forget(listedServer.id());
             return listedServer;
         }
-        return new Api.Server(
+        return new Server(
                 listedServer.id(),
                 listedServer.zone(),
                 listedServer.kind(),
@@ -628,21 +709,21 @@
     }
 
     /** An entry of the list as others' newer ones have it. */
-    private Api.Server heard(Api.Server server) {
-        return server.state() != Api.State.READY || !avoidedServers.contains(server.id())
+    private Server heard(Server server) {
+        return server.state() != EndpointState.READY || !avoidedServers.contains(server.id())
                 ? server
-                : new Api.Server(
+                : new Server(
                         server.id(),
                         server.zone(),
                         server.kind(),
                         server.cell(),
-                        Api.State.DRAINING,
+                        EndpointState.DRAINING,
                         server.weight(),
                         server.startedAtNanos());
     }
 
     /** The fleet finds these bad. */
-    void onPeerHealthReports(Set<Long> outliers) {
+    public void onPeerHealthReports(Set<Long> outliers) {
         post(null, () -> policy.onPeerHealthReports(Clock.now(), outliers));
     }
 
@@ -656,12 +737,12 @@
     }
 
     /** Requests that come right behind a pause of this process wait until its sockets are read. */
-    void enableCatchUp() {
+    public void enableCatchUp() {
         catchUpEnabled = true;
     }
 
     /** Discovery is asked anew. */
-    void refresh() {
+    public void refresh() {
         discovery.refresh();
     }
 
@@ -669,22 +750,22 @@
      * Whether the list names a server so, or did lately: operators restart what they take out, and
      * discovery may call it gone just before their call comes in.
      */
-    boolean isKnownServer(String name) {
+    public boolean isKnownServer(String name) {
         return upstream.isKnown(EndpointList.serverId(name));
     }
 
     /** So many further processes of this balancer serve now. */
-    void onSiblingProcesses(int siblingCount) {
+    public void onSiblingProcesses(int siblingCount) {
         post(null, () -> policy.onSiblingProcesses(Clock.now(), siblingCount));
     }
 
     /** From now on so many connections to hosts are held at most. */
-    void setMaxConnections(int maxConnections) {
+    public void setMaxConnections(int maxConnections) {
         upstream.setMaxConnections(maxConnections);
     }
 
     /** Closes what the pool holds idle for too long; called once in a while. */
-    void sweep() {
+    public void sweep() {
         lastSweepNanos = Clock.now();
         upstream.sweep();
     }
@@ -702,7 +783,9 @@
         }
         isDispatching = true;
         try {
-            for (PolicyEvent event = pendingEvents.poll(); event != null; event = pendingEvents.poll()) {
+            for (PolicyEvent event = pendingEvents.poll();
+                    event != null;
+                    event = pendingEvents.poll()) {
                 deliver(event);
             }
         } finally {
@@ -727,7 +810,9 @@
     }
 
     private void removeIfFinished(ActiveRequest activeRequest) {
-        if (activeRequest.completed && activeRequest.pendingOutcomes == 0 && activeRequests.remove(activeRequest.id) != null) {
+        if (activeRequest.completed
+                && activeRequest.pendingOutcomes == 0
+                && activeRequests.remove(activeRequest.id) != null) {
             memoryLimiter.release(activeRequest.clientRequest.sizeBytes());
         }
     }
@@ -735,10 +820,13 @@
     /** Answers by the rules without the module: a refusal only where nothing can have run. */
     private void completeWithoutPolicy(ActiveRequest activeRequest) {
         boolean mayHaveRun =
-                activeRequest.mayHaveRun || activeRequest.attempts.stream().anyMatch(Attempt::isWritten);
+                activeRequest.mayHaveRun
+                        || activeRequest.attempts.stream().anyMatch(Attempt::isWritten);
         for (Attempt attempt : List.copyOf(activeRequest.attempts)) {
             // The module hears of it, and may answer by it: what never left is told as such.
-            abandonAttempt(attempt, attempt.isWritten() ? Reason.CANCELLED : Reason.SUPERSEDED);
+            abandonAttempt(
+                    attempt,
+                    attempt.isWritten() ? AttemptResult.CANCELLED : AttemptResult.SUPERSEDED);
         }
         if (!activeRequest.completed) {
             if (mayHaveRun) {
@@ -750,7 +838,7 @@
         }
     }
 
-    private void abandonAttempt(Attempt attempt, Reason reason) {
+    private void abandonAttempt(Attempt attempt, AttemptResult reason) {
         if (!attempt.completed) {
             upstream.abandon(attempt);
             completeAttempt(attempt, reason, null, null);
@@ -758,7 +846,8 @@
     }
 
     /** Reports the one outcome of an attempt. */
-    private void completeAttempt(Attempt attempt, Reason reason, UpstreamResponse response, ValueStream value) {
+    private void completeAttempt(
+            Attempt attempt, AttemptResult reason, UpstreamResponse response, ValueStream value) {
         if (attempt.completed) {
             if (value != null) {
                 value.cancel();
@@ -777,9 +866,10 @@
         post(new AttemptOutcomeEvent(attempt, reason, response, value));
     }
 
-    private void respondRejected(ActiveRequest activeRequest, RejectionReason reason, long retryAfterMs) {
+    private void respondRejected(
+            ActiveRequest activeRequest, RejectionReason reason, long retryAfterMs) {
         counters.rejected(reason);
-        trace(activeRequest, "refused", reason);
+        trace(activeRequest, "rejected", reason);
         observer.onRequestRejected();
         if (markCompleted(activeRequest)) {
             activeRequest.client.onRejected(retryAfterMs);
@@ -807,7 +897,10 @@
         if (latenessNanos > MAX_LATENESS_NANOS) {
             counters.recordViolation(
                     InvariantViolation.UNANSWERED,
-                    activeRequest.clientRequest.id() + ": for " + latenessNanos / Clock.NANOS_PER_MILLISECOND + " ms past its time");
+                    activeRequest.clientRequest.id()
+                            + ": for "
+                            + latenessNanos / Clock.NANOS_PER_MILLISECOND
+                            + " ms past its time");
         }
         if (activeRequests.containsKey(activeRequest.id)) {
             openRequestIds.remove(activeRequest.clientRequest.id());
@@ -825,22 +918,35 @@
             return;
         }
         long now = Clock.now();
-        long timeoutAtNanos = abandonAtNanos <= 0 ? activeRequest.deadlineNanos : Math.min(abandonAtNanos, activeRequest.deadlineNanos);
+        long timeoutAtNanos =
+                abandonAtNanos <= 0
+                        ? activeRequest.deadlineNanos
+                        : Math.min(abandonAtNanos, activeRequest.deadlineNanos);
         Attempt attempt =
                 new Attempt(
-                        activeRequest, activeRequest.attempts.size(), serverId, now, timeoutAtNanos, observer.versionSequence());
+                        activeRequest,
+                        activeRequest.attempts.size(),
+                        serverId,
+                        now,
+                        timeoutAtNanos,
+                        observer.versionSequence());
         if (attempt.number > 0) {
             counters.recordRetry(activeRequest.attempts.get(attempt.number - 1).result);
         }
         activeRequest.attempts.add(attempt);
         activeRequest.pendingOutcomes++;
-        boolean hasTooManyAttempts = activeRequest.attempts.size() > deploymentSettings().policySettings.maxAttempts();
+        boolean hasTooManyAttempts =
+                activeRequest.attempts.size() > deploymentSettings().policySettings.maxAttempts();
         if (activeRequest.completed || hasTooManyAttempts || now >= activeRequest.deadlineNanos) {
-            completeAttempt(attempt, Reason.SUPERSEDED, null, null);
+            completeAttempt(attempt, AttemptResult.SUPERSEDED, null, null);
         } else if (now >= timeoutAtNanos) {
-            completeAttempt(attempt, Reason.TIMEOUT, null, null);
+            completeAttempt(attempt, AttemptResult.TIMEOUT, null, null);
         } else {
-            attempt.timeoutTask = loop.schedule(new AttemptTimeout(attempt), timeoutAtNanos - now, TimeUnit.NANOSECONDS);
+            attempt.timeoutTask =
+                    loop.schedule(
+                            new AttemptTimeout(attempt),
+                            timeoutAtNanos - now,
+                            TimeUnit.NANOSECONDS);
             upstream.send(attempt, serverId);
         }
     }
@@ -849,7 +955,7 @@
     public void cancel(long requestId, int attemptNumber) {
         ActiveRequest activeRequest = activeRequests.get(requestId);
         if (activeRequest != null && attemptNumber < activeRequest.attempts.size()) {
-            abandonAttempt(activeRequest.attempts.get(attemptNumber), Reason.CANCELLED);
+            abandonAttempt(activeRequest.attempts.get(attemptNumber), AttemptResult.CANCELLED);
         }
     }
 
@@ -857,12 +963,16 @@
     public void reject(long requestId, long retryAfterNanos) {
         ActiveRequest activeRequest = activeRequests.get(requestId);
         if (activeRequest != null && !activeRequest.completed) {
-            Api.Settings settings = deploymentSettings().policySettings;
-            long cappedRetryAfterNanos = settings.retryAfterSupported() ? Math.min(retryAfterNanos, settings.maxRetryAfterNanos()) : 0;
+            PolicySettings settings = deploymentSettings().policySettings;
+            long cappedRetryAfterNanos =
+                    settings.retryAfterSupported()
+                            ? Math.min(retryAfterNanos, settings.maxRetryAfterNanos())
+                            : 0;
             respondRejected(
                     activeRequest,
                     RejectionReason.BY_POLICY,
-                    (cappedRetryAfterNanos + Clock.NANOS_PER_MILLISECOND - 1) / Clock.NANOS_PER_MILLISECOND);
+                    (cappedRetryAfterNanos + Clock.NANOS_PER_MILLISECOND - 1)
+                            / Clock.NANOS_PER_MILLISECOND);
         }
     }
 
@@ -877,7 +987,9 @@
     @Override
     public void scheduleTimer(long atNanos, int token) {
         loop.schedule(
-                new TimerEvent(atNanos, token), Math.max(0, atNanos - Clock.now()), TimeUnit.NANOSECONDS);
+                new TimerEvent(atNanos, token),
+                Math.max(0, atNanos - Clock.now()),
+                TimeUnit.NANOSECONDS);
     }
 
     @Override
--- a/node/src/main/java/frostrelay/node/Upstream.java
+++ b/node/src/main/java/frostrelay/node/proxy/Upstream.java
@@ -1,15 +1,17 @@
-package frostrelay.node;
+package frostrelay.node.proxy;
 
-import frostrelay.lifecycle.ActionGuard;
-import frostrelay.policy.Api;
-import frostrelay.policy.Api.Reason;
+import frostrelay.node.config.CurrentSettings;
+import frostrelay.node.config.EndpointList;
+import frostrelay.node.lifecycle.ActionGuard;
+import frostrelay.policy.api.AttemptResult;
+import frostrelay.policy.api.EndpointUpdateMode;
 
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /** Where attempts go: hosts of one kind, and the connections to them. Runs on the event loop. */
-interface Upstream {
+public interface Upstream {
     /**
      * Hears how attempts end, but for those that were abandoned; {@code value}: what is still
      * coming, or null.
@@ -36,7 +38,11 @@
         /** The number that a host is to be told of by, {@code uid} being its name in the list. */
         int serverNumber(String uid);
 
-        void onAttemptCompleted(Attempt attempt, Reason reason, UpstreamResponse response, ValueStream value);
+        void onAttemptCompleted(
+                Attempt attempt,
+                AttemptResult reason,
+                UpstreamResponse response,
+                ValueStream value);
     }
 
     /** Makes a backend for a balancer's hosts. */
@@ -51,7 +57,7 @@
     }
 
     /** Applies a list before the module sees it, so that every host it may name is known here. */
-    void update(Api.ListMode mode, List<EndpointList.Endpoint> members);
+    void update(EndpointUpdateMode mode, List<EndpointList.Endpoint> members);
 
     /** Operators hold these hosts out of use, all of them and no others. */
     void setDrainedServers(Set<Long> servers);
--- a/node/src/main/java/frostrelay/node/UpstreamResponse.java
+++ b/node/src/main/java/frostrelay/node/proxy/UpstreamResponse.java
@@ -1,9 +1,9 @@
-package frostrelay.node;
+package frostrelay.node.proxy;
 
-import frostrelay.policy.Api;
+import frostrelay.policy.api.ResponseSource;
 
 /** What a host served a request with, whatever protocol it speaks. */
-interface UpstreamResponse {
+public interface UpstreamResponse {
     /** The value of a read; null where it is still coming, in pieces. */
     byte[] data();
 
@@ -14,7 +14,7 @@
     String receipt();
 
     /** Where the value came from, for a host that tells. */
-    Api.Source source();
+    ResponseSource source();
 
     /** What the host says of its load; null if it says nothing. */
     String loadReport();
--- /dev/null
+++ b/node/src/main/java/frostrelay/node/time/package-info.java
@@ -0,0 +1,2 @@
+/** The process's monotonic clock. */
+package frostrelay.node.time;
--- a/node/src/main/java/frostrelay/node/UpstreamConnectionPool.java
+++ b/node/src/main/java/frostrelay/node/upstream/UpstreamConnectionPool.java
@@ -1,8 +1,21 @@
-package frostrelay.node;
-
-import frostrelay.lifecycle.ActionGuard;
-import frostrelay.policy.Api;
-import frostrelay.policy.Api.Reason;
+package frostrelay.node.upstream;
+
+import frostrelay.node.config.CurrentSettings;
+import frostrelay.node.config.EndpointList;
+import frostrelay.node.lifecycle.ActionGuard;
+import frostrelay.node.memcache.MetaDecoder;
+import frostrelay.node.memcache.MetaFrame;
+import frostrelay.node.metrics.Counters;
+import frostrelay.node.net.Connector;
+import frostrelay.node.net.MemoryLimiter;
+import frostrelay.node.proxy.Attempt;
+import frostrelay.node.proxy.ClientRequest;
+import frostrelay.node.proxy.Upstream;
+import frostrelay.node.proxy.ValueStream;
+import frostrelay.node.time.Clock;
+import frostrelay.policy.api.AttemptResult;
+import frostrelay.policy.api.EndpointState;
+import frostrelay.policy.api.EndpointUpdateMode;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -31,7 +44,7 @@
  * an attempt that is given up then costs no other request its connection. Nothing is ever sent
  * again here.
  */
-final class UpstreamConnectionPool implements Upstream {
+public final class UpstreamConnectionPool implements Upstream {
     /**
      * Part of the hosts' idle time after which a connection is retired: a request that crossed the
      * close would end as a reset, which a write cannot repeat.
@@ -42,7 +55,8 @@
      * Taken off the drain grace: for the way of the last byte, and for a process that is held up
      * before it writes.
      */
-    private static final long DRAIN_GRACE_MARGIN_NANOS = 100 * Clock.NANOS_PER_MILLISECOND + ActionGuard.MAX_PROCESS_STALL_NANOS;
+    private static final long DRAIN_GRACE_MARGIN_NANOS =
+            100 * Clock.NANOS_PER_MILLISECOND + ActionGuard.MAX_PROCESS_STALL_NANOS;
 
     /**
      * A host that is gone is known so long: a restart takes 2 to 30 s, and operators' calls may
@@ -97,8 +111,12 @@
 
     private int connectionCount;
 
-    UpstreamConnectionPool(
-            CurrentSettings currentSettings, EventLoop loop, Counters counters, int maxConnections, Listener listener) {
+    public UpstreamConnectionPool(
+            CurrentSettings currentSettings,
+            EventLoop loop,
+            Counters counters,
+            int maxConnections,
+            Listener listener) {
         this.currentSettings = currentSettings;
         this.counters = counters;
         this.maxConnections = maxConnections;
@@ -116,8 +134,8 @@
 
     /** Applies a list before the module sees it, so that every host it may name is known here. */
     @Override
-    public void update(Api.ListMode mode, List<EndpointList.Endpoint> members) {
-        if (mode == Api.ListMode.FAILED) {
+    public void update(EndpointUpdateMode mode, List<EndpointList.Endpoint> members) {
+        if (mode == EndpointUpdateMode.FAILED) {
             return;
         }
         long now = Clock.now();
@@ -125,20 +143,25 @@
         for (EndpointList.Endpoint member : members) {
             PooledServer pooledServer =
                     pooledServers.computeIfAbsent(
-                            member.server().id(), id -> new PooledServer(listener.serverNumber(member.uid())));
+                            member.server().id(),
+                            id -> new PooledServer(listener.serverNumber(member.uid())));
             unlisted.remove(pooledServer);
             if (!member.address().equals(pooledServer.endpoint)) {
                 closeIdleConnections(pooledServer);
                 pooledServer.endpoint = member.address();
             }
-            pooledServer.removed = member.server().state() == Api.State.REMOVED;
+            pooledServer.removed = member.server().state() == EndpointState.REMOVED;
             pooledServer.lastListedNanos = now;
-            pooledServer.listedReady = member.server().state() == Api.State.READY;
-            setUsable(pooledServer, pooledServer.listedReady && !drainedServers.contains(member.server().id()), now);
+            pooledServer.listedReady = member.server().state() == EndpointState.READY;
+            setUsable(
+                    pooledServer,
+                    pooledServer.listedReady && !drainedServers.contains(member.server().id()),
+                    now);
         }
-        if (mode != Api.ListMode.DELTA) {
+        if (mode != EndpointUpdateMode.DELTA) {
             for (PooledServer pooledServer : unlisted) {
-                pooledServer.lastListedNanos = pooledServer.removed ? pooledServer.lastListedNanos : now;
+                pooledServer.lastListedNanos =
+                        pooledServer.removed ? pooledServer.lastListedNanos : now;
                 pooledServer.removed = true;
                 pooledServer.listedReady = false;
                 setUsable(pooledServer, false, now);
@@ -151,7 +174,12 @@
     public void setDrainedServers(Set<Long> serverIds) {
         drainedServers = serverIds;
         long now = Clock.now();
-        pooledServers.forEach((id, pooledServer) -> setUsable(pooledServer, pooledServer.listedReady && !drainedServers.contains(id), now));
+        pooledServers.forEach(
+                (id, pooledServer) ->
+                        setUsable(
+                                pooledServer,
+                                pooledServer.listedReady && !drainedServers.contains(id),
+                                now));
     }
 
     @Override
@@ -171,7 +199,11 @@
         pooledServer.sendAllowedUntilNanos =
                 Math.min(
                         pooledServer.sendAllowedUntilNanos,
-                        now + Math.max(0, currentSettings.get().policySettings.drainGraceNanos() - DRAIN_GRACE_MARGIN_NANOS));
+                        now
+                                + Math.max(
+                                        0,
+                                        currentSettings.get().policySettings.drainGraceNanos()
+                                                - DRAIN_GRACE_MARGIN_NANOS));
         closeIdleConnections(pooledServer);
     }
 
@@ -179,8 +211,9 @@
     @Override
     public void send(Attempt attempt, long serverId) {
         PooledServer pooledServer = pooledServers.get(serverId);
-        if (pooledServer == null || checkMaySend(attempt, pooledServer) != ActionGuard.SendDecision.ALLOWED) {
-            listener.onAttemptCompleted(attempt, Reason.SUPERSEDED, null, null);
+        if (pooledServer == null
+                || checkMaySend(attempt, pooledServer) != ActionGuard.SendDecision.ALLOWED) {
+            listener.onAttemptCompleted(attempt, AttemptResult.SUPERSEDED, null, null);
             return;
         }
         PooledConnection connection = mostRecentlyUsed(pooledServer);
@@ -192,14 +225,15 @@
             // No room here is not the host's fault: told as 'not sent', which blames nobody and
             // refuses.
             counters.noConnectionCapacity++;
-            listener.onAttemptCompleted(attempt, Reason.SUPERSEDED, null, null);
+            listener.onAttemptCompleted(attempt, AttemptResult.SUPERSEDED, null, null);
         } else {
             new PooledConnection(pooledServer).connect(attempt);
         }
     }
 
     private ActionGuard.SendDecision checkMaySend(Attempt attempt, PooledServer pooledServer) {
-        ActionGuard.SendDecision verdict = listener.maySend(attempt, pooledServer.sendAllowedUntilNanos);
+        ActionGuard.SendDecision verdict =
+                listener.maySend(attempt, pooledServer.sendAllowedUntilNanos);
         if (verdict != ActionGuard.SendDecision.ALLOWED) {
             counters.recordDenial(verdict);
         }
@@ -214,7 +248,8 @@
     private PooledConnection mostRecentlyUsed(PooledServer pooledServer) {
         long idleCutoff = idleCutoffNanos();
         PooledConnection connection = pooledServer.idleConnections.peekLast();
-        while (connection != null && (!connection.channel.isActive() || connection.idleSinceNanos <= idleCutoff)) {
+        while (connection != null
+                && (!connection.channel.isActive() || connection.idleSinceNanos <= idleCutoff)) {
             connection.retire();
             connection = pooledServer.idleConnections.peekLast();
         }
@@ -222,7 +257,8 @@
     }
 
     private long idleCutoffNanos() {
-        return Clock.now() - (long) (currentSettings.get().idleTimeoutNanos * IDLE_TIMEOUT_FRACTION);
+        return Clock.now()
+                - (long) (currentSettings.get().idleTimeoutNanos * IDLE_TIMEOUT_FRACTION);
     }
 
     /** From now on so many connections are held at most; idle ones make room. */
@@ -285,7 +321,13 @@
             connection.retire();
         }
         long retentionCutoff = Clock.now() - REMOVED_SERVER_RETENTION_NANOS;
-        pooledServers.values().removeIf(pooledServer -> pooledServer.removed && pooledServer.connectionCount == 0 && pooledServer.lastListedNanos < retentionCutoff);
+        pooledServers
+                .values()
+                .removeIf(
+                        pooledServer ->
+                                pooledServer.removed
+                                        && pooledServer.connectionCount == 0
+                                        && pooledServer.lastListedNanos < retentionCutoff);
     }
 
     @Override
@@ -338,7 +380,11 @@
             connectionCount++;
             pooledServer.connectionCount++;
             int timeoutMillis =
-                    (int) Math.max(1, currentSettings.get().policySettings.connectTimeoutNanos() / Clock.NANOS_PER_MILLISECOND);
+                    (int)
+                            Math.max(
+                                    1,
+                                    currentSettings.get().policySettings.connectTimeoutNanos()
+                                            / Clock.NANOS_PER_MILLISECOND);
             Bootstrap connectBootstrap =
                     bootstrap
                             .clone()
@@ -347,10 +393,16 @@
                                     new ChannelInitializer<>() {
                                         @Override
                                         protected void initChannel(Channel fresh) {
-                                            fresh.pipeline().addLast(decoder, PooledConnection.this);
+                                            fresh.pipeline()
+                                                    .addLast(decoder, PooledConnection.this);
                                         }
                                     });
-            channel = Connector.connect(connectBootstrap, pooledServer.endpoint, loop, cause -> onConnectionLost());
+            channel =
+                    Connector.connect(
+                            connectBootstrap,
+                            pooledServer.endpoint,
+                            loop,
+                            cause -> onConnectionLost());
         }
 
         private void attachAttempt(Attempt next) {
@@ -372,7 +424,9 @@
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
             ActionGuard.SendDecision verdict =
-                    attempt == null ? ActionGuard.SendDecision.REQUEST_OVER : checkMaySend(attempt, pooledServer);
+                    attempt == null
+                            ? ActionGuard.SendDecision.REQUEST_OVER
+                            : checkMaySend(attempt, pooledServer);
             if (attempt != null && verdict != ActionGuard.SendDecision.ALLOWED) {
                 // What it was to carry must not begin any more: for a server that has left, another
                 // may be tried.
@@ -381,8 +435,8 @@
                 listener.onAttemptCompleted(
                         supersededAttempt,
                         verdict == ActionGuard.SendDecision.SERVER_UNAVAILABLE
-                                ? Reason.CONNECT_FAILED
-                                : Reason.SUPERSEDED,
+                                ? AttemptResult.CONNECT_FAILED
+                                : AttemptResult.SUPERSEDED,
                         null,
                         null);
             }
@@ -397,8 +451,13 @@
 
         private void write() {
             Attempt written = attempt;
-            written.announcedTimeoutMillis = Math.max(1, listener.remainingTimeoutNanos(written) / Clock.NANOS_PER_MILLISECOND);
-            ByteBuf bytes = written.activeRequest.clientRequest.encode(channel.alloc(), written.announcedTimeoutMillis);
+            written.announcedTimeoutMillis =
+                    Math.max(
+                            1,
+                            listener.remainingTimeoutNanos(written) / Clock.NANOS_PER_MILLISECOND);
+            ByteBuf bytes =
+                    written.activeRequest.clientRequest.encode(
+                            channel.alloc(), written.announcedTimeoutMillis);
             listener.onWriteStarted(written, pooledServer.number);
             writeFuture = channel.writeAndFlush(bytes);
             listener.onWritten(written, pooledServer.sendAllowedUntilNanos);
@@ -453,14 +512,19 @@
             if (isDuplicateResponse(response)) {
                 return;
             }
-            Reason reason = classify(attempt.activeRequest.clientRequest, response);
+            AttemptResult reason = classify(attempt.activeRequest.clientRequest, response);
             boolean isMalformed = reason == null;
             if (isMalformed) {
                 counters.warn(
                         "a cache host broke the protocol: "
-                                + (response.fault() != null ? response.fault() : response.tokens()));
+                                + (response.fault() != null
+                                        ? response.fault()
+                                        : response.tokens()));
             }
-            completeAttempt(isMalformed ? Reason.ERROR : reason, response, isMalformed || !isWritten());
+            completeAttempt(
+                    isMalformed ? AttemptResult.ERROR : reason,
+                    response,
+                    isMalformed || !isWritten());
         }
 
         /**
@@ -489,7 +553,9 @@
         private boolean isDuplicateResponse(MetaFrame response) {
             String id = response.streamed() ? null : opaque(response);
             boolean isDuplicate =
-                    id != null && id.equals(lastAnsweredRequestId) && !id.equals(attempt.activeRequest.clientRequest.id());
+                    id != null
+                            && id.equals(lastAnsweredRequestId)
+                            && !id.equals(attempt.activeRequest.clientRequest.id());
             lastAnsweredRequestId = isDuplicate ? null : lastAnsweredRequestId;
             return isDuplicate;
         }
@@ -499,27 +565,33 @@
         }
 
         /** What an answer means; null for what the protocol does not allow. */
-        private static Reason classify(ClientRequest clientRequest, MetaFrame response) {
+        private static AttemptResult classify(ClientRequest clientRequest, MetaFrame response) {
             if (response.fault() != null) {
                 return null;
             }
             if (response.tokenEquals(0, "SERVER_ERROR")) {
                 return response.tokenEquals(1, "busy")
-                        ? Reason.REJECTED
-                        : response.tokenEquals(1, "failed") ? Reason.ERROR : null;
+                        ? AttemptResult.REJECTED
+                        : response.tokenEquals(1, "failed") ? AttemptResult.ERROR : null;
             }
             boolean hasExpectedType =
                     clientRequest.isWrite()
                             ? response.tokenEquals(0, "HD") && response.receipt() != null
                             : response.tokenEquals(0, "VA");
-            return hasExpectedType && clientRequest.id().equals(opaque(response)) ? Reason.OK : null;
+            return hasExpectedType && clientRequest.id().equals(opaque(response))
+                    ? AttemptResult.OK
+                    : null;
         }
 
-        private void completeAttempt(Reason reason, MetaFrame response, boolean shouldClose) {
+        private void completeAttempt(
+                AttemptResult reason, MetaFrame response, boolean shouldClose) {
             Attempt completedAttempt = attempt;
             detachAttempt();
             writeFuture = null;
-            lastAnsweredRequestId = reason == Reason.OK ? completedAttempt.activeRequest.clientRequest.id() : null;
+            lastAnsweredRequestId =
+                    reason == AttemptResult.OK
+                            ? completedAttempt.activeRequest.clientRequest.id()
+                            : null;
             if (!shouldClose && response.streamed()) {
                 valueStream = new ValueStream(this);
             } else {
@@ -581,7 +653,8 @@
             failValue();
             if (attempt != null) {
                 // Before its last byte has left a request cannot run; after that it may have.
-                Reason reason = isWritten() ? Reason.RESET : Reason.CONNECT_FAILED;
+                AttemptResult reason =
+                        isWritten() ? AttemptResult.RESET : AttemptResult.CONNECT_FAILED;
                 Attempt completedAttempt = attempt;
                 detachAttempt();
                 listener.onAttemptCompleted(completedAttempt, reason, null, null);
--- a/node/src/test/java/frostrelay/lifecycle/AdminStateStoreTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/AdminStateStoreTest.java
@@ -1,4 +1,4 @@
-package frostrelay.lifecycle;
+package frostrelay.node.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/node/src/test/java/frostrelay/lifecycle/SharedDirectoryTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/SharedDirectoryTest.java
@@ -1,4 +1,4 @@
-package frostrelay.lifecycle;
+package frostrelay.node.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
