--- a/policy/src/main/java/frostrelay/policy/AdmissionControl.java
+++ b/policy/src/main/java/frostrelay/policy/AdmissionControl.java
@@ -1,6 +1,7 @@
 package frostrelay.policy;
 
-import frostrelay.policy.Api.*;
+import frostrelay.policy.api.PolicySettings;
+import frostrelay.policy.api.RequestClass;
 
 import java.util.Arrays;
 
@@ -34,7 +35,7 @@
 
     private static final int WRITE_SMOOTHING = 8;
 
-    private Settings settings;
+    private PolicySettings settings;
     private double admitted = 1;
     private long lastSignalAtNanos;
 
@@ -44,14 +45,14 @@
     private double[] tokens;
     private long[] refilledAtNanos;
 
-    AdmissionControl(Settings settings) {
+    AdmissionControl(PolicySettings settings) {
         this.settings = settings;
         tokens = new double[settings.tenants().size()];
         refilledAtNanos = new long[tokens.length];
     }
 
     /** Tenants keep their numbers, and what they have saved up. */
-    void onSettings(Settings newSettings) {
+    void onSettings(PolicySettings newSettings) {
         settings = newSettings;
         tokens = Arrays.copyOf(tokens, newSettings.tenants().size());
         refilledAtNanos = Arrays.copyOf(refilledAtNanos, tokens.length);
@@ -72,7 +73,10 @@
     long retryAfterNanos(RequestClass requestClass, double random) {
         double shedFraction = Math.max(0, 1 - 2 * admitted);
         return (long)
-                (requestClass.deadlineNanos() * shedFraction * shedFraction * (MIN_WAIT + (1 - MIN_WAIT) * random));
+                (requestClass.deadlineNanos()
+                        * shedFraction
+                        * shedFraction
+                        * (MIN_WAIT + (1 - MIN_WAIT) * random));
     }
 
     /**
@@ -82,7 +86,10 @@
      * is slow by nature is shed.
      */
     void recordLoadSignal(long now, double signal) {
-        double step = Math.max(MIN_STEP, Math.min(MAX_STEP, (double) (now - lastSignalAtNanos) / STEP_NANOS));
+        double step =
+                Math.max(
+                        MIN_STEP,
+                        Math.min(MAX_STEP, (double) (now - lastSignalAtNanos) / STEP_NANOS));
         lastSignalAtNanos = now;
         admitted = Math.max(MIN_ADMITTED, Math.min(1, admitted * Math.exp(signal * step)));
     }
@@ -103,7 +110,8 @@
             return false;
         }
         double rate = settings.tenants().get(tenant).quotaPerSecond() / settings.instanceCount();
-        tokens[tenant] = Math.min(BURST, tokens[tenant] + (now - refilledAtNanos[tenant]) * 1e-9 * rate);
+        tokens[tenant] =
+                Math.min(BURST, tokens[tenant] + (now - refilledAtNanos[tenant]) * 1e-9 * rate);
         refilledAtNanos[tenant] = now;
         return tokens[tenant] < 1;
     }
--- a/policy/src/main/java/frostrelay/policy/HedgingPolicy.java
+++ b/policy/src/main/java/frostrelay/policy/HedgingPolicy.java
@@ -3,7 +3,7 @@
 import com.tdunning.math.stats.MergingDigest;
 import com.tdunning.math.stats.TDigest;
 
-import frostrelay.policy.Api.Budget;
+import frostrelay.policy.api.RetryBudget;
 
 import java.util.*;
 
@@ -23,7 +23,7 @@
     private static final int REFRESH_SAMPLES = 16;
 
     /** The budget of further attempts where none is stated. */
-    private static final Budget DEFAULT_BUDGET = new Budget(10, 0.2, 5_000_000_000L);
+    private static final RetryBudget DEFAULT_BUDGET = new RetryBudget(10, 0.2, 5_000_000_000L);
 
     private TDigest digest = new MergingDigest(COMPRESSION);
     private long startedAtNanos;
@@ -31,16 +31,16 @@
     private long hedgeDelayNanos;
 
     /** The sixth rule, with the times of requests taken and of further attempts. */
-    private Budget budget;
+    private RetryBudget budget;
 
     private final Deque<Long> requestTimes = new ArrayDeque<>();
     private final Deque<Long> retryTimes = new ArrayDeque<>();
 
-    HedgingPolicy(Budget budget) {
+    HedgingPolicy(RetryBudget budget) {
         onSettings(budget);
     }
 
-    final void onSettings(Budget newBudget) {
+    final void onSettings(RetryBudget newBudget) {
         budget = newBudget != null ? newBudget : DEFAULT_BUDGET;
     }
 
@@ -63,7 +63,9 @@
     boolean trySpendRetry(long now) {
         expire(requestTimes, now - budget.windowNanos());
         expire(retryTimes, now - budget.windowNanos() - 1);
-        boolean allowed = retryTimes.size() + 1 <= budget.minRetries() + budget.retryRatio() * requestTimes.size();
+        boolean allowed =
+                retryTimes.size() + 1
+                        <= budget.minRetries() + budget.retryRatio() * requestTimes.size();
         if (allowed) {
             retryTimes.add(now);
         }
@@ -77,7 +79,8 @@
         if (samples >= MIN_SAMPLES && samples % REFRESH_SAMPLES == 0) {
             hedgeDelayNanos = (long) digest.quantile(HEDGE_QUANTILE);
         }
-        if (samples >= MAX_SAMPLES || now - startedAtNanos > MAX_AGE_NANOS && samples >= MIN_SAMPLES) {
+        if (samples >= MAX_SAMPLES
+                || now - startedAtNanos > MAX_AGE_NANOS && samples >= MIN_SAMPLES) {
             digest = new MergingDigest(COMPRESSION);
             startedAtNanos = now;
             samples = 0;
--- a/policy/src/main/java/frostrelay/policy/OriginFetchLimiter.java
+++ b/policy/src/main/java/frostrelay/policy/OriginFetchLimiter.java
@@ -1,7 +1,7 @@
 package frostrelay.policy;
 
-import frostrelay.policy.Api.Source;
 import frostrelay.policy.ServerHealth.TrackedServer;
+import frostrelay.policy.api.ResponseSource;
 
 /**
  * How much gets through to the origin behind the caches, and which keys need it. Guards against an
@@ -67,7 +67,8 @@
     /** Whether some cache should hold the key. */
     boolean mayBeCached(long now, long key) {
         int slot = slot(key);
-        return readCount < MIN_READS || key != 0 && keys[slot] == key && now - servedAtNanos[slot] < CACHED_NANOS;
+        return readCount < MIN_READS
+                || key != 0 && keys[slot] == key && now - servedAtNanos[slot] < CACHED_NANOS;
     }
 
     /**
@@ -75,19 +76,26 @@
      * where caches say which reads were fills and hits are in time: guards against a queue that
      * nothing fails in.
      */
-    void onReadCompleted(long now, long key, TrackedServer server, boolean failed, Source source, boolean late) {
+    void onReadCompleted(
+            long now,
+            long key,
+            TrackedServer server,
+            boolean failed,
+            ResponseSource source,
+            boolean late) {
         readCount = Math.min(MIN_READS, readCount + 1);
         if (failed && now - server.fetchFailedAtNanos >= FAILURE_INTERVAL_NANOS) {
-            if (lastFailedServer != server && now - lastFailedServer.fetchFailedAtNanos < FAILURE_INTERVAL_NANOS) {
+            if (lastFailedServer != server
+                    && now - lastFailedServer.fetchFailedAtNanos < FAILURE_INTERVAL_NANOS) {
                 scaleAdmittedFraction(FAILURE_FACTOR);
             }
             server.fetchFailedAtNanos = now;
             lastFailedServer = server;
-        } else if (!failed && source == Source.CACHE) {
+        } else if (!failed && source == ResponseSource.CACHE) {
             server.slowHitFraction += SLOW_HIT_FRACTION * ((late ? 1 : 0) - server.slowHitFraction);
-        } else if (!failed && late && source == Source.ORIGIN) {
+        } else if (!failed && late && source == ResponseSource.ORIGIN) {
             scaleAdmittedFraction(server.slowHitFraction < SLOW_HIT_FRACTION ? LATE_FACTOR : 1);
-        } else if (!failed && (source == Source.ORIGIN || !mayBeCached(now, key))) {
+        } else if (!failed && (source == ResponseSource.ORIGIN || !mayBeCached(now, key))) {
             scaleAdmittedFraction(SUCCESS_FACTOR);
         }
         keys[slot(key)] = failed ? 0 : key;
--- a/policy/src/main/java/frostrelay/policy/PerKeyQueue.java
+++ b/policy/src/main/java/frostrelay/policy/PerKeyQueue.java
@@ -33,7 +33,10 @@
     /** Puts a request at the end of its key's line; returns how many stand before it. */
     int enqueue(long now, long key, T request) {
         if (++enqueuedCount % SWEEP_INTERVAL == 0) {
-            queues.values().removeIf(queue -> queue.requests.isEmpty() && queue.quarantinedUntilNanos <= now);
+            queues.values()
+                    .removeIf(
+                            queue ->
+                                    queue.requests.isEmpty() && queue.quarantinedUntilNanos <= now);
         }
         KeyQueue<T> queue = queues.computeIfAbsent(key, k -> new KeyQueue<>());
         queue.requests.add(request);
--- a/policy/src/main/java/frostrelay/policy/RendezvousCandidates.java
+++ b/policy/src/main/java/frostrelay/policy/RendezvousCandidates.java
@@ -1,7 +1,7 @@
 package frostrelay.policy;
 
 import frostrelay.policy.ServerHealth.TrackedServer;
-import frostrelay.policy.tally.HotKeys;
+import frostrelay.policy.hotkeys.HotKeys;
 
 /** Weighted rendezvous hashing: the few hosts that a key lives on. */
 final class RendezvousCandidates {
@@ -54,7 +54,8 @@
         for (int i = 0; i < health.cacheCount; i++) {
             long hash = mix(key ^ salts[i]);
             double uniform = (hash >>> 11) * HASH_TO_UNIT;
-            double inverseWeight = inLocalZone[i] ? inverseWeights[i] / localZoneBoost : inverseWeights[i];
+            double inverseWeight =
+                    inLocalZone[i] ? inverseWeights[i] / localZoneBoost : inverseWeights[i];
             // x <= -ln(1 - x): most hosts fall out here, without a logarithm.
             if (uniform * inverseWeight >= maxDistance) {
                 continue;
@@ -89,7 +90,11 @@
     private int candidateCountFor(long key) {
         double traffic = hotKeys.trafficFraction(key, mix(key));
         return (int)
-                Math.max(DEFAULT_CANDIDATES, Math.min(MAX_CANDIDATES, Math.ceil(traffic * health.cacheCount * CAPACITY_FACTOR)));
+                Math.max(
+                        DEFAULT_CANDIDATES,
+                        Math.min(
+                                MAX_CANDIDATES,
+                                Math.ceil(traffic * health.cacheCount * CAPACITY_FACTOR)));
     }
 
     /**
@@ -103,13 +108,15 @@
         boolean isBestSkipped = false;
         for (int i = 0; i < rankedCount && i < candidateCount; i++) {
             TrackedServer server = ranked[i];
-            boolean isSkipped = server.isOutlier && ++server.skippedReads % OUTLIER_READ_INTERVAL != 0;
+            boolean isSkipped =
+                    server.isOutlier && ++server.skippedReads % OUTLIER_READ_INTERVAL != 0;
             if (best == null
                     || isBestSkipped && !isSkipped
                     || isSkipped == isBestSkipped
                             && (server.inFlight < best.inFlight
                                     || server.inFlight == best.inFlight
-                                            && best.latencyNanos > SLOWER_RATIO * server.latencyNanos)) {
+                                            && best.latencyNanos
+                                                    > SLOWER_RATIO * server.latencyNanos)) {
                 best = server;
                 isBestSkipped = isSkipped;
             }
--- a/policy/src/main/java/frostrelay/policy/Router.java
+++ b/policy/src/main/java/frostrelay/policy/Router.java
@@ -1,12 +1,23 @@
 package frostrelay.policy;
 
-import frostrelay.policy.Api.*;
 import frostrelay.policy.ServerHealth.TrackedServer;
+import frostrelay.policy.api.AttemptOutcome;
+import frostrelay.policy.api.AttemptResult;
+import frostrelay.policy.api.DeduplicationScope;
+import frostrelay.policy.api.EndpointUpdateMode;
+import frostrelay.policy.api.Idempotency;
+import frostrelay.policy.api.PolicyActions;
+import frostrelay.policy.api.PolicyEvents;
+import frostrelay.policy.api.PolicySettings;
+import frostrelay.policy.api.Request;
+import frostrelay.policy.api.RequestClass;
+import frostrelay.policy.api.ResponseSource;
+import frostrelay.policy.api.Server;
 
 import java.util.*;
 
 /** The decision module: the life of each request and the rules. Its interface is Api.java. */
-public final class Router implements Api.Events {
+public final class Router implements PolicyEvents {
     /** UpTo: attempts of one request, the first included. */
     private static final int MAX_ATTEMPTS_LIMIT = 6;
 
@@ -84,7 +95,9 @@
         RequestState(Request request, RequestClass requestClass, long now, int maxAttempts) {
             this.request = request;
             this.requestClass = requestClass;
-            long objectiveNanos = requestClass.latencyObjectiveNanos() + (long) (requestClass.objectiveStretchFactor() * request.work());
+            long objectiveNanos =
+                    requestClass.latencyObjectiveNanos()
+                            + (long) (requestClass.objectiveStretchFactor() * request.work());
             this.usefulUntilNanos =
                     requestClass.latePriorityWeight() > 0 || requestClass.stream()
                             ? request.deadlineNanos()
@@ -112,8 +125,8 @@
         }
     }
 
-    private Settings settings;
-    private final Actions actions;
+    private PolicySettings settings;
+    private final PolicyActions actions;
     private final ServerHealth health;
     private final RendezvousCandidates candidates;
     private final HedgingPolicy hedging;
@@ -144,7 +157,7 @@
     private long maxLatenessNanos;
 
     /** Starts an instance; its first list follows as an event. */
-    public Router(Settings settings, long seed, Actions actions) {
+    public Router(PolicySettings settings, long seed, PolicyActions actions) {
         this.actions = actions;
         this.health = new ServerHealth(settings, seed);
         this.candidates = new RendezvousCandidates(health);
@@ -154,7 +167,7 @@
         applySettings(settings);
     }
 
-    private void applySettings(Settings newSettings) {
+    private void applySettings(PolicySettings newSettings) {
         settings = newSettings;
         maxLatenessNanos =
                 (long)
@@ -171,7 +184,7 @@
      * by what its class has become as well: clients and hosts may already go by either.
      */
     @Override
-    public void onSettings(long now, Settings newSettings) {
+    public void onSettings(long now, PolicySettings newSettings) {
         applySettings(newSettings);
         health.onSettings(newSettings);
         admission.onSettings(newSettings);
@@ -180,10 +193,10 @@
     }
 
     @Override
-    public void onEndpointUpdate(long now, ListMode mode, List<Server> servers) {
+    public void onEndpointUpdate(long now, EndpointUpdateMode mode, List<Server> servers) {
         health.onEndpointUpdate(now, mode, servers);
-        boolean failed = mode == ListMode.FAILED;
-        if (settings.subscribe() && (mode == ListMode.CACHED || failed)) {
+        boolean failed = mode == EndpointUpdateMode.FAILED;
+        if (settings.subscribe() && (mode == EndpointUpdateMode.CACHED || failed)) {
             scheduleSubscribe(now, failed);
         }
     }
@@ -214,9 +227,15 @@
             return;
         }
         long maxDelayNanos = Math.min(MAX_STAGGER_NANOS, settings.pollIntervalNanos() / 2);
-        double position = (settings.instanceIndex() + health.nextUniform()) / settings.instanceCount();
-        long delayNanos = (long) (position * Math.min(maxDelayNanos, settings.instanceCount() * STAGGER_NANOS));
-        actions.scheduleTimer(now + 1 + delayNanos + (failed ? FAILURE_PAUSE_NANOS : 0), TIMER_SUBSCRIBE);
+        double position =
+                (settings.instanceIndex() + health.nextUniform()) / settings.instanceCount();
+        long delayNanos =
+                (long)
+                        (position
+                                * Math.min(
+                                        maxDelayNanos, settings.instanceCount() * STAGGER_NANOS));
+        actions.scheduleTimer(
+                now + 1 + delayNanos + (failed ? FAILURE_PAUSE_NANOS : 0), TIMER_SUBSCRIBE);
     }
 
     @Override
@@ -228,7 +247,9 @@
         boolean isTooLate = state.usefulUntilNanos <= now;
         boolean needsOrigin =
                 request.write()
-                        || !settings.lookAside() && originFetches.isFailing() && !originFetches.mayBeCached(now, request.key());
+                        || !settings.lookAside()
+                                && originFetches.isFailing()
+                                && !originFetches.mayBeCached(now, request.key());
         if (isTooLate
                 || needsOrigin && !originFetches.admits(request.write(), health.nextUniform())
                 || admission.shouldShed(isOverQuota, request.write(), health.nextUniform())) {
@@ -321,7 +342,8 @@
 
     private boolean isOriginFast(RequestState state) {
         TrackedServer origin = settings.lookAside() ? leastLoadedOrigin() : null;
-        return origin != null && origin.latencyNanos < state.requestClass.latencyObjectiveNanos() * FAST_FRACTION;
+        return origin != null
+                && origin.latencyNanos < state.requestClass.latencyObjectiveNanos() * FAST_FRACTION;
     }
 
     private void send(long now, RequestState state, TrackedServer server) {
@@ -388,12 +410,19 @@
      */
     private void checkOverdue(long now, RequestState state) {
         if (now < graceUntilNanos) {
-            state.slowAtNanos = state.slowAtNanos == NEVER ? NEVER : Math.max(state.slowAtNanos, graceUntilNanos);
-            state.hedgeAtNanos = state.hedgeAtNanos == NEVER ? NEVER : Math.max(state.hedgeAtNanos, graceUntilNanos);
+            state.slowAtNanos =
+                    state.slowAtNanos == NEVER
+                            ? NEVER
+                            : Math.max(state.slowAtNanos, graceUntilNanos);
+            state.hedgeAtNanos =
+                    state.hedgeAtNanos == NEVER
+                            ? NEVER
+                            : Math.max(state.hedgeAtNanos, graceUntilNanos);
         }
         if (now >= state.slowAtNanos) {
             state.slowAtNanos = NEVER;
-            admission.recordLoadSignal(now, state.needsOrigin ? 0 : AdmissionControl.SLOWNESS_SIGNAL);
+            admission.recordLoadSignal(
+                    now, state.needsOrigin ? 0 : AdmissionControl.SLOWNESS_SIGNAL);
         }
         if (now >= state.hedgeAtNanos) {
             state.hedgeAtNanos = NEVER;
@@ -427,7 +456,8 @@
     private TrackedServer firstUntriedCandidate(RequestState state, int limit) {
         for (int i = 0; i < candidates.rankedCount && i < limit; i++) {
             TrackedServer server = candidates.ranked[i];
-            if (Arrays.stream(state.attempts, 0, state.attemptCount).noneMatch(a -> a.server == server)) {
+            if (Arrays.stream(state.attempts, 0, state.attemptCount)
+                    .noneMatch(a -> a.server == server)) {
                 return server;
             }
         }
@@ -453,7 +483,7 @@
     }
 
     @Override
-    public void onAttemptOutcome(long now, Outcome outcome) {
+    public void onAttemptOutcome(long now, AttemptOutcome outcome) {
         RequestState state = requestsById.get(outcome.requestId());
         if (state == null
                 || outcome.attempt() >= state.attemptCount
@@ -467,9 +497,13 @@
         if (state.isSerialized() && outcome.result().mayStillRun()) {
             perKeyQueue.quarantine(now, state.request.key());
         }
-        boolean idleRejection = outcome.result() == Reason.REJECTED && isIdle(outcome.loadReport());
-        boolean suspect = idleRejection || attempt.wasOvertaken && outcome.result() == Reason.CANCELLED;
-        health.onAttemptCompleted(now, attempt.server, outcome.result(), now - attempt.sentAtNanos, suspect);
+        boolean idleRejection =
+                outcome.result() == AttemptResult.REJECTED && isIdle(outcome.loadReport());
+        boolean suspect =
+                idleRejection
+                        || attempt.wasOvertaken && outcome.result() == AttemptResult.CANCELLED;
+        health.onAttemptCompleted(
+                now, attempt.server, outcome.result(), now - attempt.sentAtNanos, suspect);
         recordOutcome(now, state, attempt, outcome, idleRejection);
         if (health.connectFailureRate > ServerHealth.MAX_CONNECT_FAILURE_RATE) {
             actions.closeIdleConnections(attempt.server.id);
@@ -477,7 +511,7 @@
         if (state.isCompleted) {
             complete(now, state);
         } else if (outcome.requestCompleted()) {
-            if (outcome.result() == Reason.OK
+            if (outcome.result() == AttemptResult.OK
                     && !state.request.write()
                     && !health.isOrigin(attempt.server)) {
                 hedging.recordLatency(now, now - state.attempts[0].sentAtNanos);
@@ -513,32 +547,48 @@
         return hasSeenLoadReports && loadReport.length == 0;
     }
 
-    private void recordOutcome(long now, RequestState state, Attempt attempt, Outcome outcome, boolean idleRejection) {
-        Reason reason = outcome.result();
+    private void recordOutcome(
+            long now,
+            RequestState state,
+            Attempt attempt,
+            AttemptOutcome outcome,
+            boolean idleRejection) {
+        AttemptResult reason = outcome.result();
         long durationNanos = now - attempt.sentAtNanos;
         if (state.isSerialized() && !reason.neverRan) {
             admission.recordWriteDuration(durationNanos);
         }
         boolean isFast = durationNanos < admission.slowAfterNanos(state.requestClass);
-        boolean isFull = !lacksExpectedLoadReport(outcome.loadReport()) && reason == Reason.REJECTED && !idleRejection;
+        boolean isFull =
+                !lacksExpectedLoadReport(outcome.loadReport())
+                        && reason == AttemptResult.REJECTED
+                        && !idleRejection;
         if (!health.isOrigin(attempt.server) && (isFull || isFast && reason.answered())) {
             // A full cache while the origin has room tells of a hot key, not of a full fleet.
-            double loadSignal = isOriginFast(state) ? AdmissionControl.SLOWNESS_SIGNAL : AdmissionControl.REJECTION_SIGNAL;
+            double loadSignal =
+                    isOriginFast(state)
+                            ? AdmissionControl.SLOWNESS_SIGNAL
+                            : AdmissionControl.REJECTION_SIGNAL;
             admission.recordLoadSignal(now, reason.answered() ? 1 : loadSignal);
         }
-        boolean failed = reason != Reason.OK;
+        boolean failed = reason != AttemptResult.OK;
         boolean late =
-                durationNanos > state.requestClass.latencyObjectiveNanos() || outcome.source() == Source.CACHE && !isFast;
+                durationNanos > state.requestClass.latencyObjectiveNanos()
+                        || outcome.source() == ResponseSource.CACHE && !isFast;
         long key = state.request.key();
-        if (health.isOrigin(attempt.server) && reason != Reason.CANCELLED) {
+        if (health.isOrigin(attempt.server) && reason != AttemptResult.CANCELLED) {
             // Late counts as failed: guards against a queue that makes every fetch late.
-            originFetches.scaleAdmittedFraction(failed || late ? OriginFetchLimiter.FAILURE_FACTOR : OriginFetchLimiter.SUCCESS_FACTOR);
+            originFetches.scaleAdmittedFraction(
+                    failed || late
+                            ? OriginFetchLimiter.FAILURE_FACTOR
+                            : OriginFetchLimiter.SUCCESS_FACTOR);
         } else if (!settings.lookAside()
-                && (reason == Reason.ERROR || !failed)) { // a time-out tells nothing
+                && (reason == AttemptResult.ERROR || !failed)) { // a time-out tells nothing
             if (state.request.write()) {
                 originFetches.onWriteCompleted(key, failed);
             } else {
-                originFetches.onReadCompleted(now, key, attempt.server, failed, outcome.source(), late);
+                originFetches.onReadCompleted(
+                        now, key, attempt.server, failed, outcome.source(), late);
             }
         }
     }
@@ -547,22 +597,25 @@
      * An attempt ended without an answer: wait for another one, try again, or give the final
      * answer.
      */
-    private void retryOrFinish(long now, RequestState state, Reason reason, boolean idleRejection) {
-        state.needsOrigin |= reason == Reason.MISS;
+    private void retryOrFinish(
+            long now, RequestState state, AttemptResult reason, boolean idleRejection) {
+        state.needsOrigin |= reason == AttemptResult.MISS;
         if (state.pendingCount > 0) {
             return;
         }
         if (now < state.usefulUntilNanos
                 && state.attemptCount < maxAttempts(state)
-                && reason != Reason.SUPERSEDED) {
+                && reason != AttemptResult.SUPERSEDED) {
             TrackedServer server = chooseRetryServer(now, state, reason);
             // The first send after one that reached nobody is no further load, unless there is too
             // much.
             boolean unreached =
-                    reason == Reason.CONNECT_FAILED && state.attemptCount == 1 && !admission.isOverloaded();
+                    reason == AttemptResult.CONNECT_FAILED
+                            && state.attemptCount == 1
+                            && !admission.isOverloaded();
             if (server != null
                     && maySendAnother(now, state, server)
-                    && (reason == Reason.MISS
+                    && (reason == AttemptResult.MISS
                             || (idleRejection || unreached) && settings.retryBudget() == null
                             || hedging.trySpendRetry(now))) {
                 send(now, state, server);
@@ -572,10 +625,10 @@
         rejectOrFail(now, state);
     }
 
-    private TrackedServer chooseRetryServer(long now, RequestState state, Reason reason) {
+    private TrackedServer chooseRetryServer(long now, RequestState state, AttemptResult reason) {
         // Guards against a hot key's hosts passing it round among them, full, while the origin has
         // room.
-        boolean isFull = reason == Reason.REJECTED && isOriginFast(state);
+        boolean isFull = reason == AttemptResult.REJECTED && isOriginFast(state);
         if (settings.lookAside() && (state.needsOrigin || state.request.write() || isFull)) {
             return state.request.write() || originFetches.admits(false, health.nextUniform())
                     ? leastLoadedOrigin()
@@ -601,30 +654,36 @@
         return settings.classes().get(state.request.requestClass());
     }
 
-    private boolean mayRetry(long now, RequestClass requestClass, Attempt first, TrackedServer server) {
-        return requestClass.idempotency() == Effect.IDEMPOTENT
-                || requestClass.idempotency() == Effect.IDEMPOTENCY_KEY
+    private boolean mayRetry(
+            long now, RequestClass requestClass, Attempt first, TrackedServer server) {
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && now + settings.connectTimeoutNanos() - first.sentAtNanos
                                 <= requestClass.deduplicationWindowNanos() * WINDOW_SAFETY
-                        && (requestClass.deduplicationScope() != Group.ZONE || first.server.zone == server.zone)
-                        && (requestClass.deduplicationScope() != Group.CELL || first.server.cell == server.cell);
+                        && (requestClass.deduplicationScope() != DeduplicationScope.ZONE
+                                || first.server.zone == server.zone)
+                        && (requestClass.deduplicationScope() != DeduplicationScope.CELL
+                                || first.server.cell == server.cell);
     }
 
     /** The second rule: a refusal promises that a client's retry does no harm. */
     private boolean mayReject(RequestState state) {
         return state.firstPossiblyExecuted() == null
-                || isSafeForClientRetry(state.requestClass) && isSafeForClientRetry(currentClass(state));
+                || isSafeForClientRetry(state.requestClass)
+                        && isSafeForClientRetry(currentClass(state));
     }
 
     private static boolean isSafeForClientRetry(RequestClass requestClass) {
-        return requestClass.idempotency() == Effect.IDEMPOTENT
-                || requestClass.idempotency() == Effect.IDEMPOTENCY_KEY && requestClass.deduplicationScope() == Group.ALL;
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
     private void rejectOrFail(long now, RequestState state) {
         if (mayReject(state)) {
             actions.reject(
-                    state.request.id(), now >= state.usefulUntilNanos ? settings.maxRetryAfterNanos() : 0);
+                    state.request.id(),
+                    now >= state.usefulUntilNanos ? settings.maxRetryAfterNanos() : 0);
         } else {
             actions.fail(state.request.id());
         }
@@ -647,7 +706,8 @@
             return;
         }
         requestsById.remove(state.request.id());
-        RequestState nextRequest = state.isSerialized() ? perKeyQueue.remove(state.request.key(), state) : null;
+        RequestState nextRequest =
+                state.isSerialized() ? perKeyQueue.remove(state.request.key(), state) : null;
         if (nextRequest != null && nextRequest.isQueued) {
             startOrKeepWaiting(now, nextRequest);
         }
--- a/policy/src/main/java/frostrelay/policy/ServerHealth.java
+++ b/policy/src/main/java/frostrelay/policy/ServerHealth.java
@@ -1,6 +1,10 @@
 package frostrelay.policy;
 
-import frostrelay.policy.Api.*;
+import frostrelay.policy.api.AttemptResult;
+import frostrelay.policy.api.EndpointState;
+import frostrelay.policy.api.EndpointUpdateMode;
+import frostrelay.policy.api.PolicySettings;
+import frostrelay.policy.api.Server;
 
 import java.util.*;
 
@@ -56,7 +60,7 @@
         double weight;
         double inverseWeight;
         boolean isInLocalZone;
-        State state = State.REMOVED;
+        EndpointState state = EndpointState.REMOVED;
         long startedAtNanos;
         int inFlight;
 
@@ -105,7 +109,8 @@
     int cacheCount;
 
     /**
-     * What {@link RendezvousCandidates} scans for each request, side by side: of thousands it touches a few.
+     * What {@link RendezvousCandidates} scans for each request, side by side: of thousands it
+     * touches a few.
      */
     long[] salts = {};
 
@@ -117,7 +122,7 @@
     /** Hosts that operators hold out of use, and since when; listed or not. */
     private final Map<Long, Long> drainedSinceNanos = new HashMap<>();
 
-    private Settings settings;
+    private PolicySettings settings;
     private long randomState;
     private double totalWeight;
 
@@ -152,19 +157,19 @@
     /** Share of late attempts that failed after they may have run, over all hosts. */
     private double failureRate;
 
-    ServerHealth(Settings settings, long seed) {
+    ServerHealth(PolicySettings settings, long seed) {
         this.settings = settings;
         this.randomState = seed;
     }
 
     /** Applies a list. A host that drains or is gone gets nothing new from this moment on. */
-    void onEndpointUpdate(long now, ListMode mode, List<Server> servers) {
-        if (mode == ListMode.FAILED) {
+    void onEndpointUpdate(long now, EndpointUpdateMode mode, List<Server> servers) {
+        if (mode == EndpointUpdateMode.FAILED) {
             return;
         }
-        if (mode != ListMode.DELTA) {
+        if (mode != EndpointUpdateMode.DELTA) {
             for (TrackedServer tracked : serversById.values()) {
-                tracked.state = State.REMOVED;
+                tracked.state = EndpointState.REMOVED;
             }
         }
         for (Server server : servers) {
@@ -193,7 +198,8 @@
      */
     void onAdminDrains(long now, Set<Long> drainedServers) {
         for (TrackedServer server : serversById.values()) {
-            Long sinceNanos = drainedServers.contains(server.id) ? null : drainedSinceNanos.get(server.id);
+            Long sinceNanos =
+                    drainedServers.contains(server.id) ? null : drainedSinceNanos.get(server.id);
             if (sinceNanos != null) {
                 endAdminDrain(now, server, sinceNanos);
             }
@@ -226,14 +232,18 @@
         closeBreaker(server);
     }
 
-    void onSettings(Settings newSettings) {
+    void onSettings(PolicySettings newSettings) {
         settings = newSettings;
-        serversById.values().forEach(server -> server.isInLocalZone = server.zone == newSettings.zone());
+        serversById
+                .values()
+                .forEach(server -> server.isInLocalZone = server.zone == newSettings.zone());
         rebuildIndex();
     }
 
     private void rebuildIndex() {
-        serversById.values().removeIf(server -> server.state == State.REMOVED && server.inFlight == 0);
+        serversById
+                .values()
+                .removeIf(server -> server.state == EndpointState.REMOVED && server.inFlight == 0);
         caches = new TrackedServer[serversById.size()];
         salts = new long[serversById.size()];
         inverseWeights = new double[serversById.size()];
@@ -242,7 +252,9 @@
         totalWeight = 0;
         origins.clear();
         for (TrackedServer server : serversById.values()) {
-            boolean isUsable = server.state == State.READY && !drainedSinceNanos.containsKey(server.id);
+            boolean isUsable =
+                    server.state == EndpointState.READY
+                            && !drainedSinceNanos.containsKey(server.id);
             if (isUsable && isOrigin(server)) {
                 origins.add(server);
             } else if (isUsable) {
@@ -270,20 +282,27 @@
      * budget.
      */
     boolean admits(long now, TrackedServer server, long hash) {
-        if (!ignoresBreakers && server.openUntilNanos != 0 && (now < server.openUntilNanos || server.inTrial)) {
+        if (!ignoresBreakers
+                && server.openUntilNanos != 0
+                && (now < server.openUntilNanos || server.inTrial)) {
             return false;
         }
         if (server.warmingSinceNanos == 0) {
             return true;
         }
-        double elapsed = Math.max(0.0, now - server.warmingSinceNanos) / Math.max(1, settings.slowStartNanos());
-        double fraction = settings.slowStartInitialFraction() + (1 - settings.slowStartInitialFraction()) * elapsed;
+        double elapsed =
+                Math.max(0.0, now - server.warmingSinceNanos)
+                        / Math.max(1, settings.slowStartNanos());
+        double fraction =
+                settings.slowStartInitialFraction()
+                        + (1 - settings.slowStartInitialFraction()) * elapsed;
         if (fraction >= 1) {
             server.warmingSinceNanos = 0;
             return true;
         }
         // The same keys at every balancer, so that all of them together stay within the share.
-        return ((hash & 2047) < fraction * KEY_CAPACITY * 2048 || ignoresBreakers) && withinSlowStart(now, server, fraction);
+        return ((hash & 2047) < fraction * KEY_CAPACITY * 2048 || ignoresBreakers)
+                && withinSlowStart(now, server, fraction);
     }
 
     /**
@@ -297,9 +316,12 @@
         // A live weight makes an idle newcomer look many times its size: it counts as average at
         // most.
         double portion =
-                Math.min(server.weight / Math.max(totalWeight, 1e-9), 1.0 / Math.max(1, cacheCount));
+                Math.min(
+                        server.weight / Math.max(totalWeight, 1e-9), 1.0 / Math.max(1, cacheCount));
         double sendsPerWindow = OVERLOAD_MARGIN * recentSends / RATE_WINDOWS * portion;
-        double fullLoad = Math.max(sendsPerWindow, SERVED_MARGIN * maxServedPerWindow) / observedFraction(now);
+        double fullLoad =
+                Math.max(sendsPerWindow, SERVED_MARGIN * maxServedPerWindow)
+                        / observedFraction(now);
         double allowed = fraction * settings.overloadMultiple() * fullLoad;
         double burst = Math.max(1, allowed * BURST_FRACTION);
         server.tokens += allowed * (now - server.refilledAtNanos) / settings.overloadWindowNanos();
@@ -313,7 +335,8 @@
      * from another process and has cold hosts wait until its own counts have grown.
      */
     private double observedFraction(long now) {
-        double windows = Math.max(1, (double) (now - firstSendAtNanos) / settings.overloadWindowNanos());
+        double windows =
+                Math.max(1, (double) (now - firstSendAtNanos) / settings.overloadWindowNanos());
         return 1 - Math.exp(-windows / RATE_WINDOWS);
     }
 
@@ -324,7 +347,11 @@
     void recordFirstSend(long now) {
         firstSendAtNanos = firstSendAtNanos == 0 ? now : firstSendAtNanos;
         recentSends =
-                1 + recentSends * Math.exp((recentSendsAtNanos - now) / (RATE_WINDOWS * settings.overloadWindowNanos()));
+                1
+                        + recentSends
+                                * Math.exp(
+                                        (recentSendsAtNanos - now)
+                                                / (RATE_WINDOWS * settings.overloadWindowNanos()));
         recentSendsAtNanos = now;
     }
 
@@ -339,17 +366,25 @@
      * that has time to spare, which counts as failed. Guards against a silent host, all of whose
      * reads are saved by copies, so that none ever times out and it is tried again with every read.
      */
-    void onAttemptCompleted(long now, TrackedServer server, Reason reason, long durationNanos, boolean suspect) {
+    void onAttemptCompleted(
+            long now,
+            TrackedServer server,
+            AttemptResult reason,
+            long durationNanos,
+            boolean suspect) {
         server.inFlight--;
         boolean failed =
                 suspect
-                        || reason == Reason.ERROR
-                        || reason == Reason.RESET
-                        || reason == Reason.TIMEOUT;
+                        || reason == AttemptResult.ERROR
+                        || reason == AttemptResult.RESET
+                        || reason == AttemptResult.TIMEOUT;
         connectFailureRate +=
-                FAILURE_SMOOTHING * ((reason == Reason.CONNECT_FAILED ? 1 : 0) - connectFailureRate);
-        if (reason.answered() || reason == Reason.TIMEOUT) {
-            server.latencyNanos += (server.latencyNanos == 0 ? 1 : LATENCY_SMOOTHING) * (durationNanos - server.latencyNanos);
+                FAILURE_SMOOTHING
+                        * ((reason == AttemptResult.CONNECT_FAILED ? 1 : 0) - connectFailureRate);
+        if (reason.answered() || reason == AttemptResult.TIMEOUT) {
+            server.latencyNanos +=
+                    (server.latencyNanos == 0 ? 1 : LATENCY_SMOOTHING)
+                            * (durationNanos - server.latencyNanos);
         }
         if (isOrigin(server)) {
             return;
@@ -360,9 +395,9 @@
         if (reason.answered() || failed) {
             failureRate += FAILURE_SMOOTHING * ((failed ? 1 : 0) - failureRate);
         }
-        if (reason.answered() || reason == Reason.REJECTED && !suspect) {
+        if (reason.answered() || reason == AttemptResult.REJECTED && !suspect) {
             closeBreaker(server);
-        } else if (reason == Reason.CONNECT_FAILED) {
+        } else if (reason == AttemptResult.CONNECT_FAILED) {
             recordFailure(now, server, OPEN_EVIDENCE / 2);
         } else if (failed) {
             // Guards against moving keys when all hosts fail for one cause: what most do is no
@@ -374,10 +409,14 @@
 
     private void recordAnswer(long now, TrackedServer server) {
         double spanNanos = RATE_WINDOWS * settings.overloadWindowNanos();
-        server.recentAnswers = 1 + server.recentAnswers * Math.exp((server.recentAnswersAtNanos - now) / spanNanos);
+        server.recentAnswers =
+                1
+                        + server.recentAnswers
+                                * Math.exp((server.recentAnswersAtNanos - now) / spanNanos);
         server.recentAnswersAtNanos = now;
         double servedPerWindow = server.recentAnswers / RATE_WINDOWS;
-        if (servedPerWindow >= maxServedPerWindow || now - maxServedAtNanos > settings.overloadWindowNanos()) {
+        if (servedPerWindow >= maxServedPerWindow
+                || now - maxServedAtNanos > settings.overloadWindowNanos()) {
             maxServedPerWindow = servedPerWindow;
             maxServedAtNanos = now;
         }
--- a/policy/src/main/java/frostrelay/policy/tally/HotKeys.java
+++ b/policy/src/main/java/frostrelay/policy/hotkeys/HotKeys.java
@@ -1,4 +1,4 @@
-package frostrelay.policy.tally;
+package frostrelay.policy.hotkeys;
 
 /**
  * Counts of arrivals by key, in a small table where a rarer key gives way to a commoner one, halved
@@ -27,7 +27,8 @@
             keys[slot] = key;
             counts[slot] = 1;
         }
-        if (++arrivalCount >= MAX_COUNTED || now - halvedAtNanos > WINDOW_NANOS && arrivalCount > MIN_COUNTED) {
+        if (++arrivalCount >= MAX_COUNTED
+                || now - halvedAtNanos > WINDOW_NANOS && arrivalCount > MIN_COUNTED) {
             halvedAtNanos = now;
             arrivalCount /= 2;
             for (int i = 0; i < SLOTS; i++) {
@@ -42,7 +43,9 @@
      */
     public double trafficFraction(long key, long hash) {
         int slot = slot(hash);
-        return keys[slot] != key || arrivalCount < MIN_COUNTED ? 0 : (counts[slot] - 2.0) / arrivalCount;
+        return keys[slot] != key || arrivalCount < MIN_COUNTED
+                ? 0
+                : (counts[slot] - 2.0) / arrivalCount;
     }
 
     private static int slot(long hash) {
--- /dev/null
+++ b/policy/src/main/java/frostrelay/policy/hotkeys/package-info.java
@@ -0,0 +1,2 @@
+/** Approximate counting of frequently read keys in bounded memory. */
+package frostrelay.policy.hotkeys;
--- a/policy/src/main/java/frostrelay/settings/SettingsParser.java
+++ b/policy/src/main/java/frostrelay/settings/SettingsParser.java
@@ -1,6 +1,12 @@
 package frostrelay.settings;
 
-import frostrelay.policy.Api;
+import frostrelay.policy.api.DeduplicationScope;
+import frostrelay.policy.api.Idempotency;
+import frostrelay.policy.api.LoadReportLayout;
+import frostrelay.policy.api.PolicySettings;
+import frostrelay.policy.api.RequestClass;
+import frostrelay.policy.api.RetryBudget;
+import frostrelay.policy.api.Tenant;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -37,24 +43,25 @@
     }
 
     /** Both sides read their settings here, so that the same text means the same to them. */
-    public static Api.Settings parse(String text) {
+    public static PolicySettings parse(String text) {
         return new SettingsParser(text).parseSettings();
     }
 
-    private Api.Settings parseSettings() {
-        List<Api.RequestClass> classes = new ArrayList<>();
+    private PolicySettings parseSettings() {
+        List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < readCount("categories.count"); i++) {
             classes.add(parseRequestClass("categories." + i + "."));
         }
-        List<Api.Tenant> tenants = new ArrayList<>();
+        List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < readCount("tenants.count"); i++) {
             tenants.add(
-                    new Api.Tenant(
+                    new Tenant(
                             readDouble("tenants." + i + ".allowance-per-s", 0),
                             readDouble("tenants." + i + ".fraction", 1)));
         }
-        List<String> loadReportFields = Arrays.asList(readText("load-report.fields", "").split(","));
-        return new Api.Settings(
+        List<String> loadReportFields =
+                Arrays.asList(readText("load-report.fields", "").split(","));
+        return new PolicySettings(
                 List.copyOf(classes),
                 List.copyOf(tenants),
                 (int) readLong("my-zone", 0),
@@ -78,25 +85,27 @@
                 readDouble("over-share-worth", 1),
                 readLong("guarantees.key-quiet-ns", DEFAULT_KEY_IDLE_NANOS),
                 parseRetryBudget(),
-                new Api.ReportLayout(
-                        loadReportFields.indexOf("rif"), loadReportFields.indexOf("q"), loadReportFields.indexOf("busy")));
+                new LoadReportLayout(
+                        loadReportFields.indexOf("rif"),
+                        loadReportFields.indexOf("q"),
+                        loadReportFields.indexOf("busy")));
     }
 
-    private Api.RequestClass parseRequestClass(String prefix) {
+    private RequestClass parseRequestClass(String prefix) {
         long deadlineNanos = readLong(prefix + "deadline-ns", DEFAULT_DEADLINE_NANOS);
-        Api.Effect idempotency =
+        Idempotency idempotency =
                 switch (readText(prefix + "effect", "fragile")) {
-                    case "retryable" -> Api.Effect.IDEMPOTENT;
-                    case "dedup" -> Api.Effect.IDEMPOTENCY_KEY;
-                    default -> Api.Effect.NOT_IDEMPOTENT;
+                    case "retryable" -> Idempotency.IDEMPOTENT;
+                    case "dedup" -> Idempotency.IDEMPOTENCY_KEY;
+                    default -> Idempotency.NOT_IDEMPOTENT;
                 };
-        Api.Group deduplicationScope =
+        DeduplicationScope deduplicationScope =
                 switch (readText(prefix + "group", "cell").toLowerCase(Locale.ROOT)) {
-                    case "all" -> Api.Group.ALL;
-                    case "zone" -> Api.Group.ZONE;
-                    default -> Api.Group.CELL;
+                    case "all" -> DeduplicationScope.ALL;
+                    case "zone" -> DeduplicationScope.ZONE;
+                    default -> DeduplicationScope.CELL;
                 };
-        return new Api.RequestClass(
+        return new RequestClass(
                 Math.max(1, readLong(prefix + "goal-time-ns", deadlineNanos)),
                 readDouble(prefix + "aim-stretch", 0),
                 deadlineNanos,
@@ -113,13 +122,13 @@
      * There is a budget as soon as one of its settings is named; what is left out of it allows
      * nothing.
      */
-    private Api.Budget parseRetryBudget() {
+    private RetryBudget parseRetryBudget() {
         boolean isConfigured =
                 values.containsKey("guarantees.budget-free")
                         || values.containsKey("guarantees.repeat-ratio")
                         || values.containsKey("guarantees.resend-span-ns");
         return isConfigured
-                ? new Api.Budget(
+                ? new RetryBudget(
                         readDouble("guarantees.budget-free", 0),
                         readDouble("guarantees.repeat-ratio", 0),
                         readLong("guarantees.resend-span-ns", DEFAULT_RETRY_BUDGET_SPAN_NANOS))
--- a/report/src/main/java/frostrelay/report/Charts.java
+++ b/report/src/main/java/frostrelay/report/Charts.java
@@ -101,7 +101,8 @@
     }
 
     /** Curves with their intervals as bands; points that were played are marked. */
-    static String curves(String title, String xLabel, String unit, Map<String, List<DataPoint>> curves) {
+    static String curves(
+            String title, String xLabel, String unit, Map<String, List<DataPoint>> curves) {
         YIntervalSeriesCollection data = new YIntervalSeriesCollection();
         curves.forEach(
                 (name, marks) -> {
@@ -205,7 +206,8 @@
                 return Color.LIGHT_GRAY;
             }
             double at =
-                    Math.max(0, Math.min(1, (value - lowerBound) / (upperBound - lowerBound))) * (STOPS.length - 1);
+                    Math.max(0, Math.min(1, (value - lowerBound) / (upperBound - lowerBound)))
+                            * (STOPS.length - 1);
             int stop = (int) Math.min(STOPS.length - 2, Math.floor(at));
             double part = at - stop;
             int[] rgb = new int[3];
--- a/report/src/main/java/frostrelay/report/GossipPage.java
+++ b/report/src/main/java/frostrelay/report/GossipPage.java
@@ -50,7 +50,8 @@
         for (Map<String, Object> scenario : scenarios) {
             if (scenario.get(name) != null) {
                 all.computeIfAbsent(
-                                ((Number) scenario.get("loss")).doubleValue(), loss -> new TreeMap<>())
+                                ((Number) scenario.get("loss")).doubleValue(),
+                                loss -> new TreeMap<>())
                         .computeIfAbsent(
                                 ((Number) scenario.get("balancers")).intValue(),
                                 size -> new ArrayList<>())
--- a/report/src/main/java/frostrelay/report/Page.java
+++ b/report/src/main/java/frostrelay/report/Page.java
@@ -1,10 +1,10 @@
 package frostrelay.report;
 
-import frostrelay.lab.Comparison;
-import frostrelay.lab.RunResult;
-import frostrelay.lab.Interval;
-import frostrelay.lab.Metrics;
-import frostrelay.lab.ResultsFile.StoredResults;
+import frostrelay.experiment.Comparison;
+import frostrelay.experiment.Interval;
+import frostrelay.experiment.Metrics;
+import frostrelay.experiment.ResultsFile.StoredResults;
+import frostrelay.experiment.RunResult;
 
 import org.apache.commons.text.StringEscapeUtils;
 
@@ -80,7 +80,9 @@
                                 + " days of "
                                 + results.points().size()
                                 + " points; rules broken "
-                                + results.allResults().stream().mapToLong(RunResult::violationCount).sum()
+                                + results.allResults().stream()
+                                        .mapToLong(RunResult::violationCount)
+                                        .sum()
                                 + " times.\n\n");
         List<String> names = metricNames();
         text.append("| point | days | ")
@@ -97,7 +99,8 @@
                     .append(" | ")
                     .append(
                             String.join(
-                                    " | ", names.stream().map(name -> cell(scenarios, name)).toList()))
+                                    " | ",
+                                    names.stream().map(name -> cell(scenarios, name)).toList()))
                     .append(" |\n");
         }
         for (int point = 0; point < results.points().size(); point++) {
@@ -180,7 +183,8 @@
                     .append("</td><td>")
                     .append(scenarios.size())
                     .append("</td>");
-            names.forEach(name -> text.append("<td>").append(cell(scenarios, name)).append("</td>"));
+            names.forEach(
+                    name -> text.append("<td>").append(cell(scenarios, name)).append("</td>"));
             text.append("</tr>\n");
         }
         return text.append("</table></div>\n").toString();
@@ -224,7 +228,8 @@
         }
         List<String> shown = SWEPT_METRICS.stream().filter(metricNames()::contains).toList();
         if (keys.size() == 2) {
-            shown.forEach(name -> body.append(image(heatMap(name, keys.get(0), keys.get(1)), name)));
+            shown.forEach(
+                    name -> body.append(image(heatMap(name, keys.get(0), keys.get(1)), name)));
             return;
         }
         List<String> values = results.settings().stream().map(one -> one.get(keys.get(0))).toList();
@@ -233,7 +238,9 @@
             for (int point = 0; point < values.size(); point++) {
                 Interval one = interval(results.resultsOf(point), name);
                 if (one != null) {
-                    marks.add(new Charts.DataPoint(position(values, point), one.mean(), one.halfWidth()));
+                    marks.add(
+                            new Charts.DataPoint(
+                                    position(values, point), one.mean(), one.halfWidth()));
                 }
             }
             body.append(
@@ -258,7 +265,8 @@
     private String heatMap(String metric, String xLabel, String yLabel) {
         List<String> columns =
                 results.settings().stream().map(one -> one.get(xLabel)).distinct().toList();
-        List<String> rows = results.settings().stream().map(one -> one.get(yLabel)).distinct().toList();
+        List<String> rows =
+                results.settings().stream().map(one -> one.get(yLabel)).distinct().toList();
         double[][] cells = new double[rows.size()][columns.size()];
         for (double[] row : cells) {
             Arrays.fill(row, Double.NaN);
@@ -353,7 +361,10 @@
         if (!scenario.cacheLoad().isEmpty()) {
             body.append(
                     image(
-                            heatMapOverTime("Load of each cache (part of its cores)", "cache", scenario.cacheLoad()),
+                            heatMapOverTime(
+                                    "Load of each cache (part of its cores)",
+                                    "cache",
+                                    scenario.cacheLoad()),
                             "load"));
         }
         if (scenario.unservedByBalancer().size() > 1) {
--- /dev/null
+++ b/report/src/main/java/frostrelay/report/package-info.java
@@ -0,0 +1,2 @@
+/** HTML pages with plots of the results of experiments. */
+package frostrelay.report;
--- a/report/src/test/java/frostrelay/report/PageTest.java
+++ b/report/src/test/java/frostrelay/report/PageTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostrelay.lab.Experiment;
-import frostrelay.lab.ExperimentFile;
-import frostrelay.lab.ExperimentRunner;
-import frostrelay.lab.ResultsFile;
+import frostrelay.experiment.Experiment;
+import frostrelay.experiment.ExperimentFile;
+import frostrelay.experiment.ExperimentRunner;
+import frostrelay.experiment.ResultsFile;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
--- a/stragglers/src/main/java/frostrelay/stragglers/BadVersionDetector.java
+++ b/staleness/src/main/java/frostrelay/staleness/BadVersionDetector.java
@@ -1,6 +1,6 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
-import frostrelay.peers.MemberState;
+import frostrelay.gossip.MemberState;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -62,8 +62,12 @@
      * A life has ended out of order: killed, crashed, or another one has begun without a farewell.
      */
     void onPeerCrashed(long now, int rank, PeerVersionState peer) {
-        if (peer.appliedVersions != null && peer.reportedAtNanos - peer.configSinceNanos <= settings.earlyExitNanos()) {
-            recordFailure(now, rank, new Version(VersionKind.CONFIG, peer.appliedVersions.configNumber()));
+        if (peer.appliedVersions != null
+                && peer.reportedAtNanos - peer.configSinceNanos <= settings.earlyExitNanos()) {
+            recordFailure(
+                    now,
+                    rank,
+                    new Version(VersionKind.CONFIG, peer.appliedVersions.configNumber()));
         }
     }
 
@@ -73,8 +77,8 @@
 
     /**
      * Whether a version is bad, by what others have shown. The dead count among those who are
-     * heard: they may have died of it. {@code isFailing}: this balancer, which stayed on an older one,
-     * serves worse as well.
+     * heard: they may have died of it. {@code isFailing}: this balancer, which stayed on an older
+     * one, serves worse as well.
      */
     boolean isBad(long now, VersionKind kind, long number, boolean isLocalFailing) {
         removeExpired(now);
@@ -94,7 +98,9 @@
             knownPeers++;
             long peerNumber = kind.number(peers[i].appliedVersions);
             boolean isPeerFailing =
-                    failureReports.getOrDefault(new Version(kind, peerNumber), Map.of()).containsKey(i);
+                    failureReports
+                            .getOrDefault(new Version(kind, peerNumber), Map.of())
+                            .containsKey(i);
             if (peerNumber == number) {
                 adopters++;
                 failingAdopters += isPeerFailing ? 1 : 0;
@@ -104,12 +110,16 @@
             }
         }
         boolean isHarmful =
-                failingAdopters >= (knownPeers >= StalenessDetector.MIN_PEERS_FOR_CONFIRMATION ? 2 : 1)
+                failingAdopters
+                                >= (knownPeers >= StalenessDetector.MIN_PEERS_FOR_CONFIRMATION
+                                        ? 2
+                                        : 1)
                         && 2 * failingAdopters >= adopters
                         && 4 * failingNonAdopters <= nonAdopters;
         if (!isHarmful) {
             suspectSinceNanos.remove(version);
-        } else if (now - suspectSinceNanos.computeIfAbsent(version, key -> now) >= settings.stalenessBoundNanos()) {
+        } else if (now - suspectSinceNanos.computeIfAbsent(version, key -> now)
+                >= settings.stalenessBoundNanos()) {
             badVersions.removeIf(other -> other.kind == kind);
             badVersions.add(version);
             suspectSinceNanos.remove(version);
@@ -118,8 +128,16 @@
     }
 
     private void removeExpired(long now) {
-        failureReports.values()
-                .forEach(reports -> reports.values().removeIf(reportedAtNanos -> now - reportedAtNanos > settings.attributionWindowNanos()));
+        failureReports
+                .values()
+                .forEach(
+                        reports ->
+                                reports.values()
+                                        .removeIf(
+                                                reportedAtNanos ->
+                                                        now - reportedAtNanos
+                                                                > settings
+                                                                        .attributionWindowNanos()));
         failureReports.values().removeIf(Map::isEmpty);
     }
 }
--- a/stragglers/src/main/java/frostrelay/stragglers/ConfigTransfer.java
+++ b/staleness/src/main/java/frostrelay/staleness/ConfigTransfer.java
@@ -1,4 +1,4 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -112,7 +112,8 @@
                 continue;
             }
             openRequests++;
-            if (requestedAtNanos[i] == Long.MIN_VALUE || now - requestedAtNanos[i] >= RETRY_INTERVAL_NANOS) {
+            if (requestedAtNanos[i] == Long.MIN_VALUE
+                    || now - requestedAtNanos[i] >= RETRY_INTERVAL_NANOS) {
                 requestedAtNanos[i] = now;
                 actions.requestPiece(holder, digest, i);
             }
@@ -120,7 +121,8 @@
     }
 
     /** A piece came; whatever it claims. */
-    public void onPiece(long now, int from, long contentDigest, int piece, int count, byte[] content) {
+    public void onPiece(
+            long now, int from, long contentDigest, int piece, int count, byte[] content) {
         if (from != holder
                 || contentDigest != digest
                 || count < 1
--- a/stragglers/src/main/java/frostrelay/stragglers/FleetVersionSummary.java
+++ b/staleness/src/main/java/frostrelay/staleness/FleetVersionSummary.java
@@ -1,7 +1,7 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
-import frostrelay.peers.AppliedVersions;
-import frostrelay.peers.MemberState;
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.gossip.MemberState;
 
 /**
  * What one look over all others shows: in large tiers it is taken for each change of each of them,
@@ -39,14 +39,22 @@
                 continue;
             }
             hasKnownPeer = true;
-            hasListConflict |= VersionOrder.compareLists(localVersions, peer.appliedVersions) == VersionOrder.CONFLICT;
-            hasConfigConflict |= VersionOrder.compareConfigs(localVersions, peer.appliedVersions) == VersionOrder.CONFLICT;
+            hasListConflict |=
+                    VersionOrder.compareLists(localVersions, peer.appliedVersions)
+                            == VersionOrder.CONFLICT;
+            hasConfigConflict |=
+                    VersionOrder.compareConfigs(localVersions, peer.appliedVersions)
+                            == VersionOrder.CONFLICT;
             long listRevision = peer.appliedVersions.listRevision();
-            secondNewestListRevision = Math.max(secondNewestListRevision, Math.min(newestListRevision, listRevision));
+            secondNewestListRevision =
+                    Math.max(secondNewestListRevision, Math.min(newestListRevision, listRevision));
             newestListRevision = Math.max(newestListRevision, listRevision);
             long configNumber = peer.appliedVersions.configNumber();
             if (configNumber != AppliedVersions.NO_NUMBER) {
-                secondNewestConfigNumber = Math.max(secondNewestConfigNumber, Math.min(newestConfigNumber, configNumber));
+                secondNewestConfigNumber =
+                        Math.max(
+                                secondNewestConfigNumber,
+                                Math.min(newestConfigNumber, configNumber));
                 newestConfigNumber = Math.max(newestConfigNumber, configNumber);
             }
         }
@@ -63,6 +71,8 @@
      */
     long newestProven(VersionKind kind) {
         boolean needsTwo = requiredReporters() == 2;
-        return kind == VersionKind.LIST ? needsTwo ? secondNewestListRevision : newestListRevision : needsTwo ? secondNewestConfigNumber : newestConfigNumber;
+        return kind == VersionKind.LIST
+                ? needsTwo ? secondNewestListRevision : newestListRevision
+                : needsTwo ? secondNewestConfigNumber : newestConfigNumber;
     }
 }
--- a/stragglers/src/main/java/frostrelay/stragglers/OperatorOverrides.java
+++ b/staleness/src/main/java/frostrelay/staleness/OperatorOverrides.java
@@ -1,4 +1,4 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
 import java.util.Set;
 
--- a/stragglers/src/main/java/frostrelay/stragglers/PeerAdminDrains.java
+++ b/staleness/src/main/java/frostrelay/staleness/PeerAdminDrains.java
@@ -1,4 +1,4 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -40,7 +40,8 @@
             return;
         }
         DrainReport report =
-                reportsByCache.computeIfAbsent(cache, id -> new HashMap<>())
+                reportsByCache
+                        .computeIfAbsent(cache, id -> new HashMap<>())
                         .computeIfAbsent(from, rank -> new DrainReport());
         report.digest = digest;
         report.receivedAtNanos = now;
@@ -48,13 +49,19 @@
     }
 
     /** Those held by so many at least, among {@code readyCaches}. */
-    Set<Long> drainedCaches(long now, int requiredReporters, boolean isIsolated, Set<Long> readyCaches) {
+    Set<Long> drainedCaches(
+            long now, int requiredReporters, boolean isIsolated, Set<Long> readyCaches) {
         Set<Long> drained = new HashSet<>();
         reportsByCache.forEach(
                 (cache, reports) -> {
                     reports.entrySet()
                             .removeIf(
-                                    entry -> isExpired(now, peers[entry.getKey()], entry.getValue(), isIsolated));
+                                    entry ->
+                                            isExpired(
+                                                    now,
+                                                    peers[entry.getKey()],
+                                                    entry.getValue(),
+                                                    isIsolated));
                     if (reports.size() >= requiredReporters && readyCaches.contains(cache)) {
                         drained.add(cache);
                     }
@@ -63,14 +70,16 @@
         return drained;
     }
 
-    private boolean isExpired(long now, PeerVersionState peer, DrainReport report, boolean isIsolated) {
+    private boolean isExpired(
+            long now, PeerVersionState peer, DrainReport report, boolean isIsolated) {
         if (isIsolated || !peer.isKnownAlive()) {
             // Of one that is silent it stands a while longer: its operators' will does not end with
             // its datagrams.
             return now - report.lastValidAtNanos > settings.reportLifetimeNanos();
         }
         report.lastValidAtNanos = now;
-        return peer.appliedVersions.adminDrainsDigest() != report.digest && now - report.receivedAtNanos >= REORDER_WINDOW_NANOS;
+        return peer.appliedVersions.adminDrainsDigest() != report.digest
+                && now - report.receivedAtNanos >= REORDER_WINDOW_NANOS;
     }
 
     /** When something may be over. */
--- a/stragglers/src/main/java/frostrelay/stragglers/PeerFreshness.java
+++ b/staleness/src/main/java/frostrelay/staleness/PeerFreshness.java
@@ -1,4 +1,4 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
 /** Whether what another says of shared state is to be gone by. */
 public enum PeerFreshness {
--- a/stragglers/src/main/java/frostrelay/stragglers/PeerVersionState.java
+++ b/staleness/src/main/java/frostrelay/staleness/PeerVersionState.java
@@ -1,7 +1,7 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
-import frostrelay.peers.AppliedVersions;
-import frostrelay.peers.MemberState;
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.gossip.MemberState;
 
 /** What is known of another balancer. For {@link StalenessDetector} alone. */
 final class PeerVersionState {
--- a/stragglers/src/main/java/frostrelay/stragglers/StalenessCodec.java
+++ b/staleness/src/main/java/frostrelay/staleness/StalenessCodec.java
@@ -1,7 +1,7 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
-import frostrelay.peers.PayloadProvider;
-import frostrelay.peers.PayloadBuffer;
+import frostrelay.gossip.PayloadBuffer;
+import frostrelay.gossip.PayloadProvider;
 
 import java.nio.ByteBuffer;
 import java.util.EnumMap;
@@ -82,7 +82,9 @@
 
     @Override
     public void writeSections(long now, int destination, PayloadBuffer payload) {
-        failingVersions.values().forEach(section -> payload.add(VERSION_FAILING, section.duplicate()));
+        failingVersions
+                .values()
+                .forEach(section -> payload.add(VERSION_FAILING, section.duplicate()));
         if (drainedCaches.isEmpty() || drainKnowledge.isUpToDate(destination, drainsDigest)) {
             return;
         }
@@ -99,7 +101,10 @@
 
     /** The type and content of the section by which a piece is asked for. */
     public static ByteBuffer encodePieceRequest(long digest, int piece) {
-        return ByteBuffer.allocate(PIECE_REQUEST_BYTES).putLong(digest).putShort((short) piece).flip();
+        return ByteBuffer.allocate(PIECE_REQUEST_BYTES)
+                .putLong(digest)
+                .putShort((short) piece)
+                .flip();
     }
 
     /** Its type. */
@@ -116,7 +121,10 @@
         if (piece >= count || count > ConfigTransfer.MAX_PIECES) {
             return null;
         }
-        int length = Math.min(ConfigTransfer.PIECE_BYTES, packed.length - piece * ConfigTransfer.PIECE_BYTES);
+        int length =
+                Math.min(
+                        ConfigTransfer.PIECE_BYTES,
+                        packed.length - piece * ConfigTransfer.PIECE_BYTES);
         return ByteBuffer.allocate(PIECE_HEADER_BYTES + length)
                 .putLong(digest)
                 .putShort((short) piece)
@@ -138,7 +146,8 @@
         } else if (type == VERSION_FAILING && length >= VERSION_FAILING_BYTES) {
             int kind = in.get() & 0xff;
             if (kind < VersionKind.values().length) {
-                listener.onVersionFailing(now, from, VersionKind.values()[kind], in.getLong(), in.get() != 0);
+                listener.onVersionFailing(
+                        now, from, VersionKind.values()[kind], in.getLong(), in.get() != 0);
             }
         } else if (type == PIECE_REQUEST && length >= PIECE_REQUEST_BYTES) {
             listener.onPieceRequested(now, from, in.getLong(), in.getShort() & U16_MASK);
