--- a/stragglers/src/main/java/frostrelay/stragglers/StalenessDetector.java
+++ b/staleness/src/main/java/frostrelay/staleness/StalenessDetector.java
@@ -1,7 +1,7 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
-import frostrelay.peers.AppliedVersions;
-import frostrelay.peers.MemberState;
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.gossip.MemberState;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -42,7 +42,9 @@
         /** This balancer steps aside as a drain does, or comes back. */
         void setSelfDraining(boolean isDraining, String reason);
 
-        /** What this balancer says of itself ({@link #failingKinds}) has changed and is to be told. */
+        /**
+         * What this balancer says of itself ({@link #failingKinds}) has changed and is to be told.
+         */
         void announceFailingVersions();
 
         /** A version is not followed although others act on it, and why. */
@@ -100,7 +102,8 @@
     private final FleetVersionSummary versionSummary = new FleetVersionSummary();
     private final BadVersionDetector badVersions;
     private final PeerAdminDrains peerDrains;
-    private final Map<VersionKind, VersionRegressionDetector> serviceByKind = new EnumMap<>(VersionKind.class);
+    private final Map<VersionKind, VersionRegressionDetector> serviceByKind =
+            new EnumMap<>(VersionKind.class);
     private final Map<Long, UnavailabilityReport> reportsByCache = new LinkedHashMap<>();
 
     /** By which version each peer has a cache back. */
@@ -128,9 +131,17 @@
     private boolean isSelfDraining;
     private long pollCount;
 
-    /** {@code localRank}: this balancer's number among {@code count}; {@code localVersions}: what it acts on. */
+    /**
+     * {@code localRank}: this balancer's number among {@code count}; {@code localVersions}: what it
+     * acts on.
+     */
     public StalenessDetector(
-            StalenessSettings settings, int localRank, int count, long seed, AppliedVersions localVersions, Actions actions) {
+            StalenessSettings settings,
+            int localRank,
+            int count,
+            long seed,
+            AppliedVersions localVersions,
+            Actions actions) {
         this.settings = settings;
         this.localRank = localRank;
         this.count = count;
@@ -163,8 +174,8 @@
     }
 
     /**
-     * This balancer acts on this from now on; {@code usableCaches}: the caches that its list names as
-     * ready.
+     * This balancer acts on this from now on; {@code usableCaches}: the caches that its list names
+     * as ready.
      */
     public void onLocalVersions(long now, AppliedVersions versions, Set<Long> usableCaches) {
         for (VersionKind kind : VersionKind.values()) {
@@ -181,16 +192,24 @@
     }
 
     /**
-     * What is known of a peer. {@code versions}: null where that is nothing; {@code startUnixMillis}: when its
-     * life began, in Unix milliseconds as it saw it; {@code ageNanos}: how long ago it said so itself,
-     * negative where it never did.
+     * What is known of a peer. {@code versions}: null where that is nothing; {@code
+     * startUnixMillis}: when its life began, in Unix milliseconds as it saw it; {@code ageNanos}:
+     * how long ago it said so itself, negative where it never did.
      */
-    public void onPeerState(long now, int rank, MemberState state, AppliedVersions versions, long startUnixMillis, long ageNanos) {
+    public void onPeerState(
+            long now,
+            int rank,
+            MemberState state,
+            AppliedVersions versions,
+            long startUnixMillis,
+            long ageNanos) {
         PeerVersionState peer = peers[rank];
         boolean hasRestarted = startUnixMillis != peer.startUnixMillis && peer.startUnixMillis != 0;
         if (hasRestarted
                 ? peer.state != MemberState.LEFT && peer.state != MemberState.GONE
-                : state == MemberState.GONE && peer.state != MemberState.GONE && peer.state != MemberState.LEFT) {
+                : state == MemberState.GONE
+                        && peer.state != MemberState.GONE
+                        && peer.state != MemberState.LEFT) {
             badVersions.onPeerCrashed(now, rank, peer);
         }
         if (versions != null
@@ -202,13 +221,18 @@
         peer.state = state;
         peer.startUnixMillis = startUnixMillis;
         peer.appliedVersions = versions == null && !hasRestarted ? peer.appliedVersions : versions;
-        peer.reportedAtNanos = ageNanos < 0 ? peer.reportedAtNanos : Math.max(peer.reportedAtNanos, now - ageNanos);
+        peer.reportedAtNanos =
+                ageNanos < 0
+                        ? peer.reportedAtNanos
+                        : Math.max(peer.reportedAtNanos, now - ageNanos);
         updateOlderSince(now, peer);
         reevaluate(now);
     }
 
     private void updateOlderSince(long now, PeerVersionState peer) {
-        boolean isOlder = peer.appliedVersions != null && peer.appliedVersions.listRevision() < localVersions.listRevision();
+        boolean isOlder =
+                peer.appliedVersions != null
+                        && peer.appliedVersions.listRevision() < localVersions.listRevision();
         peer.olderListSinceNanos = isOlder ? Math.min(peer.olderListSinceNanos, now) : NEVER_NANOS;
     }
 
@@ -237,8 +261,8 @@
     }
 
     /**
-     * A configuration with that number, {@link AppliedVersions#NO_NUMBER} for one that has none, was read and
-     * cannot be used.
+     * A configuration with that number, {@link AppliedVersions#NO_NUMBER} for one that has none,
+     * was read and cannot be used.
      */
     public void onConfigRejected(long now, long number) {
         rejectedConfigNumber = number;
@@ -246,7 +270,8 @@
     }
 
     /** A peer says of itself that it serves worse since it took a version, or does no longer. */
-    public void onVersionFailing(long now, int from, VersionKind kind, long number, boolean isFailing) {
+    public void onVersionFailing(
+            long now, int from, VersionKind kind, long number, boolean isFailing) {
         badVersions.onVersionFailing(now, from, kind, number, isFailing);
         reevaluate(now);
     }
@@ -268,13 +293,16 @@
 
     /** A peer says, by its own list of that version, that a cache is not to be used. */
     public void onCacheUnavailable(long now, int from, long listRevision, long cache) {
-        if (listRevision <= localVersions.listRevision() || !readyCaches.contains(cache) || reportsByCache.size() >= MAX_CACHES) {
+        if (listRevision <= localVersions.listRevision()
+                || !readyCaches.contains(cache)
+                || reportsByCache.size() >= MAX_CACHES) {
             return;
         }
         if (listRevision < newestRestoration(cache)) {
             return;
         }
-        UnavailabilityReport report = reportsByCache.computeIfAbsent(cache, id -> new UnavailabilityReport());
+        UnavailabilityReport report =
+                reportsByCache.computeIfAbsent(cache, id -> new UnavailabilityReport());
         if (report.revisionByReporter.isEmpty()) {
             report.sinceNanos = now;
         }
@@ -290,10 +318,13 @@
     public void onCacheRestored(long now, int from, long listRevision, long cache) {
         if (listRevision <= localVersions.listRevision()
                 || !readyCaches.contains(cache)
-                || restorationsByCache.size() >= MAX_CACHES && !restorationsByCache.containsKey(cache)) {
+                || restorationsByCache.size() >= MAX_CACHES
+                        && !restorationsByCache.containsKey(cache)) {
             return;
         }
-        restorationsByCache.computeIfAbsent(cache, id -> new HashMap<>()).merge(from, listRevision, Math::max);
+        restorationsByCache
+                .computeIfAbsent(cache, id -> new HashMap<>())
+                .merge(from, listRevision, Math::max);
         reevaluate(now);
     }
 
@@ -304,16 +335,28 @@
     private long newestRestoration(long cache) {
         long newestRestored = Long.MIN_VALUE;
         for (long listRevision : restorationsByCache.getOrDefault(cache, Map.of()).values()) {
-            newestRestored = listRevision <= newestListRevision ? Math.max(newestRestored, listRevision) : newestRestored;
+            newestRestored =
+                    listRevision <= newestListRevision
+                            ? Math.max(newestRestored, listRevision)
+                            : newestRestored;
         }
         return newestRestored;
     }
 
     /** When {@link #onTimer} is to be called next. */
     public long nextTimerAtNanos(long now) {
-        long nextNanos = Math.min(Math.min(pollAtNanos, rereadAtNanos), Math.min(fetchAtNanos, peerDrains.nextTimerAtNanos(now)));
+        long nextNanos =
+                Math.min(
+                        Math.min(pollAtNanos, rereadAtNanos),
+                        Math.min(fetchAtNanos, peerDrains.nextTimerAtNanos(now)));
         for (UnavailabilityReport report : reportsByCache.values()) {
-            nextNanos = Math.min(nextNanos, report.sinceNanos + (report.isSingleReportExpired ? settings.reportLifetimeNanos() : settings.singleReportLifetimeNanos()));
+            nextNanos =
+                    Math.min(
+                            nextNanos,
+                            report.sinceNanos
+                                    + (report.isSingleReportExpired
+                                            ? settings.reportLifetimeNanos()
+                                            : settings.singleReportLifetimeNanos()));
         }
         if (behindSinceNanos != NEVER_NANOS
                 && listStanding != Standing.STRAGGLER
@@ -327,7 +370,8 @@
                                             : settings.stalenessBoundNanos()));
         }
         if (configBehindSinceNanos != NEVER_NANOS && configStanding == Standing.BEHIND) {
-            nextNanos = Math.min(nextNanos, configBehindSinceNanos + settings.stalenessBoundNanos());
+            nextNanos =
+                    Math.min(nextNanos, configBehindSinceNanos + settings.stalenessBoundNanos());
         }
         return nextNanos;
     }
@@ -347,7 +391,10 @@
             pollCount++;
             // Until it brings something, ever more seldom: a fleet that is told nothing does not
             // mob discovery.
-            pollIntervalNanos = Math.min(Math.max(settings.maxPollIntervalNanos(), pollSpreadNanos()), pollIntervalNanos * 2);
+            pollIntervalNanos =
+                    Math.min(
+                            Math.max(settings.maxPollIntervalNanos(), pollSpreadNanos()),
+                            pollIntervalNanos * 2);
             pollAtNanos = now + pollIntervalNanos / 2 + random.nextLong(pollIntervalNanos / 2 + 1);
             actions.pollEndpointList();
         }
@@ -357,8 +404,12 @@
     private void fetchNewestConfig() {
         Map<Long, List<Integer>> holders = new HashMap<>();
         for (int i = 0; i < count; i++) {
-            if (i != localRank && peers[i].isKnownAlive() && peers[i].appliedVersions.configNumber() == newestConfigNumber) {
-                holders.computeIfAbsent(peers[i].appliedVersions.configDigest(), digest -> new ArrayList<>())
+            if (i != localRank
+                    && peers[i].isKnownAlive()
+                    && peers[i].appliedVersions.configNumber() == newestConfigNumber) {
+                holders.computeIfAbsent(
+                                peers[i].appliedVersions.configDigest(),
+                                digest -> new ArrayList<>())
                         .add(i);
             }
         }
@@ -374,7 +425,8 @@
                             // itself.
                             if (largest.getValue().size() >= requiredReporters()) {
                                 isFetchingConfig = true;
-                                actions.fetchConfig(largest.getKey(), List.copyOf(largest.getValue()));
+                                actions.fetchConfig(
+                                        largest.getKey(), List.copyOf(largest.getValue()));
                             }
                         });
     }
@@ -389,9 +441,24 @@
         versionSummary.update(peers, localRank, localVersions);
         reportsByCache.keySet().removeIf(cache -> !readyCaches.contains(cache));
         restorationsByCache.keySet().removeIf(cache -> !readyCaches.contains(cache));
-        restorationsByCache.values().forEach(restorations -> restorations.values().removeIf(listRevision -> listRevision <= localVersions.listRevision()));
+        restorationsByCache
+                .values()
+                .forEach(
+                        restorations ->
+                                restorations
+                                        .values()
+                                        .removeIf(
+                                                listRevision ->
+                                                        listRevision
+                                                                <= localVersions.listRevision()));
         restorationsByCache.values().removeIf(Map::isEmpty);
-        reportsByCache.values().forEach(report -> report.isSingleReportExpired |= now - report.sinceNanos >= settings.singleReportLifetimeNanos());
+        reportsByCache
+                .values()
+                .forEach(
+                        report ->
+                                report.isSingleReportExpired |=
+                                        now - report.sinceNanos
+                                                >= settings.singleReportLifetimeNanos());
         updateListStanding(now);
         // Witness by witness: one that claims a version of the far future keeps nobody else's word
         // alive.
@@ -399,9 +466,18 @@
                 (cache, report) ->
                         report.revisionByReporter
                                 .values()
-                                .removeIf(listRevision -> listRevision <= localVersions.listRevision() || listRevision < newestRestoration(cache)));
-        reportsByCache.values()
-                .removeIf(report -> report.revisionByReporter.isEmpty() || now - report.sinceNanos >= settings.reportLifetimeNanos());
+                                .removeIf(
+                                        listRevision ->
+                                                listRevision <= localVersions.listRevision()
+                                                        || listRevision
+                                                                < newestRestoration(cache)));
+        reportsByCache
+                .values()
+                .removeIf(
+                        report ->
+                                report.revisionByReporter.isEmpty()
+                                        || now - report.sinceNanos
+                                                >= settings.reportLifetimeNanos());
         updateConfigStanding(now);
         updateAvoidedCaches(now);
         updateSelfDraining(now);
@@ -416,7 +492,8 @@
             listStanding = Standing.HEARS_NOTHING;
             behindSinceNanos = NEVER_NANOS;
             pollAtNanos = NEVER_NANOS;
-        } else if (newestListRevision > localVersions.listRevision() && shouldNotFollow(now, VersionKind.LIST, newestListRevision)) {
+        } else if (newestListRevision > localVersions.listRevision()
+                && shouldNotFollow(now, VersionKind.LIST, newestListRevision)) {
             listStanding = Standing.STAYS_BEHIND;
             behindSinceNanos = behindSinceNanos == NEVER_NANOS ? now : behindSinceNanos;
             pollAtNanos = NEVER_NANOS;
@@ -424,13 +501,18 @@
             if (behindSinceNanos == NEVER_NANOS || pollAtNanos == NEVER_NANOS) {
                 behindSinceNanos = now;
                 pollIntervalNanos = Math.max(settings.minPollIntervalNanos(), pollSpreadNanos());
-                pollAtNanos = now + settings.graceNanos() + random.nextLong(Math.max(1, pollSpreadNanos()));
+                pollAtNanos =
+                        now
+                                + settings.graceNanos()
+                                + random.nextLong(Math.max(1, pollSpreadNanos()));
             }
             long lagNanos = now - behindSinceNanos;
             listStanding =
                     lagNanos >= settings.stalenessBoundNanos()
                             ? Standing.STRAGGLER
-                            : lagNanos >= settings.graceNanos() ? Standing.BEHIND : Standing.WAITING;
+                            : lagNanos >= settings.graceNanos()
+                                    ? Standing.BEHIND
+                                    : Standing.WAITING;
         } else {
             listStanding = versionSummary.hasListConflict ? Standing.CONFLICT : Standing.CURRENT;
             behindSinceNanos = NEVER_NANOS;
@@ -440,10 +522,16 @@
                 && (listStanding == Standing.STRAGGLER
                         || previous == Standing.STRAGGLER
                         || listStanding == Standing.CONFLICT)) {
-            actions.notifyOperators(listStanding + " on list " + localVersions.listRevision() + ", others act on " + newestListRevision);
+            actions.notifyOperators(
+                    listStanding
+                            + " on list "
+                            + localVersions.listRevision()
+                            + ", others act on "
+                            + newestListRevision);
         }
         if (previous != listStanding && listStanding == Standing.STAYS_BEHIND) {
-            actions.onVersionNotFollowed(VersionKind.LIST, newestListRevision, "those that took it fail under it");
+            actions.onVersionNotFollowed(
+                    VersionKind.LIST, newestListRevision, "those that took it fail under it");
         }
     }
 
@@ -460,18 +548,23 @@
     private void updateConfigStanding(long now) {
         newestConfigNumber = versionSummary.newestProven(VersionKind.CONFIG);
         Standing previous = configStanding;
-        boolean isBehind = localVersions.configNumber() != AppliedVersions.NO_NUMBER && newestConfigNumber > localVersions.configNumber();
+        boolean isBehind =
+                localVersions.configNumber() != AppliedVersions.NO_NUMBER
+                        && newestConfigNumber > localVersions.configNumber();
         if (isIsolated || listStanding == Standing.HEARS_NOTHING) {
             configStanding = Standing.HEARS_NOTHING;
         } else if (!isBehind) {
-            configStanding = versionSummary.hasConfigConflict ? Standing.CONFLICT : Standing.CURRENT;
+            configStanding =
+                    versionSummary.hasConfigConflict ? Standing.CONFLICT : Standing.CURRENT;
         } else if (rejectedConfigNumber == newestConfigNumber) {
             configStanding = Standing.REFUSED;
         } else if (shouldNotFollow(now, VersionKind.CONFIG, newestConfigNumber)) {
             configStanding = Standing.STAYS_BEHIND;
         } else {
             configStanding =
-                    configBehindSinceNanos != NEVER_NANOS && now - configBehindSinceNanos >= settings.stalenessBoundNanos()
+                    configBehindSinceNanos != NEVER_NANOS
+                                    && now - configBehindSinceNanos
+                                            >= settings.stalenessBoundNanos()
                             ? Standing.STRAGGLER
                             : Standing.BEHIND;
         }
@@ -502,7 +595,8 @@
                             + newestConfigNumber);
         }
         if (previous != configStanding && configStanding == Standing.STAYS_BEHIND) {
-            actions.onVersionNotFollowed(VersionKind.CONFIG, newestConfigNumber, "those that took it fail under it");
+            actions.onVersionNotFollowed(
+                    VersionKind.CONFIG, newestConfigNumber, "those that took it fail under it");
         }
     }
 
@@ -511,14 +605,20 @@
      * watches do in calm.
      */
     private long pollSpreadNanos() {
-        return countBehind() * Math.min(settings.pollSpreadNanos(), settings.watchTimeoutNanos() / count);
+        return countBehind()
+                * Math.min(settings.pollSpreadNanos(), settings.watchTimeoutNanos() / count);
     }
 
     /** How many are behind as far as is known, this one included: so many may be about to ask. */
     private int countBehind() {
         int behind = 1;
         for (int i = 0; i < count; i++) {
-            behind += i != localRank && peers[i].isKnownAlive() && peers[i].appliedVersions.listRevision() < newestListRevision ? 1 : 0;
+            behind +=
+                    i != localRank
+                                    && peers[i].isKnownAlive()
+                                    && peers[i].appliedVersions.listRevision() < newestListRevision
+                            ? 1
+                            : 0;
         }
         return behind;
     }
@@ -530,7 +630,10 @@
      * drain that three knew was not avoided.
      */
     private void updateAvoidedCaches(long now) {
-        int maxAvoided = readyCaches.size() < 2 ? 0 : (int) Math.ceil(readyCaches.size() * settings.maxAvoidedFraction());
+        int maxAvoided =
+                readyCaches.size() < 2
+                        ? 0
+                        : (int) Math.ceil(readyCaches.size() * settings.maxAvoidedFraction());
         int required = requiredReporters();
         Set<Long> newlyAvoided = new TreeSet<>();
         drainedByPeers = peerDrains.drainedCaches(now, required, isIsolated, readyCaches);
@@ -538,14 +641,20 @@
         drainedByPeers.stream().sorted().limit(maxAvoided).forEach(newlyAvoided::add);
         List<AvoidanceCandidate> candidates = new ArrayList<>();
         for (Map.Entry<Long, UnavailabilityReport> candidate : reportsByCache.entrySet()) {
-            List<Long> listRevisions = candidate.getValue().revisionByReporter.values().stream().sorted().toList();
-            long listRevision = listRevisions.size() >= required ? listRevisions.get(listRevisions.size() - required) : Long.MIN_VALUE;
+            List<Long> listRevisions =
+                    candidate.getValue().revisionByReporter.values().stream().sorted().toList();
+            long listRevision =
+                    listRevisions.size() >= required
+                            ? listRevisions.get(listRevisions.size() - required)
+                            : Long.MIN_VALUE;
             boolean isCredible =
                     listRevision != Long.MIN_VALUE
                             ? !shouldNotFollow(now, VersionKind.LIST, listRevision)
                             : !candidate.getValue().isSingleReportExpired;
             if (isCredible && !locallyDrained.contains(candidate.getKey())) {
-                candidates.add(new AvoidanceCandidate(candidate.getKey(), listRevision, listRevisions.size()));
+                candidates.add(
+                        new AvoidanceCandidate(
+                                candidate.getKey(), listRevision, listRevisions.size()));
             }
         }
         candidates.sort(
@@ -575,7 +684,11 @@
                 listStanding == Standing.STRAGGLER
                         && !overrides.isKeptIn()
                         && (isSelfDraining
-                                || maySelfDrain(localRank, count, settings.maxSelfDrainingFraction()) && 2 * countCurrentPeers() >= count);
+                                || maySelfDrain(
+                                                localRank,
+                                                count,
+                                                settings.maxSelfDrainingFraction())
+                                        && 2 * countCurrentPeers() >= count);
         boolean shouldDrain = isStale || overrides.isShutOut();
         if (shouldDrain != isSelfDraining) {
             isSelfDraining = shouldDrain;
@@ -599,7 +712,12 @@
     private int countCurrentPeers() {
         int current = 0;
         for (int i = 0; i < count; i++) {
-            current += i != localRank && peers[i].isKnownAlive() && peers[i].appliedVersions.listRevision() >= newestListRevision ? 1 : 0;
+            current +=
+                    i != localRank
+                                    && peers[i].isKnownAlive()
+                                    && peers[i].appliedVersions.listRevision() >= newestListRevision
+                            ? 1
+                            : 0;
         }
         return current;
     }
@@ -671,7 +789,8 @@
         if (isIsolated || !peer.isKnownAlive()) {
             return PeerFreshness.UNKNOWN;
         }
-        return peer.olderListSinceNanos != NEVER_NANOS && now - peer.olderListSinceNanos >= settings.stalenessBoundNanos()
+        return peer.olderListSinceNanos != NEVER_NANOS
+                        && now - peer.olderListSinceNanos >= settings.stalenessBoundNanos()
                 ? PeerFreshness.PASSED_OVER
                 : PeerFreshness.CURRENT;
     }
--- a/stragglers/src/main/java/frostrelay/stragglers/StalenessSettings.java
+++ b/staleness/src/main/java/frostrelay/staleness/StalenessSettings.java
@@ -1,28 +1,31 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
 /**
  * Bounds, in nanoseconds and parts of 1, each with its reason.
  *
- * @param graceNanos a newer list that others act on is waited for so long: discovery tells it to all
- *     within this as a rule
- * @param minPollIntervalNanos from one call of discovery to the next, at first; doubled each time that it
- *     brought nothing
- * @param maxPollIntervalNanos the most of that, and from one reading of the configuration's file to the next
+ * @param graceNanos a newer list that others act on is waited for so long: discovery tells it to
+ *     all within this as a rule
+ * @param minPollIntervalNanos from one call of discovery to the next, at first; doubled each time
+ *     that it brought nothing
+ * @param maxPollIntervalNanos the most of that, and from one reading of the configuration's file to
+ *     the next
  * @param probationNanos a later configuration is followed no sooner than so long behind its proof
- * @param pollSpreadNanos calls of several that are behind are spread over this for each of them at most, and
- *     in a large tier over
- * @param watchTimeoutNanos how long a watch waits, divided by the balancers: as often as all of them call in
- *     calm
- * @param reportLifetimeNanos a cache is avoided on others' word for so long at most, and on one's alone for no
- *     longer than
+ * @param pollSpreadNanos calls of several that are behind are spread over this for each of them at
+ *     most, and in a large tier over
+ * @param watchTimeoutNanos how long a watch waits, divided by the balancers: as often as all of
+ *     them call in calm
+ * @param reportLifetimeNanos a cache is avoided on others' word for so long at most, and on one's
+ *     alone for no longer than
  * @param singleReportLifetimeNanos this, once in that time
- * @param stalenessBoundNanos behind for longer, and not brought up, a balancer is a straggler and may step aside
+ * @param stalenessBoundNanos behind for longer, and not brought up, a balancer is a straggler and
+ *     may step aside
  * @param maxAvoidedFraction part of the caches that hearsay may take away, whoever says what
  * @param maxSelfDrainingFraction of the balancers that may be aside at once
  * @param failureMargin so much less of what ends is served than before: a version fails
- * @param attributionWindowNanos for so long behind its taking a version is answerable for what is served, and a
- *     word of that stands
- * @param earlyExitNanos a life that ends out of order so soon behind its taking of a version has ended by it
+ * @param attributionWindowNanos for so long behind its taking a version is answerable for what is
+ *     served, and a word of that stands
+ * @param earlyExitNanos a life that ends out of order so soon behind its taking of a version has
+ *     ended by it
  */
 public record StalenessSettings(
         long graceNanos,
--- a/stragglers/src/main/java/frostrelay/stragglers/VersionKind.java
+++ b/staleness/src/main/java/frostrelay/staleness/VersionKind.java
@@ -1,6 +1,6 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
-import frostrelay.peers.AppliedVersions;
+import frostrelay.gossip.AppliedVersions;
 
 /** What has versions that are ordered. */
 public enum VersionKind {
@@ -18,7 +18,8 @@
     };
 
     /**
-     * The version of this kind in a stamp; {@link AppliedVersions#NO_NUMBER} where a configuration has none.
+     * The version of this kind in a stamp; {@link AppliedVersions#NO_NUMBER} where a configuration
+     * has none.
      */
     public abstract long number(AppliedVersions stamp);
 
--- a/stragglers/src/main/java/frostrelay/stragglers/VersionOrder.java
+++ b/staleness/src/main/java/frostrelay/staleness/VersionOrder.java
@@ -1,6 +1,6 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
-import frostrelay.peers.AppliedVersions;
+import frostrelay.gossip.AppliedVersions;
 
 /**
  * What orders two versions, kind by kind: how another's stands to one's own. Pure.
@@ -18,19 +18,25 @@
 
     /** How the other's list stands to mine. */
     public static VersionOrder compareLists(AppliedVersions local, AppliedVersions other) {
-        return compareNumbered(local.listRevision(), local.listDigest(), other.listRevision(), other.listDigest());
+        return compareNumbered(
+                local.listRevision(), local.listDigest(), other.listRevision(), other.listDigest());
     }
 
     /** How the other's configuration stands to mine. */
     public static VersionOrder compareConfigs(AppliedVersions local, AppliedVersions other) {
-        if (local.configNumber() == AppliedVersions.NO_NUMBER || other.configNumber() == AppliedVersions.NO_NUMBER) {
+        if (local.configNumber() == AppliedVersions.NO_NUMBER
+                || other.configNumber() == AppliedVersions.NO_NUMBER) {
             return local.configDigest() == other.configDigest() ? SAME : UNORDERED;
         }
         return compareNumbered(
-                local.configNumber(), local.configDigest(), other.configNumber(), other.configDigest());
+                local.configNumber(),
+                local.configDigest(),
+                other.configNumber(),
+                other.configDigest());
     }
 
-    private static VersionOrder compareNumbered(long localNumber, long localDigest, long otherNumber, long otherDigest) {
+    private static VersionOrder compareNumbered(
+            long localNumber, long localDigest, long otherNumber, long otherDigest) {
         if (localNumber != otherNumber) {
             return otherNumber > localNumber ? NEWER : OLDER;
         }
--- a/stragglers/src/main/java/frostrelay/stragglers/VersionRegressionDetector.java
+++ b/staleness/src/main/java/frostrelay/staleness/VersionRegressionDetector.java
@@ -1,4 +1,4 @@
-package frostrelay.stragglers;
+package frostrelay.staleness;
 
 /**
  * Whether this balancer serves worse since it took a version, by its own counts alone. Others
@@ -52,7 +52,8 @@
      * the first stays the measure.
      */
     public void onVersionApplied(long now) {
-        if (versionAppliedAtNanos == NEVER_NANOS || now - versionAppliedAtNanos > settings.attributionWindowNanos()) {
+        if (versionAppliedAtNanos == NEVER_NANOS
+                || now - versionAppliedAtNanos > settings.attributionWindowNanos()) {
             double successRatio = successRatio(WINDOW_SECONDS);
             baselineSuccessRatio = Double.isNaN(successRatio) ? baselineSuccessRatio : successRatio;
         }
@@ -71,7 +72,8 @@
         served[currentSecond] = totalServed - previousServed;
         previousCompleted = totalCompleted;
         previousServed = totalServed;
-        if (versionAppliedAtNanos == NEVER_NANOS || now - versionAppliedAtNanos > settings.attributionWindowNanos()) {
+        if (versionAppliedAtNanos == NEVER_NANOS
+                || now - versionAppliedAtNanos > settings.attributionWindowNanos()) {
             isFailing = false;
             consecutiveFailures = 0;
             return;
@@ -79,16 +81,26 @@
         double successRatio = successRatio(3);
         if (!Double.isNaN(successRatio)) {
             double threshold = failureThreshold();
-            consecutiveFailures = successRatio < (isFailing ? threshold + settings.failureMargin() / 2 : threshold) ? consecutiveFailures + 1 : 0;
+            consecutiveFailures =
+                    successRatio
+                                    < (isFailing
+                                            ? threshold + settings.failureMargin() / 2
+                                            : threshold)
+                            ? consecutiveFailures + 1
+                            : 0;
             isFailing = consecutiveFailures >= MIN_CONSECUTIVE_FAILURES;
         }
     }
 
     private double failureThreshold() {
         if (kind == VersionKind.LIST) {
-            return Double.isNaN(baselineSuccessRatio) ? 0 : baselineSuccessRatio * LIST_FAILURE_RATIO;
+            return Double.isNaN(baselineSuccessRatio)
+                    ? 0
+                    : baselineSuccessRatio * LIST_FAILURE_RATIO;
         }
-        return Double.isNaN(baselineSuccessRatio) ? DEFAULT_CONFIG_THRESHOLD : baselineSuccessRatio - settings.failureMargin();
+        return Double.isNaN(baselineSuccessRatio)
+                ? DEFAULT_CONFIG_THRESHOLD
+                : baselineSuccessRatio - settings.failureMargin();
     }
 
     /**
--- a/rig/src/main/java/frostrelay/rig/bench/Bench.java
+++ b/testbed/src/main/java/frostrelay/testbed/bench/Bench.java
@@ -1,17 +1,17 @@
-package frostrelay.rig.bench;
+package frostrelay.testbed.bench;
 
-import frostrelay.rig.day.ClassSpec;
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.day.ScenarioFile;
-import frostrelay.rig.day.TenantSpec;
-import frostrelay.rig.discovery.DiscoveryServer;
-import frostrelay.rig.discovery.Member;
-import frostrelay.rig.fleet.BalancerConfig;
-import frostrelay.rig.fleet.BalancerProcess;
-import frostrelay.rig.fleet.ChildProcesses;
-import frostrelay.rig.fleet.BalancerCommand;
-import frostrelay.rig.referee.Referee;
-import frostrelay.rig.wire.Loopback;
+import frostrelay.testbed.discovery.DiscoveryServer;
+import frostrelay.testbed.discovery.Member;
+import frostrelay.testbed.fleet.BalancerCommand;
+import frostrelay.testbed.fleet.BalancerConfig;
+import frostrelay.testbed.fleet.BalancerProcess;
+import frostrelay.testbed.fleet.ChildProcesses;
+import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.scenario.ClassSpec;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.scenario.ScenarioFile;
+import frostrelay.testbed.scenario.TenantSpec;
+import frostrelay.testbed.wire.Loopback;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -160,8 +160,8 @@
 
     /**
      * Measures all ways in turn, some rounds over: what else the machine does then meets all of
-     * them. {@code relayCommand}: the command of a relay, which gets a port and an address appended;
-     * {@code otherProgram}: another form of the balancer, or null.
+     * them. {@code relayCommand}: the command of a relay, which gets a port and an address
+     * appended; {@code otherProgram}: another form of the balancer, or null.
      */
     public List<Phase> run(
             BalancerCommand program,
@@ -189,7 +189,13 @@
         }
         Phase closed = phase("closed loop", targets, 0, rounds, progress);
         return List.of(
-                closed, phase("half load", targets, closed.median(BALANCER_TARGET_INDEX).perSecond / 2, rounds, progress));
+                closed,
+                phase(
+                        "half load",
+                        targets,
+                        closed.median(BALANCER_TARGET_INDEX).perSecond / 2,
+                        rounds,
+                        progress));
     }
 
     private Phase phase(
@@ -303,7 +309,8 @@
                 new DiscoveryServer(
                         loop,
                         new Referee(
-                                new Referee.Bounds(Long.MAX_VALUE / 2, 1, day.cache().slowStart(), 1)),
+                                new Referee.Bounds(
+                                        Long.MAX_VALUE / 2, 1, day.cache().slowStart(), 1)),
                         0);
         Map<String, String> endpoints = new LinkedHashMap<>();
         for (int i = 0; i < CACHE_COUNT; i++) {
--- a/rig/src/main/java/frostrelay/rig/bench/EchoCache.java
+++ b/testbed/src/main/java/frostrelay/testbed/bench/EchoCache.java
@@ -1,8 +1,8 @@
-package frostrelay.rig.bench;
+package frostrelay.testbed.bench;
 
-import frostrelay.rig.wire.Loopback;
-import frostrelay.rig.wire.MetaCodec;
-import frostrelay.rig.wire.MetaMessage;
+import frostrelay.testbed.wire.Loopback;
+import frostrelay.testbed.wire.MetaCodec;
+import frostrelay.testbed.wire.MetaMessage;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.ChannelHandlerContext;
--- a/rig/src/main/java/frostrelay/rig/bench/ReadLoop.java
+++ b/testbed/src/main/java/frostrelay/testbed/bench/ReadLoop.java
@@ -1,7 +1,7 @@
-package frostrelay.rig.bench;
+package frostrelay.testbed.bench;
 
-import frostrelay.rig.wire.MetaCodec;
-import frostrelay.rig.wire.MetaMessage;
+import frostrelay.testbed.wire.MetaCodec;
+import frostrelay.testbed.wire.MetaMessage;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -50,7 +50,8 @@
     private double nextAtNanos;
 
     /**
-     * {@code requestsPerSecond}: a second, 0 for a closed loop; the same {@code seed} asks for the same keys.
+     * {@code requestsPerSecond}: a second, 0 for a closed loop; the same {@code seed} asks for the
+     * same keys.
      */
     ReadLoop(EventLoop loop, double requestsPerSecond, long seed) {
         this.loop = loop;
--- a/rig/src/main/java/frostrelay/rig/cache/CacheServer.java
+++ b/testbed/src/main/java/frostrelay/testbed/cache/CacheServer.java
@@ -1,11 +1,11 @@
-package frostrelay.rig.cache;
+package frostrelay.testbed.cache;
 
-import frostrelay.rig.archive.OriginClient;
-import frostrelay.rig.referee.SlowStartMeter;
-import frostrelay.rig.referee.Referee;
-import frostrelay.rig.wire.Loopback;
-import frostrelay.rig.wire.MetaCodec;
-import frostrelay.rig.wire.MetaMessage;
+import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.SlowStartMeter;
+import frostrelay.testbed.origin.OriginClient;
+import frostrelay.testbed.wire.Loopback;
+import frostrelay.testbed.wire.MetaCodec;
+import frostrelay.testbed.wire.MetaMessage;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -100,7 +100,8 @@
     private int connectionCount;
 
     /**
-     * {@code allCaches}: all caches, this one included, whose copies a write voids; read at each write.
+     * {@code allCaches}: all caches, this one included, whose copies a write voids; read at each
+     * write.
      */
     public CacheServer(
             String name,
@@ -159,12 +160,16 @@
         engine = new WorkEngine<>(spec.cores(), spec.slots(), spec.queueCapacity());
         startedAtNanos = now();
         isWarmingUp = isColdStart;
-        meter = isColdStart ? new SlowStartMeter(spec.slowStart(), spec.cores(), startedAtNanos) : null;
+        meter =
+                isColdStart
+                        ? new SlowStartMeter(spec.slowStart(), spec.cores(), startedAtNanos)
+                        : null;
         engine.setSpeed(startedAtNanos, speed(startedAtNanos));
     }
 
     private double speed(long now) {
-        return (isWarmingUp ? spec.slowStart().capacityFraction(now - startedAtNanos) : 1) / slowdownFactor;
+        return (isWarmingUp ? spec.slowStart().capacityFraction(now - startedAtNanos) : 1)
+                / slowdownFactor;
     }
 
     // Faults and operators' calls.
@@ -197,7 +202,8 @@
         loop.execute(
                 () -> {
                     shutDown();
-                    loop.schedule(() -> startAgain(started), START_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+                    loop.schedule(
+                            () -> startAgain(started), START_DELAY_MILLIS, TimeUnit.MILLISECONDS);
                 });
     }
 
@@ -253,7 +259,8 @@
         loop.execute(
                 () -> {
                     isUnresponsive = isActive;
-                    connections.forEach(connection -> connection.channel.config().setAutoRead(!isActive));
+                    connections.forEach(
+                            connection -> connection.channel.config().setAutoRead(!isActive));
                     scheduleTick();
                 });
     }
@@ -323,7 +330,8 @@
     private void scheduleTick() {
         long next =
                 isWarmingUp && engine.running() > 0
-                        ? Math.min(engine.nextCompletionNanos(), now() + (long) SLOW_START_TICK_NANOS)
+                        ? Math.min(
+                                engine.nextCompletionNanos(), now() + (long) SLOW_START_TICK_NANOS)
                         : engine.nextCompletionNanos();
         if (isUnresponsive || isDown || next == Long.MAX_VALUE) {
             return;
@@ -417,7 +425,8 @@
         }
         String key = job.command.figure("k");
         String receipt = deduplicationWindow.nextReceipt();
-        String firstReceipt = key == null ? null : deduplicationWindow.findOrRecord(now(), key, receipt);
+        String firstReceipt =
+                key == null ? null : deduplicationWindow.findOrRecord(now(), key, receipt);
         if (firstReceipt != null) {
             sendReceipt(job, firstReceipt);
             return;
@@ -441,7 +450,8 @@
     }
 
     private void sendReceipt(Job job, String receipt) {
-        invariantChecker.onProduced(job.id, Referee.digest(receipt.getBytes(StandardCharsets.ISO_8859_1)));
+        invariantChecker.onProduced(
+                job.id, Referee.digest(receipt.getBytes(StandardCharsets.ISO_8859_1)));
         job.connection.respond(job, "HD O" + job.id + " c" + receipt, null);
     }
 
@@ -494,7 +504,8 @@
                                 MetaCodec.encode(
                                         ctx.alloc(),
                                         "STAT "
-                                                + loadReport().replace("=", " ")
+                                                + loadReport()
+                                                        .replace("=", " ")
                                                         .replace(",", "\r\nSTAT ")
                                                 + "\r\nEND",
                                         null));
@@ -511,7 +522,9 @@
             }
             jobs.poll();
             String responseLine =
-                    line.startsWith("VA") || line.startsWith("HD") ? line + " L" + loadReport() : line;
+                    line.startsWith("VA") || line.startsWith("HD")
+                            ? line + " L" + loadReport()
+                            : line;
             channel.writeAndFlush(MetaCodec.encode(channel.alloc(), responseLine, data));
             if (!jobs.isEmpty()) {
                 accept(jobs.peek());
--- a/rig/src/main/java/frostrelay/rig/cache/DeduplicationWindow.java
+++ b/testbed/src/main/java/frostrelay/testbed/cache/DeduplicationWindow.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.cache;
+package frostrelay.testbed.cache;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -32,7 +32,8 @@
                 oldest.hasNext() && oldest.next().expiresAtNanos < now; ) {
             oldest.remove();
         }
-        RecentWrite first = recentWrites.putIfAbsent(key, new RecentWrite(receipt, now + windowNanos));
+        RecentWrite first =
+                recentWrites.putIfAbsent(key, new RecentWrite(receipt, now + windowNanos));
         return first == null ? null : first.receipt;
     }
 }
--- a/rig/src/main/java/frostrelay/rig/cache/Store.java
+++ b/testbed/src/main/java/frostrelay/testbed/cache/Store.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.cache;
+package frostrelay.testbed.cache;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
--- a/rig/src/main/java/frostrelay/rig/cache/WorkEngine.java
+++ b/testbed/src/main/java/frostrelay/testbed/cache/WorkEngine.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.cache;
+package frostrelay.testbed.cache;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -38,7 +38,8 @@
     private long advancedToNanos;
 
     /**
-     * {@code cores} and {@code slots} of at least 1; {@code queueCapacity} places to wait beyond the slots.
+     * {@code cores} and {@code slots} of at least 1; {@code queueCapacity} places to wait beyond
+     * the slots.
      */
     public WorkEngine(int cores, int slots, int queueCapacity) {
         this.cores = cores;
--- a/rig/src/main/java/frostrelay/rig/campaign/AuditCheck.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/AuditCheck.java
@@ -1,7 +1,7 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
-import frostrelay.rig.campaign.EventHistory.ConfigChange;
-import frostrelay.rig.campaign.EventHistory.ProcessEvent;
+import frostrelay.testbed.campaign.EventHistory.ConfigChange;
+import frostrelay.testbed.campaign.EventHistory.ProcessEvent;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -82,7 +82,9 @@
         checkPeerStamps();
         checkPropagation();
         checkExpiry();
-        return violations.size() > MAX_VIOLATIONS ? violations.subList(0, MAX_VIOLATIONS) : violations;
+        return violations.size() > MAX_VIOLATIONS
+                ? violations.subList(0, MAX_VIOLATIONS)
+                : violations;
     }
 
     /**
@@ -95,7 +97,10 @@
         figures.put("beyondTheRecord", commandsUnknown);
         figures.put(
                 "knownAfterMs",
-                propagationNanos.stream().map(nanos -> nanos / MILLISECOND_NANOS).sorted().toList());
+                propagationNanos.stream()
+                        .map(nanos -> nanos / MILLISECOND_NANOS)
+                        .sorted()
+                        .toList());
         figures.put("knownLate", latePropagations);
         return figures;
     }
@@ -119,7 +124,9 @@
         long closest = Long.MAX_VALUE;
         for (EventHistory.ProcessChange one : history.processes()) {
             if (one.balancer() == balancerIndex(record) && one.event() == ProcessEvent.STARTED) {
-                long behind = history.fromWallClockNanos(record.startWallMillis, one.wallOffsetMillis()) - one.atNanos();
+                long behind =
+                        history.fromWallClockNanos(record.startWallMillis, one.wallOffsetMillis())
+                                - one.atNanos();
                 if (behind >= -CLOCK_TOLERANCE_NANOS && behind < closest) {
                     closest = behind;
                     began = one.atNanos() + behind;
@@ -136,7 +143,9 @@
             if (one.balancer() != balancer) {
                 continue;
             }
-            boolean inside = one.atNanos() >= from - CLOCK_TOLERANCE_NANOS && one.atNanos() <= to + CLOCK_TOLERANCE_NANOS;
+            boolean inside =
+                    one.atNanos() >= from - CLOCK_TOLERANCE_NANOS
+                            && one.atNanos() <= to + CLOCK_TOLERANCE_NANOS;
             switch (one.event()) {
                 case WALL -> {}
                 case STARTED, THAWED, FED -> {
@@ -182,7 +191,8 @@
 
     private boolean inGap(AuditRecord record, long at) {
         for (AuditRecord.Gap gap : record.gaps) {
-            if (at >= toTestbedNanos(record, gap.fromNanos()) - CLOCK_TOLERANCE_NANOS && at <= toTestbedNanos(record, gap.toNanos()) + LOST_TAIL_NANOS) {
+            if (at >= toTestbedNanos(record, gap.fromNanos()) - CLOCK_TOLERANCE_NANOS
+                    && at <= toTestbedNanos(record, gap.toNanos()) + LOST_TAIL_NANOS) {
                 return true;
             }
         }
@@ -218,7 +228,10 @@
             List<AuditRecord> auditRecords = records.getOrDefault(name, List.of());
             long starts =
                     history.processes().stream()
-                            .filter(one -> one.balancer() == balancer && one.event() == ProcessEvent.STARTED)
+                            .filter(
+                                    one ->
+                                            one.balancer() == balancer
+                                                    && one.event() == ProcessEvent.STARTED)
                             .count();
             boolean excused =
                     history.spans().stream()
@@ -263,7 +276,8 @@
             if (one.balancer() == balancer) {
                 if (one.event() == ProcessEvent.STARTED) {
                     started = one.atNanos();
-                } else if (one.event() == ProcessEvent.KILLED && one.atNanos() - started < 1_000 * MILLISECOND_NANOS) {
+                } else if (one.event() == ProcessEvent.KILLED
+                        && one.atNanos() - started < 1_000 * MILLISECOND_NANOS) {
                     return true;
                 }
             }
@@ -290,7 +304,10 @@
                                                                                 + ' '
                                                                                 + sent.id(),
                                                                         key -> new ArrayList<>())
-                                                                .add(new Object[] {auditRecord, sent}))));
+                                                                .add(
+                                                                        new Object[] {
+                                                                            auditRecord, sent
+                                                                        }))));
         for (EventHistory.Command command : history.commands()) {
             int balancer = names.indexOf(command.balancer());
             List<Object[]> fits =
@@ -300,7 +317,9 @@
                         inLostTail(balancer, command.atNanos())
                                 || isDiskUnavailable(balancer, command.atNanos())
                                 || records.getOrDefault(command.balancer(), List.of()).stream()
-                                        .anyMatch(auditRecord -> inGap(auditRecord, command.atNanos()));
+                                        .anyMatch(
+                                                auditRecord ->
+                                                        inGap(auditRecord, command.atNanos()));
                 commandsUnknown++;
                 if (!excused) {
                     violation(
@@ -320,7 +339,8 @@
         checkUnreceivedSends(stated);
     }
 
-    private void checkAllowed(EventHistory.Command command, AuditRecord auditRecord, AuditRecord.Sent sent) {
+    private void checkAllowed(
+            EventHistory.Command command, AuditRecord auditRecord, AuditRecord.Sent sent) {
         AuditRecord.AppliedStamp appliedStamp = auditRecord.stamp(sent.sequence());
         if (appliedStamp == null) {
             if (auditRecord.gaps.isEmpty() && !auditRecord.beginningLost) {
@@ -373,8 +393,11 @@
                                 history.processes().stream()
                                         .anyMatch(
                                                 process ->
-                                                        process.balancer() == balancerIndex(auditRecord)
-                                                                && process.event() == ProcessEvent.KILLED
+                                                        process.balancer()
+                                                                        == balancerIndex(
+                                                                                auditRecord)
+                                                                && process.event()
+                                                                        == ProcessEvent.KILLED
                                                                 && Math.abs(process.atNanos() - at)
                                                                         < APPLY_TIMEOUT_NANOS);
                         if (!cut && !died && at < end - APPLY_TIMEOUT_NANOS) {
@@ -419,7 +442,8 @@
                 });
     }
 
-    private void checkStamp(AuditRecord auditRecord, int balancer, AuditRecord.AppliedStamp appliedStamp) {
+    private void checkStamp(
+            AuditRecord auditRecord, int balancer, AuditRecord.AppliedStamp appliedStamp) {
         long at = toTestbedNanos(auditRecord, appliedStamp.atNanos());
         Map<String, String> list = history.versions().get(appliedStamp.listRev());
         // Before its first list it may already know of holds.
@@ -477,9 +501,13 @@
     private void checkUpdatesApplied(String name, int balancer, List<AuditRecord> auditRecords) {
         for (EventHistory.EndpointUpdate told : history.told()) {
             if (!told.balancer().equals(name)
-                    || !ranThroughout(balancer, told.atNanos(), told.atNanos() + APPLY_TIMEOUT_NANOS)
+                    || !ranThroughout(
+                            balancer, told.atNanos(), told.atNanos() + APPLY_TIMEOUT_NANOS)
                     || isDisturbed(
-                            FaultEvent.Kind.DISCOVERY_CUT, balancer, told.atNanos(), told.atNanos() + APPLY_TIMEOUT_NANOS)
+                            FaultEvent.Kind.DISCOVERY_CUT,
+                            balancer,
+                            told.atNanos(),
+                            told.atNanos() + APPLY_TIMEOUT_NANOS)
                     || isDiskUnavailable(balancer, told.atNanos())) {
                 continue;
             }
@@ -489,12 +517,14 @@
                                     auditRecord.appliedStamps.stream()
                                                     .anyMatch(
                                                             appliedStamp ->
-                                                                    appliedStamp.listRev() >= told.rev()
+                                                                    appliedStamp.listRev()
+                                                                                    >= told.rev()
                                                                             && toTestbedNanos(
                                                                                             auditRecord,
                                                                                             appliedStamp
                                                                                                     .atNanos())
-                                                                                    <= told.atNanos()
+                                                                                    <= told
+                                                                                                    .atNanos()
                                                                                             + APPLY_TIMEOUT_NANOS
                                                                                             + CLOCK_TOLERANCE_NANOS)
                                             || inGap(auditRecord, told.atNanos()))) {
@@ -528,7 +558,8 @@
                                                             appliedStamp ->
                                                                     appliedStamp.confNumber()
                                                                                     == one.number()
-                                                                            && appliedStamp.confDigest()
+                                                                            && appliedStamp
+                                                                                            .confDigest()
                                                                                     == one.digest()
                                                                             && toTestbedNanos(
                                                                                             auditRecord,
@@ -573,17 +604,22 @@
                                     int newest =
                                             auditRecord.appliedStamps.isEmpty()
                                                     ? 0
-                                                    : auditRecord.appliedStamps
-                                                            .get(auditRecord.appliedStamps.size() - 1)
+                                                    : auditRecord
+                                                            .appliedStamps
+                                                            .get(
+                                                                    auditRecord.appliedStamps.size()
+                                                                            - 1)
                                                             .sequence();
                                     Set<Integer> all = new HashSet<>(sent.keySet());
                                     all.addAll(auditRecord.sendCounts.keySet());
                                     for (int sequence : all) {
                                         long one = sent.getOrDefault(sequence, 0L);
-                                        long sum = auditRecord.sendCounts.getOrDefault(sequence, 0L);
+                                        long sum =
+                                                auditRecord.sendCounts.getOrDefault(sequence, 0L);
                                         // The last second of a life that was killed, or goes on, is
                                         // not counted yet.
-                                        boolean open = !auditRecord.endedCleanly && sequence >= newest;
+                                        boolean open =
+                                                !auditRecord.endedCleanly && sequence >= newest;
                                         if (sum > one || sum < one && !open) {
                                             violation(
                                                     "counts",
@@ -656,7 +692,8 @@
                                             }
                                             continue;
                                         }
-                                        for (AuditRecord.AppliedStamp appliedStamp : meant.appliedStamps) {
+                                        for (AuditRecord.AppliedStamp appliedStamp :
+                                                meant.appliedStamps) {
                                             if ((appliedStamp.sequence() & 0xffff) == one.sequence()
                                                     && appliedStamp.ref() != one.ref()) {
                                                 violation(
@@ -685,8 +722,13 @@
                 long from = snapshot.requestedAtNanos() - EXPIRY_NANOS;
                 boolean away =
                         from > 0
-                                && (isPartitionedThroughout(snapshot.balancer(), other, from, snapshot.requestedAtNanos())
-                                        || isDownThroughout(other, from, snapshot.requestedAtNanos()));
+                                && (isPartitionedThroughout(
+                                                snapshot.balancer(),
+                                                other,
+                                                from,
+                                                snapshot.requestedAtNanos())
+                                        || isDownThroughout(
+                                                other, from, snapshot.requestedAtNanos()));
                 if (away && !"unknown".equals(peer.get("actsOn"))) {
                     violation(
                             "unknown",
@@ -737,17 +779,27 @@
                         auditRecords.forEach(
                                 auditRecord -> {
                                     for (int i = 0; i < auditRecord.appliedStamps.size(); i++) {
-                                        AuditRecord.AppliedStamp appliedStamp = auditRecord.appliedStamps.get(i);
-                                        long at = toTestbedNanos(auditRecord, appliedStamp.atNanos());
+                                        AuditRecord.AppliedStamp appliedStamp =
+                                                auditRecord.appliedStamps.get(i);
+                                        long at =
+                                                toTestbedNanos(auditRecord, appliedStamp.atNanos());
                                         long next =
                                                 i + 1 < auditRecord.appliedStamps.size()
-                                                        ? toTestbedNanos(auditRecord, auditRecord.appliedStamps.get(i + 1).atNanos())
+                                                        ? toTestbedNanos(
+                                                                auditRecord,
+                                                                auditRecord
+                                                                        .appliedStamps
+                                                                        .get(i + 1)
+                                                                        .atNanos())
                                                         : Long.MAX_VALUE;
                                         // What holds for a moment only, or while it starts, is news
                                         // to nobody.
                                         if (next - at < PROPAGATION_NANOS
                                                 || at > end - PROPAGATION_NANOS
-                                                || !ranThroughout(balancerIndex(auditRecord), at, at + PROPAGATION_NANOS)) {
+                                                || !ranThroughout(
+                                                        balancerIndex(auditRecord),
+                                                        at,
+                                                        at + PROPAGATION_NANOS)) {
                                             continue;
                                         }
                                         for (String other : names) {
@@ -759,7 +811,8 @@
                                 }));
     }
 
-    private void checkKnownTo(AuditRecord auditRecord, AuditRecord.AppliedStamp appliedStamp, long at, String other) {
+    private void checkKnownTo(
+            AuditRecord auditRecord, AuditRecord.AppliedStamp appliedStamp, long at, String other) {
         int there = names.indexOf(other);
         if (!ranThroughout(there, at, at + PROPAGATION_NANOS)
                 || isPartitioned(balancerIndex(auditRecord), there, at, at + PROPAGATION_NANOS)
@@ -805,7 +858,8 @@
             FaultEvent one = span.faultEvent();
             boolean apart =
                     switch (one.kind()) {
-                        case PARTITION -> one.balancers().contains(a) != one.balancers().contains(b);
+                        case PARTITION ->
+                                one.balancers().contains(a) != one.balancers().contains(b);
                         case SILENCE -> one.balancers().contains(a) && one.targets().contains(b);
                         default -> false;
                     };
--- a/rig/src/main/java/frostrelay/rig/campaign/AuditRecord.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/AuditRecord.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -72,7 +72,8 @@
             try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*.rec")) {
                 for (Path file : files) {
                     String name = file.getFileName().toString();
-                    incarnationFiles.computeIfAbsent(
+                    incarnationFiles
+                            .computeIfAbsent(
                                     name.substring(0, name.lastIndexOf('-')),
                                     life -> new TreeMap<>())
                             .put(name, file);
@@ -130,7 +131,9 @@
                     type == 2
                             && (appliedStamps.isEmpty()
                                     || entries.get(i).getInt(Long.BYTES)
-                                            > appliedStamps.get(appliedStamps.size() - 1).sequence());
+                                            > appliedStamps
+                                                    .get(appliedStamps.size() - 1)
+                                                    .sequence());
             if (!repeated || type == 3 || later) {
                 readEntry(type, entries.get(i));
             }
--- a/rig/src/main/java/frostrelay/rig/campaign/Campaign.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/Campaign.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -28,8 +28,8 @@
     private final Consumer<String> progress;
 
     /**
-     * {@code folder}: of all plays; {@code keepFiles}: also files of plays without violations; {@code
-     * defect}: put into one balancer, or null; {@code progress}: progress.
+     * {@code folder}: of all plays; {@code keepFiles}: also files of plays without violations;
+     * {@code defect}: put into one balancer, or null; {@code progress}: progress.
      */
     public Campaign(
             CampaignSubject subject,
@@ -73,7 +73,8 @@
 
     private CampaignRun.Outcome run(Schedule schedule, Path outputFolder)
             throws IOException, InterruptedException {
-        CampaignRun.Outcome outcome = CampaignRun.play(subject, schedule, outputFolder, launch, defect);
+        CampaignRun.Outcome outcome =
+                CampaignRun.play(subject, schedule, outputFolder, launch, defect);
         progress.accept(
                 schedule.name()
                         + ": "
@@ -96,7 +97,9 @@
             Schedule candidate = smallest.withoutEvent(i);
             Path outputFolder = folder.resolve(failing.name() + "-shrink-" + runs++);
             boolean stillFails =
-                    !CampaignRun.play(subject, candidate, outputFolder, launch, defect).violations().isEmpty();
+                    !CampaignRun.play(subject, candidate, outputFolder, launch, defect)
+                            .violations()
+                            .isEmpty();
             remove(outputFolder);
             if (stillFails) {
                 smallest = candidate;
--- a/rig/src/main/java/frostrelay/rig/campaign/CampaignRun.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/CampaignRun.java
@@ -1,19 +1,19 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
-import frostrelay.rig.client.RoundRobinFrontend;
-import frostrelay.rig.client.OpenLoopClients;
-import frostrelay.rig.client.ClientStatistics;
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.day.ScenarioFile;
-import frostrelay.rig.discovery.Member;
-import frostrelay.rig.fleet.BalancerConfig;
-import frostrelay.rig.fleet.BalancerProcess;
-import frostrelay.rig.fleet.TestCluster;
-import frostrelay.rig.fleet.BalancerCommand;
-import frostrelay.rig.referee.Invariant;
-import frostrelay.rig.wire.Loopback;
+import frostrelay.testbed.client.ClientStatistics;
+import frostrelay.testbed.client.OpenLoopClients;
+import frostrelay.testbed.client.RoundRobinFrontend;
+import frostrelay.testbed.discovery.Member;
+import frostrelay.testbed.fleet.BalancerCommand;
+import frostrelay.testbed.fleet.BalancerConfig;
+import frostrelay.testbed.fleet.BalancerProcess;
+import frostrelay.testbed.fleet.TestCluster;
+import frostrelay.testbed.invariants.Invariant;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.scenario.ScenarioFile;
+import frostrelay.testbed.wire.Loopback;
 
 import io.netty.util.concurrent.Future;
 
@@ -193,7 +193,9 @@
                         names.size(),
                         (schedule.requestsPerSecond() > 0
                                         ? schedule.requestsPerSecond()
-                                        : subject == CampaignSubject.JUDGEMENTS ? LOW_REQUESTS_PER_SECOND : REQUESTS_PER_SECOND)
+                                        : subject == CampaignSubject.JUDGEMENTS
+                                                ? LOW_REQUESTS_PER_SECOND
+                                                : REQUESTS_PER_SECOND)
                                 * names.size()));
     }
 
@@ -271,7 +273,9 @@
                                 public Map<String, Object> extraKeys(int place) {
                                     Map<String, Object> further = new LinkedHashMap<>();
                                     further.put("version", 0);
-                                    further.put("peer_listen", Loopback.text(gossipAddresses.get(place)));
+                                    further.put(
+                                            "peer_listen",
+                                            Loopback.text(gossipAddresses.get(place)));
                                     further.put("peers", relay.peers(place));
                                     return further;
                                 }
@@ -302,9 +306,19 @@
             history.recordProcessChange(i, EventHistory.ProcessEvent.STARTED, 0);
         }
         fleet.startBalancers();
-        frontend = new RoundRobinFrontend(fleet.balancers().stream().map(TestCluster.BalancerInstance::listenAddress).toList());
+        frontend =
+                new RoundRobinFrontend(
+                        fleet.balancers().stream()
+                                .map(TestCluster.BalancerInstance::listenAddress)
+                                .toList());
         ClientStatistics clientStatistics = new ClientStatistics();
-        OpenLoopClients load = new OpenLoopClients(fleet.scenario(), frontend, fleet.loop(), fleet.invariantChecker(), clientStatistics);
+        OpenLoopClients load =
+                new OpenLoopClients(
+                        fleet.scenario(),
+                        frontend,
+                        fleet.loop(),
+                        fleet.invariantChecker(),
+                        clientStatistics);
         long begin = history.elapsedNanos();
         beganNanos = begin;
         for (FaultEvent one : schedule.events()) {
@@ -376,26 +390,35 @@
                 new AuditCheck(history, records, names, subject == CampaignSubject.STRAGGLERS, end);
         violations.addAll(check.run());
         for (Invariant rule :
-                List.of(Invariant.RAN_TWICE, Invariant.KEYED_TWICE, Invariant.FOREIGN_ANSWER, Invariant.TWO_ANSWERS)) {
+                List.of(
+                        Invariant.RAN_TWICE,
+                        Invariant.KEYED_TWICE,
+                        Invariant.FOREIGN_ANSWER,
+                        Invariant.TWO_ANSWERS)) {
             if (fleet.invariantChecker().violationCount(rule) > 0) {
-                violations.add(new Violation("rules", rule + ": " + fleet.invariantChecker().violations()));
+                violations.add(
+                        new Violation(
+                                "rules", rule + ": " + fleet.invariantChecker().violations()));
             }
         }
         Map<String, Object> figures = new LinkedHashMap<>(check.figures());
         if (subject == CampaignSubject.STRAGGLERS) {
             StaleInstanceCheck further =
-                    new StaleInstanceCheck(history, records, names, lookAsideSteps(), check::toTestbedNanos, end);
+                    new StaleInstanceCheck(
+                            history, records, names, lookAsideSteps(), check::toTestbedNanos, end);
             List<Violation> others = further.run();
             // Without the part that is looked at, its figures are wanted, not its promises.
             violations.addAll(OFF.equals(defect) ? List.of() : others);
             figures.putAll(further.figures());
         }
         if (subject == CampaignSubject.JUDGEMENTS) {
-            HealthReportCheck further = new HealthReportCheck(history, names, reportEvents(), beganNanos, end);
+            HealthReportCheck further =
+                    new HealthReportCheck(history, names, reportEvents(), beganNanos, end);
             List<Violation> others = further.run();
             violations.addAll(OFF.equals(defect) ? List.of() : others);
             figures.putAll(further.figures());
-            ClusterCounterCheck counts = new ClusterCounterCheck(history, records, names, check::toTestbedNanos);
+            ClusterCounterCheck counts =
+                    new ClusterCounterCheck(history, records, names, check::toTestbedNanos);
             violations.addAll(counts.run());
             figures.putAll(counts.figures());
         }
@@ -455,7 +478,9 @@
                             closed
                                     + " requests were neither answered nor excused when their connections ended"));
         }
-        if (!allStopped && clientStatistics.count(ClientStatistics.Outcome.LOST) * LOST_DIVISOR > clientStatistics.requests()) {
+        if (!allStopped
+                && clientStatistics.count(ClientStatistics.Outcome.LOST) * LOST_DIVISOR
+                        > clientStatistics.requests()) {
             violations.add(
                     new Violation(
                             "lost",
@@ -501,7 +526,9 @@
                 .map(
                         one ->
                                 new long[] {
-                                    one.atNanos, one.balancer, one.event.equals("steps-aside") ? 1 : -1
+                                    one.atNanos,
+                                    one.balancer,
+                                    one.event.equals("steps-aside") ? 1 : -1
                                 })
                 .toList();
     }
@@ -633,7 +660,8 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    private void changePaths(FaultEvent one, java.util.function.UnaryOperator<DatagramRelay.NetworkPath> change) {
+    private void changePaths(
+            FaultEvent one, java.util.function.UnaryOperator<DatagramRelay.NetworkPath> change) {
         for (int from : one.balancers()) {
             for (int to : one.targets()) {
                 if (from != to) {
@@ -655,14 +683,26 @@
     private void apply(FaultEvent one) throws IOException, InterruptedException {
         long from = history.elapsedNanos();
         switch (one.kind()) {
-            case LOSS -> impairPaths(one, way -> way.withLoss(one.amount()), way -> way.withLoss(0));
+            case LOSS ->
+                    impairPaths(one, way -> way.withLoss(one.amount()), way -> way.withLoss(0));
             case DELAY ->
                     impairPaths(
                             one,
-                            way -> way.withDelay(MILLISECOND_NANOS, (long) (one.amount() * MILLISECOND_NANOS)),
+                            way ->
+                                    way.withDelay(
+                                            MILLISECOND_NANOS,
+                                            (long) (one.amount() * MILLISECOND_NANOS)),
                             way -> way.withDelay(0, 0));
-            case DOUBLE -> impairPaths(one, way -> way.withDuplication(one.amount()), way -> way.withDuplication(0));
-            case DAMAGE -> impairPaths(one, way -> way.withCorruption(one.amount()), way -> way.withCorruption(0));
+            case DOUBLE ->
+                    impairPaths(
+                            one,
+                            way -> way.withDuplication(one.amount()),
+                            way -> way.withDuplication(0));
+            case DAMAGE ->
+                    impairPaths(
+                            one,
+                            way -> way.withCorruption(one.amount()),
+                            way -> way.withCorruption(0));
             case SILENCE -> impairPaths(one, way -> way.withCut(true), way -> way.withCut(false));
             case PARTITION -> {
                 List<Integer> otherBalancers =
@@ -671,9 +711,21 @@
                                 .filter(i -> !one.balancers().contains(i))
                                 .toList();
                 FaultEvent outgoing =
-                        new FaultEvent(one.atNanos(), one.kind(), one.balancers(), otherBalancers, 0, one.durationNanos());
+                        new FaultEvent(
+                                one.atNanos(),
+                                one.kind(),
+                                one.balancers(),
+                                otherBalancers,
+                                0,
+                                one.durationNanos());
                 FaultEvent incoming =
-                        new FaultEvent(one.atNanos(), one.kind(), otherBalancers, one.balancers(), 0, one.durationNanos());
+                        new FaultEvent(
+                                one.atNanos(),
+                                one.kind(),
+                                otherBalancers,
+                                one.balancers(),
+                                0,
+                                one.durationNanos());
                 changePaths(outgoing, way -> way.withCut(true));
                 changePaths(incoming, way -> way.withCut(true));
                 scheduleUndo(
@@ -691,7 +743,8 @@
                                         one.targets()
                                                 .forEach(
                                                         to -> {
-                                                            if (to.intValue() != one.balancers().get(0)) {
+                                                            if (to.intValue()
+                                                                    != one.balancers().get(0)) {
                                                                 relay.sendForged(
                                                                         one.balancers().get(0),
                                                                         to,
@@ -705,7 +758,13 @@
                 scheduleUndo(
                         one,
                         from,
-                        () -> one.balancers().forEach(i -> fleet.discovery().setPartitioned(names.get(i), false)));
+                        () ->
+                                one.balancers()
+                                        .forEach(
+                                                i ->
+                                                        fleet.discovery()
+                                                                .setPartitioned(
+                                                                        names.get(i), false)));
             }
             case DISCOVERY_LATE -> {
                 one.balancers()
@@ -718,14 +777,21 @@
                 scheduleUndo(
                         one,
                         from,
-                        () -> one.balancers().forEach(i -> fleet.discovery().setDelay(names.get(i), 0)));
+                        () ->
+                                one.balancers()
+                                        .forEach(i -> fleet.discovery().setDelay(names.get(i), 0)));
             }
             case DISCOVERY_OLD -> {
                 one.balancers().forEach(i -> fleet.discovery().setPinned(names.get(i), true));
                 scheduleUndo(
                         one,
                         from,
-                        () -> one.balancers().forEach(i -> fleet.discovery().setPinned(names.get(i), false)));
+                        () ->
+                                one.balancers()
+                                        .forEach(
+                                                i ->
+                                                        fleet.discovery()
+                                                                .setPinned(names.get(i), false)));
             }
             case CACHE_CUT -> {
                 one.targets()
@@ -780,7 +846,8 @@
                                                                                 0))));
             }
             case CACHE_SILENT -> {
-                one.targets().forEach(cache -> fleet.caches().get(cache).server().setUnresponsive(true));
+                one.targets()
+                        .forEach(cache -> fleet.caches().get(cache).server().setUnresponsive(true));
                 scheduleUndo(
                         one,
                         from,
@@ -794,7 +861,9 @@
                                                                 .setUnresponsive(false)));
             }
             case CACHE_FAILS_WRITES -> {
-                one.targets().forEach(cache -> fleet.caches().get(cache).server().setFailingWrites(true));
+                one.targets()
+                        .forEach(
+                                cache -> fleet.caches().get(cache).server().setFailingWrites(true));
                 scheduleUndo(
                         one,
                         from,
@@ -832,7 +901,8 @@
                             .forEach(
                                     i -> {
                                         RetryingClients clients =
-                                                new RetryingClients(fleet.balancers().get(i).listenAddress());
+                                                new RetryingClients(
+                                                        fleet.balancers().get(i).listenAddress());
                                         retryingClients.add(clients);
                                         clients.start(RETRYING_CLIENT_COUNT);
                                         scheduleUndo(one, from, clients::stop);
@@ -859,7 +929,8 @@
                             folder.resolve(names.get(i)).resolve("wall"),
                             Long.toString((long) one.amount()));
                     wallOffsetsMillis[i] = (long) one.amount();
-                    history.recordProcessChange(i, EventHistory.ProcessEvent.WALL, wallOffsetsMillis[i]);
+                    history.recordProcessChange(
+                            i, EventHistory.ProcessEvent.WALL, wallOffsetsMillis[i]);
                 }
             }
             default -> applyToProcesses(one, from);
@@ -890,7 +961,8 @@
         scheduleUndo(one, from, () -> {});
     }
 
-    private void postOverride(FaultEvent one, String what) throws IOException, InterruptedException {
+    private void postOverride(FaultEvent one, String what)
+            throws IOException, InterruptedException {
         for (int i : one.balancers()) {
             http.send(
                     HttpRequest.newBuilder(
@@ -906,7 +978,8 @@
         }
     }
 
-    private void setAdminDrain(FaultEvent one, boolean drained) throws IOException, InterruptedException {
+    private void setAdminDrain(FaultEvent one, boolean drained)
+            throws IOException, InterruptedException {
         for (int i : one.balancers()) {
             for (int cache : one.targets()) {
                 try {
@@ -918,7 +991,9 @@
                                                                     "http://"
                                                                             + console
                                                                             + "/ops/template-caches/"
-                                                                            + (drained ? "down" : "up")))
+                                                                            + (drained
+                                                                                    ? "down"
+                                                                                    : "up")))
                                                     .timeout(HTTP_TIMEOUT)
                                                     .POST(
                                                             HttpRequest.BodyPublishers.ofString(
@@ -1005,7 +1080,8 @@
         return copy;
     }
 
-    private void applyToProcesses(FaultEvent one, long from) throws IOException, InterruptedException {
+    private void applyToProcesses(FaultEvent one, long from)
+            throws IOException, InterruptedException {
         for (int i : one.balancers()) {
             BalancerProcess process = processes[i];
             switch (one.kind()) {
@@ -1071,7 +1147,8 @@
             throws IOException, InterruptedException {
         int knownChanges = configChanges.get(place);
         starting.set(place, 1);
-        history.recordProcessChange(place, EventHistory.ProcessEvent.STARTED, wallOffsetsMillis[place]);
+        history.recordProcessChange(
+                place, EventHistory.ProcessEvent.STARTED, wallOffsetsMillis[place]);
         process.start();
         process.awaitReady();
         starting.set(place, 0);
@@ -1110,13 +1187,16 @@
                         program(
                                 place,
                                 UPGRADE_BUILD,
-                                one.kind() == FaultEvent.Kind.UPGRADE_FORM ? UPGRADE_WIRE_FORMAT : 1),
+                                one.kind() == FaultEvent.Kind.UPGRADE_FORM
+                                        ? UPGRADE_WIRE_FORMAT
+                                        : 1),
                         old.directory(),
                         at.listenAddress(),
                         configs[place]);
         int knownChanges = configChanges.get(place);
         starting.set(place, 1);
-        history.recordProcessChange(place, EventHistory.ProcessEvent.STARTED, wallOffsetsMillis[place]);
+        history.recordProcessChange(
+                place, EventHistory.ProcessEvent.STARTED, wallOffsetsMillis[place]);
         fresh.start();
         long limit = history.elapsedNanos() + 10_000 * MILLISECOND_NANOS;
         while (history.elapsedNanos() < limit && !isReady((String) config.get("console"))) {
--- a/rig/src/main/java/frostrelay/rig/campaign/CampaignSubject.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/CampaignSubject.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
 import java.util.Arrays;
 import java.util.List;
--- a/rig/src/main/java/frostrelay/rig/campaign/ClusterCounterCheck.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/ClusterCounterCheck.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -102,7 +102,13 @@
             long age = number(row.get("ageMs")) * MILLISECOND_NANOS;
             long value = number(row.get("sends"));
             if (snapshot.requestedAtNanos() - age >= STARTUP_NANOS) {
-                checkRow(snapshot, by, number(row.get("lifeMs")), value, early - age - delay, late - age);
+                checkRow(
+                        snapshot,
+                        by,
+                        number(row.get("lifeMs")),
+                        value,
+                        early - age - delay,
+                        late - age);
             }
             maxCovered += alivePeers.contains(by) && age < EXPIRY_NANOS + SLACK_NANOS ? 1 : 0;
             // A while before it is forgotten it may be, and be told as there, by the time the
@@ -113,7 +119,8 @@
                 oldest = Math.max(oldest, age);
             }
         }
-        if (snapshot.requestedAtNanos() < STARTUP_NANOS || isDisturbed(snapshot.requestedAtNanos())) {
+        if (snapshot.requestedAtNanos() < STARTUP_NANOS
+                || isDisturbed(snapshot.requestedAtNanos())) {
             return;
         }
         checked++;
@@ -121,7 +128,8 @@
         agesMillis.add(oldest / MILLISECOND_NANOS);
         long known = number(sum.get("known"));
         // Where of one nothing was ever heard it is not known.
-        long upperBound = sum.get("most") instanceof Number bound ? bound.longValue() : Long.MAX_VALUE;
+        long upperBound =
+                sum.get("most") instanceof Number bound ? bound.longValue() : Long.MAX_VALUE;
         unbounded += upperBound == Long.MAX_VALUE ? 1 : 0;
         long localSends = sendsInLatestIncarnation(snapshot.balancer(), early);
         long maxTruth = 0;
@@ -134,7 +142,12 @@
                 upperBound == Long.MAX_VALUE
                         ? widestRatio
                         : Math.max(widestRatio, upperBound / (double) Math.max(1, truth));
-        reportIf(snapshot, known > maxTruth, "knows of %d sends, and there were %d", known, maxTruth);
+        reportIf(
+                snapshot,
+                known > maxTruth,
+                "knows of %d sends, and there were %d",
+                known,
+                maxTruth);
         reportIf(
                 snapshot,
                 known < heard + localSends,
@@ -167,7 +180,12 @@
                 alivePeers.size());
     }
 
-    private void reportIf(EventHistory.AdminSnapshot snapshot, boolean isWrong, String format, long one, long other) {
+    private void reportIf(
+            EventHistory.AdminSnapshot snapshot,
+            boolean isWrong,
+            String format,
+            long one,
+            long other) {
         if (isWrong) {
             violations.add(
                     new Violation(
@@ -186,12 +204,25 @@
      * What one is said to have sent in a life of it lies between what it had sent when that word
      * set out and when it came.
      */
-    private void checkRow(EventHistory.AdminSnapshot snapshot, int by, long incarnationMillis, long value, long early, long late) {
+    private void checkRow(
+            EventHistory.AdminSnapshot snapshot,
+            int by,
+            long incarnationMillis,
+            long value,
+            long early,
+            long late) {
         for (AuditRecord auditRecord : records.getOrDefault(names.get(by), List.of())) {
-            boolean isComplete = auditRecord.gaps.isEmpty() && auditRecord.endedCleanly && !auditRecord.beginningLost;
+            boolean isComplete =
+                    auditRecord.gaps.isEmpty()
+                            && auditRecord.endedCleanly
+                            && !auditRecord.beginningLost;
             if (isComplete
                     && auditRecord.incarnations.stream()
-                            .anyMatch(one -> (one >> INCARNATION_TIME_SHIFT) + INCARNATION_EPOCH_MILLIS == incarnationMillis)) {
+                            .anyMatch(
+                                    one ->
+                                            (one >> INCARNATION_TIME_SHIFT)
+                                                            + INCARNATION_EPOCH_MILLIS
+                                                    == incarnationMillis)) {
                 long minSends = sendsUntil(auditRecord, early);
                 reportIf(
                         snapshot,
@@ -211,7 +242,9 @@
     }
 
     private long sendsUntil(AuditRecord auditRecord, long at) {
-        return auditRecord.sent.stream().filter(one -> moments.of(auditRecord, one.atNanos()) <= at).count();
+        return auditRecord.sent.stream()
+                .filter(one -> moments.of(auditRecord, one.atNanos()) <= at)
+                .count();
     }
 
     /** In its latest life that had begun by then. */
@@ -235,7 +268,10 @@
         return (long)
                 (MILLISECOND_NANOS
                         * history.spans().stream()
-                                .filter(span -> span.fromNanos() <= at && span.toNanos() + EXPIRY_NANOS >= at)
+                                .filter(
+                                        span ->
+                                                span.fromNanos() <= at
+                                                        && span.toNanos() + EXPIRY_NANOS >= at)
                                 .map(EventHistory.FaultSpan::faultEvent)
                                 .filter(one -> one.kind() == FaultEvent.Kind.DELAY)
                                 .mapToDouble(FaultEvent::amount)
@@ -253,7 +289,9 @@
                         one ->
                                 switch (one.event()) {
                                     case STARTED, KILLED, TERMINATED ->
-                                            one.atNanos() > 0 && Math.abs(one.atNanos() - at) < EXPIRY_NANOS / 2;
+                                            one.atNanos() > 0
+                                                    && Math.abs(one.atNanos() - at)
+                                                            < EXPIRY_NANOS / 2;
                                     default -> false;
                                 });
     }
--- a/rig/src/main/java/frostrelay/rig/campaign/DatagramRelay.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/DatagramRelay.java
@@ -1,6 +1,6 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
-import frostrelay.rig.wire.Loopback;
+import frostrelay.testbed.wire.Loopback;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -40,23 +40,53 @@
         static final NetworkPath CLEAR = new NetworkPath(0, 0, 0, 0, 0, false);
 
         NetworkPath withLoss(double probability) {
-            return new NetworkPath(probability, duplicationProbability, corruptionProbability, minDelayNanos, maxDelayNanos, cut);
+            return new NetworkPath(
+                    probability,
+                    duplicationProbability,
+                    corruptionProbability,
+                    minDelayNanos,
+                    maxDelayNanos,
+                    cut);
         }
 
         NetworkPath withDuplication(double probability) {
-            return new NetworkPath(lossProbability, probability, corruptionProbability, minDelayNanos, maxDelayNanos, cut);
+            return new NetworkPath(
+                    lossProbability,
+                    probability,
+                    corruptionProbability,
+                    minDelayNanos,
+                    maxDelayNanos,
+                    cut);
         }
 
         NetworkPath withCorruption(double probability) {
-            return new NetworkPath(lossProbability, duplicationProbability, probability, minDelayNanos, maxDelayNanos, cut);
+            return new NetworkPath(
+                    lossProbability,
+                    duplicationProbability,
+                    probability,
+                    minDelayNanos,
+                    maxDelayNanos,
+                    cut);
         }
 
         NetworkPath withDelay(long minNanos, long maxNanos) {
-            return new NetworkPath(lossProbability, duplicationProbability, corruptionProbability, minNanos, maxNanos, cut);
+            return new NetworkPath(
+                    lossProbability,
+                    duplicationProbability,
+                    corruptionProbability,
+                    minNanos,
+                    maxNanos,
+                    cut);
         }
 
         NetworkPath withCut(boolean on) {
-            return new NetworkPath(lossProbability, duplicationProbability, corruptionProbability, minDelayNanos, maxDelayNanos, on);
+            return new NetworkPath(
+                    lossProbability,
+                    duplicationProbability,
+                    corruptionProbability,
+                    minDelayNanos,
+                    maxDelayNanos,
+                    on);
         }
     }
 
@@ -109,7 +139,8 @@
                     Loopback.text(
                             to == balancer
                                     ? balancerAddresses[balancer]
-                                    : (InetSocketAddress) proxyChannels[balancer][to].localAddress()));
+                                    : (InetSocketAddress)
+                                            proxyChannels[balancer][to].localAddress()));
         }
         return peers;
     }
@@ -124,7 +155,8 @@
         loop.execute(
                 () ->
                         proxyChannels[to][from].writeAndFlush(
-                                new DatagramPacket(Unpooled.wrappedBuffer(bytes), balancerAddresses[to])));
+                                new DatagramPacket(
+                                        Unpooled.wrappedBuffer(bytes), balancerAddresses[to])));
     }
 
     /** Datagrams and bytes that balancers have sent, and the longest datagram. */
@@ -172,9 +204,12 @@
             long delay =
                     path.maxDelayNanos <= 0
                             ? 0
-                            : path.minDelayNanos + random.nextLong(path.maxDelayNanos - path.minDelayNanos + 1);
+                            : path.minDelayNanos
+                                    + random.nextLong(path.maxDelayNanos - path.minDelayNanos + 1);
             Runnable send =
-                    () -> proxyChannels[to][from].writeAndFlush(new DatagramPacket(datagram, balancerAddresses[to]));
+                    () ->
+                            proxyChannels[to][from].writeAndFlush(
+                                    new DatagramPacket(datagram, balancerAddresses[to]));
             if (delay == 0) {
                 send.run();
             } else {
--- a/rig/src/main/java/frostrelay/rig/campaign/FaultEvent.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/FaultEvent.java
@@ -1,15 +1,21 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 
 /**
- * Something that a campaign does. {@code atNanos} and {@code durationNanos}: nanoseconds, from the play's
- * start; {@code balancers} and {@code targets}: what {@link Kind} says; {@code amount}: likewise.
+ * Something that a campaign does. {@code atNanos} and {@code durationNanos}: nanoseconds, from the
+ * play's start; {@code balancers} and {@code targets}: what {@link Kind} says; {@code amount}:
+ * likewise.
  */
 public record FaultEvent(
-        long atNanos, Kind kind, List<Integer> balancers, List<Integer> targets, double amount, long durationNanos) {
+        long atNanos,
+        Kind kind,
+        List<Integer> balancers,
+        List<Integer> targets,
+        double amount,
+        long durationNanos) {
     /** What can happen. */
     public enum Kind {
         LOSS("Datagrams from who to whom are lost: amount is the part of 1."),
@@ -89,6 +95,8 @@
                 balancers.isEmpty() ? "" : " who " + balancers,
                 targets.isEmpty() ? "" : " whom " + targets,
                 amount == 0 ? "" : " amount " + amount,
-                durationNanos == 0 ? "" : String.format(Locale.ROOT, " for %.1fs", durationNanos / 1e9));
+                durationNanos == 0
+                        ? ""
+                        : String.format(Locale.ROOT, " for %.1fs", durationNanos / 1e9));
     }
 }
--- a/rig/src/main/java/frostrelay/rig/campaign/ForgedDatagrams.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/ForgedDatagrams.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
@@ -42,7 +42,8 @@
         all.add(withChecksum(far));
         // An incarnation behind all that can be, of balancer 1, and that it is gone.
         ByteBuffer removedMember = header(sender);
-        removedMember.put((byte) 4)
+        removedMember
+                .put((byte) 4)
                 .put((byte) 10)
                 .putShort((short) 0)
                 .putShort((short) 0xffff)
@@ -61,7 +62,8 @@
         for (int section : new int[] {8, 16}) {
             ByteBuffer unavailable = header(sender);
             for (int cache = 1; cache <= Schedule.CACHE_COUNT; cache++) {
-                unavailable.put((byte) section)
+                unavailable
+                        .put((byte) section)
                         .put((byte) 16)
                         .putLong(Long.MAX_VALUE)
                         .putLong(fnv("cache-" + cache));
@@ -89,7 +91,8 @@
         ByteBuffer forwardedReports = header(sender);
         forwardedReports.put((byte) 33).put((byte) (4 * 26));
         for (int writer = 0; writer < 4; writer++) {
-            forwardedReports.putShort((short) (writer * 3))
+            forwardedReports
+                    .putShort((short) (writer * 3))
                     .putShort((short) 0)
                     .putInt(1)
                     .putLong(fnv("cache-" + (1 + writer % 3)))
--- a/rig/src/main/java/frostrelay/rig/campaign/HealthReportCheck.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/HealthReportCheck.java
@@ -1,6 +1,6 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
-import frostrelay.rig.campaign.EventHistory.ProcessEvent;
+import frostrelay.testbed.campaign.EventHistory.ProcessEvent;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -53,7 +53,12 @@
     private int lateEjections;
 
     /** {@code events}: in the order of their moments; {@code beginNanos}: when all served. */
-    HealthReportCheck(EventHistory history, List<String> names, List<ReportEvent> events, long beginNanos, long endNanos) {
+    HealthReportCheck(
+            EventHistory history,
+            List<String> names,
+            List<ReportEvent> events,
+            long beginNanos,
+            long endNanos) {
         this.history = history;
         this.names = names;
         this.events = events;
@@ -204,10 +209,16 @@
         return history.spans().stream()
                 .map(EventHistory.FaultSpan::faultEvent)
                 .anyMatch(
-                        one -> one.kind() == FaultEvent.Kind.FORGE && one.balancers().contains(balancer));
+                        one ->
+                                one.kind() == FaultEvent.Kind.FORGE
+                                        && one.balancers().contains(balancer));
     }
 
-    private void checkEjectedInTime(String cache, EventHistory.FaultSpan span, Map<Integer, Long> reporters, long thirdReportNanos) {
+    private void checkEjectedInTime(
+            String cache,
+            EventHistory.FaultSpan span,
+            Map<Integer, Long> reporters,
+            long thirdReportNanos) {
         Set<Integer> firstReporters = new HashSet<>();
         reporters.forEach(
                 (balancer, at) -> {
@@ -216,7 +227,11 @@
                     }
                 });
         for (int balancer = 0; balancer < names.size(); balancer++) {
-            boolean hindered = isHindered(balancer, thirdReportNanos - 2 * SECOND_NANOS, thirdReportNanos + MAX_EJECTION_NANOS);
+            boolean hindered =
+                    isHindered(
+                            balancer,
+                            thirdReportNanos - 2 * SECOND_NANOS,
+                            thirdReportNanos + MAX_EJECTION_NANOS);
             long limit = thirdReportNanos + MAX_EJECTION_NANOS;
             if (limit > span.toNanos()
                     || !ranThroughout(balancer, span.fromNanos(), limit)
@@ -226,7 +241,9 @@
             long at = Long.MAX_VALUE;
             boolean isEjected = false;
             for (ReportEvent event : events) {
-                if (event.balancer() == balancer && event.ejected() != null && event.atNanos() <= limit) {
+                if (event.balancer() == balancer
+                        && event.ejected() != null
+                        && event.atNanos() <= limit) {
                     boolean now = event.ejected().contains(cache);
                     at = now && !isEjected ? event.atNanos() : at;
                     isEjected = now;
@@ -324,7 +341,9 @@
     private boolean ranThroughout(int balancer, long from, long to) {
         boolean up = false;
         for (EventHistory.ProcessChange one : history.processes()) {
-            if (one.balancer() == balancer && one.event() != ProcessEvent.WALL && one.atNanos() <= to) {
+            if (one.balancer() == balancer
+                    && one.event() != ProcessEvent.WALL
+                    && one.atNanos() <= to) {
                 if (one.atNanos() >= from) {
                     return false;
                 }
--- a/rig/src/main/java/frostrelay/rig/campaign/RetryingClients.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/RetryingClients.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -61,7 +61,9 @@
                         new BufferedReader(
                                 new InputStreamReader(
                                         socket.getInputStream(), StandardCharsets.ISO_8859_1));
-                for (boolean first = true; !stopped && number < MAX_REQUESTS_PER_CLIENT; first = false) {
+                for (boolean first = true;
+                        !stopped && number < MAX_REQUESTS_PER_CLIENT;
+                        first = false) {
                     if (!sendRequest(
                             socket.getOutputStream(),
                             in,
--- a/rig/src/main/java/frostrelay/rig/campaign/Schedule.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/Schedule.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
@@ -8,11 +8,17 @@
 import java.util.Locale;
 
 /**
- * What a play does and when. {@code lengthNanos}: nanoseconds, from when all balancers serve until it is
- * healed and judged; {@code requestsPerSecond}: requests a second for each balancer, 0 for the matter's own.
+ * What a play does and when. {@code lengthNanos}: nanoseconds, from when all balancers serve until
+ * it is healed and judged; {@code requestsPerSecond}: requests a second for each balancer, 0 for
+ * the matter's own.
  */
 public record Schedule(
-        String name, long seed, int processes, long lengthNanos, int requestsPerSecond, List<FaultEvent> events) {
+        String name,
+        long seed,
+        int processes,
+        long lengthNanos,
+        int requestsPerSecond,
+        List<FaultEvent> events) {
     private static final long SECOND_NANOS = 1_000_000_000L;
 
     /** Everything is healed so long before the end: what is to converge has that time. */
@@ -105,7 +111,9 @@
                             List.of(),
                             List.of(random.nextInt(CACHE_COUNT)),
                             0,
-                            Math.min(FIRST_EVENT_NANOS + span - at, SECOND_NANOS + random.nextLong(2 * SECOND_NANOS))));
+                            Math.min(
+                                    FIRST_EVENT_NANOS + span - at,
+                                    SECOND_NANOS + random.nextLong(2 * SECOND_NANOS))));
         }
         int faults = 6 + random.nextInt(4);
         List<Integer> killed = new ArrayList<>();
@@ -136,7 +144,9 @@
                             List.of(),
                             List.of(i % CACHE_COUNT),
                             0,
-                            Math.min(FIRST_EVENT_NANOS + span - at, span / 6 + random.nextLong(span / 6))));
+                            Math.min(
+                                    FIRST_EVENT_NANOS + span - at,
+                                    span / 6 + random.nextLong(span / 6))));
         }
         // A configuration of which one is not told.
         List<Integer> unnotified = randomSubset(random, processes, 1);
@@ -147,9 +157,23 @@
                 notified.add(i);
             }
         }
-        all.add(new FaultEvent(configAtNanos, FaultEvent.Kind.CONFIG, List.copyOf(notified), List.of(), 1, 0));
+        all.add(
+                new FaultEvent(
+                        configAtNanos,
+                        FaultEvent.Kind.CONFIG,
+                        List.copyOf(notified),
+                        List.of(),
+                        1,
+                        0));
         if (seed % 2 == 0) {
-            all.add(new FaultEvent(configAtNanos, FaultEvent.Kind.CONFIG_QUIET, unnotified, List.of(), 1, 0));
+            all.add(
+                    new FaultEvent(
+                            configAtNanos,
+                            FaultEvent.Kind.CONFIG_QUIET,
+                            unnotified,
+                            List.of(),
+                            1,
+                            0));
         }
         // Operators hold a cache, the last one, which never drains here; one balancer is not told.
         List<Integer> draining = new ArrayList<>(randomSubset(random, processes, processes - 1));
@@ -161,7 +185,9 @@
                         List.copyOf(draining),
                         List.of(CACHE_COUNT - 1),
                         0,
-                        Math.min(FIRST_EVENT_NANOS + span - drainAtNanos, 2 * SECOND_NANOS + random.nextLong(4 * SECOND_NANOS))));
+                        Math.min(
+                                FIRST_EVENT_NANOS + span - drainAtNanos,
+                                2 * SECOND_NANOS + random.nextLong(4 * SECOND_NANOS))));
         FaultEvent.Kind[] late = {
             FaultEvent.Kind.DISCOVERY_CUT,
             FaultEvent.Kind.DISCOVERY_LATE,
@@ -178,7 +204,9 @@
                             who,
                             List.of(),
                             3_000 + random.nextInt(7_000),
-                            Math.min(FIRST_EVENT_NANOS + span - at, 2 * SECOND_NANOS + random.nextLong(5 * SECOND_NANOS))));
+                            Math.min(
+                                    FIRST_EVENT_NANOS + span - at,
+                                    2 * SECOND_NANOS + random.nextLong(5 * SECOND_NANOS))));
         }
         long at = FIRST_EVENT_NANOS + random.nextLong(span / 2);
         all.add(
@@ -188,7 +216,9 @@
                         randomSubset(random, processes, 1),
                         List.of(),
                         0,
-                        Math.min(FIRST_EVENT_NANOS + span - at, SECOND_NANOS + random.nextLong(4 * SECOND_NANOS))));
+                        Math.min(
+                                FIRST_EVENT_NANOS + span - at,
+                                SECOND_NANOS + random.nextLong(4 * SECOND_NANOS))));
         List<Integer> every = randomSubset(random, processes, processes);
         switch (random.nextInt(4)) {
             case 0 ->
@@ -200,7 +230,15 @@
                                     List.of(),
                                     0,
                                     Math.min(FIRST_EVENT_NANOS + span - at, 3 * SECOND_NANOS)));
-            case 1 -> all.add(new FaultEvent(FIRST_EVENT_NANOS, FaultEvent.Kind.LOSS, every, every, 0.3, span));
+            case 1 ->
+                    all.add(
+                            new FaultEvent(
+                                    FIRST_EVENT_NANOS,
+                                    FaultEvent.Kind.LOSS,
+                                    every,
+                                    every,
+                                    0.3,
+                                    span));
             case 2 ->
                     all.add(
                             new FaultEvent(
@@ -210,7 +248,15 @@
                                     every,
                                     0,
                                     0));
-            default -> all.add(new FaultEvent(FIRST_EVENT_NANOS, FaultEvent.Kind.DELAY, every, every, 200, span));
+            default ->
+                    all.add(
+                            new FaultEvent(
+                                    FIRST_EVENT_NANOS,
+                                    FaultEvent.Kind.DELAY,
+                                    every,
+                                    every,
+                                    200,
+                                    span));
         }
         all.sort((a, b) -> Long.compare(a.atNanos(), b.atNanos()));
         return new Schedule("stragglers-" + seed, seed, processes, length, 0, all);
@@ -263,7 +309,14 @@
             List<Integer> one = randomSubset(random, processes, 1);
             switch (random.nextInt(7)) {
                 case 0 ->
-                        all.add(new FaultEvent(FIRST_EVENT_NANOS, FaultEvent.Kind.LOSS, every, every, 0.3, span));
+                        all.add(
+                                new FaultEvent(
+                                        FIRST_EVENT_NANOS,
+                                        FaultEvent.Kind.LOSS,
+                                        every,
+                                        every,
+                                        0.3,
+                                        span));
                 case 1 ->
                         all.add(
                                 new FaultEvent(
@@ -276,7 +329,12 @@
                 case 2 ->
                         all.add(
                                 new FaultEvent(
-                                        FIRST_EVENT_NANOS, FaultEvent.Kind.DOUBLE, every, every, 0.5, span));
+                                        FIRST_EVENT_NANOS,
+                                        FaultEvent.Kind.DOUBLE,
+                                        every,
+                                        every,
+                                        0.5,
+                                        span));
                 case 3 -> {
                     for (long lie = at; lie < FIRST_EVENT_NANOS + span; lie += SECOND_NANOS / 2) {
                         all.add(new FaultEvent(lie, FaultEvent.Kind.FORGE, one, every, 0, 0));
@@ -324,7 +382,10 @@
         FaultEvent.Kind[] kinds = AUDIT_FAULT_KINDS;
         FaultEvent.Kind kind = kinds[random.nextInt(kinds.length)];
         long at = FIRST_EVENT_NANOS + random.nextLong(span * 3 / 4);
-        long length = Math.min(FIRST_EVENT_NANOS + span - at, SECOND_NANOS / 2 + random.nextLong(3 * SECOND_NANOS));
+        long length =
+                Math.min(
+                        FIRST_EVENT_NANOS + span - at,
+                        SECOND_NANOS / 2 + random.nextLong(3 * SECOND_NANOS));
         List<Integer> one = randomSubset(random, processes, 1);
         List<Integer> part =
                 randomSubset(random, processes, 1 + random.nextInt(Math.max(1, processes / 2)));
@@ -427,7 +488,8 @@
         }
     }
 
-    private static List<Integer> randomSubset(UniformRandomProvider random, int population, int count) {
+    private static List<Integer> randomSubset(
+            UniformRandomProvider random, int population, int count) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < population; i++) {
             all.add(i);
@@ -442,7 +504,8 @@
     Schedule withoutEvent(int index) {
         List<FaultEvent> fewer = new ArrayList<>(events);
         fewer.remove(index);
-        return new Schedule(name, seed, processes, lengthNanos, requestsPerSecond, List.copyOf(fewer));
+        return new Schedule(
+                name, seed, processes, lengthNanos, requestsPerSecond, List.copyOf(fewer));
     }
 
     /** As a file that {@link ScheduleFile} reads. */
--- a/rig/src/main/java/frostrelay/rig/campaign/ScheduleFile.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/ScheduleFile.java
@@ -1,10 +1,10 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
 import frostrelay.config.BadConfigException;
 import frostrelay.config.Problem;
 import frostrelay.config.TableSchema;
-import frostrelay.config.TomlFile;
 import frostrelay.config.TableValues;
+import frostrelay.config.TomlFile;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/rig/src/main/java/frostrelay/rig/campaign/SettingsDigest.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/SettingsDigest.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/rig/src/main/java/frostrelay/rig/campaign/StaleInstanceCheck.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/StaleInstanceCheck.java
@@ -1,6 +1,6 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
-import frostrelay.rig.campaign.EventHistory.ProcessEvent;
+import frostrelay.testbed.campaign.EventHistory.ProcessEvent;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -87,8 +87,8 @@
     private final List<Long> convergedAfterMillis = new ArrayList<>();
 
     /**
-     * {@code lookAsideSteps}: who stepped aside (1) or came back (-1), as {moment, balancer, step}, in the
-     * order of the moments.
+     * {@code lookAsideSteps}: who stepped aside (1) or came back (-1), as {moment, balancer, step},
+     * in the order of the moments.
      */
     StaleInstanceCheck(
             EventHistory history,
@@ -140,14 +140,19 @@
         history.told()
                 .forEach(
                         one ->
-                                updatesByBalancer.computeIfAbsent(one.balancer(), name -> new ArrayList<>())
+                                updatesByBalancer
+                                        .computeIfAbsent(one.balancer(), name -> new ArrayList<>())
                                         .add(one));
         Map<Long, Map<String, String>> versions = history.versions();
         Map<String, Integer> proved = new HashMap<>();
         for (EventHistory.Command command : history.commands()) {
             commands++;
             long newest =
-                    names.stream().mapToLong(name -> revisionAt(updatesByBalancer, name, command.atNanos())).max().orElse(1);
+                    names.stream()
+                            .mapToLong(
+                                    name -> revisionAt(updatesByBalancer, name, command.atNanos()))
+                            .max()
+                            .orElse(1);
             if (isUsable(versions, newest, command.cache())) {
                 // Two may act on a list by which it drains, and a newer one that others act on has
                 // it back.
@@ -159,11 +164,17 @@
             for (String other : names) {
                 int them = names.indexOf(other);
                 if (them == me
-                        || !ranThroughout(them, command.atNanos() - 2 * PROPAGATION_NANOS, command.atNanos())
-                        || isPartitioned(them, me, command.atNanos() - 2 * PROPAGATION_NANOS, command.atNanos())) {
+                        || !ranThroughout(
+                                them, command.atNanos() - 2 * PROPAGATION_NANOS, command.atNanos())
+                        || isPartitioned(
+                                them,
+                                me,
+                                command.atNanos() - 2 * PROPAGATION_NANOS,
+                                command.atNanos())) {
                     continue;
                 }
-                long before = revisionAt(updatesByBalancer, other, command.atNanos() - PROPAGATION_NANOS);
+                long before =
+                        revisionAt(updatesByBalancer, other, command.atNanos() - PROPAGATION_NANOS);
                 long now = revisionAt(updatesByBalancer, other, command.atNanos());
                 if (before > mine
                         && !isUsable(versions, before, command.cache())
@@ -183,13 +194,17 @@
                             .filter(
                                     cache ->
                                             !theirs.getOrDefault(cache, "").startsWith("Ready")
-                                                    || isRecentlyAdminDrained(cache, command.atNanos(), PROPAGATION_NANOS * 2))
+                                                    || isRecentlyAdminDrained(
+                                                            cache,
+                                                            command.atNanos(),
+                                                            PROPAGATION_NANOS * 2))
                             .count();
             // Two that could be heard knew it, no more caches are away than may be avoided, and it
             // had time to hear them.
             if (informedPeers >= 2
                     && out <= Math.ceil(ready.size() / 3.0)
-                    && ranThroughout(me, command.atNanos() - 2 * PROPAGATION_NANOS, command.atNanos())) {
+                    && ranThroughout(
+                            me, command.atNanos() - 2 * PROPAGATION_NANOS, command.atNanos())) {
                 proved.merge(command.balancer(), 1, Integer::sum);
                 provablyStaleSends++;
             }
@@ -219,7 +234,8 @@
         history.told()
                 .forEach(
                         one ->
-                                updatesByBalancer.computeIfAbsent(one.balancer(), name -> new ArrayList<>())
+                                updatesByBalancer
+                                        .computeIfAbsent(one.balancer(), name -> new ArrayList<>())
                                         .add(one));
         Map<String, Integer> late = new HashMap<>();
         Map<String, Long> came = new HashMap<>();
@@ -241,7 +257,8 @@
                                                 sent -> {
                                                     long at =
                                                             Math.min(
-                                                                    moments.of(life, sent.atNanos()),
+                                                                    moments.of(
+                                                                            life, sent.atNanos()),
                                                                     came.getOrDefault(
                                                                             name
                                                                                     + ' '
@@ -255,10 +272,16 @@
                                                                     sent.cache(),
                                                                     name,
                                                                     sent.id());
-                                                    if (isDrainedFor(updatesByBalancer, command, DRAIN_GRACE_NANOS)) {
+                                                    if (isDrainedFor(
+                                                            updatesByBalancer,
+                                                            command,
+                                                            DRAIN_GRACE_NANOS)) {
                                                         lateSends++;
                                                     }
-                                                    if (isDrainedFor(updatesByBalancer, command, 2 * DRAIN_GRACE_NANOS)) {
+                                                    if (isDrainedFor(
+                                                            updatesByBalancer,
+                                                            command,
+                                                            2 * DRAIN_GRACE_NANOS)) {
                                                         late.merge(
                                                                 name + " to " + sent.cache(),
                                                                 1,
@@ -281,16 +304,24 @@
      * not to be used, and ran all the while.
      */
     private boolean isDrainedFor(
-            Map<String, List<EventHistory.EndpointUpdate>> updatesByBalancer, EventHistory.Command command, long span) {
+            Map<String, List<EventHistory.EndpointUpdate>> updatesByBalancer,
+            EventHistory.Command command,
+            long span) {
         Map<Long, Map<String, String>> versions = history.versions();
         return !isUsable(
                         versions,
                         revisionAt(updatesByBalancer, command.balancer(), command.atNanos() - span),
                         command.cache())
                 && updatesByBalancer.getOrDefault(command.balancer(), List.of()).stream()
-                        .filter(one -> one.atNanos() >= command.atNanos() - span && one.atNanos() <= command.atNanos())
+                        .filter(
+                                one ->
+                                        one.atNanos() >= command.atNanos() - span
+                                                && one.atNanos() <= command.atNanos())
                         .noneMatch(one -> isUsable(versions, one.rev(), command.cache()))
-                && ranThroughout(names.indexOf(command.balancer()), command.atNanos() - span, command.atNanos());
+                && ranThroughout(
+                        names.indexOf(command.balancer()),
+                        command.atNanos() - span,
+                        command.atNanos());
     }
 
     /**
@@ -312,12 +343,21 @@
                                         command.atNanos());
                 holders +=
                         holds
-                                        && ranThroughout(other, command.atNanos() - 2 * PROPAGATION_NANOS, command.atNanos())
-                                        && !isPartitioned(other, me, command.atNanos() - 2 * PROPAGATION_NANOS, command.atNanos())
+                                        && ranThroughout(
+                                                other,
+                                                command.atNanos() - 2 * PROPAGATION_NANOS,
+                                                command.atNanos())
+                                        && !isPartitioned(
+                                                other,
+                                                me,
+                                                command.atNanos() - 2 * PROPAGATION_NANOS,
+                                                command.atNanos())
                                 ? 1
                                 : 0;
             }
-            if (holders >= 2 && ranThroughout(me, command.atNanos() - 2 * PROPAGATION_NANOS, command.atNanos())) {
+            if (holders >= 2
+                    && ranThroughout(
+                            me, command.atNanos() - 2 * PROPAGATION_NANOS, command.atNanos())) {
                 sendsToDrained++;
                 sends.merge(command.balancer(), 1, Integer::sum);
             }
@@ -361,7 +401,8 @@
         history.told()
                 .forEach(
                         one ->
-                                updatesByBalancer.computeIfAbsent(one.balancer(), name -> new ArrayList<>())
+                                updatesByBalancer
+                                        .computeIfAbsent(one.balancer(), name -> new ArrayList<>())
                                         .add(one));
         long newest = versions.keySet().stream().mapToLong(Long::longValue).max().orElse(0);
         boolean lies =
@@ -369,7 +410,9 @@
                         .anyMatch(span -> span.faultEvent().kind() == FaultEvent.Kind.FORGE);
         for (String name : names) {
             int balancer = names.indexOf(name);
-            for (long from = WINDOW_NANOS; from + WINDOW_NANOS <= endNanos; from += WINDOW_NANOS / 2) {
+            for (long from = WINDOW_NANOS;
+                    from + WINDOW_NANOS <= endNanos;
+                    from += WINDOW_NANOS / 2) {
                 long to = from + WINDOW_NANOS;
                 long begin = from;
                 Map<String, Integer> sends = new HashMap<>();
@@ -386,20 +429,28 @@
                         || isCutFromCaches(balancer, from, to)) {
                     continue;
                 }
-                Map<String, String> list = versions.getOrDefault(revisionAt(updatesByBalancer, name, from), Map.of());
-                Map<String, String> later = versions.getOrDefault(revisionAt(updatesByBalancer, name, to), Map.of());
+                Map<String, String> list =
+                        versions.getOrDefault(revisionAt(updatesByBalancer, name, from), Map.of());
+                Map<String, String> later =
+                        versions.getOrDefault(revisionAt(updatesByBalancer, name, to), Map.of());
                 long alone =
                         list.keySet().stream()
                                 .filter(
                                         cache ->
                                                 list.get(cache).startsWith("Ready")
-                                                        && !isRecentlyAdminDrained(cache, to, SLOW_START_NANOS + WINDOW_NANOS)
+                                                        && !isRecentlyAdminDrained(
+                                                                cache,
+                                                                to,
+                                                                SLOW_START_NANOS + WINDOW_NANOS)
                                                         && later.getOrDefault(cache, "")
                                                                 .startsWith("Ready")
                                                         && !sends.containsKey(cache))
                                 .count();
                 // One alone is believed for six seconds, and may have lied just before the end.
-                boolean last = to + WINDOW_NANOS / 2 > endNanos && revisionAt(updatesByBalancer, name, from) >= newest && !lies;
+                boolean last =
+                        to + WINDOW_NANOS / 2 > endNanos
+                                && revisionAt(updatesByBalancer, name, from) >= newest
+                                && !lies;
                 if (alone > (last ? 1 : MAX_AVOIDED_CACHES)) {
                     violations.add(
                             new Violation(
@@ -437,7 +488,8 @@
                         span ->
                                 span.fromNanos() <= to
                                         && span.toNanos() >= from
-                                        && (span.faultEvent().kind() == FaultEvent.Kind.CACHE_RESTART
+                                        && (span.faultEvent().kind()
+                                                        == FaultEvent.Kind.CACHE_RESTART
                                                 || span.faultEvent().kind()
                                                                 == FaultEvent.Kind.CACHE_CUT
                                                         && span.faultEvent()
@@ -445,14 +497,19 @@
                                                                 .contains(balancer)));
     }
 
-    private static boolean isUsable(Map<Long, Map<String, String>> versions, long rev, String cache) {
+    private static boolean isUsable(
+            Map<Long, Map<String, String>> versions, long rev, String cache) {
         Map<String, String> list = versions.get(rev);
         return list == null || list.getOrDefault(cache, "").startsWith("Ready");
     }
 
-    private long revisionAt(Map<String, List<EventHistory.EndpointUpdate>> updatesByBalancer, String balancer, long at) {
+    private long revisionAt(
+            Map<String, List<EventHistory.EndpointUpdate>> updatesByBalancer,
+            String balancer,
+            long at) {
         long rev = 1;
-        for (EventHistory.EndpointUpdate one : updatesByBalancer.getOrDefault(balancer, List.of())) {
+        for (EventHistory.EndpointUpdate one :
+                updatesByBalancer.getOrDefault(balancer, List.of())) {
             if (one.atNanos() <= at) {
                 rev = Math.max(rev, one.rev());
             }
@@ -463,12 +520,16 @@
     private boolean ranThroughout(int balancer, long from, long to) {
         boolean up = false;
         for (EventHistory.ProcessChange one : history.processes()) {
-            if (one.balancer() == balancer && one.event() != ProcessEvent.WALL && one.atNanos() <= to) {
+            if (one.balancer() == balancer
+                    && one.event() != ProcessEvent.WALL
+                    && one.atNanos() <= to) {
                 up =
                         one.event() == ProcessEvent.STARTED
                                 || one.event() == ProcessEvent.THAWED
                                 || one.event() == ProcessEvent.FED;
-                if (one.atNanos() >= from && one.atNanos() > 0 && one.event() != ProcessEvent.STARTED) {
+                if (one.atNanos() >= from
+                        && one.atNanos() > 0
+                        && one.event() != ProcessEvent.STARTED) {
                     return false;
                 }
             }
@@ -494,7 +555,8 @@
     private void checkConvergence() {
         long newest =
                 history.versions().keySet().stream().mapToLong(Long::longValue).max().orElse(0);
-        long healed = history.spans().stream().mapToLong(EventHistory.FaultSpan::toNanos).max().orElse(0);
+        long healed =
+                history.spans().stream().mapToLong(EventHistory.FaultSpan::toNanos).max().orElse(0);
         long first =
                 history.told().stream()
                         .filter(one -> one.rev() >= newest)
@@ -509,7 +571,8 @@
                                 .mapToLong(EventHistory.EndpointUpdate::atNanos)
                                 .min()
                                 .orElse(endNanos);
-                convergedAfterMillis.add(Math.max(0, updatedAtNanos - Math.max(healed, first)) / MILLISECOND_NANOS);
+                convergedAfterMillis.add(
+                        Math.max(0, updatedAtNanos - Math.max(healed, first)) / MILLISECOND_NANOS);
             }
         }
         for (String name : names) {
@@ -589,10 +652,13 @@
                                         history.processes().stream()
                                                 .anyMatch(
                                                         process ->
-                                                                process.event() == ProcessEvent.KILLED
+                                                                process.event()
+                                                                                == ProcessEvent
+                                                                                        .KILLED
                                                                         && process.balancer()
                                                                                 == one.balancer()
-                                                                        && process.atNanos() > one.atNanos()
+                                                                        && process.atNanos()
+                                                                                > one.atNanos()
                                                                         && process.atNanos()
                                                                                 < one.atNanos()
                                                                                         + CRASH_WINDOW_NANOS))
@@ -628,14 +694,17 @@
                     || !newest
                     || last > endNanos - transferTimeoutNanos(last)
                     || isHarmful(number)
-                    || all.stream().mapToLong(EventHistory.ConfigChange::digest).distinct().count() > 1) {
+                    || all.stream().mapToLong(EventHistory.ConfigChange::digest).distinct().count()
+                            > 1) {
                 continue;
             }
             long holders =
                     all.stream()
                             .filter(
                                     other ->
-                                            other.signalled() && !isDisturbed(other.balancer(), last, endNanos))
+                                            other.signalled()
+                                                    && !isDisturbed(
+                                                            other.balancer(), last, endNanos))
                             .count();
             for (int i = 0; holders >= 2 && i < names.size(); i++) {
                 int lacking = i;
@@ -710,7 +779,8 @@
         history.told()
                 .forEach(
                         one ->
-                                updatesByBalancer.computeIfAbsent(one.balancer(), name -> new ArrayList<>())
+                                updatesByBalancer
+                                        .computeIfAbsent(one.balancer(), name -> new ArrayList<>())
                                         .add(one));
         for (EventHistory.AdminSnapshot snapshot : history.snapshots()) {
             long thawed = Long.MIN_VALUE;
@@ -723,12 +793,23 @@
                                 : thawed;
             }
             String name = names.get(snapshot.balancer());
-            long mine = revisionAt(updatesByBalancer, name, snapshot.requestedAtNanos() + DRAIN_GRACE_NANOS);
+            long mine =
+                    revisionAt(
+                            updatesByBalancer,
+                            name,
+                            snapshot.requestedAtNanos() + DRAIN_GRACE_NANOS);
             List<Long> theirs = new ArrayList<>();
             for (String other : names) {
                 if (!other.equals(name)
-                        && ranThroughout(names.indexOf(other), snapshot.requestedAtNanos() - 2 * PROPAGATION_NANOS, snapshot.requestedAtNanos())) {
-                    theirs.add(revisionAt(updatesByBalancer, other, snapshot.requestedAtNanos() - PROPAGATION_NANOS));
+                        && ranThroughout(
+                                names.indexOf(other),
+                                snapshot.requestedAtNanos() - 2 * PROPAGATION_NANOS,
+                                snapshot.requestedAtNanos())) {
+                    theirs.add(
+                            revisionAt(
+                                    updatesByBalancer,
+                                    other,
+                                    snapshot.requestedAtNanos() - PROPAGATION_NANOS));
                 }
             }
             theirs.sort(null);
@@ -787,7 +868,8 @@
                                         .filter(
                                                 one ->
                                                         one.number()
-                                                                == (long) span.faultEvent().amount())
+                                                                == (long)
+                                                                        span.faultEvent().amount())
                                         .mapToLong(EventHistory.ConfigChange::digest)
                                         .distinct()
                                         .count()
@@ -808,9 +890,14 @@
         for (EventHistory.ProcessChange one : history.processes()) {
             boolean wasAside = false;
             for (long[] step : lookAsideSteps) {
-                wasAside = step[1] == one.balancer() && step[0] < one.atNanos() ? step[2] > 0 : wasAside;
+                wasAside =
+                        step[1] == one.balancer() && step[0] < one.atNanos()
+                                ? step[2] > 0
+                                : wasAside;
             }
-            if (wasAside && (one.event() == ProcessEvent.KILLED || one.event() == ProcessEvent.TERMINATED)) {
+            if (wasAside
+                    && (one.event() == ProcessEvent.KILLED
+                            || one.event() == ProcessEvent.TERMINATED)) {
                 // Its life is over, and being aside with it.
                 all.add(new long[] {one.atNanos(), one.balancer(), -1});
             }
@@ -823,9 +910,13 @@
                             .anyMatch(
                                     span ->
                                             span.faultEvent().kind() == FaultEvent.Kind.SHUT_OUT
-                                                    && span.faultEvent().balancers().contains((int) one[1])
-                                                    && one[0] >= span.fromNanos() - CONVERGENCE_NANOS
-                                                    && one[0] <= span.toNanos() + CONVERGENCE_NANOS);
+                                                    && span.faultEvent()
+                                                            .balancers()
+                                                            .contains((int) one[1])
+                                                    && one[0]
+                                                            >= span.fromNanos() - CONVERGENCE_NANOS
+                                                    && one[0]
+                                                            <= span.toNanos() + CONVERGENCE_NANOS);
             if (shut) {
                 out -= one[2];
                 continue;
--- a/rig/src/main/java/frostrelay/rig/campaign/Violation.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/Violation.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.campaign;
+package frostrelay.testbed.campaign;
 
 /** What a checker found: which check, and the facts. */
 public record Violation(String check, String what) {}
--- a/rig/src/main/java/frostrelay/rig/client/ClientStatistics.java
+++ b/testbed/src/main/java/frostrelay/testbed/client/ClientStatistics.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.client;
+package frostrelay.testbed.client;
 
 import org.HdrHistogram.Histogram;
 
@@ -39,7 +39,8 @@
     synchronized void requests(PlannedRequest planned) {
         requests++;
         requestedWeight += planned.requestClass().priorityWeight();
-        outcomesByClass.computeIfAbsent(planned.requestClass().name(), name -> new long[Outcome.values().length]);
+        outcomesByClass.computeIfAbsent(
+                planned.requestClass().name(), name -> new long[Outcome.values().length]);
     }
 
     synchronized void recordAttempt() {
@@ -58,7 +59,8 @@
             long micros = Math.min(MAX_LATENCY_MICROS, nanos / 1_000);
             latency.recordValue(micros);
             recentLatency.recordValue(micros);
-            servedWeight += outcome == Outcome.IN_TIME ? planned.requestClass().priorityWeight() : 0;
+            servedWeight +=
+                    outcome == Outcome.IN_TIME ? planned.requestClass().priorityWeight() : 0;
         }
     }
 
@@ -72,7 +74,11 @@
             all += count;
         }
         Recent now =
-                new Recent(all, recentOutcomes[Outcome.IN_TIME.ordinal()], latencyMillis(recentLatency, 50), latencyMillis(recentLatency, 99));
+                new Recent(
+                        all,
+                        recentOutcomes[Outcome.IN_TIME.ordinal()],
+                        latencyMillis(recentLatency, 50),
+                        latencyMillis(recentLatency, 99));
         recentLatency = new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
         recentOutcomes = new long[Outcome.values().length];
         return now;
--- a/rig/src/main/java/frostrelay/rig/client/OpenLoopClients.java
+++ b/testbed/src/main/java/frostrelay/testbed/client/OpenLoopClients.java
@@ -1,13 +1,13 @@
-package frostrelay.rig.client;
+package frostrelay.testbed.client;
 
-import frostrelay.rig.day.ClassSpec;
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.referee.ClientObserver;
-import frostrelay.rig.referee.Referee;
-import frostrelay.rig.referee.Referee.Effect;
-import frostrelay.rig.referee.Referee.Outcome;
-import frostrelay.rig.wire.MetaCodec;
-import frostrelay.rig.wire.MetaMessage;
+import frostrelay.testbed.invariants.ClientObserver;
+import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.Referee.Effect;
+import frostrelay.testbed.invariants.Referee.Outcome;
+import frostrelay.testbed.scenario.ClassSpec;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.wire.MetaCodec;
+import frostrelay.testbed.wire.MetaMessage;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -80,7 +80,8 @@
     private final ClientObserver observer;
     private final ClientStatistics statistics;
     private final String runId;
-    private final Map<RoundRobinFrontend.Balancer, Deque<Connection>> idleConnections = new HashMap<>();
+    private final Map<RoundRobinFrontend.Balancer, Deque<Connection>> idleConnections =
+            new HashMap<>();
     private final Promise<ClientStatistics> completion;
     private long startedAtNanos;
     private long lastId;
@@ -89,10 +90,16 @@
     private volatile double loadFactor = 1;
 
     /** {@code observer}: hears what is asked and answered. */
-    public OpenLoopClients(Scenario scenario, RoundRobinFrontend frontend, EventLoop loop, ClientObserver observer, ClientStatistics statistics) {
+    public OpenLoopClients(
+            Scenario scenario,
+            RoundRobinFrontend frontend,
+            EventLoop loop,
+            ClientObserver observer,
+            ClientStatistics statistics) {
         this.scenario = scenario;
         this.plan = new RequestPlan(scenario);
-        this.behaviorRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed() ^ 0x2545F491L);
+        this.behaviorRandom =
+                RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed() ^ 0x2545F491L);
         this.frontend = frontend;
         this.loop = loop;
         this.observer = observer;
@@ -201,7 +208,8 @@
                             Math.max(
                                     MIN_TIMEOUT_MILLIS,
                                     Math.min(
-                                                    requestClass.deadlineNanos() * planned.timeoutFraction(),
+                                                    requestClass.deadlineNanos()
+                                                            * planned.timeoutFraction(),
                                                     deadlineNanos - sentAtNanos)
                                             / NANOS_PER_MILLISECOND);
             statistics.recordAttempt();
@@ -219,9 +227,15 @@
                 return;
             }
             observer.onTimeoutSet(id, writtenAtNanos + timeoutMillis * NANOS_PER_MILLISECOND);
-            timeoutTask = loop.schedule(this::onTimeout, timeoutMillis * NANOS_PER_MILLISECOND + RESPONSE_GRACE_NANOS, TimeUnit.NANOSECONDS);
+            timeoutTask =
+                    loop.schedule(
+                            this::onTimeout,
+                            timeoutMillis * NANOS_PER_MILLISECOND + RESPONSE_GRACE_NANOS,
+                            TimeUnit.NANOSECONDS);
             if (behaviorRandom.nextDouble() < scenario.load().disconnectFraction()) {
-                long after = MIN_DISCONNECT_DELAY_MILLIS + (long) (behaviorRandom.nextDouble() * timeoutMillis);
+                long after =
+                        MIN_DISCONNECT_DELAY_MILLIS
+                                + (long) (behaviorRandom.nextDouble() * timeoutMillis);
                 disconnectTask = loop.schedule(this::disconnect, after, TimeUnit.MILLISECONDS);
             }
         }
@@ -268,7 +282,11 @@
 
         ByteBuf encode(io.netty.buffer.ByteBufAllocator alloc) {
             ClassSpec requestClass = planned.requestClass();
-            long remainingMillis = Math.max(1, timeoutMillis - (System.nanoTime() - sentAtNanos) / NANOS_PER_MILLISECOND);
+            long remainingMillis =
+                    Math.max(
+                            1,
+                            timeoutMillis
+                                    - (System.nanoTime() - sentAtNanos) / NANOS_PER_MILLISECOND);
             String figures =
                     " O"
                             + id
@@ -285,9 +303,12 @@
                 return MetaCodec.encode(alloc, "mg " + planned.key() + " v" + figures, null);
             }
             byte[] value = ("use of " + planned.number()).getBytes(StandardCharsets.ISO_8859_1);
-            String keyParameter = requestClass.effect() == Effect.IDEMPOTENT_BY_KEY ? ",k=" + idempotencyKey : "";
+            String keyParameter =
+                    requestClass.effect() == Effect.IDEMPOTENT_BY_KEY ? ",k=" + idempotencyKey : "";
             return MetaCodec.encode(
-                    alloc, "ms " + planned.key() + ' ' + value.length + figures + keyParameter, value);
+                    alloc,
+                    "ms " + planned.key() + ' ' + value.length + figures + keyParameter,
+                    value);
         }
 
         void onResponse(MetaMessage response) {
@@ -312,7 +333,9 @@
                                     ? Long.parseLong(response.word(2))
                                     : 0;
                     retryOrEnd(
-                            isRejected ? ClientStatistics.Outcome.REFUSED : ClientStatistics.Outcome.FAILED,
+                            isRejected
+                                    ? ClientStatistics.Outcome.REFUSED
+                                    : ClientStatistics.Outcome.FAILED,
                             isRejected,
                             after * NANOS_PER_MILLISECOND);
                 }
@@ -352,10 +375,13 @@
             // A write that may have run is not made again by any client; a keyed one only within
             // its key's window.
             boolean mayRetry = neverRan || effect != Effect.NON_IDEMPOTENT;
-            long wait = Math.max(after, scenario.load().minBackoffNanos() << Math.min(attempts - 1, 10));
+            long wait =
+                    Math.max(
+                            after, scenario.load().minBackoffNanos() << Math.min(attempts - 1, 10));
             if (mayRetry
                     && attempts <= scenario.load().maxRetries()
-                    && System.nanoTime() + wait + MIN_TIMEOUT_MILLIS * NANOS_PER_MILLISECOND < deadlineNanos) {
+                    && System.nanoTime() + wait + MIN_TIMEOUT_MILLIS * NANOS_PER_MILLISECOND
+                            < deadlineNanos) {
                 loop.schedule(this::send, wait, TimeUnit.NANOSECONDS);
             } else {
                 end(finalOutcome);
@@ -373,7 +399,8 @@
                 frontend.onUnreachable(balancer, now);
                 observer.onExcused(id);
                 retryOrEnd(ClientStatistics.Outcome.REFUSED, true, 0);
-            } else if (writtenAtNanos == 0 || isReused && !isResent && now - writtenAtNanos < CLOSE_CROSSING_NANOS) {
+            } else if (writtenAtNanos == 0
+                    || isReused && !isResent && now - writtenAtNanos < CLOSE_CROSSING_NANOS) {
                 // A close that crossed the request: it was not read, and goes out once more.
                 isResent = true;
                 writtenAtNanos = 0;
@@ -393,10 +420,16 @@
 
         private void onTimeout() {
             long now = System.nanoTime();
-            if (!hasRechecked && now - writtenAtNanos - timeoutMillis * NANOS_PER_MILLISECOND - RESPONSE_GRACE_NANOS > MAX_LATENESS_NANOS) {
+            if (!hasRechecked
+                    && now
+                                    - writtenAtNanos
+                                    - timeoutMillis * NANOS_PER_MILLISECOND
+                                    - RESPONSE_GRACE_NANOS
+                            > MAX_LATENESS_NANOS) {
                 // This program stood still: its answer may have come and not been read yet.
                 hasRechecked = true;
-                timeoutTask = loop.schedule(this::onTimeout, RECHECK_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+                timeoutTask =
+                        loop.schedule(this::onTimeout, RECHECK_DELAY_MILLIS, TimeUnit.MILLISECONDS);
                 return;
             }
             connection.disconnect();
--- a/rig/src/main/java/frostrelay/rig/client/RequestPlan.java
+++ b/testbed/src/main/java/frostrelay/testbed/client/RequestPlan.java
@@ -1,8 +1,8 @@
-package frostrelay.rig.client;
+package frostrelay.testbed.client;
 
-import frostrelay.rig.day.ClassSpec;
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.day.TenantSpec;
+import frostrelay.testbed.scenario.ClassSpec;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.scenario.TenantSpec;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
@@ -35,23 +35,31 @@
         this.scenario = scenario;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed());
         gaps = ZigguratSampler.Exponential.of(random);
-        keys = RejectionInversionZipfSampler.of(random, scenario.load().keyCount(), scenario.load().zipfExponent());
+        keys =
+                RejectionInversionZipfSampler.of(
+                        random, scenario.load().keyCount(), scenario.load().zipfExponent());
     }
 
     /** The next request. {@code loadFactor}: how many times the planned rate holds just now. */
     public PlannedRequest next(double loadFactor) {
-        atNanos += gaps.sample() * NANOS_PER_SECOND / (scenario.load().requestsPerSecond() * loadFactor);
-        ClassSpec requestClass = drawWeighted(scenario.classes(), ClassSpec::fraction, random.nextDouble());
+        atNanos +=
+                gaps.sample()
+                        * NANOS_PER_SECOND
+                        / (scenario.load().requestsPerSecond() * loadFactor);
+        ClassSpec requestClass =
+                drawWeighted(scenario.classes(), ClassSpec::fraction, random.nextDouble());
         long work =
                 requestClass.minWorkNanos()
                         + (long)
                                 (random.nextDouble()
-                                        * (requestClass.maxWorkNanos() - requestClass.minWorkNanos()));
+                                        * (requestClass.maxWorkNanos()
+                                                - requestClass.minWorkNanos()));
         double patience =
                 scenario.load().minPatience()
                         + random.nextDouble()
                                 * (scenario.load().maxPatience() - scenario.load().minPatience());
-        String tenant = drawWeighted(scenario.tenants(), TenantSpec::fraction, random.nextDouble()).name();
+        String tenant =
+                drawWeighted(scenario.tenants(), TenantSpec::fraction, random.nextDouble()).name();
         return new PlannedRequest(
                 number++, (long) atNanos, requestClass, tenant, key(keys.sample()), work, patience);
     }
--- a/rig/src/main/java/frostrelay/rig/client/RoundRobinFrontend.java
+++ b/testbed/src/main/java/frostrelay/testbed/client/RoundRobinFrontend.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.client;
+package frostrelay.testbed.client;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/rig/src/main/java/frostrelay/rig/discovery/DiscoveryServer.java
+++ b/testbed/src/main/java/frostrelay/testbed/discovery/DiscoveryServer.java
@@ -1,9 +1,9 @@
-package frostrelay.rig.discovery;
+package frostrelay.testbed.discovery;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
-import frostrelay.rig.referee.Referee;
-import frostrelay.rig.wire.Loopback;
+import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.wire.Loopback;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -120,7 +120,8 @@
                 loop.submit(
                                 () ->
                                         subscribers.computeIfAbsent(
-                                                balancer, name -> new Subscriber(name, endpoints, revision)))
+                                                balancer,
+                                                name -> new Subscriber(name, endpoints, revision)))
                         .syncUninterruptibly()
                         .getNow();
         return (InetSocketAddress)
@@ -152,7 +153,10 @@
                                 () -> {
                                     revision++;
                                     addRevision(member);
-                                    invariantChecker.observer().onListChanged(System.nanoTime(), revision, states(revision));
+                                    invariantChecker
+                                            .observer()
+                                            .onListChanged(
+                                                    System.nanoTime(), revision, states(revision));
                                     long fresh = revision;
                                     for (Subscriber caller : subscribers.values()) {
                                         if (caller.extraDelayNanos > 0) {
@@ -183,14 +187,19 @@
             return;
         }
         long now = System.nanoTime();
-        long left = Math.max(caller.reachableSinceNanos + NOTIFICATION_DEADLINE_NANOS, caller.unresponsiveUntilNanos) - now;
+        long left =
+                Math.max(
+                                caller.reachableSinceNanos + NOTIFICATION_DEADLINE_NANOS,
+                                caller.unresponsiveUntilNanos)
+                        - now;
         if (isDown || caller.isImpaired() || left > 0) {
             loop.schedule(
                     () -> bindUnlessNotified(caller, fresh, member),
                     Math.max(left, RETRY_INTERVAL_MILLIS * 1_000_000),
                     TimeUnit.NANOSECONDS);
         } else {
-            invariantChecker.onNotified(now, caller.balancer, member.uid(), member.state() == Member.State.READY);
+            invariantChecker.onNotified(
+                    now, caller.balancer, member.uid(), member.state() == Member.State.READY);
         }
     }
 
@@ -208,7 +217,8 @@
     }
 
     private void addRevision(Member member) {
-        history.computeIfAbsent(member.uid(), uid -> new ArrayList<>()).add(new MemberChange(revision, member));
+        history.computeIfAbsent(member.uid(), uid -> new ArrayList<>())
+                .add(new MemberChange(revision, member));
     }
 
     private void makeVisible(Subscriber caller, long fresh) {
@@ -231,13 +241,19 @@
                 .forEach(
                         member ->
                                 states.put(
-                                        member.uid(), member.state().wireName + '|' + member.bootUnixMillis()));
+                                        member.uid(),
+                                        member.state().wireName + '|' + member.bootUnixMillis()));
         return states;
     }
 
     /** Tells the watcher how the list stands. */
     public void publishToObserver() {
-        loop.submit(() -> invariantChecker.observer().onListChanged(System.nanoTime(), revision, states(revision)))
+        loop.submit(
+                        () ->
+                                invariantChecker
+                                        .observer()
+                                        .onListChanged(
+                                                System.nanoTime(), revision, states(revision)))
                 .syncUninterruptibly();
     }
 
@@ -297,7 +313,9 @@
         loop.execute(
                 () -> {
                     isDown = isActive;
-                    subscribers.values().forEach(caller -> caller.reachableSinceNanos = System.nanoTime());
+                    subscribers
+                            .values()
+                            .forEach(caller -> caller.reachableSinceNanos = System.nanoTime());
                     if (isActive) {
                         List.copyOf(watches).forEach(watch -> watch.channel.close());
                     }
@@ -365,12 +383,14 @@
             throw new IllegalStateException(e);
         }
         for (Member member : members) {
-            invariantChecker.onNotified(now, caller.balancer, member.uid(), member.state() == Member.State.READY);
+            invariantChecker.onNotified(
+                    now, caller.balancer, member.uid(), member.state() == Member.State.READY);
             Long before =
                     sentBootTimes
                             .computeIfAbsent(caller.balancer, b -> new TreeMap<>())
                             .put(member.uid(), member.bootUnixMillis());
-            if (member.bootUnixMillis() > 0 && (before == null || before != member.bootUnixMillis())) {
+            if (member.bootUnixMillis() > 0
+                    && (before == null || before != member.bootUnixMillis())) {
                 invariantChecker.onStartNotified(caller.balancer, member.uid());
             }
         }
@@ -420,7 +440,11 @@
             timeoutTask.cancel(false);
             long now = System.nanoTime();
             caller.unresponsiveUntilNanos =
-                    within > 0 ? now + within : Math.max(untilNanos + MISSED_WATCH_GRACE_NANOS, now + NOTIFICATION_DEADLINE_NANOS);
+                    within > 0
+                            ? now + within
+                            : Math.max(
+                                    untilNanos + MISSED_WATCH_GRACE_NANOS,
+                                    now + NOTIFICATION_DEADLINE_NANOS);
         }
 
         private void end() {
--- a/rig/src/main/java/frostrelay/rig/discovery/Member.java
+++ b/testbed/src/main/java/frostrelay/testbed/discovery/Member.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.discovery;
+package frostrelay.testbed.discovery;
 
 /** A cache in the list. {@code bootUnixMillis}: its last start in Unix time, 0 for long ago. */
 public record Member(String uid, State state, long bootUnixMillis) {
--- a/rig/src/main/java/frostrelay/rig/fleet/BalancerCommand.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/BalancerCommand.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.fleet;
+package frostrelay.testbed.fleet;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -22,7 +22,8 @@
             throw new IllegalStateException("the balancer is not built: " + jar + " is missing");
         }
         List<String> command =
-                new ArrayList<>(List.of(javaExecutable(), "@" + root.resolve("deploy/jvm.options")));
+                new ArrayList<>(
+                        List.of(javaExecutable(), "@" + root.resolve("deploy/jvm.options")));
         Path archive = root.resolve("node/target/frostrelay.jsa");
         if (Files.isRegularFile(archive)) {
             command.add("-XX:SharedArchiveFile=" + archive);
--- a/rig/src/main/java/frostrelay/rig/fleet/BalancerConfig.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/BalancerConfig.java
@@ -1,11 +1,11 @@
-package frostrelay.rig.fleet;
+package frostrelay.testbed.fleet;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
-import frostrelay.rig.day.ClassSpec;
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.day.TenantSpec;
-import frostrelay.rig.referee.Referee;
+import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.scenario.ClassSpec;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.scenario.TenantSpec;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -25,9 +25,9 @@
     private BalancerConfig() {}
 
     /**
-     * {@code index}: the balancer's, from 0; addresses as ADDRESS:PORT; {@code endpointList}: the list in
-     * discovery's form; {@code extraKeys}: keys beside those, as {@code peers} with which balancers
-     * are allowed to talk.
+     * {@code index}: the balancer's, from 0; addresses as ADDRESS:PORT; {@code endpointList}: the
+     * list in discovery's form; {@code extraKeys}: keys beside those, as {@code peers} with which
+     * balancers are allowed to talk.
      */
     public static String json(
             Scenario scenario,
@@ -78,7 +78,9 @@
                             "effect",
                             one.effect() == Referee.Effect.IDEMPOTENT
                                     ? "retryable"
-                                    : one.effect() == Referee.Effect.IDEMPOTENT_BY_KEY ? "dedup" : "fragile",
+                                    : one.effect() == Referee.Effect.IDEMPOTENT_BY_KEY
+                                            ? "dedup"
+                                            : "fragile",
                             "group",
                             "all",
                             "goal-time-ns",
@@ -170,7 +172,11 @@
     private static double capacity(Scenario scenario) {
         double work =
                 scenario.classes().stream()
-                        .mapToDouble(one -> one.fraction() * (one.minWorkNanos() + one.maxWorkNanos()) / 2)
+                        .mapToDouble(
+                                one ->
+                                        one.fraction()
+                                                * (one.minWorkNanos() + one.maxWorkNanos())
+                                                / 2)
                         .sum();
         return scenario.caches() * scenario.cache().cores() * NANOS_PER_SECOND / work;
     }
--- a/rig/src/main/java/frostrelay/rig/fleet/BalancerProcess.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/BalancerProcess.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.fleet;
+package frostrelay.testbed.fleet;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -25,11 +25,15 @@
     private Process process;
 
     /**
-     * {@code directory}: holds its configuration, its log and its temporary files; {@code config}: the
-     * platform's JSON.
+     * {@code directory}: holds its configuration, its log and its temporary files; {@code config}:
+     * the platform's JSON.
      */
     public BalancerProcess(
-            String name, BalancerCommand program, Path directory, InetSocketAddress listenAddress, String config)
+            String name,
+            BalancerCommand program,
+            Path directory,
+            InetSocketAddress listenAddress,
+            String config)
             throws IOException {
         this.name = name;
         this.program = program;
@@ -152,7 +156,9 @@
         Path temporaryFile = directory.resolve("config.draft");
         Files.writeString(temporaryFile, config);
         Files.move(
-                temporaryFile, directory.resolve("config.json"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+                temporaryFile,
+                directory.resolve("config.json"),
+                java.nio.file.StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
--- a/rig/src/main/java/frostrelay/rig/fleet/ChildProcesses.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/ChildProcesses.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.fleet;
+package frostrelay.testbed.fleet;
 
 import java.io.IOException;
 import java.util.Set;
--- a/rig/src/main/java/frostrelay/rig/fleet/ControlServer.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/ControlServer.java
@@ -1,12 +1,12 @@
-package frostrelay.rig.fleet;
+package frostrelay.testbed.fleet;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
 
-import frostrelay.rig.day.FaultKind;
-import frostrelay.rig.day.FaultSpec;
-import frostrelay.rig.wire.Loopback;
+import frostrelay.testbed.scenario.FaultKind;
+import frostrelay.testbed.scenario.FaultSpec;
+import frostrelay.testbed.wire.Loopback;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -40,7 +40,8 @@
                     try {
                         byte[] body = exchange.getRequestBody().readNBytes(MAX_BODY_BYTES);
                         FaultSpec fault =
-                                parseFault(JSON.std.mapFrom(new String(body, StandardCharsets.UTF_8)));
+                                parseFault(
+                                        JSON.std.mapFrom(new String(body, StandardCharsets.UTF_8)));
                         faults.accept(fault);
                         respond(exchange, 202, Map.of("fault", fault.describe()));
                     } catch (IOException | RuntimeException e) {
