--- a/rig/src/main/java/frostrelay/rig/fleet/FaultInjector.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/FaultInjector.java
@@ -1,13 +1,13 @@
-package frostrelay.rig.fleet;
+package frostrelay.testbed.fleet;
 
-import frostrelay.rig.client.RoundRobinFrontend;
-import frostrelay.rig.client.OpenLoopClients;
-import frostrelay.rig.day.ClassSpec;
-import frostrelay.rig.day.FaultKind;
-import frostrelay.rig.day.FaultSpec;
-import frostrelay.rig.day.Targets;
-import frostrelay.rig.discovery.Member;
-import frostrelay.rig.wire.Loopback;
+import frostrelay.testbed.client.OpenLoopClients;
+import frostrelay.testbed.client.RoundRobinFrontend;
+import frostrelay.testbed.discovery.Member;
+import frostrelay.testbed.scenario.ClassSpec;
+import frostrelay.testbed.scenario.FaultKind;
+import frostrelay.testbed.scenario.FaultSpec;
+import frostrelay.testbed.scenario.Targets;
+import frostrelay.testbed.wire.Loopback;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
@@ -74,15 +74,20 @@
                     });
 
     /**
-     * {@code frontend} and {@code clients}: of the clients, or null where there are none; {@code eventListener}:
-     * hears what happens.
+     * {@code frontend} and {@code clients}: of the clients, or null where there are none; {@code
+     * eventListener}: hears what happens.
      */
-    public FaultInjector(TestCluster fleet, RoundRobinFrontend frontend, OpenLoopClients clients, Consumer<String> eventListener) {
+    public FaultInjector(
+            TestCluster fleet,
+            RoundRobinFrontend frontend,
+            OpenLoopClients clients,
+            Consumer<String> eventListener) {
         this.fleet = fleet;
         this.frontend = frontend;
         this.clients = clients;
         this.eventListener = eventListener;
-        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(fleet.scenario().seed() ^ 0x5DEECE66DL);
+        this.random =
+                RandomSource.XO_RO_SHI_RO_128_PP.create(fleet.scenario().seed() ^ 0x5DEECE66DL);
     }
 
     /** Plays the day's timeline from now on. */
@@ -137,7 +142,9 @@
         List<String> names = new ArrayList<>();
         targets.forEach(index -> names.add(name + '-' + (index + 1)));
         eventListener.accept(
-                (fault.kind().targetKind == FaultKind.TargetKind.NONE ? "" : String.join(" ", names) + ": ")
+                (fault.kind().targetKind == FaultKind.TargetKind.NONE
+                                ? ""
+                                : String.join(" ", names) + ": ")
                         + new FaultSpec(
                                         0,
                                         fault.kind(),
@@ -182,7 +189,8 @@
             throws IOException, InterruptedException {
         if (DELAYING_FAULTS.contains(fault.kind())) {
             fleet.invariantChecker()
-                    .setDelayed(System.nanoTime(), fleet.caches().get(index).server().name(), isActive);
+                    .setDelayed(
+                            System.nanoTime(), fleet.caches().get(index).server().name(), isActive);
         }
         switch (fault.kind()) {
             case KILL, RESTART, SLOW, SILENCE, DRAIN, HOLD -> setCacheFault(fault, index, isActive);
@@ -191,8 +199,10 @@
                             .get(index)
                             .proxies()
                             .forEach(link -> link.setDelay(isActive ? fault.amountNanos() : 0));
-            case LINK_STALL -> fleet.caches().get(index).proxies().forEach(link -> link.setStalled(isActive));
-            case LINK_CUT -> fleet.caches().get(index).proxies().forEach(link -> link.setCut(isActive));
+            case LINK_STALL ->
+                    fleet.caches().get(index).proxies().forEach(link -> link.setStalled(isActive));
+            case LINK_CUT ->
+                    fleet.caches().get(index).proxies().forEach(link -> link.setCut(isActive));
             case LINK_NARROW ->
                     fleet.caches()
                             .get(index)
@@ -200,7 +210,9 @@
                             .forEach(
                                     link ->
                                             link.setBandwidth(
-                                                    isActive ? (long) (fault.factor() * 1_000) : 0));
+                                                    isActive
+                                                            ? (long) (fault.factor() * 1_000)
+                                                            : 0));
             case ARCHIVE_SLOW -> fleet.origin().setSlowdown(isActive ? fault.factor() : 1);
             case ARCHIVE_OUTAGE -> {
                 if (isActive) {
@@ -209,7 +221,11 @@
             }
             case DISCOVERY_OUTAGE -> fleet.discovery().setOutage(isActive);
             case DISCOVERY_LATE ->
-                    fleet.discovery().setDelay(isActive ? fault.amountNanos() : fleet.scenario().discoveryDelayNanos());
+                    fleet.discovery()
+                            .setDelay(
+                                    isActive
+                                            ? fault.amountNanos()
+                                            : fleet.scenario().discoveryDelayNanos());
             case WATCH_SILENT -> {
                 if (isActive) {
                     fleet.discovery().stallWatches(fault.amountNanos());
@@ -275,7 +291,8 @@
                                                         System.currentTimeMillis())));
     }
 
-    private void setAdminDrain(TestCluster.BalancerInstance balancer, String cache, boolean isActive)
+    private void setAdminDrain(
+            TestCluster.BalancerInstance balancer, String cache, boolean isActive)
             throws IOException, InterruptedException {
         HttpResponse<String> response =
                 http.send(
@@ -304,7 +321,8 @@
         if (balancer.process() == null) {
             throw new IOException(balancer.name() + " was started by hand");
         }
-        if (isActive && unsettledUntilNanos.getOrDefault(index, Long.MIN_VALUE) > System.nanoTime()) {
+        if (isActive
+                && unsettledUntilNanos.getOrDefault(index, Long.MIN_VALUE) > System.nanoTime()) {
             eventListener.accept(balancer.name() + " is still ending or starting: passed over");
             return;
         }
@@ -322,11 +340,13 @@
             case BALANCER_PAUSE -> {
                 if (isActive) {
                     balancer.process().signal("STOP");
-                    executor.schedule(() -> resume(balancer), fault.amountNanos(), TimeUnit.NANOSECONDS);
+                    executor.schedule(
+                            () -> resume(balancer), fault.amountNanos(), TimeUnit.NANOSECONDS);
                 }
             }
             case BALANCER_KILL -> {
-                unsettledUntilNanos.put(index, System.nanoTime() + fault.durationNanos() + SETTLING_TIME_NANOS);
+                unsettledUntilNanos.put(
+                        index, System.nanoTime() + fault.durationNanos() + SETTLING_TIME_NANOS);
                 if (isActive) {
                     onStopped(index);
                     balancer.process().kill();
@@ -361,7 +381,10 @@
     private void stopBalancer(int index) {
         TestCluster.BalancerInstance balancer = fleet.balancers().get(index);
         long longestDeadlineNanos =
-                fleet.scenario().classes().stream().mapToLong(ClassSpec::deadlineNanos).max().orElse(0);
+                fleet.scenario().classes().stream()
+                        .mapToLong(ClassSpec::deadlineNanos)
+                        .max()
+                        .orElse(0);
         long graceNanos = Math.min(longestDeadlineNanos, MAX_DEADLINE_NANOS) + KILL_DELAY_NANOS;
         long terminatedAtNanos = System.nanoTime();
         unsettledUntilNanos.put(index, terminatedAtNanos + graceNanos + SETTLING_TIME_NANOS);
@@ -386,7 +409,8 @@
                     try {
                         fleet.invariantChecker().forgetBalancer(balancer.name());
                         balancer.process().start();
-                        fleet.invariantChecker().onBalancerStarted(System.nanoTime(), balancer.name());
+                        fleet.invariantChecker()
+                                .onBalancerStarted(System.nanoTime(), balancer.name());
                         if (frontend != null) {
                             frontend.onStarted(index);
                         }
--- a/rig/src/main/java/frostrelay/rig/fleet/LoopMonitor.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/LoopMonitor.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.fleet;
+package frostrelay.testbed.fleet;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -22,14 +22,19 @@
 
     private final List<AtomicLong> heartbeats = new ArrayList<>();
     private final AtomicLong longestStallNanos = new AtomicLong();
-    private final AtomicLong stalledAtNanos = new AtomicLong(System.nanoTime() - STALL_RECOVERY_NANOS);
+    private final AtomicLong stalledAtNanos =
+            new AtomicLong(System.nanoTime() - STALL_RECOVERY_NANOS);
 
     LoopMonitor(EventLoopGroup group) {
         for (EventExecutor executor : group) {
             AtomicLong beat = new AtomicLong(System.nanoTime());
             heartbeats.add(beat);
             ((EventLoop) executor)
-                    .scheduleAtFixedRate(() -> beat(beat), HEARTBEAT_INTERVAL_MILLIS, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+                    .scheduleAtFixedRate(
+                            () -> beat(beat),
+                            HEARTBEAT_INTERVAL_MILLIS,
+                            HEARTBEAT_INTERVAL_MILLIS,
+                            TimeUnit.MILLISECONDS);
         }
     }
 
--- a/rig/src/main/java/frostrelay/rig/fleet/ScenarioResult.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/ScenarioResult.java
@@ -1,8 +1,8 @@
-package frostrelay.rig.fleet;
+package frostrelay.testbed.fleet;
 
-import frostrelay.rig.client.ClientStatistics;
-import frostrelay.rig.referee.Referee;
-import frostrelay.rig.referee.Invariant;
+import frostrelay.testbed.client.ClientStatistics;
+import frostrelay.testbed.invariants.Invariant;
+import frostrelay.testbed.invariants.Referee;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -12,7 +12,12 @@
 
 /** What a day came to. */
 public record ScenarioResult(
-        ClientStatistics statistics, Referee invariantChecker, long hits, long misses, long fetches, double seconds) {
+        ClientStatistics statistics,
+        Referee invariantChecker,
+        long hits,
+        long misses,
+        long fetches,
+        double seconds) {
     /** All first tries kept their rules and none got a wrong answer or none at all. */
     public boolean isSuccessful() {
         return statistics.requests() > 0
@@ -28,7 +33,9 @@
 
     /** Sends beyond the first of each try, for each try. */
     public double hedgeRatio() {
-        return statistics.attempts() == 0 ? 0 : invariantChecker.hedgeCount() / (double) statistics.attempts();
+        return statistics.attempts() == 0
+                ? 0
+                : invariantChecker.hedgeCount() / (double) statistics.attempts();
     }
 
     /** All figures, for machines. */
@@ -60,7 +67,9 @@
         }
         all.put("rules", rules);
         List<String> breaches = new ArrayList<>();
-        invariantChecker.violations().forEach(breach -> breaches.add(breach.invariant() + ": " + breach.detail()));
+        invariantChecker
+                .violations()
+                .forEach(breach -> breaches.add(breach.invariant() + ": " + breach.detail()));
         all.put("breaches", breaches);
         return all;
     }
@@ -80,7 +89,9 @@
                                         + "copies %.1f%% of tries, hits %.1f%% of reads at caches, %,d calls to the archive%n",
                                 statistics.requests(),
                                 seconds,
-                                100.0 * statistics.count(ClientStatistics.Outcome.IN_TIME) / Math.max(1, statistics.requests()),
+                                100.0
+                                        * statistics.count(ClientStatistics.Outcome.IN_TIME)
+                                        / Math.max(1, statistics.requests()),
                                 statistics.count(ClientStatistics.Outcome.LATE),
                                 statistics.count(ClientStatistics.Outcome.REFUSED),
                                 statistics.count(ClientStatistics.Outcome.FAILED),
@@ -96,7 +107,9 @@
         if (invariantChecker.violationCount() == 0) {
             text.append("rules: all kept");
         } else {
-            text.append("rules broken ").append(invariantChecker.violationCount()).append(" times:");
+            text.append("rules broken ")
+                    .append(invariantChecker.violationCount())
+                    .append(" times:");
             invariantChecker.violations().stream()
                     .limit(10)
                     .forEach(
--- a/rig/src/main/java/frostrelay/rig/fleet/ScenarioRun.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/ScenarioRun.java
@@ -1,9 +1,9 @@
-package frostrelay.rig.fleet;
+package frostrelay.testbed.fleet;
 
-import frostrelay.rig.client.RoundRobinFrontend;
-import frostrelay.rig.client.OpenLoopClients;
-import frostrelay.rig.client.ClientStatistics;
-import frostrelay.rig.day.Scenario;
+import frostrelay.testbed.client.ClientStatistics;
+import frostrelay.testbed.client.OpenLoopClients;
+import frostrelay.testbed.client.RoundRobinFrontend;
+import frostrelay.testbed.scenario.Scenario;
 
 import io.netty.util.concurrent.Future;
 
@@ -23,9 +23,11 @@
     private ScenarioRun() {}
 
     /**
-     * Returns what the day came to. {@code progress}: hears a line each second and one for each fault.
+     * Returns what the day came to. {@code progress}: hears a line each second and one for each
+     * fault.
      */
-    public static ScenarioResult run(Scenario scenario, Path directory, BalancerCommand program, Consumer<String> progress)
+    public static ScenarioResult run(
+            Scenario scenario, Path directory, BalancerCommand program, Consumer<String> progress)
             throws IOException, InterruptedException {
         try (TestCluster fleet = new TestCluster(scenario, directory, program)) {
             fleet.startBalancers();
@@ -34,17 +36,30 @@
     }
 
     /** Likewise on a fleet that runs. */
-    public static ScenarioResult run(TestCluster fleet, Consumer<String> progress) throws InterruptedException {
-        RoundRobinFrontend frontend = new RoundRobinFrontend(fleet.balancers().stream().map(TestCluster.BalancerInstance::listenAddress).toList());
+    public static ScenarioResult run(TestCluster fleet, Consumer<String> progress)
+            throws InterruptedException {
+        RoundRobinFrontend frontend =
+                new RoundRobinFrontend(
+                        fleet.balancers().stream()
+                                .map(TestCluster.BalancerInstance::listenAddress)
+                                .toList());
         ClientStatistics statistics = new ClientStatistics();
-        OpenLoopClients clients = new OpenLoopClients(fleet.scenario(), frontend, fleet.loop(), fleet.invariantChecker(), statistics);
+        OpenLoopClients clients =
+                new OpenLoopClients(
+                        fleet.scenario(),
+                        frontend,
+                        fleet.loop(),
+                        fleet.invariantChecker(),
+                        statistics);
         long start = System.nanoTime();
         try (FaultInjector faults =
-                new FaultInjector(fleet, frontend, clients, text -> progress.accept("    >> " + text))) {
+                new FaultInjector(
+                        fleet, frontend, clients, text -> progress.accept("    >> " + text))) {
             Future<ClientStatistics> completion = clients.run();
             faults.scheduleTimeline();
             ProgressReporter watch = new ProgressReporter(fleet, statistics);
-            long limit = start + fleet.scenario().durationNanos() + COMPLETION_GRACE_MILLIS * 1_000_000;
+            long limit =
+                    start + fleet.scenario().durationNanos() + COMPLETION_GRACE_MILLIS * 1_000_000;
             while (!await(completion)) {
                 progress.accept(watch.line((System.nanoTime() - start) / 1e9));
                 if (System.nanoTime() > limit) {
--- a/rig/src/main/java/frostrelay/rig/fleet/TestCluster.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/TestCluster.java
@@ -1,15 +1,15 @@
-package frostrelay.rig.fleet;
-
-import frostrelay.rig.archive.OriginClient;
-import frostrelay.rig.archive.OriginServer;
-import frostrelay.rig.cache.CacheServer;
-import frostrelay.rig.cache.DeduplicationWindow;
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.discovery.DiscoveryServer;
-import frostrelay.rig.discovery.Member;
-import frostrelay.rig.link.FaultProxy;
-import frostrelay.rig.referee.Referee;
-import frostrelay.rig.wire.Loopback;
+package frostrelay.testbed.fleet;
+
+import frostrelay.testbed.cache.CacheServer;
+import frostrelay.testbed.cache.DeduplicationWindow;
+import frostrelay.testbed.discovery.DiscoveryServer;
+import frostrelay.testbed.discovery.Member;
+import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.link.FaultProxy;
+import frostrelay.testbed.origin.OriginClient;
+import frostrelay.testbed.origin.OriginServer;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.wire.Loopback;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -70,9 +70,11 @@
     }
 
     /**
-     * Builds and starts everything but the balancers. {@code recordFolder}: where these keep their files.
+     * Builds and starts everything but the balancers. {@code recordFolder}: where these keep their
+     * files.
      */
-    public TestCluster(Scenario scenario, Path directory, BalancerCommand program) throws IOException, InterruptedException {
+    public TestCluster(Scenario scenario, Path directory, BalancerCommand program)
+            throws IOException, InterruptedException {
         this(
                 scenario,
                 directory,
@@ -90,7 +92,8 @@
     }
 
     /** Likewise with balancers that differ. */
-    public TestCluster(Scenario scenario, Path directory, BalancerCustomizer customizer) throws IOException, InterruptedException {
+    public TestCluster(Scenario scenario, Path directory, BalancerCustomizer customizer)
+            throws IOException, InterruptedException {
         this.scenario = scenario;
         invariantChecker =
                 new Referee(
@@ -102,9 +105,11 @@
         loopMonitor = new LoopMonitor(group);
         invariantChecker.setStallDetector(loopMonitor::isStalled);
         origin = new OriginServer(scenario.origin(), group.next(), scenario.seed());
-        discovery = new DiscoveryServer(group.next(), invariantChecker, scenario.discoveryDelayNanos());
+        discovery =
+                new DiscoveryServer(group.next(), invariantChecker, scenario.discoveryDelayNanos());
         InetSocketAddress originAddress = origin.start();
-        DeduplicationWindow deduplicationWindow = new DeduplicationWindow(scenario.deduplicationWindowNanos());
+        DeduplicationWindow deduplicationWindow =
+                new DeduplicationWindow(scenario.deduplicationWindowNanos());
         List<CacheServer> servers = new CopyOnWriteArrayList<>();
         List<Map<String, String>> endpoints = new ArrayList<>();
         for (int index = 0; index < scenario.balancers(); index++) {
@@ -124,7 +129,8 @@
             servers.add(server);
             List<FaultProxy> proxies = new ArrayList<>();
             for (int index = 0; index < scenario.balancers(); index++) {
-                FaultProxy proxy = new FaultProxy(group.next(), server.listen(BalancerConfig.name(index)));
+                FaultProxy proxy =
+                        new FaultProxy(group.next(), server.listen(BalancerConfig.name(index)));
                 proxies.add(proxy);
                 endpoints.get(index).put(server.name(), Loopback.text(proxy.listen(0)));
             }
@@ -136,7 +142,8 @@
         }
     }
 
-    private BalancerInstance createBalancer(int index, Map<String, String> endpoints, Path directory, BalancerCustomizer customizer)
+    private BalancerInstance createBalancer(
+            int index, Map<String, String> endpoints, Path directory, BalancerCustomizer customizer)
             throws IOException, InterruptedException {
         String name = BalancerConfig.name(index);
         InetSocketAddress listenAddress = Loopback.port(Loopback.freePort());
@@ -159,7 +166,8 @@
                 config,
                 program == null
                         ? null
-                        : new BalancerProcess(name, program, directory.resolve(name), listenAddress, config));
+                        : new BalancerProcess(
+                                name, program, directory.resolve(name), listenAddress, config));
     }
 
     /** Starts all balancers and waits until they take requests. */
--- a/rig/src/main/java/frostrelay/rig/referee/ClientObserver.java
+++ b/testbed/src/main/java/frostrelay/testbed/invariants/ClientObserver.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.referee;
+package frostrelay.testbed.invariants;
 
 /** Hears what clients ask and get. Times in nanoseconds; {@code id} is that of a try. */
 public interface ClientObserver {
--- a/rig/src/main/java/frostrelay/rig/referee/Invariant.java
+++ b/testbed/src/main/java/frostrelay/testbed/invariants/Invariant.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.referee;
+package frostrelay.testbed.invariants;
 
 /** What a balancer must keep. */
 public enum Invariant {
--- a/rig/src/main/java/frostrelay/rig/link/FaultProxy.java
+++ b/testbed/src/main/java/frostrelay/testbed/link/FaultProxy.java
@@ -1,6 +1,6 @@
-package frostrelay.rig.link;
+package frostrelay.testbed.link;
 
-import frostrelay.rig.wire.Loopback;
+import frostrelay.testbed.wire.Loopback;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -32,7 +32,8 @@
      * What the way does to bytes. {@code delayNanos}: nanoseconds; {@code bytesPerSecond}: 0 for no
      * limit.
      */
-    private record Conditions(long delayNanos, long bytesPerSecond, boolean isStalled, boolean isCut) {}
+    private record Conditions(
+            long delayNanos, long bytesPerSecond, boolean isStalled, boolean isCut) {}
 
     private static final Conditions NO_FAULT = new Conditions(0, 0, false, false);
 
@@ -74,22 +75,42 @@
 
     /** Every byte comes so many nanoseconds later. */
     public void setDelay(long delayNanos) {
-        apply(new Conditions(delayNanos, conditions.bytesPerSecond, conditions.isStalled, conditions.isCut));
+        apply(
+                new Conditions(
+                        delayNanos,
+                        conditions.bytesPerSecond,
+                        conditions.isStalled,
+                        conditions.isCut));
     }
 
     /** So many bytes a second in each direction of each connection; 0 for no limit. */
     public void setBandwidth(long bytesPerSecond) {
-        apply(new Conditions(conditions.delayNanos, bytesPerSecond, conditions.isStalled, conditions.isCut));
+        apply(
+                new Conditions(
+                        conditions.delayNanos,
+                        bytesPerSecond,
+                        conditions.isStalled,
+                        conditions.isCut));
     }
 
     /** Nothing moves while this holds; connections stay open. */
     public void setStalled(boolean isActive) {
-        apply(new Conditions(conditions.delayNanos, conditions.bytesPerSecond, isActive, conditions.isCut));
+        apply(
+                new Conditions(
+                        conditions.delayNanos,
+                        conditions.bytesPerSecond,
+                        isActive,
+                        conditions.isCut));
     }
 
     /** Resets all connections, and new ones at once while this holds. */
     public void setCut(boolean isActive) {
-        apply(new Conditions(conditions.delayNanos, conditions.bytesPerSecond, conditions.isStalled, isActive));
+        apply(
+                new Conditions(
+                        conditions.delayNanos,
+                        conditions.bytesPerSecond,
+                        conditions.isStalled,
+                        isActive));
         if (isActive) {
             loop.execute(() -> List.copyOf(endpoints).forEach(ProxyEndpoint::reset));
         }
@@ -186,7 +207,10 @@
         /** Passes on what is due. */
         void drain() {
             long now = System.nanoTime();
-            while (!buffered.isEmpty() && !conditions.isStalled && buffered.peek().dueAtNanos <= now && writableAtNanos <= now) {
+            while (!buffered.isEmpty()
+                    && !conditions.isStalled
+                    && buffered.peek().dueAtNanos <= now
+                    && writableAtNanos <= now) {
                 BufferedBytes next = buffered.poll();
                 int bytes = next.bytes.readableBytes();
                 bufferedBytes -= bytes;
--- a/rig/src/main/java/frostrelay/rig/archive/OriginClient.java
+++ b/testbed/src/main/java/frostrelay/testbed/origin/OriginClient.java
@@ -1,7 +1,7 @@
-package frostrelay.rig.archive;
+package frostrelay.testbed.origin;
 
-import frostrelay.rig.wire.MetaCodec;
-import frostrelay.rig.wire.MetaMessage;
+import frostrelay.testbed.wire.MetaCodec;
+import frostrelay.testbed.wire.MetaMessage;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -68,9 +68,11 @@
                                                 answer != null && answer.word(0).equals("HD"))));
     }
 
-    private void call(String command, byte[] data, long timeoutNanos, Consumer<MetaMessage> callback) {
+    private void call(
+            String command, byte[] data, long timeoutNanos, Consumer<MetaMessage> callback) {
         String id = Long.toHexString(++lastId);
-        Future<?> timeoutTask = loop.schedule(() -> complete(id, null), timeoutNanos, TimeUnit.NANOSECONDS);
+        Future<?> timeoutTask =
+                loop.schedule(() -> complete(id, null), timeoutNanos, TimeUnit.NANOSECONDS);
         pendingCalls.put(id, new PendingCall(callback, timeoutTask));
         if (connectFuture == null) {
             connectFuture =
@@ -83,7 +85,8 @@
                                         @Override
                                         protected void initChannel(SocketChannel fresh) {
                                             fresh.pipeline()
-                                                    .addLast(new MetaCodec(), new ResponseHandler());
+                                                    .addLast(
+                                                            new MetaCodec(), new ResponseHandler());
                                         }
                                     })
                             .connect(originAddress);
--- a/rig/src/main/java/frostrelay/rig/archive/OriginServer.java
+++ b/testbed/src/main/java/frostrelay/testbed/origin/OriginServer.java
@@ -1,8 +1,8 @@
-package frostrelay.rig.archive;
+package frostrelay.testbed.origin;
 
-import frostrelay.rig.wire.Loopback;
-import frostrelay.rig.wire.MetaCodec;
-import frostrelay.rig.wire.MetaMessage;
+import frostrelay.testbed.wire.Loopback;
+import frostrelay.testbed.wire.MetaCodec;
+import frostrelay.testbed.wire.MetaMessage;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -67,7 +67,9 @@
                                             @Override
                                             protected void initChannel(SocketChannel fresh) {
                                                 fresh.pipeline()
-                                                        .addLast(new MetaCodec(), new RequestHandler());
+                                                        .addLast(
+                                                                new MetaCodec(),
+                                                                new RequestHandler());
                                             }
                                         })
                                 .bind(Loopback.port(0))
@@ -111,7 +113,10 @@
         if (now < downUntilNanos) {
             reject(job);
         } else if (arrivals.size()
-                > spec.overloadMultiple() * spec.fetchesPerSecond() * spec.overloadWindowNanos() / 1e9) {
+                > spec.overloadMultiple()
+                        * spec.fetchesPerSecond()
+                        * spec.overloadWindowNanos()
+                        / 1e9) {
             goDown(now, spec.outageNanos());
             reject(job);
         } else if (activeJobs < spec.concurrency()) {
@@ -132,7 +137,10 @@
         // Half of a fetch is the same for all, the other half varies: neither a clock nor without
         // memory.
         double timeFactor = 0.5 - 0.5 * Math.log(1 - random.nextDouble());
-        loop.schedule(() -> finishJob(job), (long) (spec.meanFetchNanos() * slowdownFactor * timeFactor), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> finishJob(job),
+                (long) (spec.meanFetchNanos() * slowdownFactor * timeFactor),
+                TimeUnit.NANOSECONDS);
     }
 
     private void finishJob(Job job) {
--- a/rig/src/main/java/frostrelay/rig/archive/OriginSpec.java
+++ b/testbed/src/main/java/frostrelay/testbed/origin/OriginSpec.java
@@ -1,10 +1,10 @@
-package frostrelay.rig.archive;
+package frostrelay.testbed.origin;
 
 /**
- * What the archive is. {@code concurrency}: fetches it works on at once; {@code meanFetchNanos}: mean nanoseconds
- * of one; {@code queueCapacity}: the most that wait; sent {@code overloadMultiple} times what it can do for
- * {@code overloadWindowNanos} nanoseconds it stops for {@code outageNanos}; {@code meanValueBytes}: mean bytes of a
- * value.
+ * What the archive is. {@code concurrency}: fetches it works on at once; {@code meanFetchNanos}:
+ * mean nanoseconds of one; {@code queueCapacity}: the most that wait; sent {@code overloadMultiple}
+ * times what it can do for {@code overloadWindowNanos} nanoseconds it stops for {@code
+ * outageNanos}; {@code meanValueBytes}: mean bytes of a value.
  */
 public record OriginSpec(
         int concurrency,
--- /dev/null
+++ b/testbed/src/main/java/frostrelay/testbed/origin/package-info.java
@@ -0,0 +1,2 @@
+/** A stand-in for the origin behind the caches, and the caches' client of it. */
+package frostrelay.testbed.origin;
--- a/rig/src/main/java/frostrelay/rig/day/ClassSpec.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/ClassSpec.java
@@ -1,10 +1,11 @@
-package frostrelay.rig.day;
+package frostrelay.testbed.scenario;
 
-import frostrelay.rig.referee.Referee;
+import frostrelay.testbed.invariants.Referee;
 
 /**
- * A class of requests. {@code fraction}: its part of all; {@code minWorkNanos} and {@code maxWorkNanos}:
- * nanoseconds of a cache's core; {@code latencyObjectiveNanos} and {@code deadlineNanos}: nanoseconds.
+ * A class of requests. {@code fraction}: its part of all; {@code minWorkNanos} and {@code
+ * maxWorkNanos}: nanoseconds of a cache's core; {@code latencyObjectiveNanos} and {@code
+ * deadlineNanos}: nanoseconds.
  */
 public record ClassSpec(
         String name,
--- a/rig/src/main/java/frostrelay/rig/day/FaultKind.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/FaultKind.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.day;
+package frostrelay.testbed.scenario;
 
 import java.util.Arrays;
 import java.util.List;
--- a/rig/src/main/java/frostrelay/rig/day/FaultSpec.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/FaultSpec.java
@@ -1,12 +1,18 @@
-package frostrelay.rig.day;
+package frostrelay.testbed.scenario;
 
 /**
- * Something that happens. {@code startNanos}: nanoseconds from the day's start; {@code target}: whom it
- * meets, as "cache-3", or "caches 2" for any two; {@code factor}: how much; {@code amountNanos}:
- * nanoseconds, for delays; {@code durationNanos}: nanoseconds until it is over, 0 for never.
+ * Something that happens. {@code startNanos}: nanoseconds from the day's start; {@code target}:
+ * whom it meets, as "cache-3", or "caches 2" for any two; {@code factor}: how much; {@code
+ * amountNanos}: nanoseconds, for delays; {@code durationNanos}: nanoseconds until it is over, 0 for
+ * never.
  */
 public record FaultSpec(
-        long startNanos, FaultKind kind, String target, double factor, long amountNanos, long durationNanos) {
+        long startNanos,
+        FaultKind kind,
+        String target,
+        double factor,
+        long amountNanos,
+        long durationNanos) {
     /** In words. */
     public String describe() {
         return kind.wireName
--- a/rig/src/main/java/frostrelay/rig/day/Scenario.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/Scenario.java
@@ -1,15 +1,15 @@
-package frostrelay.rig.day;
+package frostrelay.testbed.scenario;
 
-import frostrelay.rig.archive.OriginSpec;
-import frostrelay.rig.cache.CacheSpec;
+import frostrelay.testbed.cache.CacheSpec;
+import frostrelay.testbed.origin.OriginSpec;
 
 import java.util.List;
 
 /**
- * A day: a fleet, a load and what goes wrong. {@code durationNanos} and {@code discoveryDelayNanos} (of discovery) in
- * nanoseconds; the same {@code seed} gives the same requests and faults. {@code drainGraceNanos}: how
- * long a balancer may go on sending to a cache that it was told drains; {@code deduplicationWindowNanos}: how
- * long caches drop repeats of a keyed write.
+ * A day: a fleet, a load and what goes wrong. {@code durationNanos} and {@code discoveryDelayNanos}
+ * (of discovery) in nanoseconds; the same {@code seed} gives the same requests and faults. {@code
+ * drainGraceNanos}: how long a balancer may go on sending to a cache that it was told drains;
+ * {@code deduplicationWindowNanos}: how long caches drop repeats of a keyed write.
  */
 public record Scenario(
         long seed,
--- a/rig/src/main/java/frostrelay/rig/day/Targets.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/Targets.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.day;
+package frostrelay.testbed.scenario;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.PermutationSampler;
@@ -19,7 +19,9 @@
             int requested = Integer.parseInt(target.substring("any-".length()));
             return requested <= targetCount ? requested : 0;
         }
-        return target.matches(prefix + "-[0-9]{1,4}") && number(target) >= 1 && number(target) <= targetCount
+        return target.matches(prefix + "-[0-9]{1,4}")
+                        && number(target) >= 1
+                        && number(target) <= targetCount
                 ? 1
                 : 0;
     }
@@ -29,8 +31,8 @@
     }
 
     /**
-     * The places, from 0, that a target means among {@code targetCount}; empty if it means none that there
-     * is.
+     * The places, from 0, that a target means among {@code targetCount}; empty if it means none
+     * that there is.
      */
     public static List<Integer> choose(
             String target, String prefix, int targetCount, UniformRandomProvider random) {
--- a/rig/src/main/java/frostrelay/rig/day/TenantSpec.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/TenantSpec.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.day;
+package frostrelay.testbed.scenario;
 
 /** A tenant and its part of all requests. */
 public record TenantSpec(String name, double fraction) {}
--- a/rig/src/main/java/frostrelay/rig/soak/MachineLoad.java
+++ b/testbed/src/main/java/frostrelay/testbed/soak/MachineLoad.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.soak;
+package frostrelay.testbed.soak;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/rig/src/main/java/frostrelay/rig/soak/SoakPlan.java
+++ b/testbed/src/main/java/frostrelay/testbed/soak/SoakPlan.java
@@ -1,15 +1,15 @@
-package frostrelay.rig.soak;
-
-import frostrelay.rig.archive.OriginSpec;
-import frostrelay.rig.cache.CacheSpec;
-import frostrelay.rig.day.ClassSpec;
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.day.FaultKind;
-import frostrelay.rig.day.FaultSpec;
-import frostrelay.rig.day.LoadSpec;
-import frostrelay.rig.day.TenantSpec;
-import frostrelay.rig.referee.SlowStartMeter;
-import frostrelay.rig.referee.Referee;
+package frostrelay.testbed.soak;
+
+import frostrelay.testbed.cache.CacheSpec;
+import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.SlowStartMeter;
+import frostrelay.testbed.origin.OriginSpec;
+import frostrelay.testbed.scenario.ClassSpec;
+import frostrelay.testbed.scenario.FaultKind;
+import frostrelay.testbed.scenario.FaultSpec;
+import frostrelay.testbed.scenario.LoadSpec;
+import frostrelay.testbed.scenario.Scenario;
+import frostrelay.testbed.scenario.TenantSpec;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
@@ -75,8 +75,17 @@
                         300 * NANOS_PER_MILLISECOND,
                         random.nextBoolean(),
                         random.nextBoolean(),
-                        new SlowStartMeter.SlowStartProfile(0.3, 5 * NANOS_PER_SECOND, 6, NANOS_PER_SECOND));
-        OriginSpec origin = new OriginSpec(40, 20 * NANOS_PER_MILLISECOND, 200, 4, 2 * NANOS_PER_SECOND, NANOS_PER_SECOND, 400);
+                        new SlowStartMeter.SlowStartProfile(
+                                0.3, 5 * NANOS_PER_SECOND, 6, NANOS_PER_SECOND));
+        OriginSpec origin =
+                new OriginSpec(
+                        40,
+                        20 * NANOS_PER_MILLISECOND,
+                        200,
+                        4,
+                        2 * NANOS_PER_SECOND,
+                        NANOS_PER_SECOND,
+                        400);
         LoadSpec load =
                 new LoadSpec(
                         balancers * REQUESTS_PER_SECOND_PER_BALANCER,
@@ -108,10 +117,32 @@
         long read = longestDeadlineNanos / between(1, 3);
         return List.of(
                 new ClassSpec(
-                        "read", 0.6, NANOS_PER_MILLISECOND, 3 * NANOS_PER_MILLISECOND, read / 2, read, 1, Referee.Effect.IDEMPOTENT),
+                        "read",
+                        0.6,
+                        NANOS_PER_MILLISECOND,
+                        3 * NANOS_PER_MILLISECOND,
+                        read / 2,
+                        read,
+                        1,
+                        Referee.Effect.IDEMPOTENT),
+                new ClassSpec(
+                        "use",
+                        0.25,
+                        NANOS_PER_MILLISECOND,
+                        4 * NANOS_PER_MILLISECOND,
+                        longestDeadlineNanos,
+                        longestDeadlineNanos,
+                        1,
+                        Referee.Effect.NON_IDEMPOTENT),
                 new ClassSpec(
-                        "use", 0.25, NANOS_PER_MILLISECOND, 4 * NANOS_PER_MILLISECOND, longestDeadlineNanos, longestDeadlineNanos, 1, Referee.Effect.NON_IDEMPOTENT),
-                new ClassSpec("note", 0.15, NANOS_PER_MILLISECOND, 4 * NANOS_PER_MILLISECOND, longestDeadlineNanos, longestDeadlineNanos, 1, Referee.Effect.IDEMPOTENT_BY_KEY));
+                        "note",
+                        0.15,
+                        NANOS_PER_MILLISECOND,
+                        4 * NANOS_PER_MILLISECOND,
+                        longestDeadlineNanos,
+                        longestDeadlineNanos,
+                        1,
+                        Referee.Effect.IDEMPOTENT_BY_KEY));
     }
 
     private long between(int min, int max) {
@@ -138,7 +169,14 @@
         long stops = between(balancers / 3 + 1, balancers);
         for (int i = 0; i < stops; i++) {
             String target = "balancer-" + (1 + random.nextInt(balancers));
-            faults.add(new FaultSpec(drawStartNanos(LAST_STOP_NANOS), FaultKind.BALANCER_STOP, target, 1, 0, 0));
+            faults.add(
+                    new FaultSpec(
+                            drawStartNanos(LAST_STOP_NANOS),
+                            FaultKind.BALANCER_STOP,
+                            target,
+                            1,
+                            0,
+                            0));
         }
     }
 
--- a/rig/src/main/java/frostrelay/rig/soak/SoakRun.java
+++ b/testbed/src/main/java/frostrelay/testbed/soak/SoakRun.java
@@ -1,12 +1,12 @@
-package frostrelay.rig.soak;
+package frostrelay.testbed.soak;
 
-import frostrelay.rig.client.ClientStatistics;
-import frostrelay.rig.day.Scenario;
-import frostrelay.rig.fleet.ScenarioRun;
-import frostrelay.rig.fleet.TestCluster;
-import frostrelay.rig.fleet.BalancerCommand;
-import frostrelay.rig.fleet.ScenarioResult;
-import frostrelay.rig.referee.Invariant;
+import frostrelay.testbed.client.ClientStatistics;
+import frostrelay.testbed.fleet.BalancerCommand;
+import frostrelay.testbed.fleet.ScenarioResult;
+import frostrelay.testbed.fleet.ScenarioRun;
+import frostrelay.testbed.fleet.TestCluster;
+import frostrelay.testbed.invariants.Invariant;
+import frostrelay.testbed.scenario.Scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -23,16 +23,16 @@
     /** Events of a balancer's log that no fault from outside may cause. */
     private static final List<String> BAD_EVENTS =
             List.of(
-                    "\"event\":\"violation\"",
-                    "\"event\":\"unexpected\"",
+                    "\"event\":\"invariant-violation\"",
+                    "\"event\":\"unexpected-exception\"",
                     "\"event\":\"cannot-start\"",
-                    "\"event\":\"stopped-short\"");
+                    "\"event\":\"shutdown-failed\"");
 
     /** Invariants in the log that are a matter of time. */
     private static final List<String> TIMING_LINES =
             List.of(
                     "\"invariant\":\"UNANSWERED\"",
-                    "\"invariant\":\"TIME_OVERSTATED\"",
+                    "\"invariant\":\"DEADLINE_OVERSTATED\"",
                     "\"invariant\":\"WRITTEN_AGAINST_GUARD\"");
 
     /** Rules that are a matter of time. */
@@ -63,8 +63,8 @@
     /**
      * Something that must never happen and did.
      *
-     * @param isTiming whether it is a matter of time alone, which a machine that is held up can cause
-     *     as well
+     * @param isTiming whether it is a matter of time alone, which a machine that is held up can
+     *     cause as well
      */
     public record Finding(String detail, boolean isTiming) {}
 
@@ -75,13 +75,18 @@
      * @param stolenFraction the part of the processor time that the machine beneath took away
      */
     public record Outcome(
-            Scenario scenario, ScenarioResult result, long stallMillis, double stolenFraction, List<Finding> findings) {
+            Scenario scenario,
+            ScenarioResult result,
+            long stallMillis,
+            double stolenFraction,
+            List<Finding> findings) {
         /** Whether what was found is the program's. */
         public Verdict verdict() {
             if (findings.isEmpty()) {
                 return Verdict.KEPT;
             }
-            boolean wasStalled = stallMillis >= STALLED_MILLIS || stolenFraction >= STOLEN_FRACTION_LIMIT;
+            boolean wasStalled =
+                    stallMillis >= STALLED_MILLIS || stolenFraction >= STOLEN_FRACTION_LIMIT;
             return wasStalled && findings.stream().allMatch(Finding::isTiming)
                     ? Verdict.UNDECIDED
                     : Verdict.BROKEN;
@@ -91,10 +96,11 @@
     private SoakRun() {}
 
     /**
-     * Plays a day. {@code directory}: where the balancers keep their files; {@code lines}: hears what
-     * happens.
+     * Plays a day. {@code directory}: where the balancers keep their files; {@code lines}: hears
+     * what happens.
      */
-    public static Outcome run(Scenario scenario, Path directory, BalancerCommand program, Consumer<String> lines)
+    public static Outcome run(
+            Scenario scenario, Path directory, BalancerCommand program, Consumer<String> lines)
             throws IOException, InterruptedException {
         List<Finding> findings = new ArrayList<>();
         MachineLoad load = MachineLoad.start();
--- a/rig/src/main/java/frostrelay/rig/wire/MetaMessage.java
+++ b/testbed/src/main/java/frostrelay/testbed/wire/MetaMessage.java
@@ -1,4 +1,4 @@
-package frostrelay.rig.wire;
+package frostrelay.testbed.wire;
 
 import java.util.List;
 
