--- a/cli/src/main/java/frostrelay/cli/LabAccuracy.java
+++ b/cli/src/main/java/frostrelay/cli/AccuracyCommand.java
@@ -33,7 +33,7 @@
             "Plays days on the stand-ins with real balancers and on the emulator, and says how far apart they are.",
             "Exits with 1 if served in time differs by more than 0.05, p99 by more than 25%% or copies by more than 20%%."
         })
-final class LabAccuracy implements Callable<Integer> {
+final class AccuracyCommand implements Callable<Integer> {
     private static final double MAX_SERVED_DIFFERENCE = 0.05;
     private static final double MAX_P99_DIFFERENCE = 0.25;
     private static final double MAX_HEDGING_DIFFERENCE = 0.2;
@@ -59,7 +59,7 @@
         boolean withinBounds = true;
         for (Path file : files) {
             Scenario scenario = ScenarioFile.read(file);
-            SystemModel plant = plant(scenario);
+            SystemModel model = toSystemModel(scenario);
             List<ScenarioResult> real = new ArrayList<>();
             for (int i = 0; i < Math.max(1, runs); i++) {
                 Path folder = Checkout.folder();
@@ -78,7 +78,7 @@
             List<Emulation.Result> emulated =
                     IntStream.range(0, 8)
                             .parallel()
-                            .mapToObj(i -> Emulation.simulate(plant.withSeed(scenario.seed() + i)))
+                            .mapToObj(i -> Emulation.simulate(model.withSeed(scenario.seed() + i)))
                             .toList();
             Map<String, Object> row = new LinkedHashMap<>();
             row.put("file", file.toString());
@@ -143,9 +143,9 @@
         return withinBounds ? 0 : 1;
     }
 
-    private SystemModel plant(Scenario day) {
+    private SystemModel toSystemModel(Scenario scenario) {
         try {
-            return ScenarioModel.of(day);
+            return ScenarioModel.of(scenario);
         } catch (IllegalArgumentException e) {
             throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage(), e);
         }
--- a/cli/src/main/java/frostrelay/cli/CheckCommand.java
+++ b/cli/src/main/java/frostrelay/cli/CheckCommand.java
@@ -45,7 +45,7 @@
 
     @Override
     public Integer call() {
-        List<Object> told = new ArrayList<>();
+        List<Object> fileReports = new ArrayList<>();
         StringBuilder text = new StringBuilder();
         boolean good = true;
         for (Path file : files) {
@@ -64,7 +64,7 @@
             if (effective) {
                 one.put("effective", values);
             }
-            told.add(one);
+            fileReports.add(one);
             problems.forEach(problem -> text.append(problem).append(System.lineSeparator()));
             if (problems.isEmpty()) {
                 text.append(file)
@@ -75,7 +75,7 @@
         }
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("good", good);
-        all.put("files", told);
+        all.put("files", fileReports);
         output.result(all, text.toString().stripTrailing());
         return good ? 0 : 1;
     }
--- a/cli/src/main/java/frostrelay/cli/Checkout.java
+++ b/cli/src/main/java/frostrelay/cli/Checkout.java
@@ -18,9 +18,9 @@
 
     /** The root of the checkout: told by the starter, or found above the current folder. */
     static Path root() {
-        String told = System.getProperty(HOME);
-        if (told != null) {
-            return Path.of(told);
+        String configuredHome = System.getProperty(HOME);
+        if (configuredHome != null) {
+            return Path.of(configuredHome);
         }
         for (Path at = Path.of("").toAbsolutePath(); at != null; at = at.getParent()) {
             if (Files.isRegularFile(at.resolve("deploy/balancer.toml"))) {
--- a/cli/src/main/java/frostrelay/cli/ClusterCountersCommand.java
+++ b/cli/src/main/java/frostrelay/cli/ClusterCountersCommand.java
@@ -8,11 +8,11 @@
 
 /** What balancers know of what their tier does together. */
 @Command(
-        name = "counts",
+        name = "cluster-counters",
         mixinStandardHelpOptions = true,
         description = {
             "Asks consoles what all balancers of the tier do together, how many of them that covers and how old it is.",
-            "Exits with 1 if one cannot be asked or keeps no counts. docs/judgements.md says how to read it."
+            "Exits with 1 if one cannot be asked or keeps no counts. docs/health-reports.md says how to read it."
         })
 final class ClusterCountersCommand extends AdminQueryCommand {
     @Override
--- a/cli/src/main/java/frostrelay/cli/DemoCommand.java
+++ b/cli/src/main/java/frostrelay/cli/DemoCommand.java
@@ -33,19 +33,19 @@
 
     @Override
     public Integer call() throws Exception {
-        Scenario day = options.scenario();
+        Scenario scenario = options.scenario();
         Path folder = keep == null ? Checkout.folder() : keep;
         try {
             output.progress(
                     String.format(
                             java.util.Locale.ROOT,
                             "%d caches, %d balancers, an archive and discovery on loopback; %.0f requests/s for %.0f s",
-                            day.caches(),
-                            day.balancers(),
-                            day.load().requestsPerSecond(),
-                            day.durationNanos() / 1e9));
+                            scenario.caches(),
+                            scenario.balancers(),
+                            scenario.load().requestsPerSecond(),
+                            scenario.durationNanos() / 1e9));
             ScenarioResult result =
-                    ScenarioRun.run(day, folder, Checkout.balancer(), output::progress);
+                    ScenarioRun.run(scenario, folder, Checkout.balancer(), output::progress);
             output.result(result.json(), result.text());
             return result.isSuccessful() ? 0 : 1;
         } finally {
--- a/cli/src/main/java/frostrelay/cli/LabSpeed.java
+++ b/cli/src/main/java/frostrelay/cli/EmulatorSpeedCommand.java
@@ -25,7 +25,7 @@
         description = {
             "Measures how many requests a second one core emulates, with the decision module and with one that only passes on."
         })
-final class LabSpeed implements Callable<Integer> {
+final class EmulatorSpeedCommand implements Callable<Integer> {
     private static final double NANOS_PER_SECOND = 1e9;
 
     @Mixin private Output output;
@@ -43,31 +43,31 @@
 
     @Override
     public Integer call() {
-        Map<String, Object> told = new LinkedHashMap<>();
+        Map<String, Object> speeds = new LinkedHashMap<>();
         StringBuilder text = new StringBuilder();
         for (Path file : files) {
-            SystemModel plant = SystemModelFile.read(file);
-            told.put(
+            SystemModel model = SystemModelFile.read(file);
+            speeds.put(
                     file.toString(),
                     Map.of(
                             "module",
-                            speed(file, "with the module", plant, Emulation::simulate, text),
+                            speed(file, "with the module", model, Emulation::simulate, text),
                             "plain",
                             speed(
                                     file,
                                     "without it",
-                                    plant,
+                                    model,
                                     Emulation::simulateSingleAttempt,
                                     text)));
         }
-        output.result(told, text.toString().stripTrailing());
+        output.result(speeds, text.toString().stripTrailing());
         return 0;
     }
 
     private Map<String, Object> speed(
             Path file,
             String how,
-            SystemModel plant,
+            SystemModel model,
             Function<SystemModel, Emulation.Result> play,
             StringBuilder text) {
         int days = Math.max(2, runs);
@@ -75,13 +75,13 @@
         double[] events = new double[days];
         for (int i = 0; i <= days; i++) {
             output.progress(file + " " + how + ": day " + i + " of " + days);
-            Emulation.Result day = play.apply(plant.withSeed(plant.seed() + i));
+            Emulation.Result run = play.apply(model.withSeed(model.seed() + i));
             if (i > 0) {
-                requests[i - 1] = day.receivedRequests() * NANOS_PER_SECOND / day.wallNanos();
-                events[i - 1] = day.executedEvents() * NANOS_PER_SECOND / day.wallNanos();
+                requests[i - 1] = run.receivedRequests() * NANOS_PER_SECOND / run.wallNanos();
+                events[i - 1] = run.executedEvents() * NANOS_PER_SECOND / run.wallNanos();
             }
         }
-        Interval taken = Interval.of(requests);
+        Interval elapsedNanos = Interval.of(requests);
         Interval happened = Interval.of(events);
         text.append(
                 String.format(
@@ -89,10 +89,10 @@
                         "%s %s: %.0f ± %.0f thousand requests a second, %.1f ± %.1f million events%n",
                         file,
                         how,
-                        taken.mean() / 1e3,
-                        taken.halfWidth() / 1e3,
+                        elapsedNanos.mean() / 1e3,
+                        elapsedNanos.halfWidth() / 1e3,
                         happened.mean() / 1e6,
                         happened.halfWidth() / 1e6));
-        return Map.of("requestsPerSecond", taken.mean(), "eventsPerSecond", happened.mean());
+        return Map.of("requestsPerSecond", elapsedNanos.mean(), "eventsPerSecond", happened.mean());
     }
 }
--- a/cli/src/main/java/frostrelay/cli/LabCompare.java
+++ b/cli/src/main/java/frostrelay/cli/ExperimentCompareCommand.java
@@ -26,7 +26,7 @@
                     + " Student's t with Holm's correction over all that is compared.",
             "Exits with 1 if the two have no days in common."
         })
-final class LabCompare implements Callable<Integer> {
+final class ExperimentCompareCommand implements Callable<Integer> {
     @Mixin private Output output;
 
     @Parameters(index = "0", paramLabel = "FIRST")
@@ -43,7 +43,7 @@
         List<Difference> differences =
                 Comparison.of(ResultsFile.read(first), ResultsFile.read(second));
         StringBuilder text = new StringBuilder();
-        List<Object> told = new ArrayList<>();
+        List<Object> reportedDifferences = new ArrayList<>();
         for (Difference one : differences) {
             if (all || one.isSignificant()) {
                 text.append(
@@ -65,7 +65,7 @@
                 each.put("half", one.difference().halfWidth());
                 each.put("chance", one.pValue());
                 each.put("beyondChance", one.isSignificant());
-                told.add(each);
+                reportedDifferences.add(each);
             }
         }
         long beyond = differences.stream().filter(Difference::isSignificant).count();
@@ -76,7 +76,9 @@
                                 + " of "
                                 + differences.size()
                                 + " comparisons differ beyond chance");
-        output.result(Map.of("compared", differences.size(), "differences", told), text.toString());
+        output.result(
+                Map.of("compared", differences.size(), "differences", reportedDifferences),
+                text.toString());
         return differences.isEmpty() ? 1 : 0;
     }
 }
--- a/cli/src/main/java/frostrelay/cli/LabReport.java
+++ b/cli/src/main/java/frostrelay/cli/ExperimentReportCommand.java
@@ -20,7 +20,7 @@
         description =
                 "Writes an HTML page with plots, that needs no other file, and a summary in Markdown beside the results; of a run that"
                         + " goes on as well.")
-final class LabReport implements Callable<Integer> {
+final class ExperimentReportCommand implements Callable<Integer> {
     @Mixin private Output output;
 
     @Parameters(paramLabel = "RESULTS")
@@ -28,8 +28,8 @@
 
     @Override
     public Integer call() throws Exception {
-        ResultsFile.StoredResults held = ResultsFile.read(results);
-        output.result(write(held, results).figures(), where(results));
+        ResultsFile.StoredResults storedResults = ResultsFile.read(results);
+        output.result(write(storedResults, results).figures(), where(results));
         return 0;
     }
 
@@ -37,8 +37,8 @@
     record Written(String markdown, Map<String, Object> figures) {}
 
     /** Writes both pages beside a file of results. */
-    static Written write(ResultsFile.StoredResults held, Path results) throws IOException {
-        Page page = new Page(held);
+    static Written write(ResultsFile.StoredResults storedResults, Path results) throws IOException {
+        Page page = new Page(storedResults);
         String markdown = page.markdown();
         Files.writeString(beside(results, ".html"), page.html());
         Files.writeString(beside(results, ".md"), markdown);
--- a/cli/src/main/java/frostrelay/cli/LabRun.java
+++ b/cli/src/main/java/frostrelay/cli/ExperimentRunCommand.java
@@ -27,7 +27,7 @@
                     + " interrupted goes on where it was. Ends in a report beside the results.",
             "Exits with 1 if a rule was broken on any day."
         })
-final class LabRun implements Callable<Integer> {
+final class ExperimentRunCommand implements Callable<Integer> {
     private static final double NANOS_PER_SECOND = 1e9;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -75,7 +75,7 @@
             ExperimentRunner.run(
                     experiment,
                     file,
-                    LabCommand.threads(threads),
+                    ExperimentCommand.threads(threads),
                     (done, most) -> {
                         double left =
                                 (System.nanoTime() - start)
@@ -91,16 +91,22 @@
                                         done <= before ? 0 : left));
                     });
         }
-        ResultsFile.StoredResults held = ResultsFile.read(results);
-        LabReport.Written report = LabReport.write(held, results);
+        ResultsFile.StoredResults storedResults = ResultsFile.read(results);
+        ExperimentReportCommand.Written report =
+                ExperimentReportCommand.write(storedResults, results);
         double took = (System.nanoTime() - start) / NANOS_PER_SECOND;
         report.figures().put("seconds", took);
         output.result(
                 report.figures(),
                 report.markdown()
                         + String.format(
-                                Locale.ROOT, "%n%.1f s; %s", took, LabReport.where(results)));
-        return held.allResults().stream().allMatch(day -> day.violationCount() == 0) ? 0 : 1;
+                                Locale.ROOT,
+                                "%n%.1f s; %s",
+                                took,
+                                ExperimentReportCommand.where(results)));
+        return storedResults.allResults().stream().allMatch(day -> day.violationCount() == 0)
+                ? 0
+                : 1;
     }
 
     private Experiment experiment() {
--- a/cli/src/main/java/frostrelay/cli/LabHunt.java
+++ b/cli/src/main/java/frostrelay/cli/FaultSearchCommand.java
@@ -29,20 +29,20 @@
         description =
                 "Searches for faults after which a plant misses a goal: at random, then by small changes to the worst; each find is"
                         + " made as small as it can be and kept as a plant that 'lab replay' plays again.")
-final class LabHunt implements Callable<Integer> {
+final class FaultSearchCommand implements Callable<Integer> {
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Mixin private Output output;
 
     @Parameters(paramLabel = "PLANT")
-    private Path plant;
+    private Path modelFile;
 
     @Option(
             names = "--goal",
             paramLabel = "GOAL",
             defaultValue = "afterwards >= 0.9",
             description = "What must hold (${DEFAULT-VALUE}).")
-    private String goal;
+    private String objective;
 
     @Option(
             names = "--tries",
@@ -87,33 +87,33 @@
         Objective what;
         List<FaultSearch.Finding> found;
         try {
-            what = Objective.parse(goal);
+            what = Objective.parse(objective);
             found =
                     FaultSearch.run(
-                            SystemModelFile.read(plant),
+                            SystemModelFile.read(modelFile),
                             what,
                             Math.max(1, tries),
                             Math.max(1, count),
                             Math.max(1, seeds),
                             seed,
-                            LabCommand.threads(threads),
+                            ExperimentCommand.threads(threads),
                             output::progress);
         } catch (IllegalArgumentException e) {
             throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage(), e);
         }
         Files.createDirectories(keep);
-        String name = ExperimentFile.name(plant);
-        List<Object> told = new ArrayList<>();
+        String name = ExperimentFile.name(modelFile);
+        List<Object> reportedFaults = new ArrayList<>();
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < found.size(); i++) {
             FaultSearch.Finding one = found.get(i);
             Path file = keep.resolve(name + "-" + (i + 1) + ".toml");
-            RegressionRuns.write(plant, file, what, one);
+            RegressionRuns.write(modelFile, file, what, one);
             Map<String, Object> each = new LinkedHashMap<>();
             each.put("file", file.toString());
             each.put("faults", FaultFormat.describe(one.faults()));
             each.put(what.metric(), one.value());
-            told.add(each);
+            reportedFaults.add(each);
             text.append(
                     String.format(
                             Locale.ROOT,
@@ -130,7 +130,7 @@
                                             .append(System.lineSeparator()));
         }
         text.append(found.size()).append(" kept, goal ").append(what);
-        output.result(Map.of("goal", what.toString(), "found", told), text.toString());
+        output.result(Map.of("goal", what.toString(), "found", reportedFaults), text.toString());
         return 0;
     }
 }
--- a/cli/src/main/java/frostrelay/cli/LabFleet.java
+++ b/cli/src/main/java/frostrelay/cli/FleetExperimentCommand.java
@@ -31,7 +31,7 @@
                     + " module. Prints a line a day; ends in a report with heat maps of balancers and caches.",
             "Exits with 1 if a rule was broken on any day."
         })
-final class LabFleet implements Callable<Integer> {
+final class FleetExperimentCommand implements Callable<Integer> {
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Mixin private Output output;
@@ -67,12 +67,12 @@
             ExperimentRunner.run(
                     experiment,
                     file,
-                    LabCommand.threads(threads),
+                    ExperimentCommand.threads(threads),
                     (done, total) -> output.progress(done + " of " + total + " days"));
         }
         ResultsFile.StoredResults results = ResultsFile.read(out);
-        LabReport.Written report = LabReport.write(results, out);
-        output.result(report.figures(), lines(results) + LabReport.where(out));
+        ExperimentReportCommand.Written report = ExperimentReportCommand.write(results, out);
+        output.result(report.figures(), lines(results) + ExperimentReportCommand.where(out));
         return results.allResults().stream().allMatch(scenario -> scenario.violationCount() == 0)
                 ? 0
                 : 1;
--- a/cli/src/main/java/frostrelay/cli/LabGossip.java
+++ b/cli/src/main/java/frostrelay/cli/GossipExperimentCommand.java
@@ -25,7 +25,7 @@
         description = {
             "Plays tiers of balancers that talk, in simulated time: how soon a change is known everywhere, false suspicions, bytes."
         })
-final class LabGossip implements Callable<Integer> {
+final class GossipExperimentCommand implements Callable<Integer> {
     @Mixin private Output output;
 
     @Option(
--- a/cli/src/main/java/frostrelay/cli/HealthReportsCommand.java
+++ b/cli/src/main/java/frostrelay/cli/HealthReportsCommand.java
@@ -8,11 +8,11 @@
 
 /** What balancers say of caches, and what each makes of it, by their own consoles. */
 @Command(
-        name = "judgements",
+        name = "health-reports",
         mixinStandardHelpOptions = true,
         description = {
             "Asks consoles what others say of each cache, how old that is, and what each balancer makes of it.",
-            "Exits with 1 if one cannot be asked or keeps no judgements. docs/judgements.md says how to read it."
+            "Exits with 1 if one cannot be asked or keeps no judgements. docs/health-reports.md says how to read it."
         })
 final class HealthReportsCommand extends AdminQueryCommand {
     @Override
--- a/cli/src/main/java/frostrelay/cli/LabHealthReports.java
+++ b/cli/src/main/java/frostrelay/cli/HealthReportsExperimentCommand.java
@@ -27,7 +27,7 @@
         description = {
             "Plays tiers of balancers that tell each other what they see of caches, in simulated time."
         })
-final class LabHealthReports implements Callable<Integer> {
+final class HealthReportsExperimentCommand implements Callable<Integer> {
     @Mixin private Output output;
 
     @Option(
--- a/cli/src/main/java/frostrelay/cli/LoadCommand.java
+++ b/cli/src/main/java/frostrelay/cli/LoadCommand.java
@@ -60,53 +60,54 @@
         }
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try {
-            ClientStatistics tally = new ClientStatistics();
+            ClientStatistics statistics = new ClientStatistics();
             OpenLoopClients load =
                     new OpenLoopClients(
                             day,
                             new RoundRobinFrontend(addresses),
                             group.next(),
                             ClientObserver.NONE,
-                            tally);
+                            statistics);
             Future<ClientStatistics> done = load.run();
             while (!done.await(1, TimeUnit.SECONDS)) {
-                ClientStatistics.Recent recent = tally.recent();
+                ClientStatistics.Recent recent = statistics.recent();
                 output.progress(
                         String.format(
                                 Locale.ROOT,
                                 "%6d asked  %5d/s  in time %5.1f%%  p50 %.1f ms  p99 %.1f ms",
-                                tally.requests(),
+                                statistics.requests(),
                                 recent.completed(),
                                 100.0 * recent.inTime() / Math.max(1, recent.completed()),
                                 recent.p50Ms(),
                                 recent.p99Ms()));
             }
             Map<String, Object> figures = new LinkedHashMap<>();
-            figures.put("asked", tally.requests());
-            figures.put("tries", tally.attempts());
+            figures.put("asked", statistics.requests());
+            figures.put("tries", statistics.attempts());
             for (ClientStatistics.Outcome end : ClientStatistics.Outcome.values()) {
-                figures.put(end.name().toLowerCase(Locale.ROOT), tally.count(end));
+                figures.put(end.name().toLowerCase(Locale.ROOT), statistics.count(end));
             }
-            figures.put("wrong", tally.wrongResponses());
-            figures.put("p50Ms", tally.latencyMillis(50));
-            figures.put("p99Ms", tally.latencyMillis(99));
-            figures.put("classes", tally.byClass());
+            figures.put("wrong", statistics.wrongResponses());
+            figures.put("p50Ms", statistics.latencyMillis(50));
+            figures.put("p99Ms", statistics.latencyMillis(99));
+            figures.put("classes", statistics.byClass());
             output.result(
                     figures,
                     String.format(
                             Locale.ROOT,
                             "%,d requests: %d in time, %d late, %d refused, %d failed, %d lost,"
                                     + " %d wrong; p50 %.1f ms, p99 %.1f ms",
-                            tally.requests(),
-                            tally.count(ClientStatistics.Outcome.IN_TIME),
-                            tally.count(ClientStatistics.Outcome.LATE),
-                            tally.count(ClientStatistics.Outcome.REFUSED),
-                            tally.count(ClientStatistics.Outcome.FAILED),
-                            tally.count(ClientStatistics.Outcome.LOST),
-                            tally.wrongResponses(),
-                            tally.latencyMillis(50),
-                            tally.latencyMillis(99)));
-            return tally.wrongResponses() == 0 && tally.count(ClientStatistics.Outcome.LOST) == 0
+                            statistics.requests(),
+                            statistics.count(ClientStatistics.Outcome.IN_TIME),
+                            statistics.count(ClientStatistics.Outcome.LATE),
+                            statistics.count(ClientStatistics.Outcome.REFUSED),
+                            statistics.count(ClientStatistics.Outcome.FAILED),
+                            statistics.count(ClientStatistics.Outcome.LOST),
+                            statistics.wrongResponses(),
+                            statistics.latencyMillis(50),
+                            statistics.latencyMillis(99)));
+            return statistics.wrongResponses() == 0
+                            && statistics.count(ClientStatistics.Outcome.LOST) == 0
                     ? 0
                     : 1;
         } finally {
--- a/cli/src/main/java/frostrelay/cli/Main.java
+++ b/cli/src/main/java/frostrelay/cli/Main.java
@@ -8,7 +8,7 @@
 @Command(
         name = "frostrelay",
         mixinStandardHelpOptions = true,
-        version = "frostrelay 0.7.0",
+        version = "frostrelay 0.8.0",
         description = "A balancer for fleets of caches, with a fleet of stand-ins to try it on.",
         synopsisSubcommandLabel = "COMMAND",
         footerHeading = "%nExit codes:%n",
@@ -27,7 +27,7 @@
             StaleInstancesCommand.class,
             HealthReportsCommand.class,
             ClusterCountersCommand.class,
-            LabCommand.class,
+            ExperimentCommand.class,
             RelayCommand.class,
             AutoComplete.GenerateCompletion.class,
             CommandLine.HelpCommand.class
@@ -50,6 +50,10 @@
                 .getCommandSpec()
                 .usageMessage()
                 .hidden(true);
+        addFormerName(line, "stragglers", new StaleInstancesCommand());
+        addFormerName(line, "judgements", new HealthReportsCommand());
+        addFormerName(line, "counts", new ClusterCountersCommand());
+        addFormerName(line, "lab", new ExperimentCommand());
         // One plain line for what went wrong; a trace helps nobody who has only the program.
         line.setExecutionExceptionHandler(
                 (e, command, parsed) -> {
@@ -66,6 +70,13 @@
         return line;
     }
 
+    /** Keeps a command's former name usable without listing it in the help. */
+    private static void addFormerName(CommandLine line, String name, Object command) {
+        CommandLine alias = new CommandLine(command);
+        alias.getCommandSpec().name(name).usageMessage().hidden(true);
+        line.addSubcommand(name, alias);
+    }
+
     @Override
     public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
--- a/cli/src/main/java/frostrelay/cli/LabReplay.java
+++ b/cli/src/main/java/frostrelay/cli/ReplayCommand.java
@@ -21,7 +21,7 @@
             "Plays days that a hunt found and checks what must hold of each ([kept] must).",
             "Exits with 1 if one does not hold, or a rule is broken."
         })
-final class LabReplay implements Callable<Integer> {
+final class ReplayCommand implements Callable<Integer> {
     @Mixin private Output output;
 
     @Parameters(arity = "1..*", paramLabel = "FILE")
@@ -29,13 +29,13 @@
 
     @Override
     public Integer call() {
-        Map<String, Object> told = new LinkedHashMap<>();
+        Map<String, Object> reportedRuns = new LinkedHashMap<>();
         StringBuilder text = new StringBuilder();
         boolean good = true;
         for (Path file : files) {
             RegressionRuns.ReplayResult one = RegressionRuns.replay(file);
             good &= one.hasPassed();
-            told.put(
+            reportedRuns.put(
                     file.toString(),
                     Map.of(
                             "value",
@@ -57,7 +57,7 @@
                             one.shortfall() > 0 ? ": MISSED" : "",
                             one.violationCount() > 0 ? ": RULES BROKEN" : ""));
         }
-        output.result(Map.of("good", good, "days", told), text.toString().stripTrailing());
+        output.result(Map.of("good", good, "days", reportedRuns), text.toString().stripTrailing());
         return good ? 0 : 1;
     }
 }
--- a/cli/src/main/java/frostrelay/cli/ScenarioModel.java
+++ b/cli/src/main/java/frostrelay/cli/ScenarioModel.java
@@ -2,7 +2,7 @@
 
 import frostrelay.emulator.SystemModel;
 import frostrelay.policy.api.Idempotency;
-import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.InvariantChecker;
 import frostrelay.testbed.scenario.ClassSpec;
 import frostrelay.testbed.scenario.FaultKind;
 import frostrelay.testbed.scenario.FaultSpec;
@@ -138,7 +138,7 @@
                 faults);
     }
 
-    private static Idempotency effect(Referee.Effect effect) {
+    private static Idempotency effect(InvariantChecker.Effect effect) {
         return switch (effect) {
             case IDEMPOTENT -> Idempotency.IDEMPOTENT;
             case IDEMPOTENT_BY_KEY -> Idempotency.IDEMPOTENCY_KEY;
--- a/cli/src/main/java/frostrelay/cli/SoakCommand.java
+++ b/cli/src/main/java/frostrelay/cli/SoakCommand.java
@@ -78,17 +78,19 @@
                             + ", allowed: 0 to "
                             + SoakPlan.MAX_BALANCERS);
         }
-        Map<SoakRun.Verdict, Integer> verdicts = new EnumMap<>(SoakRun.Verdict.class);
+        Map<SoakRun.Verdict, Integer> outcomeCounts = new EnumMap<>(SoakRun.Verdict.class);
         long requests = 0;
         List<Map<String, Object>> plays = new ArrayList<>();
         for (long seed = seeds.first(); seed <= seeds.last(); seed++) {
             SoakRun.Outcome outcome = playUntilDecided(seed, plays);
-            verdicts.merge(outcome.verdict(), 1, Integer::sum);
+            outcomeCounts.merge(outcome.verdict(), 1, Integer::sum);
             requests += outcome.result().statistics().requests();
         }
         Map<String, Object> all = new LinkedHashMap<>();
         for (SoakRun.Verdict verdict : SoakRun.Verdict.values()) {
-            all.put(verdict.name().toLowerCase(Locale.ROOT), verdicts.getOrDefault(verdict, 0));
+            all.put(
+                    verdict.name().toLowerCase(Locale.ROOT),
+                    outcomeCounts.getOrDefault(verdict, 0));
         }
         all.put("requests", requests);
         all.put("each", plays);
@@ -98,10 +100,10 @@
                         Locale.ROOT,
                         "%,d requests; seeds by their last play: %d kept, %d undecided, %d broken",
                         requests,
-                        verdicts.getOrDefault(SoakRun.Verdict.KEPT, 0),
-                        verdicts.getOrDefault(SoakRun.Verdict.UNDECIDED, 0),
-                        verdicts.getOrDefault(SoakRun.Verdict.BROKEN, 0)));
-        return verdicts.keySet().equals(EnumSet.of(SoakRun.Verdict.KEPT)) ? 0 : 1;
+                        outcomeCounts.getOrDefault(SoakRun.Verdict.KEPT, 0),
+                        outcomeCounts.getOrDefault(SoakRun.Verdict.UNDECIDED, 0),
+                        outcomeCounts.getOrDefault(SoakRun.Verdict.BROKEN, 0)));
+        return outcomeCounts.keySet().equals(EnumSet.of(SoakRun.Verdict.KEPT)) ? 0 : 1;
     }
 
     /**
--- a/cli/src/main/java/frostrelay/cli/StaleInstancesCommand.java
+++ b/cli/src/main/java/frostrelay/cli/StaleInstancesCommand.java
@@ -8,11 +8,11 @@
 
 /** Which balancers lag behind, by their own consoles. */
 @Command(
-        name = "stragglers",
+        name = "stale-instances",
         mixinStandardHelpOptions = true,
         description = {
             "Asks consoles how each balancer stands to the others: what it acts on, what it avoids on their word, whether it is aside.",
-            "Exits with 1 if one is a straggler, stays behind, or cannot be asked. docs/stragglers.md says what to do with one."
+            "Exits with 1 if one is a straggler, stays behind, or cannot be asked. docs/staleness.md says what to do with one."
         })
 final class StaleInstancesCommand extends AdminQueryCommand {
     private static final List<String> SHOWN_FIELDS =
--- a/cli/src/test/java/frostrelay/cli/CommandLineTest.java
+++ b/cli/src/test/java/frostrelay/cli/CommandLineTest.java
@@ -80,7 +80,22 @@
         assertEquals(2, run("load", "127.0.0.1:99999").exitCode);
         assertEquals(2, run("check").exitCode);
         for (String command :
-                List.of("demo", "serve", "check", "fleet", "load", "fault", "bench", "lab")) {
+                List.of(
+                        "demo",
+                        "serve",
+                        "check",
+                        "fleet",
+                        "load",
+                        "fault",
+                        "bench",
+                        "lab",
+                        "experiment",
+                        "stragglers",
+                        "stale-instances",
+                        "judgements",
+                        "health-reports",
+                        "counts",
+                        "cluster-counters")) {
             CommandResult help = run(command, "--help");
             assertEquals(0, help.exitCode);
             assertTrue(help.out.contains("Usage: frostrelay " + command), help.out);
--- a/emulator/src/main/java/frostrelay/experiment/FaultSearch.java
+++ b/emulator/src/main/java/frostrelay/experiment/FaultSearch.java
@@ -82,18 +82,19 @@
      * IllegalArgumentException} if the plant misses the goal without any.
      */
     public static List<Finding> run(
-            SystemModel plant,
-            Objective goal,
+            SystemModel model,
+            Objective objective,
             int tries,
             int keep,
             int seeds,
             long seed,
             int threads,
-            Consumer<String> told)
+            Consumer<String> progress)
             throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
-            return new FaultSearch(plant.withFaults(List.of()), goal, seeds, seed, pool, told)
+            return new FaultSearch(
+                            model.withFaults(List.of()), objective, seeds, seed, pool, progress)
                     .run(tries, keep);
         } catch (ExecutionException e) {
             throw new IllegalStateException("a day could not be played", e.getCause());
@@ -103,13 +104,13 @@
     }
 
     private List<Finding> run(int tries, int keep) throws InterruptedException, ExecutionException {
-        Candidate quiet = evaluate(List.of(List.of())).get(0);
-        if (quiet.shortfall > 0) {
+        Candidate faultFree = evaluate(List.of(List.of())).get(0);
+        if (faultFree.shortfall > 0) {
             throw new IllegalArgumentException(
                     "without any fault the plant misses the goal "
                             + objective
                             + " already: "
-                            + quiet.value);
+                            + faultFree.value);
         }
         List<List<Fault>> first = new ArrayList<>();
         for (int i = 0; i < tries; i++) {
--- a/emulator/src/main/java/frostrelay/experiment/Metrics.java
+++ b/emulator/src/main/java/frostrelay/experiment/Metrics.java
@@ -55,7 +55,7 @@
      * Of a day. {@code recovery}: seconds until service is back, counted as all that is left if it
      * is not.
      */
-    public static Map<String, Double> of(SystemModel plant, Result result) {
+    public static Map<String, Double> of(SystemModel model, Result result) {
         RunStatistics figures = result.statistics();
         Map<String, Double> metrics = new LinkedHashMap<>();
         metrics.put("service", figures.inTimeFraction());
@@ -76,10 +76,10 @@
                 HANDSHAKE_PRICE * result.perRequest(result.handshakes())
                         + LIST_PRICE * result.perRequest(result.listEntriesSent())
                         + WASTE_PRICE * result.wastedWorkFraction());
-        if (!plant.faults().isEmpty()) {
+        if (!model.faults().isEmpty()) {
             int firstFaultSecond =
                     (int)
-                            (plant.faults().stream()
+                            (model.faults().stream()
                                             .mapToLong(SystemModel.Fault::startNanos)
                                             .min()
                                             .orElse(0)
@@ -88,7 +88,7 @@
                     (int)
                             Math.min(
                                     figures.seconds(),
-                                    (faultsEndNanos(plant) + NANOS_PER_SECOND - 1)
+                                    (faultsEndNanos(model) + NANOS_PER_SECOND - 1)
                                             / NANOS_PER_SECOND);
             int recoverySeconds = result.recoverySeconds(firstFaultSecond, faultsEndSecond);
             metrics.put(
@@ -113,8 +113,8 @@
     }
 
     /** When the last fault is over, in nanoseconds from the day's start. */
-    private static long faultsEndNanos(SystemModel plant) {
-        return plant.faults().stream()
+    private static long faultsEndNanos(SystemModel model) {
+        return model.faults().stream()
                 .mapToLong(fault -> fault.startNanos() + fault.durationNanos())
                 .max()
                 .orElse(0);
--- a/emulator/src/main/java/frostrelay/experiment/RegressionRuns.java
+++ b/emulator/src/main/java/frostrelay/experiment/RegressionRuns.java
@@ -28,19 +28,19 @@
      * Writes a day: the plant without its own faults, what was found, and the goal as what must
      * hold.
      */
-    public static void write(Path plant, Path file, Objective goal, FaultSearch.Finding found)
+    public static void write(Path model, Path file, Objective objective, FaultSearch.Finding found)
             throws IOException {
         TableValues values =
-                TomlFile.read(plant, SystemModelFile.schema())
+                TomlFile.read(model, SystemModelFile.schema())
                         .without("fault")
-                        .with("seed", String.valueOf(found.seed()), plant.toString(), 0)
-                        .with("kept.goal", goal.toString(), plant.toString(), 0)
+                        .with("seed", String.valueOf(found.seed()), model.toString(), 0)
+                        .with("kept.goal", objective.toString(), model.toString(), 0)
                         .with(
                                 "kept.found",
                                 String.format(Locale.ROOT, "%.4f", found.value()),
-                                plant.toString(),
+                                model.toString(),
                                 0)
-                        .with("kept.must", goal.toString(), plant.toString(), 0);
+                        .with("kept.must", objective.toString(), model.toString(), 0);
         StringBuilder text = new StringBuilder("# Found by a hunt:\n");
         FaultFormat.describe(found.faults())
                 .forEach(fault -> text.append("#   ").append(fault).append('\n'));
--- a/emulator/src/main/java/frostrelay/experiment/ResultsFile.java
+++ b/emulator/src/main/java/frostrelay/experiment/ResultsFile.java
@@ -61,8 +61,8 @@
     private final NavigableMap<Key, RunResult> results = new TreeMap<>();
 
     private record Key(int point, long seed) implements Comparable<Key> {
-        Key(RunResult day) {
-            this(day.point(), day.seed());
+        Key(RunResult result) {
+            this(result.point(), result.seed());
         }
 
         @Override
--- a/emulator/src/main/java/frostrelay/experiment/SystemModelFile.java
+++ b/emulator/src/main/java/frostrelay/experiment/SystemModelFile.java
@@ -436,7 +436,7 @@
         if (!problems.isEmpty()) {
             throw new BadConfigException(problems);
         }
-        TableValues plant = values.table("plant");
+        TableValues model = values.table("plant");
         TableValues cache = values.table("cache");
         TableValues origin = values.table("origin");
         TableValues network = values.table("network");
@@ -446,9 +446,9 @@
                 values.whole("seed"),
                 values.whole("settle"),
                 values.whole("length"),
-                (int) plant.whole("balancers"),
-                (int) plant.whole("caches"),
-                (int) plant.whole("zones"),
+                (int) model.whole("balancers"),
+                (int) model.whole("caches"),
+                (int) model.whole("zones"),
                 new SystemModel.Cache(
                         (int) cache.whole("cores"),
                         (int) cache.whole("queue"),
@@ -493,13 +493,13 @@
                         clients.bool("come-again"),
                         clients.number("skew")),
                 new SystemModel.Balancer(
-                        plant.whole("balancer-cost"),
-                        (int) plant.whole("max-attempts"),
-                        plant.bool("hedges")),
+                        model.whole("balancer-cost"),
+                        (int) model.whole("max-attempts"),
+                        model.bool("hedges")),
                 new SystemModel.Discovery(
-                        plant.whole("discovery-lateness"),
-                        plant.number("discovery-calls"),
-                        plant.whole("discovery-patience")),
+                        model.whole("discovery-lateness"),
+                        model.number("discovery-calls"),
+                        model.whole("discovery-patience")),
                 tenants,
                 classes,
                 faults);
--- a/testbed/src/main/java/frostrelay/testbed/bench/Bench.java
+++ b/testbed/src/main/java/frostrelay/testbed/bench/Bench.java
@@ -6,7 +6,7 @@
 import frostrelay.testbed.fleet.BalancerConfig;
 import frostrelay.testbed.fleet.BalancerProcess;
 import frostrelay.testbed.fleet.ChildProcesses;
-import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.InvariantChecker;
 import frostrelay.testbed.scenario.ClassSpec;
 import frostrelay.testbed.scenario.Scenario;
 import frostrelay.testbed.scenario.ScenarioFile;
@@ -280,7 +280,7 @@
     private Target balancer(String name, BalancerCommand program, Path folder)
             throws IOException, InterruptedException {
         Scenario demo = ScenarioFile.demo().withoutFaults();
-        Scenario day =
+        Scenario scenario =
                 new Scenario(
                         1,
                         demo.durationNanos(),
@@ -301,16 +301,16 @@
                                         MILLIS_PER_SECOND * 1_000_000,
                                         2 * MILLIS_PER_SECOND * 1_000_000,
                                         1,
-                                        Referee.Effect.IDEMPOTENT)),
+                                        InvariantChecker.Effect.IDEMPOTENT)),
                         List.of(new TenantSpec("bench", 1)),
                         List.of());
         EventLoop loop = cacheGroup.next();
         DiscoveryServer discovery =
                 new DiscoveryServer(
                         loop,
-                        new Referee(
-                                new Referee.Bounds(
-                                        Long.MAX_VALUE / 2, 1, day.cache().slowStart(), 1)),
+                        new InvariantChecker(
+                                new InvariantChecker.Bounds(
+                                        Long.MAX_VALUE / 2, 1, scenario.cache().slowStart(), 1)),
                         0);
         Map<String, String> endpoints = new LinkedHashMap<>();
         for (int i = 0; i < CACHE_COUNT; i++) {
@@ -326,7 +326,7 @@
                         folder,
                         listen,
                         BalancerConfig.json(
-                                day,
+                                scenario,
                                 0,
                                 Loopback.text(listen),
                                 Loopback.text(Loopback.port(Loopback.freePort())),
--- a/testbed/src/main/java/frostrelay/testbed/bench/EchoCache.java
+++ b/testbed/src/main/java/frostrelay/testbed/bench/EchoCache.java
@@ -61,12 +61,12 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaMessage message) {
             String line =
-                    message.word(0).equals("mg")
+                    message.token(0).equals("mg")
                             ? "VA " + value.length + " O" + message.flag('O') + " h1"
                             : "MN";
             ctx.write(
                     MetaCodec.encode(
-                            ctx.alloc(), line, message.word(0).equals("mg") ? value : null));
+                            ctx.alloc(), line, message.token(0).equals("mg") ? value : null));
         }
 
         @Override
--- a/testbed/src/main/java/frostrelay/testbed/bench/ReadLoop.java
+++ b/testbed/src/main/java/frostrelay/testbed/bench/ReadLoop.java
@@ -161,7 +161,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, MetaMessage answer) {
             long now = System.nanoTime();
-            boolean right = answer.word(0).equals("VA") && id.equals(answer.flag('O'));
+            boolean right = answer.token(0).equals("VA") && id.equals(answer.flag('O'));
             if (isRecording) {
                 served += right ? 1 : 0;
                 errors += right ? 0 : 1;
--- a/testbed/src/main/java/frostrelay/testbed/cache/CacheServer.java
+++ b/testbed/src/main/java/frostrelay/testbed/cache/CacheServer.java
@@ -1,6 +1,6 @@
 package frostrelay.testbed.cache;
 
-import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.InvariantChecker;
 import frostrelay.testbed.invariants.SlowStartMeter;
 import frostrelay.testbed.origin.OriginClient;
 import frostrelay.testbed.wire.Loopback;
@@ -65,11 +65,11 @@
         }
 
         boolean isWrite() {
-            return command.word(0).equals("ms");
+            return command.token(0).equals("ms");
         }
 
         String key() {
-            return command.word(1);
+            return command.token(1);
         }
     }
 
@@ -78,7 +78,7 @@
     private final EventLoop loop;
     private final OriginClient origin;
     private final DeduplicationWindow deduplicationWindow;
-    private final Referee invariantChecker;
+    private final InvariantChecker invariantChecker;
     private final List<CacheServer> allCaches;
     private final Map<String, InetSocketAddress> listenAddresses = new HashMap<>();
     private final List<Channel> serverChannels = new ArrayList<>();
@@ -109,7 +109,7 @@
             EventLoop loop,
             OriginClient origin,
             DeduplicationWindow deduplicationWindow,
-            Referee invariantChecker,
+            InvariantChecker invariantChecker,
             List<CacheServer> allCaches) {
         this.name = name;
         this.spec = spec;
@@ -203,11 +203,11 @@
                 () -> {
                     shutDown();
                     loop.schedule(
-                            () -> startAgain(started), START_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+                            () -> restartEmpty(started), START_DELAY_MILLIS, TimeUnit.MILLISECONDS);
                 });
     }
 
-    private void startAgain(Runnable started) {
+    private void restartEmpty(Runnable started) {
         reset(true);
         invariantChecker.onCacheStarted(startedAtNanos, name);
         isUnresponsive = false;
@@ -356,7 +356,7 @@
             engine.setSpeed(now, speed(now));
             isWarmingUp = now - startedAtNanos < spec.slowStart().rampNanos();
         }
-        for (Job job : engine.takeFinished(now)) {
+        for (Job job : engine.pollFinished(now)) {
             if (!job.isClientGone || !spec.cancelStops()) {
                 onWorkDone(job);
             }
@@ -414,7 +414,7 @@
         byte[] payload = new byte[head.length + value.length];
         System.arraycopy(head, 0, payload, 0, head.length);
         System.arraycopy(value, 0, payload, head.length, value.length);
-        invariantChecker.onProduced(job.id, Referee.digest(payload));
+        invariantChecker.onProduced(job.id, InvariantChecker.digest(payload));
         job.connection.respond(job, "VA " + payload.length + " O" + job.id + ' ' + flag, payload);
     }
 
@@ -451,7 +451,7 @@
 
     private void sendReceipt(Job job, String receipt) {
         invariantChecker.onProduced(
-                job.id, Referee.digest(receipt.getBytes(StandardCharsets.ISO_8859_1)));
+                job.id, InvariantChecker.digest(receipt.getBytes(StandardCharsets.ISO_8859_1)));
         job.connection.respond(job, "HD O" + job.id + " c" + receipt, null);
     }
 
@@ -490,7 +490,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaMessage message) {
-            switch (message.word(0)) {
+            switch (message.token(0)) {
                 case "mg", "ms" -> {
                     Job job = new Job(this, message);
                     jobs.add(job);
--- a/testbed/src/main/java/frostrelay/testbed/cache/WorkEngine.java
+++ b/testbed/src/main/java/frostrelay/testbed/cache/WorkEngine.java
@@ -82,7 +82,7 @@
     }
 
     /** The jobs that are done by now, in the order in which they ended. */
-    public List<J> takeFinished(long now) {
+    public List<J> pollFinished(long now) {
         advance(now);
         List<J> done = new ArrayList<>();
         for (Iterator<Task<J>> tasks = running.iterator(); tasks.hasNext(); ) {
--- a/testbed/src/main/java/frostrelay/testbed/campaign/AuditCheck.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/AuditCheck.java
@@ -462,14 +462,14 @@
         long first =
                 history.versions().isEmpty() ? 0 : history.versions().keySet().iterator().next();
         if (appliedStamp.sequence() > 0 && appliedStamp.listRev() > first) {
-            boolean told =
-                    history.told().stream()
+            boolean reported =
+                    history.recordNotification().stream()
                             .anyMatch(
                                     one ->
                                             one.balancer().equals(auditRecord.balancer)
                                                     && one.rev() == appliedStamp.listRev()
                                                     && one.atNanos() <= at + CLOCK_TOLERANCE_NANOS);
-            if (!told) {
+            if (!reported) {
                 violation(
                         "stamps",
                         "%s says it acted on list %d at %.3f s and was not told it by then",
@@ -499,16 +499,16 @@
 
     /** What was told to a balancer that nothing hindered it took. */
     private void checkUpdatesApplied(String name, int balancer, List<AuditRecord> auditRecords) {
-        for (EventHistory.EndpointUpdate told : history.told()) {
-            if (!told.balancer().equals(name)
+        for (EventHistory.EndpointUpdate reported : history.recordNotification()) {
+            if (!reported.balancer().equals(name)
                     || !ranThroughout(
-                            balancer, told.atNanos(), told.atNanos() + APPLY_TIMEOUT_NANOS)
+                            balancer, reported.atNanos(), reported.atNanos() + APPLY_TIMEOUT_NANOS)
                     || isDisturbed(
                             FaultEvent.Kind.DISCOVERY_CUT,
                             balancer,
-                            told.atNanos(),
-                            told.atNanos() + APPLY_TIMEOUT_NANOS)
-                    || isDiskUnavailable(balancer, told.atNanos())) {
+                            reported.atNanos(),
+                            reported.atNanos() + APPLY_TIMEOUT_NANOS)
+                    || isDiskUnavailable(balancer, reported.atNanos())) {
                 continue;
             }
             if (auditRecords.stream()
@@ -518,22 +518,23 @@
                                                     .anyMatch(
                                                             appliedStamp ->
                                                                     appliedStamp.listRev()
-                                                                                    >= told.rev()
+                                                                                    >= reported
+                                                                                            .rev()
                                                                             && toTestbedNanos(
                                                                                             auditRecord,
                                                                                             appliedStamp
                                                                                                     .atNanos())
-                                                                                    <= told
+                                                                                    <= reported
                                                                                                     .atNanos()
                                                                                             + APPLY_TIMEOUT_NANOS
                                                                                             + CLOCK_TOLERANCE_NANOS)
-                                            || inGap(auditRecord, told.atNanos()))) {
+                                            || inGap(auditRecord, reported.atNanos()))) {
                 violation(
                         "stamps",
                         "%s was told list %d at %.3f s and by its record did not take it within a second",
                         name,
-                        told.rev(),
-                        told.atNanos() / 1e9);
+                        reported.rev(),
+                        reported.atNanos() / 1e9);
             }
         }
         List<ConfigChange> given =
--- a/testbed/src/main/java/frostrelay/testbed/campaign/CampaignRun.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/CampaignRun.java
@@ -406,16 +406,16 @@
             StaleInstanceCheck further =
                     new StaleInstanceCheck(
                             history, records, names, lookAsideSteps(), check::toTestbedNanos, end);
-            List<Violation> others = further.run();
+            List<Violation> otherBalancers = further.run();
             // Without the part that is looked at, its figures are wanted, not its promises.
-            violations.addAll(OFF.equals(defect) ? List.of() : others);
+            violations.addAll(OFF.equals(defect) ? List.of() : otherBalancers);
             figures.putAll(further.figures());
         }
         if (subject == CampaignSubject.JUDGEMENTS) {
             HealthReportCheck further =
                     new HealthReportCheck(history, names, reportEvents(), beganNanos, end);
-            List<Violation> others = further.run();
-            violations.addAll(OFF.equals(defect) ? List.of() : others);
+            List<Violation> otherBalancers = further.run();
+            violations.addAll(OFF.equals(defect) ? List.of() : otherBalancers);
             figures.putAll(further.figures());
             ClusterCounterCheck counts =
                     new ClusterCounterCheck(history, records, names, check::toTestbedNanos);
@@ -536,9 +536,9 @@
     private List<HealthReportCheck.ReportEvent> reportEvents() throws IOException {
         List<HealthReportCheck.ReportEvent> all = new ArrayList<>();
         for (Logged one : logged("finds-bad", "lowers")) {
-            Set<String> lowered = new HashSet<>();
+            Set<String> downweighted = new HashSet<>();
             if (one.fields.get("caches") instanceof List<?> caches) {
-                caches.forEach(cache -> lowered.add(String.valueOf(cache)));
+                caches.forEach(cache -> downweighted.add(String.valueOf(cache)));
             }
             boolean found = one.event.equals("finds-bad");
             all.add(
@@ -546,7 +546,7 @@
                             one.atNanos,
                             one.balancer,
                             found ? String.valueOf(one.fields.get("cache")) : null,
-                            found ? null : lowered));
+                            found ? null : downweighted));
         }
         return all;
     }
--- a/testbed/src/main/java/frostrelay/testbed/campaign/EventHistory.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/EventHistory.java
@@ -1,6 +1,6 @@
 package frostrelay.testbed.campaign;
 
-import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.InvariantChecker;
 
 import java.io.IOException;
 import java.io.Writer;
@@ -16,7 +16,7 @@
  * Who did what to whom, seen from the stand-ins, on the rig's one clock (nanoseconds from the
  * play's start). Safe for threads.
  */
-public final class EventHistory implements Referee.Watcher {
+public final class EventHistory implements InvariantChecker.Watcher {
     /** A command that came to a cache. */
     public record Command(long atNanos, String cache, String balancer, String id) {}
 
@@ -163,7 +163,7 @@
         return List.copyOf(commands);
     }
 
-    synchronized List<EndpointUpdate> told() {
+    synchronized List<EndpointUpdate> recordNotification() {
         return List.copyOf(endpointUpdates);
     }
 
--- a/testbed/src/main/java/frostrelay/testbed/campaign/ForgedDatagrams.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/ForgedDatagrams.java
@@ -11,7 +11,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * Datagrams that a broken or hostile balancer may send, by the wire form in docs/design/peers.md.
+ * Datagrams that a broken or hostile balancer may send, by the wire form in docs/design/gossip.md.
  */
 final class ForgedDatagrams {
     private ForgedDatagrams() {}
--- a/testbed/src/main/java/frostrelay/testbed/campaign/StaleInstanceCheck.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/StaleInstanceCheck.java
@@ -137,7 +137,7 @@
      */
     private void checkStaleSends() {
         Map<String, List<EventHistory.EndpointUpdate>> updatesByBalancer = new HashMap<>();
-        history.told()
+        history.recordNotification()
                 .forEach(
                         one ->
                                 updatesByBalancer
@@ -231,7 +231,7 @@
      */
     private void checkSendsAfterUpdates() {
         Map<String, List<EventHistory.EndpointUpdate>> updatesByBalancer = new HashMap<>();
-        history.told()
+        history.recordNotification()
                 .forEach(
                         one ->
                                 updatesByBalancer
@@ -398,7 +398,7 @@
     private void checkTraffic() {
         Map<Long, Map<String, String>> versions = history.versions();
         Map<String, List<EventHistory.EndpointUpdate>> updatesByBalancer = new HashMap<>();
-        history.told()
+        history.recordNotification()
                 .forEach(
                         one ->
                                 updatesByBalancer
@@ -558,7 +558,7 @@
         long healed =
                 history.spans().stream().mapToLong(EventHistory.FaultSpan::toNanos).max().orElse(0);
         long first =
-                history.told().stream()
+                history.recordNotification().stream()
                         .filter(one -> one.rev() >= newest)
                         .mapToLong(EventHistory.EndpointUpdate::atNanos)
                         .min()
@@ -566,7 +566,7 @@
         for (String name : names) {
             if (ranThroughout(names.indexOf(name), Math.max(healed, first), endNanos)) {
                 long updatedAtNanos =
-                        history.told().stream()
+                        history.recordNotification().stream()
                                 .filter(one -> one.balancer().equals(name) && one.rev() >= newest)
                                 .mapToLong(EventHistory.EndpointUpdate::atNanos)
                                 .min()
@@ -776,7 +776,7 @@
      */
     private void checkSnapshots() {
         Map<String, List<EventHistory.EndpointUpdate>> updatesByBalancer = new HashMap<>();
-        history.told()
+        history.recordNotification()
                 .forEach(
                         one ->
                                 updatesByBalancer
--- a/testbed/src/main/java/frostrelay/testbed/client/OpenLoopClients.java
+++ b/testbed/src/main/java/frostrelay/testbed/client/OpenLoopClients.java
@@ -1,9 +1,9 @@
 package frostrelay.testbed.client;
 
 import frostrelay.testbed.invariants.ClientObserver;
-import frostrelay.testbed.invariants.Referee;
-import frostrelay.testbed.invariants.Referee.Effect;
-import frostrelay.testbed.invariants.Referee.Outcome;
+import frostrelay.testbed.invariants.InvariantChecker;
+import frostrelay.testbed.invariants.InvariantChecker.Effect;
+import frostrelay.testbed.invariants.InvariantChecker.Outcome;
 import frostrelay.testbed.scenario.ClassSpec;
 import frostrelay.testbed.scenario.Scenario;
 import frostrelay.testbed.wire.MetaCodec;
@@ -312,7 +312,7 @@
         }
 
         void onResponse(MetaMessage response) {
-            switch (response.word(0)) {
+            switch (response.token(0)) {
                 case "VA" ->
                         onServed(
                                 response.data(),
@@ -326,11 +326,11 @@
                             planned.requestClass().isWrite() && receipt != null);
                 }
                 case "SERVER_ERROR" -> {
-                    boolean isRejected = response.word(1).equals("busy");
+                    boolean isRejected = response.token(1).equals("busy");
                     observer.onResponse(id, isRejected ? Outcome.REFUSED : Outcome.FAILED, 0);
                     long after =
-                            isRejected && response.words().size() > 2
-                                    ? Long.parseLong(response.word(2))
+                            isRejected && response.tokens().size() > 2
+                                    ? Long.parseLong(response.token(2))
                                     : 0;
                     retryOrEnd(
                             isRejected
@@ -360,7 +360,9 @@
                 statistics.recordWrongResponse();
             }
             observer.onResponse(
-                    id, Outcome.SERVED, Referee.digest(content == null ? new byte[0] : content));
+                    id,
+                    Outcome.SERVED,
+                    InvariantChecker.digest(content == null ? new byte[0] : content));
             long now = System.nanoTime();
             end(
                     now - intendedAtNanos <= planned.requestClass().latencyObjectiveNanos()
@@ -543,7 +545,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaMessage message) {
             if (current == null) {
-                observer.onUnexpectedResponse(String.join(" ", message.words()));
+                observer.onUnexpectedResponse(String.join(" ", message.tokens()));
                 ctx.close();
                 return;
             }
--- a/testbed/src/main/java/frostrelay/testbed/client/RequestPlan.java
+++ b/testbed/src/main/java/frostrelay/testbed/client/RequestPlan.java
@@ -75,10 +75,10 @@
     /**
      * One of some, by their shares, for a draw from 0 to 1; the last where shares fall short of 1.
      */
-    private static <T> T drawWeighted(List<T> all, ToDoubleFunction<T> share, double draw) {
+    private static <T> T drawWeighted(List<T> all, ToDoubleFunction<T> fraction, double draw) {
         double remaining = draw;
         for (T one : all) {
-            remaining -= share.applyAsDouble(one);
+            remaining -= fraction.applyAsDouble(one);
             if (remaining < 0) {
                 return one;
             }
--- a/testbed/src/main/java/frostrelay/testbed/discovery/DiscoveryServer.java
+++ b/testbed/src/main/java/frostrelay/testbed/discovery/DiscoveryServer.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
-import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.InvariantChecker;
 import frostrelay.testbed.wire.Loopback;
 
 import io.netty.bootstrap.ServerBootstrap;
@@ -92,7 +92,7 @@
     }
 
     private final EventLoop loop;
-    private final Referee invariantChecker;
+    private final InvariantChecker invariantChecker;
 
     /** What was ever entered of each cache, the newest last: some are told older lists. */
     private final Map<String, List<MemberChange>> history = new TreeMap<>();
@@ -105,7 +105,7 @@
     private boolean isDown;
 
     /** {@code delayNanos}: nanoseconds from a change to the moment at which it can be told. */
-    public DiscoveryServer(EventLoop loop, Referee invariantChecker, long delayNanos) {
+    public DiscoveryServer(EventLoop loop, InvariantChecker invariantChecker, long delayNanos) {
         this.loop = loop;
         this.invariantChecker = invariantChecker;
         this.delayNanos = delayNanos;
--- a/testbed/src/main/java/frostrelay/testbed/fleet/BalancerConfig.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/BalancerConfig.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
-import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.InvariantChecker;
 import frostrelay.testbed.scenario.ClassSpec;
 import frostrelay.testbed.scenario.Scenario;
 import frostrelay.testbed.scenario.TenantSpec;
@@ -76,9 +76,9 @@
                             "name",
                             one.name(),
                             "effect",
-                            one.effect() == Referee.Effect.IDEMPOTENT
+                            one.effect() == InvariantChecker.Effect.IDEMPOTENT
                                     ? "retryable"
-                                    : one.effect() == Referee.Effect.IDEMPOTENT_BY_KEY
+                                    : one.effect() == InvariantChecker.Effect.IDEMPOTENT_BY_KEY
                                             ? "dedup"
                                             : "fragile",
                             "group",
--- a/testbed/src/main/java/frostrelay/testbed/fleet/ScenarioResult.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/ScenarioResult.java
@@ -2,7 +2,7 @@
 
 import frostrelay.testbed.client.ClientStatistics;
 import frostrelay.testbed.invariants.Invariant;
-import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.InvariantChecker;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -13,7 +13,7 @@
 /** What a day came to. */
 public record ScenarioResult(
         ClientStatistics statistics,
-        Referee invariantChecker,
+        InvariantChecker invariantChecker,
         long hits,
         long misses,
         long fetches,
--- a/testbed/src/main/java/frostrelay/testbed/fleet/TestCluster.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/TestCluster.java
@@ -4,7 +4,7 @@
 import frostrelay.testbed.cache.DeduplicationWindow;
 import frostrelay.testbed.discovery.DiscoveryServer;
 import frostrelay.testbed.discovery.Member;
-import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.InvariantChecker;
 import frostrelay.testbed.link.FaultProxy;
 import frostrelay.testbed.origin.OriginClient;
 import frostrelay.testbed.origin.OriginServer;
@@ -53,7 +53,7 @@
 
     private final Scenario scenario;
     private final NioEventLoopGroup group = new NioEventLoopGroup(EVENT_LOOP_COUNT);
-    private final Referee invariantChecker;
+    private final InvariantChecker invariantChecker;
     private final LoopMonitor loopMonitor;
     private final OriginServer origin;
     private final DiscoveryServer discovery;
@@ -96,8 +96,8 @@
             throws IOException, InterruptedException {
         this.scenario = scenario;
         invariantChecker =
-                new Referee(
-                        new Referee.Bounds(
+                new InvariantChecker(
+                        new InvariantChecker.Bounds(
                                 scenario.drainGraceNanos() + DRAIN_TOLERANCE_NANOS,
                                 scenario.cache().slowStart().windowNanos(),
                                 scenario.cache().slowStart(),
@@ -192,7 +192,7 @@
     }
 
     /** Who watches. */
-    public Referee invariantChecker() {
+    public InvariantChecker invariantChecker() {
         return invariantChecker;
     }
 
--- a/testbed/src/main/java/frostrelay/testbed/invariants/ClientObserver.java
+++ b/testbed/src/main/java/frostrelay/testbed/invariants/ClientObserver.java
@@ -9,7 +9,7 @@
      * A request goes out. {@code intent}: the first try that it belongs to, its own id for a first
      * try.
      */
-    default void onRequest(long now, String id, String intent, Referee.Effect effect) {}
+    default void onRequest(long now, String id, String intent, InvariantChecker.Effect effect) {}
 
     /** How long the client of a request waits, from the moment at which it sent. */
     default void onTimeoutSet(String id, long untilNanos) {}
@@ -21,7 +21,7 @@
      * A final answer came. {@code content}: what identifies a value or receipt, for served
      * requests.
      */
-    default void onResponse(String id, Referee.Outcome ending, long content) {}
+    default void onResponse(String id, InvariantChecker.Outcome ending, long content) {}
 
     /** Something came that belongs to no open request. */
     default void onUnexpectedResponse(String what) {}
--- a/testbed/src/main/java/frostrelay/testbed/invariants/Referee.java
+++ b/testbed/src/main/java/frostrelay/testbed/invariants/InvariantChecker.java
@@ -16,7 +16,7 @@
  * got, from caches what reached them and ran, and from discovery and operators what balancers were
  * told; from balancers it hears nothing. Times are nanoseconds of one clock. Safe for threads.
  */
-public final class Referee implements ClientObserver {
+public final class InvariantChecker implements ClientObserver {
     /** How often a request may take effect. */
     public enum Effect {
         IDEMPOTENT,
@@ -147,7 +147,7 @@
     private LongPredicate isTestbedStalled = now -> false;
 
     /** {@code bounds}: the figures of the rules. */
-    public Referee(Bounds bounds) {
+    public InvariantChecker(Bounds bounds) {
         this.bounds = bounds;
     }
 
--- a/testbed/src/main/java/frostrelay/testbed/origin/OriginClient.java
+++ b/testbed/src/main/java/frostrelay/testbed/origin/OriginClient.java
@@ -50,7 +50,7 @@
                                 timeoutNanos,
                                 answer ->
                                         callback.accept(
-                                                answer != null && answer.word(0).equals("VA")
+                                                answer != null && answer.token(0).equals("VA")
                                                         ? answer.data()
                                                         : null)));
     }
@@ -65,7 +65,7 @@
                                 timeoutNanos,
                                 answer ->
                                         callback.accept(
-                                                answer != null && answer.word(0).equals("HD"))));
+                                                answer != null && answer.token(0).equals("HD"))));
     }
 
     private void call(
--- a/testbed/src/main/java/frostrelay/testbed/origin/OriginServer.java
+++ b/testbed/src/main/java/frostrelay/testbed/origin/OriginServer.java
@@ -147,11 +147,11 @@
         activeJobs--;
         if (System.nanoTime() < downUntilNanos) {
             reject(job);
-        } else if (job.command.word(0).equals("ms")) {
-            versions.merge(job.command.word(1), 1, Integer::sum);
+        } else if (job.command.token(0).equals("ms")) {
+            versions.merge(job.command.token(1), 1, Integer::sum);
             write(job, "HD O" + job.command.flag('O'), null);
         } else {
-            byte[] value = value(job.command.word(1));
+            byte[] value = value(job.command.token(1));
             write(job, "VA " + value.length + " O" + job.command.flag('O'), value);
         }
         while (activeJobs < spec.concurrency() && !waiting.isEmpty()) {
--- a/testbed/src/main/java/frostrelay/testbed/scenario/ClassSpec.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/ClassSpec.java
@@ -1,6 +1,6 @@
 package frostrelay.testbed.scenario;
 
-import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.InvariantChecker;
 
 /**
  * A class of requests. {@code fraction}: its part of all; {@code minWorkNanos} and {@code
@@ -15,9 +15,9 @@
         long latencyObjectiveNanos,
         long deadlineNanos,
         double priorityWeight,
-        Referee.Effect effect) {
+        InvariantChecker.Effect effect) {
     /** Whether requests are written with ms; the others are reads. */
     public boolean isWrite() {
-        return effect != Referee.Effect.IDEMPOTENT;
+        return effect != InvariantChecker.Effect.IDEMPOTENT;
     }
 }
--- a/testbed/src/main/java/frostrelay/testbed/scenario/ScenarioFile.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/ScenarioFile.java
@@ -6,7 +6,7 @@
 import frostrelay.config.TableValues;
 import frostrelay.config.TomlFile;
 import frostrelay.testbed.cache.CacheSpec;
-import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.InvariantChecker;
 import frostrelay.testbed.invariants.SlowStartMeter;
 import frostrelay.testbed.origin.OriginSpec;
 
@@ -354,7 +354,8 @@
     }
 
     private static ClassSpec requestClass(TableValues table) {
-        Referee.Effect effect = Referee.Effect.values()[EFFECTS.indexOf(table.text("effect"))];
+        InvariantChecker.Effect effect =
+                InvariantChecker.Effect.values()[EFFECTS.indexOf(table.text("effect"))];
         return new ClassSpec(
                 table.text("name"),
                 table.number("share"),
--- a/testbed/src/main/java/frostrelay/testbed/soak/SoakPlan.java
+++ b/testbed/src/main/java/frostrelay/testbed/soak/SoakPlan.java
@@ -1,7 +1,7 @@
 package frostrelay.testbed.soak;
 
 import frostrelay.testbed.cache.CacheSpec;
-import frostrelay.testbed.invariants.Referee;
+import frostrelay.testbed.invariants.InvariantChecker;
 import frostrelay.testbed.invariants.SlowStartMeter;
 import frostrelay.testbed.origin.OriginSpec;
 import frostrelay.testbed.scenario.ClassSpec;
@@ -124,7 +124,7 @@
                         read / 2,
                         read,
                         1,
-                        Referee.Effect.IDEMPOTENT),
+                        InvariantChecker.Effect.IDEMPOTENT),
                 new ClassSpec(
                         "use",
                         0.25,
@@ -133,7 +133,7 @@
                         longestDeadlineNanos,
                         longestDeadlineNanos,
                         1,
-                        Referee.Effect.NON_IDEMPOTENT),
+                        InvariantChecker.Effect.NON_IDEMPOTENT),
                 new ClassSpec(
                         "note",
                         0.15,
@@ -142,7 +142,7 @@
                         longestDeadlineNanos,
                         longestDeadlineNanos,
                         1,
-                        Referee.Effect.IDEMPOTENT_BY_KEY));
+                        InvariantChecker.Effect.IDEMPOTENT_BY_KEY));
     }
 
     private long between(int min, int max) {
--- a/testbed/src/main/java/frostrelay/testbed/wire/MetaCodec.java
+++ b/testbed/src/main/java/frostrelay/testbed/wire/MetaCodec.java
@@ -15,8 +15,8 @@
  * decoder on purpose: a fault that both shared would not be seen.
  */
 public final class MetaCodec extends ByteToMessageDecoder {
-    private static final int MOST_LINE = 8 * 1024;
-    private static final int MOST_DATA = 8 * 1024 * 1024;
+    private static final int MAX_LINE_BYTES = 8 * 1024;
+    private static final int MAX_DATA_BYTES = 8 * 1024 * 1024;
     private List<String> words;
     private int length = -1;
 
@@ -24,7 +24,7 @@
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
         if (words == null) {
             int end = in.bytesBefore((byte) '\n');
-            if (end < 0 && in.readableBytes() > MOST_LINE || end > MOST_LINE) {
+            if (end < 0 && in.readableBytes() > MAX_LINE_BYTES || end > MAX_LINE_BYTES) {
                 throw new TooLongFrameException("a line without end");
             }
             if (end < 0) {
@@ -48,21 +48,21 @@
     }
 
     private static List<String> split(String line) {
-        List<String> words = new ArrayList<>(8);
+        List<String> tokens = new ArrayList<>(8);
         int from = 0;
         int end = line.endsWith("\r") ? line.length() - 1 : line.length();
         for (int i = 0; i <= end; i++) {
             if (i == end || line.charAt(i) == ' ') {
                 if (i > from) {
-                    words.add(line.substring(from, i));
+                    tokens.add(line.substring(from, i));
                 }
                 from = i + 1;
             }
         }
-        if (words.isEmpty()) {
-            words.add("");
+        if (tokens.isEmpty()) {
+            tokens.add("");
         }
-        return words;
+        return tokens;
     }
 
     private int dataLength() {
@@ -71,7 +71,7 @@
             return -1;
         }
         int bytes = Integer.parseInt(words.get(at));
-        if (bytes < 0 || bytes > MOST_DATA) {
+        if (bytes < 0 || bytes > MAX_DATA_BYTES) {
             throw new TooLongFrameException("a value of " + bytes + " bytes");
         }
         return bytes;
--- a/testbed/src/main/java/frostrelay/testbed/wire/MetaMessage.java
+++ b/testbed/src/main/java/frostrelay/testbed/wire/MetaMessage.java
@@ -5,10 +5,10 @@
 /**
  * One line of the memcache meta protocol, in either direction, with its data block if it has one.
  */
-public record MetaMessage(List<String> words, byte[] data) {
+public record MetaMessage(List<String> tokens, byte[] data) {
     /** The word at a place, or an empty text behind the last. */
-    public String word(int at) {
-        return at < words.size() ? words.get(at) : "";
+    public String token(int at) {
+        return at < tokens.size() ? tokens.get(at) : "";
     }
 
     /**
@@ -16,9 +16,9 @@
      * is none.
      */
     public String flag(char letter) {
-        for (int i = 1; i < words.size(); i++) {
-            String word = words.get(i);
-            if (word.charAt(0) == letter && i >= (words.get(0).startsWith("m") ? 2 : 1)) {
+        for (int i = 1; i < tokens.size(); i++) {
+            String word = tokens.get(i);
+            if (word.charAt(0) == letter && i >= (tokens.get(0).startsWith("m") ? 2 : 1)) {
                 return word.substring(1);
             }
         }
--- a/testbed/src/test/java/frostrelay/testbed/cache/WorkEngineTest.java
+++ b/testbed/src/test/java/frostrelay/testbed/cache/WorkEngineTest.java
@@ -36,7 +36,7 @@
         long now = 0;
         while (engine.nextCompletionNanos() != Long.MAX_VALUE) {
             now = Math.max(now + 1, engine.nextCompletionNanos());
-            finishedJobs.addAll(engine.takeFinished(now));
+            finishedJobs.addAll(engine.pollFinished(now));
         }
         assertEquals(work.size(), finishedJobs.size());
         assertTrue(
@@ -62,7 +62,7 @@
             arrival += exponential.sample() * work / load;
             while (engine.nextCompletionNanos() <= arrival) {
                 long now = engine.nextCompletionNanos();
-                for (double[] job : engine.takeFinished(now)) {
+                for (double[] job : engine.pollFinished(now)) {
                     total += now - job[0];
                 }
             }
--- a/testbed/src/test/java/frostrelay/testbed/invariants/TimingInvariantsTest.java
+++ b/testbed/src/test/java/frostrelay/testbed/invariants/TimingInvariantsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import frostrelay.testbed.invariants.Referee.Effect;
+import frostrelay.testbed.invariants.InvariantChecker.Effect;
 
 import org.junit.jupiter.api.Test;
 
@@ -12,9 +12,9 @@
  */
 class TimingInvariantsTest {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
-    private final Referee checker =
-            new Referee(
-                    new Referee.Bounds(
+    private final InvariantChecker checker =
+            new InvariantChecker(
+                    new InvariantChecker.Bounds(
                             500 * NANOS_PER_MILLISECOND,
                             1_000 * NANOS_PER_MILLISECOND,
                             new SlowStartMeter.SlowStartProfile(0.2, 1, 4, 1),
