--- a/gossip/src/main/java/frostrelay/gossip/AppliedVersions.java
+++ b/gossip/src/main/java/frostrelay/gossip/AppliedVersions.java
@@ -4,17 +4,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a balancer acts on at a moment. Every decision is made under exactly one. Immutable.
+ * The versions that a balancer applies at a moment. Every decision is made under exactly one of
+ * these. Immutable.
  *
  * @param buildDigest the program's build, a digest of its classes
  * @param configNumber the operators' version number of the configuration, {@link #NO_NUMBER} where
  *     they give none
  * @param configDigest digest of the configuration's bytes
- * @param listRevision discovery's version of the list, as one discovery counts it
- * @param listDigest digest of the list: the same for the same caches, states and starts, in
- *     whatever order they came
- * @param adminDrainsDigest digest of what operators hold out of use, 0 for nothing
- * @param termsDigest digest of the terms that this balancer works under, 0 while nothing gives any
+ * @param listRevision revision of the endpoint list, as one discovery service counts it
+ * @param listDigest digest of the list: equal for equal caches, states and start times, in whatever
+ *     order they were received
+ * @param adminDrainsDigest digest of operators' admin drains, 0 without any
+ * @param termsDigest digest of the terms of service that apply to this balancer, 0 without any
  */
 public record AppliedVersions(
         int buildDigest,
@@ -24,16 +25,13 @@
         long listDigest,
         long adminDrainsDigest,
         int termsDigest) {
-    /** The operators give no number. */
+    /** The configuration has no version number. */
     public static final long NO_NUMBER = -1;
 
-    /**
-     * Its bytes on the wire and in records. Later builds may write more behind them; readers pass
-     * over that.
-     */
+    /** Bytes on the wire and in records. Later builds may append more, which readers ignore. */
     public static final int BYTES = 2 * Integer.BYTES + 5 * Long.BYTES;
 
-    /** The reference of nothing: no stamp has it. */
+    /** The fingerprint of no versions. */
     public static final int NO_FINGERPRINT = 0;
 
     /** Appends {@link #BYTES} bytes. */
@@ -47,7 +45,7 @@
                 .putInt(termsDigest);
     }
 
-    /** Reads what {@link #write} wrote; there must be {@link #BYTES} bytes. */
+    /** Reads what {@link #write} wrote; at least {@link #BYTES} bytes must remain. */
     public static AppliedVersions read(ByteBuffer in) {
         return new AppliedVersions(
                 in.getInt(),
@@ -60,8 +58,7 @@
     }
 
     /**
-     * A short name for it, the same at every balancer; never {@link #NO_FINGERPRINT}. Not proof
-     * against forgery.
+     * A short digest, equal at every balancer; never {@link #NO_FINGERPRINT}. Not cryptographic.
      */
     public int fingerprint() {
         ByteBuffer bytes = ByteBuffer.allocate(BYTES);
--- a/gossip/src/main/java/frostrelay/gossip/BandwidthLimiter.java
+++ b/gossip/src/main/java/frostrelay/gossip/BandwidthLimiter.java
@@ -1,16 +1,21 @@
 package frostrelay.gossip;
 
 /**
- * Bytes sent in the last second, kept to a most. Exact: no second whatever, wherever it begins,
- * holds more than the ceiling; a bucket of tokens would let twice as much through in the second
- * behind a pause. For one thread.
+ * Limits the bytes sent per second by a sliding window. Exact: no second, wherever it begins, holds
+ * more than the limit; a token bucket would let twice as much through in the second after a pause.
+ * Not thread-safe.
  */
 final class BandwidthLimiter {
     private static final long WINDOW_NANOS = 1_000_000_000L;
 
+    private static final int INITIAL_CAPACITY = 16;
+
     private final int maxBytesPerSecond;
-    private long[] sentAtNanos = new long[16];
-    private int[] sentBytes = new int[16];
+
+    /** Ring buffers, one element for each send within the window. */
+    private long[] sentAtNanos = new long[INITIAL_CAPACITY];
+
+    private int[] sentBytes = new int[INITIAL_CAPACITY];
     private int first;
     private int count;
     private int windowBytes;
@@ -19,7 +24,7 @@
         this.maxBytesPerSecond = maxBytesPerSecond;
     }
 
-    /** Whether so many bytes may go now; if so they are counted. */
+    /** Whether so many bytes may be sent now; if so they are counted. */
     boolean tryConsume(long now, int bytes) {
         if (availableBytes(now) < bytes) {
             return false;
@@ -34,12 +39,12 @@
         return true;
     }
 
-    /** Bytes in any second at most. */
+    /** The limit. */
     int maxBytesPerSecond() {
         return maxBytesPerSecond;
     }
 
-    /** Bytes that may go now. */
+    /** Bytes that may be sent now. */
     int availableBytes(long now) {
         while (count > 0 && now - sentAtNanos[first] >= WINDOW_NANOS) {
             windowBytes -= sentBytes[first];
--- a/gossip/src/main/java/frostrelay/gossip/GossipDatagram.java
+++ b/gossip/src/main/java/frostrelay/gossip/GossipDatagram.java
@@ -7,17 +7,18 @@
  * The wire form, big-endian, 256 bytes at most:
  *
  * <pre>
- * 0  u16 magic      2  u8 form of the writer      3  u8 least form that can read it
+ * 0  u16 magic      2  u8 version of the writer   3  u8 minimum version that can read it
  * 4  u8 kind        5  u8 0                       6  u16 sender      8  u48 its incarnation
- * 14 u32 nonce      18 u16 subject                20 sections: u8 type, u8 length, bytes; last: u32 CRC-32C
+ * 14 u32 nonce      18 u16 subject                20 sections: u8 type, u8 length, bytes
+ * last 4: u32 CRC-32C of all before
  * </pre>
  *
- * Sections of unknown types are passed over, and so are bytes behind what a known type holds:
- * builds of other ages read each other as long as the least form allows it. What is read costs time
- * that its 256 bytes bound.
+ * Sections of unknown types are ignored, and so are bytes behind what a known type holds: builds of
+ * different versions read each other's datagrams as long as the minimum version allows it. The
+ * length bounds the time to read one.
  */
 final class GossipDatagram {
-    /** A longer one voids the run on the platform. */
+    /** The platform allows no longer datagrams. */
     static final int MAX_BYTES = 256;
 
     static final int HEADER_BYTES = 20;
@@ -27,7 +28,7 @@
     private static final short MAGIC = (short) 0xF05E;
     private static final int U16_MASK = 0xffff;
 
-    /** What it is for. */
+    /** What a datagram is for; the ordinal is its code on the wire. */
     enum Kind {
         UNKNOWN,
         PING,
@@ -36,32 +37,19 @@
         UPDATE
     }
 
-    /** What a section holds. */
-    static final int MEMBER_ENTRIES = 1;
+    /** Stands in rank fields for no member. */
+    static final int NO_RANK = 0xffff;
 
-    static final int APPLIED_VERSIONS = 2;
-    static final int SUSPECT = 3;
-    static final int DEAD = 4;
-    static final int LEFT = 5;
-    static final int VERSIONS_REQUEST = 6;
-    static final int UPTIME = 7;
-
-    /** With its head. */
-    static final int UPTIME_SECTION_BYTES = 6;
-
-    static final int CACHE_UNAVAILABLE = 8;
-    static final int CACHE_RESTORED = 9;
-
-    /** No section of its own: news that other modules' sections have changed. */
-    static final int PAYLOAD = 10;
+    /** An uptime section with its header. */
+    static final int UPTIME_SECTION_BYTES = SECTION_HEADER_BYTES + Integer.BYTES;
 
     static final int MEMBER_ENTRY_BYTES = 11;
     static final int CLAIM_BYTES = 10;
 
-    /** A list's version and a cache. */
+    /** A revision of the endpoint list and a cache. */
     static final int CACHE_STATE_BYTES = 2 * Long.BYTES;
 
-    /** Why a datagram is passed over. */
+    /** Why a datagram is rejected. */
     enum RejectionReason {
         CORRUPT,
         FOREIGN,
@@ -75,7 +63,7 @@
     final int nonce;
     final int subject;
 
-    /** Set to the first section; its limit is the end of the last. */
+    /** From the first section to the end of the last. */
     final ByteBuffer sections;
 
     private GossipDatagram(
@@ -88,7 +76,7 @@
         this.sections = sections;
     }
 
-    /** Why it cannot be read; null if it can. */
+    /** Why a datagram cannot be read; null if it can. */
     static RejectionReason validate(byte[] data, int length) {
         if (length > MAX_BYTES) {
             return RejectionReason.OVERSIZED;
@@ -109,8 +97,8 @@
     }
 
     /**
-     * Reads what has no {@link #validate}. A kind that this build does not know reads as {@link
-     * Kind#UNKNOWN}.
+     * Reads the header of a datagram that {@link #validate} did not reject. A kind that this build
+     * does not know reads as {@link Kind#UNKNOWN}.
      */
     static GossipDatagram read(byte[] data, int length) {
         ByteBuffer in = ByteBuffer.wrap(data, 0, length - CHECKSUM_BYTES);
@@ -139,8 +127,8 @@
     }
 
     /**
-     * Begins one, in a writer's form that readers of {@link #WIRE_VERSION} understand: what follows
-     * are sections, then {@link #finish}.
+     * Writes the header of a datagram that readers of {@link #WIRE_VERSION} understand: sections
+     * follow, then {@link #finish}.
      */
     static void begin(
             ByteBuffer out,
@@ -161,7 +149,7 @@
         out.putInt(nonce).putShort((short) subject);
     }
 
-    /** Room for the content of one more section, in bytes. */
+    /** Bytes that the content of one more section may have. */
     static int availableBytes(ByteBuffer out, int maxBytes) {
         return maxBytes - CHECKSUM_BYTES - SECTION_HEADER_BYTES - out.position();
     }
--- a/gossip/src/main/java/frostrelay/gossip/GossipSettings.java
+++ b/gossip/src/main/java/frostrelay/gossip/GossipSettings.java
@@ -1,20 +1,20 @@
 package frostrelay.gossip;
 
 /**
- * The bounds of talk between balancers, in nanoseconds and bytes. Each standard value has its
- * reason beside it.
+ * Timeouts and limits of the gossip protocol.
  *
- * @param maxBytesPerSecond most bytes that this balancer sends in any second, datagrams alone
+ * @param maxBytesPerSecond limit of the bytes that this member sends in any second, without the
+ *     headers of lower layers
  * @param probePeriodNanos from one probe to the next
- * @param probeRetryNanos an unanswered probe is sent again after this, and after as long again also
- *     through others
- * @param missedProbesToSuspect so many periods in a row without an answer make a suspicion
- * @param suspicionTimeoutNanos how long a suspected balancer has to object, times the logarithm of
- *     the fleet
- * @param isolationTimeoutNanos having heard nothing for so long, this balancer knows nothing of the
- *     others any more
- * @param wireVersion of what it writes; readers go by the least form that can read it, which stays
- *     1
+ * @param probeRetryNanos interval between the attempts of one probe; the third also requests
+ *     indirect probes
+ * @param missedProbesToSuspect number of periods in a row without an answer that make a suspicion
+ * @param suspicionTimeoutNanos how long a suspected member has at least to refute, times the
+ *     decimal logarithm of the cluster's size
+ * @param isolationTimeoutNanos a member that received nothing for so long knows nothing of its
+ *     peers
+ * @param wireVersion version of what this member writes; readers go by the minimum version beside
+ *     it, which stays 1
  */
 public record GossipSettings(
         int maxBytesPerSecond,
@@ -27,13 +27,14 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /**
-     * Ceiling: a hundred balancers of ten requests a second pay 0.01 * 100 * 2048 / (256 * 1000) =
-     * 0.008 if all of them talk at it without end; the mean is an eighth of that. Period: a second
-     * is a tenth of what a restart takes, at two datagrams. Again: the slowest way there and back
-     * takes 60 ms, a garbage collection 20, twice that. Doubts: at 30% loss a period fails in 15 of
-     * 1,000, three in a row in 3 of a million. Object: a rumour reaches everybody in about 1 s, the
-     * objection as well. Deaf: five probes of its own and those of others, all in vain, have a
-     * chance of 1 in a million at 30% loss.
+     * The standard values. Bytes per second: a hundred balancers of ten requests a second cost 0.01
+     * * 100 * 2048 / (256 * 1000) = 0.008 if all of them send at the limit without end; the mean is
+     * an eighth of that. Probe period: a second is a tenth of the time of a restart, at two
+     * datagrams. Retry: the longest round trip takes 60 ms and a garbage collection 20 ms; this is
+     * about twice that. Missed probes: at 30% loss a period fails in 15 of 1,000, three in a row in
+     * 3 of a million. Suspicion: an update reaches every member in about 1 s, and so does its
+     * refutation. Isolation: at 30% loss five probes of its own and those of its peers all fail
+     * with a probability of 1 in a million.
      */
     public static final GossipSettings STANDARD =
             new GossipSettings(
@@ -45,7 +46,7 @@
                     5_000 * NANOS_PER_MILLI,
                     1);
 
-    /** The same under another ceiling. */
+    /** A copy with another limit of bytes per second. */
     public GossipSettings withMaxBytesPerSecond(int bytesPerSecond) {
         return new GossipSettings(
                 bytesPerSecond,
@@ -57,7 +58,7 @@
                 wireVersion);
     }
 
-    /** The same as another build writes it. */
+    /** A copy that writes another wire version. */
     public GossipSettings withWireVersion(int version) {
         return new GossipSettings(
                 maxBytesPerSecond,
--- a/gossip/src/main/java/frostrelay/gossip/MemberSnapshot.java
+++ b/gossip/src/main/java/frostrelay/gossip/MemberSnapshot.java
@@ -1,10 +1,16 @@
 package frostrelay.gossip;
 
 /**
- * What this balancer knows of another. {@code state}: {@link MemberState#UNKNOWN} also where this
- * one hears nobody; {@code appliedVersions}: what it was last known to act on, or null; {@code
- * sequence}: how often its stamp had changed in its life {@code incarnation}; {@code ageNanos}:
- * nanoseconds since it said so itself, negative where it never did.
+ * What the local member knows of one member at a moment.
+ *
+ * @param rank the member
+ * @param state {@link MemberState#UNKNOWN} also while the local member is isolated
+ * @param incarnation the highest known; 0 where none is
+ * @param sequence how often the member's applied versions had changed in this incarnation
+ * @param fingerprint of the versions that the member last applied, or {@link
+ *     AppliedVersions#NO_FINGERPRINT}
+ * @param appliedVersions the content behind the fingerprint; null where it is not known
+ * @param ageNanos time since the member confirmed this itself; negative where it never did
  */
 public record MemberSnapshot(
         int rank,
--- a/gossip/src/main/java/frostrelay/gossip/MemberState.java
+++ b/gossip/src/main/java/frostrelay/gossip/MemberState.java
@@ -1,22 +1,27 @@
 package frostrelay.gossip;
 
 /**
- * What is believed of a balancer. {@link #UNKNOWN} is a state of its own: neither fine nor dead.
+ * What is believed of a member. {@link #UNKNOWN} is a state of its own, neither healthy nor dead.
  */
 public enum MemberState {
-    /** Never heard of since this process began. */
+    /** Nothing was received about it since this process started. */
     UNKNOWN,
-    /** It said so lately enough that nobody suspects it. */
+    /** It confirmed lately that it is alive, and nobody suspects it. */
     ALIVE,
-    /** Somebody could not reach it, straight or through others; it may still object. */
+    /** A member got no answer from it, directly or indirectly; it may still refute that. */
     SUSPECTED,
-    /** It did not object in time. */
+    /** It did not refute a suspicion in time. */
     GONE,
-    /** It said that it ends. */
+    /** It notified its peers that it shuts down. */
     LEFT;
 
-    /** Whether it is counted among those that take part. */
+    /** Whether it counts among the members that take part. */
     public boolean isParticipating() {
         return this == ALIVE || this == SUSPECTED;
     }
+
+    /** Whether it was declared dead or has left. */
+    boolean hasEnded() {
+        return this == GONE || this == LEFT;
+    }
 }
--- /dev/null
+++ b/gossip/src/main/java/frostrelay/gossip/Membership.java
@@ -0,0 +1,221 @@
+package frostrelay.gossip;
+
+/**
+ * Changes of the members' states. A member is believed about itself, by its incarnation and the
+ * sequence number of its applied versions; claims about others are passed on, and the member
+ * concerned may refute them with a higher incarnation.
+ */
+final class Membership {
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+
+    private final GossipSettings settings;
+    private final MembershipTable members;
+    private final int localRank;
+    private final SuspicionTable suspicions;
+    private final LocalHealth localHealth;
+    private final UpdateDisseminator updates;
+    private final GossipNode.Listener listener;
+    private final GossipNode.Counters counters;
+    private final long startedAtNanos;
+    private final long startIncarnation;
+    private long lastHeardAtNanos;
+
+    Membership(
+            GossipSettings settings,
+            long now,
+            int localRank,
+            MembershipTable members,
+            SuspicionTable suspicions,
+            LocalHealth localHealth,
+            UpdateDisseminator updates,
+            GossipNode.Listener listener,
+            GossipNode.Counters counters) {
+        this.settings = settings;
+        this.members = members;
+        this.localRank = localRank;
+        this.suspicions = suspicions;
+        this.localHealth = localHealth;
+        this.updates = updates;
+        this.listener = listener;
+        this.counters = counters;
+        startedAtNanos = now;
+        startIncarnation = members.incarnations[localRank];
+        lastHeardAtNanos = now;
+    }
+
+    /** Whether so long nothing was received that nothing is known of the peers. */
+    boolean isIsolated(long now) {
+        return now - lastHeardAtNanos >= settings.isolationTimeoutNanos();
+    }
+
+    /** Whether a member may have an incarnation; counted where it may not. */
+    boolean checkPlausible(long now, long incarnation) {
+        boolean isPlausible =
+                Incarnation.isPlausible(
+                        incarnation, startIncarnation, (now - startedAtNanos) / NANOS_PER_MILLI);
+        if (!isPlausible) {
+            counters.implausible++;
+        }
+        return isPlausible;
+    }
+
+    /** Records a datagram from a peer, which proves that it is alive. */
+    void recordContact(long now, int from, long incarnation) {
+        lastHeardAtNanos = now;
+        members.heardAtNanos[from] = now;
+        if (incarnation > members.incarnations[from]
+                || members.state(from) == MemberState.UNKNOWN
+                        && incarnation == members.incarnations[from]) {
+            markAlive(now, from, incarnation, from);
+        }
+        if (incarnation == members.incarnations[from] && members.state(from).isParticipating()) {
+            members.missedProbes[from] = 0;
+            if (members.state(from) == MemberState.ALIVE) {
+                members.reportedAtNanos[from] = now;
+            }
+        }
+    }
+
+    private void markAlive(long now, int rank, long incarnation, int reportedBy) {
+        boolean isNewIncarnation = incarnation > members.incarnations[rank];
+        boolean isNewMember = members.state(rank) == MemberState.UNKNOWN;
+        if (isNewIncarnation) {
+            if (Incarnation.toUnixMillis(incarnation)
+                    != Incarnation.toUnixMillis(members.incarnations[rank])) {
+                // Another process: nothing is known of what it applies.
+                members.fingerprints[rank] = AppliedVersions.NO_FINGERPRINT;
+                members.sequences[rank] = 0;
+                members.reportedAtNanos[rank] = MembershipTable.NEVER_NANOS;
+            }
+            members.incarnations[rank] = incarnation;
+        }
+        members.missedProbes[rank] = 0;
+        suspicions.remove(rank);
+        boolean wasAlive = members.state(rank) == MemberState.ALIVE;
+        if (!wasAlive || isNewIncarnation) {
+            members.state(rank, MemberState.ALIVE);
+            listener.onMemberState(now, rank, incarnation, MemberState.ALIVE, reportedBy);
+        }
+        updates.enqueueMember(now, rank, incarnation, isNewMember);
+    }
+
+    /** Applies an entry from a peer: the local member refutes it where it is wrong. */
+    void applyEntry(
+            long now,
+            int reportedBy,
+            int rank,
+            long incarnation,
+            int sequence,
+            int fingerprint,
+            long ageNanos) {
+        if (rank == localRank) {
+            if (incarnation > members.incarnations[localRank]) {
+                refute(now, incarnation);
+            }
+            return;
+        }
+        if (incarnation < members.incarnations[rank]) {
+            return;
+        }
+        if (incarnation > members.incarnations[rank]
+                || members.state(rank) == MemberState.UNKNOWN) {
+            markAlive(now, rank, incarnation, reportedBy);
+        }
+        boolean isFirst = members.fingerprints[rank] == AppliedVersions.NO_FINGERPRINT;
+        if (isFirst || MembershipTable.isLater(sequence, members.sequences[rank])) {
+            members.fingerprints[rank] = fingerprint;
+            members.sequences[rank] = sequence;
+            members.reportedAtNanos[rank] = Math.max(members.reportedAtNanos[rank], now - ageNanos);
+            listener.onMemberEntry(now, rank, incarnation, sequence, fingerprint, ageNanos);
+            updates.enqueueMember(now, rank, incarnation, isFirst);
+        } else if (sequence == members.sequences[rank]) {
+            updates.recordDuplicate(Update.MemberUpdate.key(rank));
+            members.reportedAtNanos[rank] = Math.max(members.reportedAtNanos[rank], now - ageNanos);
+        }
+    }
+
+    /** Applies a claim from a peer: the local member refutes those about itself. */
+    void applyClaim(long now, SectionType type, int rank, long incarnation, int reportedBy) {
+        if (rank == localRank) {
+            if (incarnation >= members.incarnations[localRank]) {
+                refute(now, incarnation);
+            }
+            return;
+        }
+        if (incarnation < members.incarnations[rank]) {
+            return;
+        }
+        if (incarnation > members.incarnations[rank]) {
+            members.incarnations[rank] = incarnation;
+            members.fingerprints[rank] = AppliedVersions.NO_FINGERPRINT;
+        }
+        switch (type) {
+            case SUSPECT -> suspect(now, rank, reportedBy);
+            case DEAD -> markEnded(now, rank, MemberState.GONE, reportedBy);
+            default -> markEnded(now, rank, MemberState.LEFT, reportedBy);
+        }
+    }
+
+    /** Takes an incarnation above one that a peer knows, and spreads it. */
+    private void refute(long now, long incarnation) {
+        counters.refutations++;
+        boolean isOfThisProcess =
+                Incarnation.toUnixMillis(incarnation)
+                        == Incarnation.toUnixMillis(members.incarnations[localRank]);
+        members.incarnations[localRank] =
+                isOfThisProcess
+                        ? Incarnation.next(incarnation)
+                        : Incarnation.nextStartAfter(incarnation);
+        // Being suspected is a sign that this process is slow.
+        localHealth.degrade();
+        listener.onLocalIncarnation(now, members.incarnations[localRank]);
+        announceLocalState(now);
+    }
+
+    /** Spreads what the local member applies, and its incarnation. */
+    void announceLocalState(long now) {
+        updates.enqueueVersions(now, members.fingerprints[localRank]);
+        updates.enqueueMember(now, localRank, members.incarnations[localRank], false);
+    }
+
+    /** Suspects a member, or adds a reporter to its suspicion. */
+    void suspect(long now, int rank, int reportedBy) {
+        if (members.state(rank).hasEnded()) {
+            return;
+        }
+        SuspicionTable.Suspicion suspicion = suspicions.find(rank);
+        if (suspicion == null) {
+            suspicion = suspicions.add(now, rank, members.incarnations[rank]);
+            members.state(rank, MemberState.SUSPECTED);
+            counters.suspicions++;
+            listener.onMemberState(
+                    now, rank, suspicion.incarnation, MemberState.SUSPECTED, reportedBy);
+        }
+        if (suspicion.addReporter(reportedBy)) {
+            updates.enqueueClaim(now, SectionType.SUSPECT, rank, suspicion.incarnation, reportedBy);
+        } else {
+            updates.recordDuplicate(Update.ClaimUpdate.key(SectionType.SUSPECT, rank, reportedBy));
+        }
+    }
+
+    /** Declares the members dead that did not refute in time. */
+    void endExpiredSuspicions(long now) {
+        for (SuspicionTable.Suspicion suspicion : suspicions.snapshot()) {
+            if (suspicions.hasExpired(now, suspicion)) {
+                markEnded(now, suspicion.rank, MemberState.GONE, localRank);
+            }
+        }
+    }
+
+    private void markEnded(long now, int rank, MemberState state, int reportedBy) {
+        SectionType type = state == MemberState.LEFT ? SectionType.LEFT : SectionType.DEAD;
+        if (members.state(rank).hasEnded()) {
+            updates.recordDuplicate(Update.ClaimUpdate.key(type, rank, reportedBy));
+            return;
+        }
+        suspicions.remove(rank);
+        members.state(rank, state);
+        listener.onMemberState(now, rank, members.incarnations[rank], state, reportedBy);
+        updates.enqueueClaim(now, type, rank, members.incarnations[rank], reportedBy);
+    }
+}
--- a/gossip/src/main/java/frostrelay/gossip/MembershipTable.java
+++ b/gossip/src/main/java/frostrelay/gossip/MembershipTable.java
@@ -3,46 +3,49 @@
 import java.util.Arrays;
 
 /**
- * What is known of every balancer of the tier, by its number. Arrays, as an emulated fleet of 2,000
- * holds four million of these rows.
+ * What is known of every member, by rank. One array per field rather than one object per member, as
+ * an emulated cluster of 2,000 members holds four million rows.
  */
 final class MembershipTable {
-    /** Far enough back to be older than anything; no sum with it overflows. */
+    /** Earlier than any time; sums with it do not overflow. */
     static final long NEVER_NANOS = Long.MIN_VALUE / 4;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** A hundred times that of quartz. */
+    /** A hundred times the drift of a quartz clock. */
     private static final double MAX_CLOCK_DRIFT = 0.01;
 
-    private static final double UPTIME_WRAP_MILLIS = 1L << Integer.SIZE;
+    /** The uptime on the wire has 32 bits. */
+    private static final long UPTIME_WRAP_MILLIS = 1L << Integer.SIZE;
+
+    private static final MemberState[] STATES = MemberState.values();
 
     final int count;
-    final byte[] states;
     final long[] incarnations;
 
-    /** How often its stamp had changed in that life. */
+    /** How often the member's applied versions had changed in its incarnation. */
     final int[] sequences;
 
     final int[] fingerprints;
 
-    /** When it said so itself, whoever brought it here. */
+    /** When the member last confirmed its entry itself, whichever peer passed it on. */
     final long[] reportedAtNanos;
 
-    /** When a datagram of its own came last. */
+    /** When the last datagram of the member itself was received. */
     final long[] heardAtNanos;
 
-    /**
-     * By how much its clock has stood behind this one's at the least, milliseconds, in which life
-     * of it, and when that was asked.
-     */
-    final long[] clockOffsetMillis;
+    /** Periods in a row in which the member answered no probe of the local member. */
+    final byte[] missedProbes;
 
-    final long[] clockStartMillis;
-    final long[] clockSampledAtNanos;
+    private final byte[] states;
 
-    /** Periods in a row in which it answered nobody's probe that began here. */
-    final byte[] missedProbes;
+    /** The least difference seen between the local clock and the member's uptime. */
+    private final long[] clockOffsetMillis;
+
+    /** Start of the process to which the offset belongs. */
+    private final long[] clockStartMillis;
+
+    private final long[] clockSampledAtNanos;
 
     MembershipTable(int count) {
         this.count = count;
@@ -61,10 +64,12 @@
     }
 
     /**
-     * For how long word was held up on its way, nanoseconds, over the fastest lately: a process
-     * that was stopped finds it in its socket, and it is as old as that. By its writer's own clock,
-     * {@code uptimeMillis} milliseconds into its life; 0 where nothing is known to hold that
-     * against. Clocks may part by {@link #MAX_CLOCK_DRIFT}.
+     * For how long a datagram was delayed, compared with the fastest one lately: what waited in the
+     * socket of a paused process is that old. Clocks may drift apart by {@link #MAX_CLOCK_DRIFT}.
+     *
+     * @param startMillis when the sender's process started
+     * @param uptimeMillis the sender's uptime at the time of writing, modulo 2^32
+     * @return nanoseconds; 0 for the first datagram of a process
      */
     long queueingDelayNanos(long now, int rank, long startMillis, long uptimeMillis) {
         long offsetMillis = now / NANOS_PER_MILLI - uptimeMillis;
@@ -72,14 +77,11 @@
             clockStartMillis[rank] = startMillis;
             clockOffsetMillis[rank] = offsetMillis;
         } else {
-            long maxOffsetMillis =
-                    clockOffsetMillis[rank]
-                            + (long) (MAX_CLOCK_DRIFT * (now - clockSampledAtNanos[rank]))
-                                    / NANOS_PER_MILLI;
-            // Its clock has 32 bits and goes round.
+            long maxDriftNanos = (long) (MAX_CLOCK_DRIFT * (now - clockSampledAtNanos[rank]));
+            long maxOffsetMillis = clockOffsetMillis[rank] + maxDriftNanos / NANOS_PER_MILLI;
             offsetMillis -=
-                    Math.round((offsetMillis - maxOffsetMillis) / UPTIME_WRAP_MILLIS)
-                            * (1L << Integer.SIZE);
+                    Math.round((offsetMillis - maxOffsetMillis) / (double) UPTIME_WRAP_MILLIS)
+                            * UPTIME_WRAP_MILLIS;
             clockOffsetMillis[rank] = Math.min(maxOffsetMillis, offsetMillis);
         }
         clockSampledAtNanos[rank] = now;
@@ -94,9 +96,12 @@
         states[rank] = (byte) state.ordinal();
     }
 
-    private static final MemberState[] STATES = MemberState.values();
+    /** Time since the member confirmed its entry; negative where it never did. */
+    long ageNanos(long now, int rank) {
+        return reportedAtNanos[rank] == NEVER_NANOS ? -1 : now - reportedAtNanos[rank];
+    }
 
-    /** Whether one stamp's place in a life is behind another's; places are 16 bits and go round. */
+    /** Whether one 16-bit sequence number follows another, modulo 2^16. */
     static boolean isLater(int sequence, int other) {
         return (short) (sequence - other) > 0;
     }
--- a/gossip/src/main/java/frostrelay/gossip/PayloadBuffer.java
+++ b/gossip/src/main/java/frostrelay/gossip/PayloadBuffer.java
@@ -3,10 +3,13 @@
 import java.nio.ByteBuffer;
 
 /**
- * The room that a datagram has left for {@link PayloadProvider}. Valid during the call that hands
- * it out only.
+ * The space that a datagram has left for a {@link PayloadProvider}. Valid only during the call that
+ * passes it.
  */
 public final class PayloadBuffer {
+    private static final int MAX_SECTION_TYPE = 255;
+    private static final int MAX_CONTENT_BYTES = 255;
+
     private final ByteBuffer out;
     private int maxBytes;
 
@@ -27,11 +30,16 @@
     }
 
     /**
-     * Adds a section, of a type from {@link PayloadProvider#FIRST_SECTION_TYPE} to 255; false where
-     * it does not fit.
+     * Adds a section.
+     *
+     * @param type from {@link PayloadProvider#FIRST_SECTION_TYPE} to 255
+     * @return false where it does not fit
+     * @throws IllegalArgumentException for a type out of range or content of over 255 bytes
      */
     public boolean add(int type, ByteBuffer content) {
-        if (type < PayloadProvider.FIRST_SECTION_TYPE || type > 255 || content.remaining() > 255) {
+        if (type < PayloadProvider.FIRST_SECTION_TYPE
+                || type > MAX_SECTION_TYPE
+                || content.remaining() > MAX_CONTENT_BYTES) {
             throw new IllegalArgumentException(
                     "section " + type + " of " + content.remaining() + " bytes");
         }
--- a/gossip/src/main/java/frostrelay/gossip/PayloadProvider.java
+++ b/gossip/src/main/java/frostrelay/gossip/PayloadProvider.java
@@ -1,19 +1,16 @@
 package frostrelay.gossip;
 
 /**
- * What other modules have told along in the talk of who is there: whole sections of types of their
- * own, in what room a datagram has left. Loaded anew for each datagram, so that it may differ by
- * receiver.
+ * Adds other modules' sections to the datagrams of the gossip protocol, in the space that they have
+ * left. Called anew for each datagram, so that the sections may differ by receiver.
  */
 public interface PayloadProvider {
-    /**
-     * The least type of a section that belongs to other modules; those below are the talk's own.
-     */
+    /** The lowest section type of other modules; those below belong to the gossip protocol. */
     int FIRST_SECTION_TYPE = 16;
 
-    /** Nothing. */
-    PayloadProvider NONE = (now, to, hold) -> {};
+    /** Adds nothing. */
+    PayloadProvider NONE = (now, destination, payload) -> {};
 
-    /** Loads sections for the balancer {@code destination}, the most urgent first. */
+    /** Writes the sections for the member {@code destination}, the most urgent first. */
     void writeSections(long now, int destination, PayloadBuffer payload);
 }
