--- a/staleness/src/main/java/frostrelay/staleness/BadVersionDetector.java
+++ b/staleness/src/main/java/frostrelay/staleness/BadVersionDetector.java
@@ -8,136 +8,122 @@
 import java.util.Set;
 
 /**
- * Whether those that took a version fail under it: they end out of order soon behind it, or serve
- * worse than before, and those that stayed on an older one do not. Such a version is not followed
- * by itself; operators decide. Once it has stood for the bound a judgement stands until a later
- * version is out or operators say to follow: that costs nothing but that this balancer does not go
- * after it by itself.
+ * Detects versions under which the peers that apply them fail, by crashing soon after they applied
+ * them or by serving worse than before, while those on an older version do not. Such a version is
+ * not followed automatically. Once the evidence has lasted for the staleness bound, the decision
+ * stands until a later version is bad as well or operators override it.
  */
 final class BadVersionDetector {
-    /** A version of one kind. */
-    record Version(VersionKind kind, long number) {}
-
     private final StalenessSettings settings;
-    private final PeerVersionState[] peers;
-    private final int localRank;
+    private final FleetVersions fleet;
 
-    /**
-     * Who ended young under a version, or says that it serves worse under it, and when that was
-     * last known.
-     */
-    private final Map<Version, Map<Integer, Long>> failureReports = new HashMap<>();
+    /** Which peers crashed or serve worse under a version, and when that was last reported. */
+    private final Map<NumberedVersion, Map<Integer, Long>> failureReports = new HashMap<>();
 
-    /**
-     * Since when the evidence is complete: what those say who stayed on the older one may be on its
-     * way yet.
-     */
-    private final Map<Version, Long> suspectSinceNanos = new HashMap<>();
+    /** Since when the evidence is sufficient; peers' evidence against it may yet arrive. */
+    private final Map<NumberedVersion, Long> suspectSinceNanos = new HashMap<>();
 
-    private final Set<Version> badVersions = new HashSet<>();
+    private final Set<NumberedVersion> badVersions = new HashSet<>();
 
-    BadVersionDetector(StalenessSettings settings, PeerVersionState[] peers, int localRank) {
+    BadVersionDetector(StalenessSettings settings, FleetVersions fleet) {
         this.settings = settings;
-        this.peers = peers;
-        this.localRank = localRank;
+        this.fleet = fleet;
     }
 
-    /**
-     * A balancer says of itself, first hand, that it serves worse since it took a version, or does
-     * no longer.
-     */
-    void onVersionFailing(long now, int from, VersionKind kind, long number, boolean isFailing) {
-        PeerVersionState peer = peers[from];
+    /** A peer reports of itself that it serves worse since it applies a version, or no longer. */
+    void onVersionFailing(long now, int from, NumberedVersion version, boolean isFailing) {
+        PeerVersionState peer = fleet.peer(from);
         if (!isFailing) {
-            failureReports.getOrDefault(new Version(kind, number), new HashMap<>()).remove(from);
+            Map<Integer, Long> reports = failureReports.get(version);
+            if (reports != null) {
+                reports.remove(from);
+            }
             return;
         }
-        // Only of what it acts on, and not of what cannot be: else one could fill the table.
-        if (peer.appliedVersions != null && kind.number(peer.appliedVersions) == number) {
-            recordFailure(now, from, new Version(kind, number));
+        // Only of the version that it applies: otherwise one peer could fill the table.
+        if (peer.appliedVersions != null
+                && version.kind().number(peer.appliedVersions) == version.number()) {
+            recordFailure(now, from, version);
         }
     }
 
-    /**
-     * A life has ended out of order: killed, crashed, or another one has begun without a farewell.
-     */
-    void onPeerCrashed(long now, int rank, PeerVersionState peer) {
+    /** A peer's process ended without leaving. */
+    void onPeerCrashed(long now, int rank) {
+        PeerVersionState peer = fleet.peer(rank);
         if (peer.appliedVersions != null
                 && peer.reportedAtNanos - peer.configSinceNanos <= settings.earlyExitNanos()) {
-            recordFailure(
-                    now,
-                    rank,
-                    new Version(VersionKind.CONFIG, peer.appliedVersions.configNumber()));
+            long number = peer.appliedVersions.configNumber();
+            recordFailure(now, rank, new NumberedVersion(VersionKind.CONFIG, number));
         }
     }
 
-    private void recordFailure(long now, int rank, Version version) {
+    private void recordFailure(long now, int rank, NumberedVersion version) {
         failureReports.computeIfAbsent(version, key -> new HashMap<>()).put(rank, now);
     }
 
     /**
-     * Whether a version is bad, by what others have shown. The dead count among those who are
-     * heard: they may have died of it. {@code isFailing}: this balancer, which stayed on an older
-     * one, serves worse as well.
+     * Whether a version is bad by the evidence so far. Peers that are dead count as well, as they
+     * may have died of it.
+     *
+     * @param isLocalFailing whether this balancer, on an older version, serves worse as well
      */
-    boolean isBad(long now, VersionKind kind, long number, boolean isLocalFailing) {
+    boolean isBad(long now, NumberedVersion version, boolean isLocalFailing) {
         removeExpired(now);
-        Version version = new Version(kind, number);
         if (badVersions.contains(version)) {
             return true;
         }
+        boolean isHarmful = isHarmful(version, isLocalFailing);
+        if (!isHarmful) {
+            suspectSinceNanos.remove(version);
+        } else if (now - suspectSinceNanos.computeIfAbsent(version, key -> now)
+                >= settings.stalenessBoundNanos()) {
+            badVersions.removeIf(other -> other.kind() == version.kind());
+            badVersions.add(version);
+            suspectSinceNanos.remove(version);
+        }
+        return isHarmful;
+    }
+
+    /** Whether half of those on the version fail, and at most a quarter of those on older ones. */
+    private boolean isHarmful(NumberedVersion version, boolean isLocalFailing) {
         int knownPeers = 0;
         int adopters = 0;
         int nonAdopters = 1;
         int failingAdopters = 0;
         int failingNonAdopters = isLocalFailing ? 1 : 0;
-        for (int i = 0; i < peers.length; i++) {
-            if (i == localRank || peers[i].appliedVersions == null) {
+        for (int rank = 0; rank < fleet.count(); rank++) {
+            PeerVersionState peer = fleet.peer(rank);
+            if (rank == fleet.localRank() || peer.appliedVersions == null) {
                 continue;
             }
             knownPeers++;
-            long peerNumber = kind.number(peers[i].appliedVersions);
-            boolean isPeerFailing =
-                    failureReports
-                            .getOrDefault(new Version(kind, peerNumber), Map.of())
-                            .containsKey(i);
-            if (peerNumber == number) {
+            long number = version.kind().number(peer.appliedVersions);
+            if (number == version.number()) {
                 adopters++;
-                failingAdopters += isPeerFailing ? 1 : 0;
-            } else if (peerNumber < number && peers[i].state == MemberState.ALIVE) {
+                failingAdopters += isFailing(rank, version) ? 1 : 0;
+            } else if (number < version.number() && peer.state == MemberState.ALIVE) {
                 nonAdopters++;
-                failingNonAdopters += isPeerFailing ? 1 : 0;
+                boolean isFailing = isFailing(rank, new NumberedVersion(version.kind(), number));
+                failingNonAdopters += isFailing ? 1 : 0;
             }
         }
-        boolean isHarmful =
-                failingAdopters
-                                >= (knownPeers >= StalenessDetector.MIN_PEERS_FOR_CONFIRMATION
-                                        ? 2
-                                        : 1)
-                        && 2 * failingAdopters >= adopters
-                        && 4 * failingNonAdopters <= nonAdopters;
-        if (!isHarmful) {
-            suspectSinceNanos.remove(version);
-        } else if (now - suspectSinceNanos.computeIfAbsent(version, key -> now)
-                >= settings.stalenessBoundNanos()) {
-            badVersions.removeIf(other -> other.kind == kind);
-            badVersions.add(version);
-            suspectSinceNanos.remove(version);
-        }
-        return isHarmful;
+        int requiredFailures = knownPeers >= FleetVersions.MIN_PEERS_FOR_CONFIRMATION ? 2 : 1;
+        return failingAdopters >= requiredFailures
+                && 2 * failingAdopters >= adopters
+                && 4 * failingNonAdopters <= nonAdopters;
+    }
+
+    private boolean isFailing(int rank, NumberedVersion version) {
+        return failureReports.getOrDefault(version, Map.of()).containsKey(rank);
     }
 
     private void removeExpired(long now) {
-        failureReports
-                .values()
-                .forEach(
-                        reports ->
-                                reports.values()
-                                        .removeIf(
-                                                reportedAtNanos ->
-                                                        now - reportedAtNanos
-                                                                > settings
-                                                                        .attributionWindowNanos()));
+        for (Map<Integer, Long> reports : failureReports.values()) {
+            reports.values()
+                    .removeIf(
+                            reportedAtNanos ->
+                                    now - reportedAtNanos > settings.attributionWindowNanos());
+        }
         failureReports.values().removeIf(Map::isEmpty);
     }
 }
--- a/staleness/src/main/java/frostrelay/staleness/ConfigTransfer.java
+++ b/staleness/src/main/java/frostrelay/staleness/ConfigTransfer.java
@@ -8,37 +8,36 @@
 import java.util.SplittableRandom;
 
 /**
- * Fetches the content of a configuration from one that acts on it, in pieces that fit a datagram,
- * and gives it out only if its digest is that which was asked for. One holder at a time; a holder
- * that is silent or whose content is another's gives way to the next. Bounded in pieces, in what is
- * open at once and in time. Decides by events alone; for one thread.
+ * Fetches the content of a configuration from a peer that applies it, in pieces that fit a
+ * datagram, and accepts it only if its digest is the requested one. Fetches from one holder at a
+ * time; one that does not answer, or whose content has another digest, is replaced by the next.
+ * Pieces, open requests and time are bounded. Driven by events alone; not thread-safe.
  */
 public final class ConfigTransfer {
-    /** What comes of it. */
+    /** What the transfer requests of its owner. */
     public interface Actions {
-        /** One piece is to be asked for; a lost call is made again. */
+        /** One piece is to be requested; a request that is lost is repeated. */
         void requestPiece(int holder, long digest, int piece);
 
         /**
-         * All pieces are there: {@code packed} is as the holder gave it. True if its digest is the
-         * right one and it was taken.
+         * All pieces were received.
+         *
+         * @param packed the content as the holder sent it
+         * @return whether its digest is right and it was accepted
          */
         boolean applyContent(long digest, byte[] packed);
     }
 
-    /** Bytes of a piece: with its head it fits a datagram of 256. */
+    /** Bytes of a piece: with its header it fits a datagram of 256. */
     public static final int PIECE_BYTES = 200;
 
-    /**
-     * A configuration of more than 100 KB packed is none of this platform's; the room is bounded by
-     * it.
-     */
+    /** Bounds the memory: no configuration of this platform has over 100 KB packed. */
     public static final int MAX_PIECES = 512;
 
     private static final long NEVER_NANOS = Long.MAX_VALUE;
     private static final int MAX_OPEN_REQUESTS = 3;
 
-    /** Way and back at their slowest, 60 ms, and a giver that waits for room below its ceiling. */
+    /** The longest round trip, 60 ms, and time for a holder that is limited in bytes per second. */
     private static final long RETRY_INTERVAL_NANOS = 700_000_000L;
 
     private static final int MAX_TIMEOUTS = 6;
@@ -56,13 +55,17 @@
     private long acceptedCount;
     private long rejectedCount;
 
-    /** {@code seed}: of the choice among holders. */
+    /**
+     * Starts without anything to fetch.
+     *
+     * @param seed of the random choice of a holder
+     */
     public ConfigTransfer(long seed, Actions actions) {
         this.actions = actions;
         random = new SplittableRandom(seed);
     }
 
-    /** This content is wanted, and these act on it; an empty list ends what is under way. */
+    /** Fetches a content from one of the peers that apply it; an empty list stops fetching. */
     public void fetch(long now, long wantedDigest, List<Integer> availableHolders) {
         if (availableHolders.isEmpty()) {
             stop();
@@ -76,7 +79,7 @@
         }
         holders = List.copyOf(availableHolders);
         if (holder < 0 && rejectedHolders.containsAll(holders)) {
-            // All have been tried: what was lost or away then may be there now.
+            // All have been tried; what was unreachable then may be reachable now.
             rejectedHolders.clear();
         }
         if (holder < 0 && nextTimerAtNanos == NEVER_NANOS) {
@@ -120,7 +123,7 @@
         }
     }
 
-    /** A piece came; whatever it claims. */
+    /** Handles a piece, which may be of any origin and content. */
     public void onPiece(
             long now, int from, long contentDigest, int piece, int count, byte[] content) {
         if (from != holder
@@ -174,14 +177,13 @@
         return nextTimerAtNanos;
     }
 
-    /** To be called at {@link #nextTimerAtNanos}, or a little later. */
+    /** Repeats requests; to be called at {@link #nextTimerAtNanos}, or a little later. */
     public void onTimer(long now) {
         if (now < nextTimerAtNanos || holder < 0) {
             return;
         }
         if (++timeoutCount >= MAX_TIMEOUTS) {
-            // It may be away; another may have it. Once all have been tried it is begun anew when
-            // it is wanted again.
+            // It may be unreachable. Once all holders have failed, the next fetch starts over.
             rejectedHolders.add(holder);
             chooseHolder(now);
         } else {
@@ -189,12 +191,12 @@
         }
     }
 
-    /** Contents that were taken. */
+    /** The number of contents that were accepted. */
     public long acceptedCount() {
         return acceptedCount;
     }
 
-    /** Contents whose digest was another's, or that were no configuration. */
+    /** The number of contents with another digest, or that were no valid configuration. */
     public long rejectedCount() {
         return rejectedCount;
     }
--- /dev/null
+++ b/staleness/src/main/java/frostrelay/staleness/NumberedVersion.java
@@ -0,0 +1,4 @@
+package frostrelay.staleness;
+
+/** A version of one kind. */
+record NumberedVersion(VersionKind kind, long number) {}
--- a/staleness/src/main/java/frostrelay/staleness/OperatorOverrides.java
+++ b/staleness/src/main/java/frostrelay/staleness/OperatorOverrides.java
@@ -1,36 +1,82 @@
 package frostrelay.staleness;
 
+import java.util.HashSet;
+import java.util.Locale;
 import java.util.Set;
 
 /**
- * What operators have decided in place of the program, as words that last as holds do: {@code
- * keep-in}, {@code shut-out}, and {@code follow:config:7} or {@code follow:list:9} for a version
- * that is followed although others fail under it. Unknown words are passed over.
+ * What operators have decided in place of the program. Kept and transferred as words, which last as
+ * admin drains do: {@code keep-in}, {@code shut-out}, and {@code follow:config:7} or {@code
+ * follow:list:9} for a version that is followed although peers fail under it. Unknown words are
+ * ignored. Immutable.
  */
-public record OperatorOverrides(Set<String> directives) {
-    /** Stays in however far it lags behind; goes before {@link #SHUT_OUT}. */
+public final class OperatorOverrides {
+    /** The balancer serves however far it lags behind; takes precedence over {@link #SHUT_OUT}. */
     public static final String KEEP_IN = "keep-in";
 
-    /** Is aside until operators let go, whatever it acts on and whatever the others do. */
+    /** The balancer drains itself until operators revoke this, whatever versions apply. */
     public static final String SHUT_OUT = "shut-out";
 
-    /** Nothing. */
+    /** No overrides. */
     public static final OperatorOverrides NONE = new OperatorOverrides(Set.of());
 
-    /** The word by which a version is followed all the same. */
+    private static final String FOLLOW_PREFIX = "follow:";
+
+    private final boolean isKeptIn;
+    private final boolean isShutOut;
+    private final Set<NumberedVersion> followedVersions;
+
+    /** Reads the words; unknown ones are ignored. */
+    public OperatorOverrides(Set<String> directives) {
+        isKeptIn = directives.contains(KEEP_IN);
+        isShutOut = directives.contains(SHUT_OUT) && !isKeptIn;
+        followedVersions = new HashSet<>();
+        for (String directive : directives) {
+            NumberedVersion version = parseFollowed(directive);
+            if (version != null) {
+                followedVersions.add(version);
+            }
+        }
+    }
+
+    /** The version of a {@code follow:} word; null for any other word. */
+    private static NumberedVersion parseFollowed(String directive) {
+        for (VersionKind kind : VersionKind.values()) {
+            String prefix = followPrefix(kind);
+            if (directive.startsWith(prefix)) {
+                try {
+                    long number = Long.parseLong(directive.substring(prefix.length()));
+                    // Only the canonical form counts, without a plus sign or leading zeros.
+                    return directive.equals(followDirective(kind, number))
+                            ? new NumberedVersion(kind, number)
+                            : null;
+                } catch (NumberFormatException e) {
+                    // An unknown word, which is ignored.
+                    return null;
+                }
+            }
+        }
+        return null;
+    }
+
+    private static String followPrefix(VersionKind kind) {
+        return FOLLOW_PREFIX + kind.name().toLowerCase(Locale.ROOT) + ':';
+    }
+
+    /** The word by which a version is followed although peers fail under it. */
     public static String followDirective(VersionKind kind, long number) {
-        return "follow:" + kind.name().toLowerCase(java.util.Locale.ROOT) + ':' + number;
+        return followPrefix(kind) + number;
     }
 
     boolean isKeptIn() {
-        return directives.contains(KEEP_IN);
+        return isKeptIn;
     }
 
     boolean isShutOut() {
-        return directives.contains(SHUT_OUT) && !isKeptIn();
+        return isShutOut;
     }
 
     boolean isFollowed(VersionKind kind, long number) {
-        return directives.contains(followDirective(kind, number));
+        return followedVersions.contains(new NumberedVersion(kind, number));
     }
 }
--- a/staleness/src/main/java/frostrelay/staleness/PeerAdminDrains.java
+++ b/staleness/src/main/java/frostrelay/staleness/PeerAdminDrains.java
@@ -6,14 +6,14 @@
 import java.util.Set;
 
 /**
- * Caches that others' operators hold out of use. A balancer tells only holds that its own operators
- * set, with the digest of all that it holds: as long as its stamp has that digest, whoever brings
- * it, its word stands; when the stamp has another, it is over. So a hold needs no renewal, and a
- * release no message of its own. Adopted is what as many hold as it takes to prove a thing: one
- * operator's call at one balancer is that balancer's.
+ * Caches that peers' operators drain. A balancer reports only the drains that its own operators
+ * set, with the digest of all of them: the report is valid as long as the peer's applied versions
+ * have that digest. So a drain needs no renewal, and its end no message of its own. A drain is
+ * adopted once as many peers report it as it takes to prove a fact: a single operator's command
+ * concerns a single balancer.
  */
 final class PeerAdminDrains {
-    /** A word may come before the stamp that it goes with. */
+    /** A report may arrive before the applied versions that have its digest. */
     private static final long REORDER_WINDOW_NANOS = 2_000_000_000L;
 
     private static final int MAX_CACHES = 1_024;
@@ -22,17 +22,17 @@
         long digest;
         long receivedAtNanos;
 
-        /** When it was last known to stand. */
+        /** When its digest was last known to be the peer's current one. */
         long lastValidAtNanos;
     }
 
     private final StalenessSettings settings;
-    private final PeerVersionState[] peers;
+    private final FleetVersions fleet;
     private final Map<Long, Map<Integer, DrainReport>> reportsByCache = new HashMap<>();
 
-    PeerAdminDrains(StalenessSettings settings, PeerVersionState[] peers) {
+    PeerAdminDrains(StalenessSettings settings, FleetVersions fleet) {
         this.settings = settings;
-        this.peers = peers;
+        this.fleet = fleet;
     }
 
     void onPeerAdminDrain(long now, int from, long digest, long cache) {
@@ -48,20 +48,13 @@
         report.lastValidAtNanos = now;
     }
 
-    /** Those held by so many at least, among {@code readyCaches}. */
-    Set<Long> drainedCaches(
-            long now, int requiredReporters, boolean isIsolated, Set<Long> readyCaches) {
+    /** Those of the ready caches that at least so many peers report. The set is the caller's. */
+    Set<Long> drainedCaches(long now, int requiredReporters, Set<Long> readyCaches) {
         Set<Long> drained = new HashSet<>();
         reportsByCache.forEach(
                 (cache, reports) -> {
                     reports.entrySet()
-                            .removeIf(
-                                    entry ->
-                                            isExpired(
-                                                    now,
-                                                    peers[entry.getKey()],
-                                                    entry.getValue(),
-                                                    isIsolated));
+                            .removeIf(entry -> isExpired(now, entry.getKey(), entry.getValue()));
                     if (reports.size() >= requiredReporters && readyCaches.contains(cache)) {
                         drained.add(cache);
                     }
@@ -70,11 +63,10 @@
         return drained;
     }
 
-    private boolean isExpired(
-            long now, PeerVersionState peer, DrainReport report, boolean isIsolated) {
-        if (isIsolated || !peer.isKnownAlive()) {
-            // Of one that is silent it stands a while longer: its operators' will does not end with
-            // its datagrams.
+    private boolean isExpired(long now, int rank, DrainReport report) {
+        PeerVersionState peer = fleet.peer(rank);
+        if (fleet.isIsolated() || !peer.isKnownAlive()) {
+            // A drain outlives the balancer that reported it for a while: operators did not end it.
             return now - report.lastValidAtNanos > settings.reportLifetimeNanos();
         }
         report.lastValidAtNanos = now;
@@ -82,7 +74,7 @@
                 && now - report.receivedAtNanos >= REORDER_WINDOW_NANOS;
     }
 
-    /** When something may be over. */
+    /** When a report may expire. */
     long nextTimerAtNanos(long now) {
         return reportsByCache.isEmpty() ? Long.MAX_VALUE : now + REORDER_WINDOW_NANOS;
     }
--- a/staleness/src/main/java/frostrelay/staleness/PeerFreshness.java
+++ b/staleness/src/main/java/frostrelay/staleness/PeerFreshness.java
@@ -1,14 +1,14 @@
 package frostrelay.staleness;
 
-/** Whether what another says of shared state is to be gone by. */
+/** Whether a peer's reports of shared state are to be used. */
 public enum PeerFreshness {
-    /** It acts on a list as new as this balancer's, or has not been behind for long. */
+    /** It applies a list as new as this balancer's, or has not been behind for long. */
     CURRENT,
     /**
-     * It has acted on an older list than this balancer for longer than the bound: a straggler,
-     * passed over until it is current.
+     * It has applied an older list than this balancer for longer than the bound: its reports are
+     * ignored until it is current.
      */
     PASSED_OVER,
-    /** What it acts on is not known. */
+    /** Which versions it applies is not known. */
     UNKNOWN
 }
--- a/staleness/src/main/java/frostrelay/staleness/StalenessCodec.java
+++ b/staleness/src/main/java/frostrelay/staleness/StalenessCodec.java
@@ -10,11 +10,11 @@
 import java.util.Set;
 
 /**
- * The wire form of what stragglers say to each other, as sections of the peers' datagrams,
- * big-endian: what this balancer's own operators hold (16: u64 digest of all holds, u64 cache),
- * versions that it fails under (17: u8 kind, u64 number, u8 1 or 0 for no longer), a piece of a
- * configuration that is wanted (18: u64 digest, u16 piece) and that is given (19: u64 digest, u16
- * piece, u16 pieces, content).
+ * The wire form of what balancers report to each other about versions, as sections of gossip
+ * datagrams, big-endian: an admin drain of this balancer's own operators (16: u64 digest of all
+ * drains, u64 cache), a version that it fails under (17: u8 kind, u64 number, u8 1 or 0 for no
+ * longer), a request for a piece of a configuration (18: u64 digest, u16 piece) and the piece (19:
+ * u64 digest, u16 piece, u16 pieces, content).
  */
 public final class StalenessCodec implements PayloadProvider {
     private static final int ADMIN_DRAIN = 16;
@@ -26,24 +26,29 @@
     private static final int PIECE_REQUEST_BYTES = Long.BYTES + Short.BYTES;
     private static final int PIECE_HEADER_BYTES = PIECE_REQUEST_BYTES + Short.BYTES;
 
-    /** In a datagram: holds are few, and each is told in turn. */
+    /** Drains are few; all are sent in turn. */
     private static final int MAX_DRAINS_PER_DATAGRAM = 3;
 
     private static final int U16_MASK = 0xffff;
 
-    /** Hears what came, unchecked but for its form. */
+    /** Receives sections, unchecked but for their form. */
     public interface Listener {
+        /** A peer's operators drain a cache; {@code digest} is that of all its drains. */
         void onPeerAdminDrain(long now, int from, long digest, long cache);
 
+        /** A peer serves worse since it applies a version, or no longer. */
         void onVersionFailing(long now, int from, VersionKind kind, long number, boolean isFailing);
 
+        /** A peer requests a piece of the configuration with this digest. */
         void onPieceRequested(long now, int from, long digest, int piece);
 
+        /** A peer sent one of {@code count} pieces of the configuration with this digest. */
         void onPiece(long now, int from, long digest, int piece, int count, byte[] content);
     }
 
-    /** Whether a balancer is known to hold the same already. */
+    /** Knows which peers need no report of admin drains. */
     public interface DrainKnowledge {
+        /** Whether a peer is known to have the same drains already. */
         boolean isUpToDate(int rank, long drainsDigest);
     }
 
@@ -53,18 +58,18 @@
     private int nextDrain;
     private final Map<VersionKind, ByteBuffer> failingVersions = new EnumMap<>(VersionKind.class);
 
-    /** {@code drainKnowledge}: who need not be told of holds. */
+    /** Starts with nothing to report. */
     public StalenessCodec(DrainKnowledge drainKnowledge) {
         this.drainKnowledge = drainKnowledge;
     }
 
-    /** From now on this balancer's own operators hold these, with this digest in its stamp. */
+    /** Reports these drains of the own operators from now on; the digest is that of all of them. */
     public void setAdminDrains(long digest, Set<Long> caches) {
         drainsDigest = digest;
         drainedCaches = caches.stream().sorted().toList();
     }
 
-    /** From now on it says of itself whether it fails under this version. */
+    /** Reports from now on whether this balancer fails under a version. */
     public void setVersionFailing(VersionKind kind, long number, boolean isFailing) {
         failingVersions.put(
                 kind,
@@ -75,7 +80,7 @@
                         .flip());
     }
 
-    /** It says nothing of that kind any more: what it said before is old. */
+    /** Reports nothing about that kind any more. */
     public void clearVersionFailing(VersionKind kind) {
         failingVersions.remove(kind);
     }
@@ -99,7 +104,7 @@
         nextDrain %= drainedCaches.size();
     }
 
-    /** The type and content of the section by which a piece is asked for. */
+    /** The content of a section that requests a piece. */
     public static ByteBuffer encodePieceRequest(long digest, int piece) {
         return ByteBuffer.allocate(PIECE_REQUEST_BYTES)
                 .putLong(digest)
@@ -107,14 +112,14 @@
                 .flip();
     }
 
-    /** Its type. */
+    /** The type of a section that requests a piece. */
     public static int pieceRequestType() {
         return PIECE_REQUEST;
     }
 
     /**
-     * The content of the section that gives a piece of all that is packed; null where there is no
-     * such piece.
+     * The content of a section with a piece of a packed configuration; null where there is no such
+     * piece.
      */
     public static ByteBuffer encodePiece(long digest, int piece, byte[] packed) {
         int count = (packed.length + ConfigTransfer.PIECE_BYTES - 1) / ConfigTransfer.PIECE_BYTES;
@@ -133,12 +138,12 @@
                 .flip();
     }
 
-    /** Its type. */
+    /** The type of a section with a piece. */
     public static int pieceType() {
         return PIECE;
     }
 
-    /** Reads a section; one of another module, or too short, is passed over. */
+    /** Reads a section; one of another module, or too short, is ignored. */
     public static void read(long now, int from, int type, ByteBuffer in, Listener listener) {
         int length = in.remaining();
         if (type == ADMIN_DRAIN && length >= ADMIN_DRAIN_BYTES) {
--- a/staleness/src/main/java/frostrelay/staleness/StalenessDetector.java
+++ b/staleness/src/main/java/frostrelay/staleness/StalenessDetector.java
@@ -3,137 +3,89 @@
 import frostrelay.gossip.AppliedVersions;
 import frostrelay.gossip.MemberState;
 
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.EnumMap;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.TreeSet;
 
 /**
- * Whether this balancer acts on what the rest of the fleet has left behind, and what it does then.
- * What peers say only takes away: a cache that others know as draining or gone is avoided until the
- * own list has caught up or the hearsay is old; nothing is ever sent to a cache that the own list
- * has not named. Decides by events alone; for one thread; moments are nanoseconds of one clock that
- * never falls.
+ * Detects that this balancer applies versions that its peers have superseded, and decides what to
+ * do: poll, fetch, avoid caches, or drain itself. What peers report only takes caches away, until
+ * the local endpoint list has caught up or the report expires; nothing is ever sent to a cache that
+ * the local list does not name. Driven by events alone; not thread-safe; times are nanoseconds of
+ * one monotonic clock.
  */
 public final class StalenessDetector {
-    /** What comes of it. */
+    /** What the detector decides. */
     public interface Actions {
-        /** Discovery is to be asked for the whole list now. */
+        /** The discovery service is to be polled for the whole list now. */
         void pollEndpointList();
 
-        /** The configuration's file is read again now: a signal may have been missed. */
+        /** The configuration's file is to be read again now: a signal may have been missed. */
         void rereadConfig();
 
         /**
-         * The file brought nothing: these act on a configuration with this digest, and its content
-         * may be asked of them where operators allow that. None: nothing is wanted any more.
+         * Reading the file brought nothing: the content may be fetched from peers, where operators
+         * allow that.
+         *
+         * @param digest of the configuration
+         * @param holders ranks of the peers that apply it; empty to stop fetching
          */
         void fetchConfig(long digest, List<Integer> holders);
 
-        /** Exactly these caches, by their numbers, are avoided on hearsay from now on. */
+        /** From now on exactly these caches are avoided because of peers' reports. */
         void avoidCaches(Set<Long> caches);
 
-        /** This balancer steps aside as a drain does, or comes back. */
+        /** This balancer starts or ends draining itself. */
         void setSelfDraining(boolean isDraining, String reason);
 
-        /**
-         * What this balancer says of itself ({@link #failingKinds}) has changed and is to be told.
-         */
+        /** What {@link #failingKinds} returns has changed and is to be announced to the peers. */
         void announceFailingVersions();
 
-        /** A version is not followed although others act on it, and why. */
+        /** A version is not followed although peers apply it. */
         void onVersionNotFollowed(VersionKind kind, long number, String reason);
 
-        /** Something that operators want to know, in words. */
+        /** A message for operators. */
         void notifyOperators(String message);
     }
 
-    /** How this balancer's list, or its configuration, stands to the others'. */
+    /** How this balancer's list, or its configuration, stands to those of its peers. */
     public enum Standing {
-        /** Nobody is heard: neither current nor behind. */
+        /** No peer's versions are known: neither current nor behind. */
         HEARS_NOTHING,
+        /** No newer one is proven. */
         CURRENT,
-        /** Others act on a newer one, and it may yet come by itself. */
+        /** Peers apply a newer one, and it may yet come by itself. */
         WAITING,
-        /** It was waited for in vain and is asked for. */
+        /** The grace period is over, and the newer one is polled for. */
         BEHIND,
-        /** Behind for longer than the bound: what it says of shared state is not to be gone by. */
+        /** Behind for longer than the bound: its reports of shared state are not to be used. */
         STRAGGLER,
-        /** Behind on purpose: those that took the newer one fail under it. Operators decide. */
+        /** Behind on purpose: those that apply the newer one fail under it. Operators decide. */
         STAYS_BEHIND,
-        /** Behind for a known reason: the newer configuration was read here and cannot be used. */
+        /** Behind for a known reason: the newer configuration was read here and is invalid. */
         REFUSED,
         /** One version with two contents. */
         CONFLICT
     }
 
-    private static final long NEVER_NANOS = Long.MAX_VALUE;
-
-    /** With so many others alive, one's word alone proves nothing. */
-    static final int MIN_PEERS_FOR_CONFIRMATION = 3;
-
-    private static final int MAX_CACHES = 4_096;
-
-    /**
-     * What others say of a cache: who has it as not to be used, each by the version of its own
-     * list.
-     */
-    private static final class UnavailabilityReport {
-        long sinceNanos;
-
-        /** One alone has been believed for as long as that goes. */
-        boolean isSingleReportExpired;
-
-        final Map<Integer, Long> revisionByReporter = new HashMap<>();
-    }
+    static final long NEVER_NANOS = Long.MAX_VALUE;
+    static final String NOT_FOLLOWED_REASON = "those that took it fail under it";
 
     private final StalenessSettings settings;
-    private final int localRank;
-    private final int count;
-    private final SplittableRandom random;
     private final Actions actions;
-    private final PeerVersionState[] peers;
-    private final FleetVersionSummary versionSummary = new FleetVersionSummary();
-    private final BadVersionDetector badVersions;
-    private final PeerAdminDrains peerDrains;
-    private final Map<VersionKind, VersionRegressionDetector> serviceByKind =
-            new EnumMap<>(VersionKind.class);
-    private final Map<Long, UnavailabilityReport> reportsByCache = new LinkedHashMap<>();
-
-    /** By which version each peer has a cache back. */
-    private final Map<Long, Map<Integer, Long>> restorationsByCache = new HashMap<>();
-
-    private Set<Long> readyCaches = Set.of();
-    private Set<Long> locallyDrained = Set.of();
-    private Set<Long> avoidedCaches = Set.of();
-    private Set<Long> drainedByPeers = Set.of();
-    private AppliedVersions localVersions;
-    private boolean isIsolated;
-    private OperatorOverrides overrides = OperatorOverrides.NONE;
-    private Standing listStanding = Standing.HEARS_NOTHING;
-    private Standing configStanding = Standing.HEARS_NOTHING;
-    private long newestListRevision;
-    private long newestConfigNumber = Long.MIN_VALUE;
-    private long rejectedConfigNumber = Long.MIN_VALUE;
-    private long behindSinceNanos = NEVER_NANOS;
-    private long configBehindSinceNanos = NEVER_NANOS;
-    private long pollAtNanos = NEVER_NANOS;
-    private long pollIntervalNanos;
-    private long rereadAtNanos = NEVER_NANOS;
-    private long fetchAtNanos = NEVER_NANOS;
-    private boolean isFetchingConfig;
-    private boolean isSelfDraining;
-    private long pollCount;
+    private final FleetVersions fleet;
+    private final RolloutGuard rolloutGuard;
+    private final ListStaleness list;
+    private final ConfigStaleness config;
+    private final CacheAvoidance avoidance;
+    private final SelfDrain selfDrain;
 
     /**
-     * {@code localRank}: this balancer's number among {@code count}; {@code localVersions}: what it
-     * acts on.
+     * Starts without knowledge of any peer.
+     *
+     * @param localRank this balancer's rank, below {@code count}
+     * @param count number of balancers
+     * @param seed of the random spread of polls
+     * @param localVersions what this balancer applies
      */
     public StalenessDetector(
             StalenessSettings settings,
@@ -143,58 +95,42 @@
             AppliedVersions localVersions,
             Actions actions) {
         this.settings = settings;
-        this.localRank = localRank;
-        this.count = count;
-        this.localVersions = localVersions;
         this.actions = actions;
-        random = new SplittableRandom(seed);
-        peers = new PeerVersionState[count];
-        for (int i = 0; i < count; i++) {
-            peers[i] = new PeerVersionState();
-        }
-        badVersions = new BadVersionDetector(settings, peers, localRank);
-        peerDrains = new PeerAdminDrains(settings, peers);
-        for (VersionKind kind : VersionKind.values()) {
-            serviceByKind.put(kind, new VersionRegressionDetector(settings, kind));
-        }
+        fleet = new FleetVersions(localRank, count, localVersions);
+        rolloutGuard = new RolloutGuard(settings, fleet);
+        list = new ListStaleness(settings, fleet, rolloutGuard, seed, actions);
+        config = new ConfigStaleness(settings, fleet, rolloutGuard, actions);
+        avoidance = new CacheAvoidance(settings, fleet, rolloutGuard, list, actions);
+        selfDrain = new SelfDrain(settings, fleet, rolloutGuard, list, actions);
     }
 
-    // What comes in.
-
-    /**
-     * A cache that others call away: by which list several of them do, {@link Long#MIN_VALUE} for
-     * none, and how many there are.
-     */
-    private record AvoidanceCandidate(long cache, long listRevision, int reporterCount) {}
-
-    /** This balancer's own operators hold these caches. */
+    /** This balancer's own operators drain exactly these caches. */
     public void onLocalAdminDrains(long now, Set<Long> caches) {
-        locallyDrained = Set.copyOf(caches);
+        avoidance.setLocallyDrained(caches);
         reevaluate(now);
     }
 
     /**
-     * This balancer acts on this from now on; {@code usableCaches}: the caches that its list names
-     * as ready.
+     * This balancer applies other versions from now on.
+     *
+     * @param usableCaches the caches that its list names as ready
      */
     public void onLocalVersions(long now, AppliedVersions versions, Set<Long> usableCaches) {
-        for (VersionKind kind : VersionKind.values()) {
-            if (kind.number(versions) != kind.number(localVersions)) {
-                serviceByKind.get(kind).onVersionApplied(now);
-            }
-        }
-        localVersions = versions;
-        readyCaches = usableCaches;
-        for (PeerVersionState peer : peers) {
-            updateOlderSince(now, peer);
+        rolloutGuard.onLocalVersions(now, fleet.localVersions(), versions);
+        fleet.setLocalVersions(versions);
+        avoidance.setReadyCaches(usableCaches);
+        for (int rank = 0; rank < fleet.count(); rank++) {
+            fleet.peer(rank).updateOlderSince(now, versions);
         }
         reevaluate(now);
     }
 
     /**
-     * What is known of a peer. {@code versions}: null where that is nothing; {@code
-     * startUnixMillis}: when its life began, in Unix milliseconds as it saw it; {@code ageNanos}:
-     * how long ago it said so itself, negative where it never did.
+     * What is known of a peer.
+     *
+     * @param versions what it applies; null where that is not known
+     * @param startUnixMillis start of its process by its own wall clock
+     * @param ageNanos time since it confirmed this itself; negative where it never did
      */
     public void onPeerState(
             long now,
@@ -203,605 +139,167 @@
             AppliedVersions versions,
             long startUnixMillis,
             long ageNanos) {
-        PeerVersionState peer = peers[rank];
-        boolean hasRestarted = startUnixMillis != peer.startUnixMillis && peer.startUnixMillis != 0;
-        if (hasRestarted
-                ? peer.state != MemberState.LEFT && peer.state != MemberState.GONE
-                : state == MemberState.GONE
-                        && peer.state != MemberState.GONE
-                        && peer.state != MemberState.LEFT) {
-            badVersions.onPeerCrashed(now, rank, peer);
-        }
-        if (versions != null
-                && (hasRestarted
-                        || peer.appliedVersions == null
-                        || peer.appliedVersions.configNumber() != versions.configNumber())) {
-            peer.configSinceNanos = now - Math.max(0, ageNanos);
+        PeerVersionState peer = fleet.peer(rank);
+        if (peer.isCrash(state, startUnixMillis)) {
+            rolloutGuard.onPeerCrashed(now, rank);
         }
-        peer.state = state;
-        peer.startUnixMillis = startUnixMillis;
-        peer.appliedVersions = versions == null && !hasRestarted ? peer.appliedVersions : versions;
-        peer.reportedAtNanos =
-                ageNanos < 0
-                        ? peer.reportedAtNanos
-                        : Math.max(peer.reportedAtNanos, now - ageNanos);
-        updateOlderSince(now, peer);
+        peer.update(now, state, versions, startUnixMillis, ageNanos);
+        peer.updateOlderSince(now, fleet.localVersions());
         reevaluate(now);
     }
 
-    private void updateOlderSince(long now, PeerVersionState peer) {
-        boolean isOlder =
-                peer.appliedVersions != null
-                        && peer.appliedVersions.listRevision() < localVersions.listRevision();
-        peer.olderListSinceNanos = isOlder ? Math.min(peer.olderListSinceNanos, now) : NEVER_NANOS;
-    }
-
-    /** Whether anybody is heard at all. */
+    /** Whether nothing at all is received from peers. */
     public void onIsolation(long now, boolean isolated) {
-        if (isolated != isIsolated) {
-            isIsolated = isolated;
+        if (isolated != fleet.isIsolated()) {
+            fleet.setIsolated(isolated);
             reevaluate(now);
         }
     }
 
     /**
-     * Counts since the start, about once a second: requests that ended, and those that were served
-     * among them.
+     * Counts since the start, to be passed about once a second.
+     *
+     * @param completed requests that completed in whatever way
+     * @param served those among them that were served
      */
     public void onServiceCounts(long now, long completed, long served) {
-        boolean hasChanged = false;
-        for (VersionRegressionDetector kindService : serviceByKind.values()) {
-            boolean wasFailing = kindService.isFailing();
-            kindService.onServiceCounts(now, completed, served);
-            hasChanged |= kindService.isFailing() != wasFailing;
-        }
-        if (hasChanged) {
+        if (rolloutGuard.onServiceCounts(now, completed, served)) {
             actions.announceFailingVersions();
         }
     }
 
     /**
-     * A configuration with that number, {@link AppliedVersions#NO_NUMBER} for one that has none,
-     * was read and cannot be used.
+     * A configuration was read and is invalid.
+     *
+     * @param number {@link AppliedVersions#NO_NUMBER} where it has none
      */
     public void onConfigRejected(long now, long number) {
-        rejectedConfigNumber = number;
+        config.onRejected(number);
         reevaluate(now);
     }
 
-    /** A peer says of itself that it serves worse since it took a version, or does no longer. */
+    /** A peer reports of itself that it serves worse since it applies a version, or no longer. */
     public void onVersionFailing(
             long now, int from, VersionKind kind, long number, boolean isFailing) {
-        badVersions.onVersionFailing(now, from, kind, number, isFailing);
+        rolloutGuard.onVersionFailing(now, from, new NumberedVersion(kind, number), isFailing);
         reevaluate(now);
     }
 
     /**
-     * A peer says that its own operators hold a cache; {@code digest}: of all that it holds, as in
-     * its stamp.
+     * A peer reports that its own operators drain a cache.
+     *
+     * @param digest of all its admin drains, as in its applied versions
      */
     public void onPeerAdminDrain(long now, int from, long digest, long cache) {
-        peerDrains.onPeerAdminDrain(now, from, digest, cache);
+        avoidance.onPeerAdminDrain(now, from, digest, cache);
         reevaluate(now);
     }
 
-    /** What operators decided in place of the program. */
+    /** Operators have changed what they decide in place of the program. */
     public void onOverrides(long now, OperatorOverrides updated) {
-        overrides = updated;
+        rolloutGuard.setOverrides(updated);
         reevaluate(now);
     }
 
-    /** A peer says, by its own list of that version, that a cache is not to be used. */
+    /** A peer reports that its list, of this revision, rules a cache out. */
     public void onCacheUnavailable(long now, int from, long listRevision, long cache) {
-        if (listRevision <= localVersions.listRevision()
-                || !readyCaches.contains(cache)
-                || reportsByCache.size() >= MAX_CACHES) {
-            return;
-        }
-        if (listRevision < newestRestoration(cache)) {
-            return;
-        }
-        UnavailabilityReport report =
-                reportsByCache.computeIfAbsent(cache, id -> new UnavailabilityReport());
-        if (report.revisionByReporter.isEmpty()) {
-            report.sinceNanos = now;
+        if (avoidance.onUnavailable(now, from, listRevision, cache)) {
+            reevaluate(now);
         }
-        report.revisionByReporter.merge(from, listRevision, Math::max);
-        reevaluate(now);
     }
 
     /**
-     * A peer says, by its own list of that version, that a cache may be used again: what older
-     * lists said of it is over, also where that comes later, as datagrams overtake each other.
-     * Believed once that version is proved: one liar ends nobody's word.
+     * A peer reports that its list, of this revision, allows a cache again. That ends the reports
+     * by older lists, also those that arrive later, as datagrams may be reordered. Believed as soon
+     * as the revision is proven, so that a single wrong report ends none.
      */
     public void onCacheRestored(long now, int from, long listRevision, long cache) {
-        if (listRevision <= localVersions.listRevision()
-                || !readyCaches.contains(cache)
-                || restorationsByCache.size() >= MAX_CACHES
-                        && !restorationsByCache.containsKey(cache)) {
-            return;
-        }
-        restorationsByCache
-                .computeIfAbsent(cache, id -> new HashMap<>())
-                .merge(from, listRevision, Math::max);
-        reevaluate(now);
-    }
-
-    /**
-     * The newest proved version by which somebody has the cache back; {@link Long#MIN_VALUE} for
-     * none.
-     */
-    private long newestRestoration(long cache) {
-        long newestRestored = Long.MIN_VALUE;
-        for (long listRevision : restorationsByCache.getOrDefault(cache, Map.of()).values()) {
-            newestRestored =
-                    listRevision <= newestListRevision
-                            ? Math.max(newestRestored, listRevision)
-                            : newestRestored;
+        if (avoidance.onRestored(from, listRevision, cache)) {
+            reevaluate(now);
         }
-        return newestRestored;
     }
 
     /** When {@link #onTimer} is to be called next. */
     public long nextTimerAtNanos(long now) {
-        long nextNanos =
-                Math.min(
-                        Math.min(pollAtNanos, rereadAtNanos),
-                        Math.min(fetchAtNanos, peerDrains.nextTimerAtNanos(now)));
-        for (UnavailabilityReport report : reportsByCache.values()) {
-            nextNanos =
-                    Math.min(
-                            nextNanos,
-                            report.sinceNanos
-                                    + (report.isSingleReportExpired
-                                            ? settings.reportLifetimeNanos()
-                                            : settings.singleReportLifetimeNanos()));
-        }
-        if (behindSinceNanos != NEVER_NANOS
-                && listStanding != Standing.STRAGGLER
-                && listStanding != Standing.STAYS_BEHIND) {
-            nextNanos =
-                    Math.min(
-                            nextNanos,
-                            behindSinceNanos
-                                    + (listStanding == Standing.WAITING
-                                            ? settings.graceNanos()
-                                            : settings.stalenessBoundNanos()));
-        }
-        if (configBehindSinceNanos != NEVER_NANOS && configStanding == Standing.BEHIND) {
-            nextNanos =
-                    Math.min(nextNanos, configBehindSinceNanos + settings.stalenessBoundNanos());
-        }
-        return nextNanos;
+        return Math.min(
+                Math.min(list.nextTimerAtNanos(), config.nextTimerAtNanos()),
+                avoidance.nextTimerAtNanos(now));
     }
 
-    /** To be called at {@link #nextTimerAtNanos}, or a little later. */
+    /** Does what is due; to be called at {@link #nextTimerAtNanos}, or a little later. */
     public void onTimer(long now) {
         reevaluate(now);
-        if (now >= rereadAtNanos) {
-            rereadAtNanos = now + settings.maxPollIntervalNanos();
-            actions.rereadConfig();
-        }
-        if (now >= fetchAtNanos) {
-            fetchAtNanos = now + settings.maxPollIntervalNanos();
-            fetchNewestConfig();
-        }
-        if (now >= pollAtNanos) {
-            pollCount++;
-            // Until it brings something, ever more seldom: a fleet that is told nothing does not
-            // mob discovery.
-            pollIntervalNanos =
-                    Math.min(
-                            Math.max(settings.maxPollIntervalNanos(), pollSpreadNanos()),
-                            pollIntervalNanos * 2);
-            pollAtNanos = now + pollIntervalNanos / 2 + random.nextLong(pollIntervalNanos / 2 + 1);
-            actions.pollEndpointList();
-        }
-    }
-
-    /** The content that most act on under the newest number, of those that do. */
-    private void fetchNewestConfig() {
-        Map<Long, List<Integer>> holders = new HashMap<>();
-        for (int i = 0; i < count; i++) {
-            if (i != localRank
-                    && peers[i].isKnownAlive()
-                    && peers[i].appliedVersions.configNumber() == newestConfigNumber) {
-                holders.computeIfAbsent(
-                                peers[i].appliedVersions.configDigest(),
-                                digest -> new ArrayList<>())
-                        .add(i);
-            }
-        }
-        holders.entrySet().stream()
-                .max(
-                        (a, b) ->
-                                a.getValue().size() != b.getValue().size()
-                                        ? a.getValue().size() - b.getValue().size()
-                                        : Long.compare(a.getKey(), b.getKey()))
-                .ifPresent(
-                        largest -> {
-                            // Two contents under one number: whoever has the more must be proved by
-                            // itself.
-                            if (largest.getValue().size() >= requiredReporters()) {
-                                isFetchingConfig = true;
-                                actions.fetchConfig(
-                                        largest.getKey(), List.copyOf(largest.getValue()));
-                            }
-                        });
-    }
-
-    // Judging.
-
-    private int requiredReporters() {
-        return versionSummary.requiredReporters();
+        config.catchUpIfDue(now);
+        list.pollIfDue(now);
     }
 
     private void reevaluate(long now) {
-        versionSummary.update(peers, localRank, localVersions);
-        reportsByCache.keySet().removeIf(cache -> !readyCaches.contains(cache));
-        restorationsByCache.keySet().removeIf(cache -> !readyCaches.contains(cache));
-        restorationsByCache
-                .values()
-                .forEach(
-                        restorations ->
-                                restorations
-                                        .values()
-                                        .removeIf(
-                                                listRevision ->
-                                                        listRevision
-                                                                <= localVersions.listRevision()));
-        restorationsByCache.values().removeIf(Map::isEmpty);
-        reportsByCache
-                .values()
-                .forEach(
-                        report ->
-                                report.isSingleReportExpired |=
-                                        now - report.sinceNanos
-                                                >= settings.singleReportLifetimeNanos());
-        updateListStanding(now);
-        // Witness by witness: one that claims a version of the far future keeps nobody else's word
-        // alive.
-        reportsByCache.forEach(
-                (cache, report) ->
-                        report.revisionByReporter
-                                .values()
-                                .removeIf(
-                                        listRevision ->
-                                                listRevision <= localVersions.listRevision()
-                                                        || listRevision
-                                                                < newestRestoration(cache)));
-        reportsByCache
-                .values()
-                .removeIf(
-                        report ->
-                                report.revisionByReporter.isEmpty()
-                                        || now - report.sinceNanos
-                                                >= settings.reportLifetimeNanos());
-        updateConfigStanding(now);
-        updateAvoidedCaches(now);
-        updateSelfDraining(now);
-    }
-
-    private void updateListStanding(long now) {
-        newestListRevision = versionSummary.newestProven(VersionKind.LIST);
-        Standing previous = listStanding;
-        if (isIsolated || !versionSummary.hasKnownPeer) {
-            // Hearing nothing is not being behind: what was known before is neither confirmed nor
-            // refuted.
-            listStanding = Standing.HEARS_NOTHING;
-            behindSinceNanos = NEVER_NANOS;
-            pollAtNanos = NEVER_NANOS;
-        } else if (newestListRevision > localVersions.listRevision()
-                && shouldNotFollow(now, VersionKind.LIST, newestListRevision)) {
-            listStanding = Standing.STAYS_BEHIND;
-            behindSinceNanos = behindSinceNanos == NEVER_NANOS ? now : behindSinceNanos;
-            pollAtNanos = NEVER_NANOS;
-        } else if (newestListRevision > localVersions.listRevision()) {
-            if (behindSinceNanos == NEVER_NANOS || pollAtNanos == NEVER_NANOS) {
-                behindSinceNanos = now;
-                pollIntervalNanos = Math.max(settings.minPollIntervalNanos(), pollSpreadNanos());
-                pollAtNanos =
-                        now
-                                + settings.graceNanos()
-                                + random.nextLong(Math.max(1, pollSpreadNanos()));
-            }
-            long lagNanos = now - behindSinceNanos;
-            listStanding =
-                    lagNanos >= settings.stalenessBoundNanos()
-                            ? Standing.STRAGGLER
-                            : lagNanos >= settings.graceNanos()
-                                    ? Standing.BEHIND
-                                    : Standing.WAITING;
-        } else {
-            listStanding = versionSummary.hasListConflict ? Standing.CONFLICT : Standing.CURRENT;
-            behindSinceNanos = NEVER_NANOS;
-            pollAtNanos = NEVER_NANOS;
-        }
-        if (previous != listStanding
-                && (listStanding == Standing.STRAGGLER
-                        || previous == Standing.STRAGGLER
-                        || listStanding == Standing.CONFLICT)) {
-            actions.notifyOperators(
-                    listStanding
-                            + " on list "
-                            + localVersions.listRevision()
-                            + ", others act on "
-                            + newestListRevision);
-        }
-        if (previous != listStanding && listStanding == Standing.STAYS_BEHIND) {
-            actions.onVersionNotFollowed(
-                    VersionKind.LIST, newestListRevision, "those that took it fail under it");
-        }
-    }
-
-    private boolean shouldNotFollow(long now, VersionKind kind, long number) {
-        return badVersions.isBad(now, kind, number, serviceByKind.get(kind).isFailing())
-                && !overrides.isFollowed(kind, number);
+        fleet.summarize();
+        list.update(now);
+        avoidance.removeOutdated(now);
+        config.update(now);
+        avoidance.update(now);
+        selfDrain.update(now);
     }
 
-    /**
-     * Others that prove one act on a later configuration: the file may hold it, unread. Lagging
-     * behind a configuration is never a reason to step aside: one that is led through the fleet in
-     * steps has most of it behind on purpose.
-     */
-    private void updateConfigStanding(long now) {
-        newestConfigNumber = versionSummary.newestProven(VersionKind.CONFIG);
-        Standing previous = configStanding;
-        boolean isBehind =
-                localVersions.configNumber() != AppliedVersions.NO_NUMBER
-                        && newestConfigNumber > localVersions.configNumber();
-        if (isIsolated || listStanding == Standing.HEARS_NOTHING) {
-            configStanding = Standing.HEARS_NOTHING;
-        } else if (!isBehind) {
-            configStanding =
-                    versionSummary.hasConfigConflict ? Standing.CONFLICT : Standing.CURRENT;
-        } else if (rejectedConfigNumber == newestConfigNumber) {
-            configStanding = Standing.REFUSED;
-        } else if (shouldNotFollow(now, VersionKind.CONFIG, newestConfigNumber)) {
-            configStanding = Standing.STAYS_BEHIND;
-        } else {
-            configStanding =
-                    configBehindSinceNanos != NEVER_NANOS
-                                    && now - configBehindSinceNanos
-                                            >= settings.stalenessBoundNanos()
-                            ? Standing.STRAGGLER
-                            : Standing.BEHIND;
-        }
-        if (configStanding != Standing.BEHIND && configStanding != Standing.STRAGGLER) {
-            configBehindSinceNanos = NEVER_NANOS;
-            rereadAtNanos = NEVER_NANOS;
-            fetchAtNanos = NEVER_NANOS;
-            if (isFetchingConfig) {
-                isFetchingConfig = false;
-                actions.fetchConfig(0, List.of());
-            }
-        } else if (configBehindSinceNanos == NEVER_NANOS) {
-            configBehindSinceNanos = now;
-            // The signal is on its way as a rule; reading a file costs nobody else anything.
-            rereadAtNanos = now + settings.probationNanos();
-            fetchAtNanos = rereadAtNanos + 2 * settings.minPollIntervalNanos();
-        }
-        if (previous != configStanding
-                && (configStanding == Standing.STRAGGLER
-                        || configStanding == Standing.REFUSED
-                        || configStanding == Standing.CONFLICT
-                        || previous == Standing.STRAGGLER)) {
-            actions.notifyOperators(
-                    configStanding
-                            + " on configuration "
-                            + localVersions.configNumber()
-                            + ", others act on "
-                            + newestConfigNumber);
-        }
-        if (previous != configStanding && configStanding == Standing.STAYS_BEHIND) {
-            actions.onVersionNotFollowed(
-                    VersionKind.CONFIG, newestConfigNumber, "those that took it fail under it");
-        }
-    }
-
-    /**
-     * Over so long the calls of all that are behind are spread, so that they come as often as all
-     * watches do in calm.
-     */
-    private long pollSpreadNanos() {
-        return countBehind()
-                * Math.min(settings.pollSpreadNanos(), settings.watchTimeoutNanos() / count);
-    }
-
-    /** How many are behind as far as is known, this one included: so many may be about to ask. */
-    private int countBehind() {
-        int behind = 1;
-        for (int i = 0; i < count; i++) {
-            behind +=
-                    i != localRank
-                                    && peers[i].isKnownAlive()
-                                    && peers[i].appliedVersions.listRevision() < newestListRevision
-                            ? 1
-                            : 0;
-        }
-        return behind;
-    }
-
-    /**
-     * Operators' holds first, then those that several prove by the newest lists, then those with
-     * most witnesses, up to the part that others' word may take away, whoever says what. What this
-     * balancer's own operators hold is out of use anyway and takes no room: beside such a hold, a
-     * drain that three knew was not avoided.
-     */
-    private void updateAvoidedCaches(long now) {
-        int maxAvoided =
-                readyCaches.size() < 2
-                        ? 0
-                        : (int) Math.ceil(readyCaches.size() * settings.maxAvoidedFraction());
-        int required = requiredReporters();
-        Set<Long> newlyAvoided = new TreeSet<>();
-        drainedByPeers = peerDrains.drainedCaches(now, required, isIsolated, readyCaches);
-        drainedByPeers.removeAll(locallyDrained);
-        drainedByPeers.stream().sorted().limit(maxAvoided).forEach(newlyAvoided::add);
-        List<AvoidanceCandidate> candidates = new ArrayList<>();
-        for (Map.Entry<Long, UnavailabilityReport> candidate : reportsByCache.entrySet()) {
-            List<Long> listRevisions =
-                    candidate.getValue().revisionByReporter.values().stream().sorted().toList();
-            long listRevision =
-                    listRevisions.size() >= required
-                            ? listRevisions.get(listRevisions.size() - required)
-                            : Long.MIN_VALUE;
-            boolean isCredible =
-                    listRevision != Long.MIN_VALUE
-                            ? !shouldNotFollow(now, VersionKind.LIST, listRevision)
-                            : !candidate.getValue().isSingleReportExpired;
-            if (isCredible && !locallyDrained.contains(candidate.getKey())) {
-                candidates.add(
-                        new AvoidanceCandidate(
-                                candidate.getKey(), listRevision, listRevisions.size()));
-            }
-        }
-        candidates.sort(
-                Comparator.comparingLong(AvoidanceCandidate::listRevision)
-                        .thenComparingInt(AvoidanceCandidate::reporterCount)
-                        .reversed()
-                        .thenComparingLong(AvoidanceCandidate::cache));
-        for (AvoidanceCandidate candidate : candidates) {
-            if (newlyAvoided.size() < maxAvoided) {
-                newlyAvoided.add(candidate.cache);
-            }
-        }
-        if (!newlyAvoided.equals(avoidedCaches)) {
-            avoidedCaches = newlyAvoided;
-            actions.avoidCaches(Set.copyOf(newlyAvoided));
-        }
-    }
-
-    /**
-     * Steps aside by what can be proved: a straggler, of whom at least half of the tier is alive
-     * and current, and who has one of the few places that may be empty at once. Places go by
-     * number: whoever hears whom, no more than that are ever aside. Operators who shut one out
-     * answer for that themselves.
-     */
-    private void updateSelfDraining(long now) {
-        boolean isStale =
-                listStanding == Standing.STRAGGLER
-                        && !overrides.isKeptIn()
-                        && (isSelfDraining
-                                || maySelfDrain(
-                                                localRank,
-                                                count,
-                                                settings.maxSelfDrainingFraction())
-                                        && 2 * countCurrentPeers() >= count);
-        boolean shouldDrain = isStale || overrides.isShutOut();
-        if (shouldDrain != isSelfDraining) {
-            isSelfDraining = shouldDrain;
-            actions.setSelfDraining(
-                    shouldDrain,
-                    !shouldDrain
-                            ? "no straggler any more"
-                            : overrides.isShutOut()
-                                    ? "operators shut it out"
-                                    : "behind list "
-                                            + newestListRevision
-                                            + " with "
-                                            + localVersions.listRevision()
-                                            + " for "
-                                            + (now - behindSinceNanos) / 1_000_000
-                                            + " ms");
-        }
-    }
-
-    /** How many others are alive and act on the newest list. */
-    private int countCurrentPeers() {
-        int current = 0;
-        for (int i = 0; i < count; i++) {
-            current +=
-                    i != localRank
-                                    && peers[i].isKnownAlive()
-                                    && peers[i].appliedVersions.listRevision() >= newestListRevision
-                            ? 1
-                            : 0;
-        }
-        return current;
-    }
-
-    /**
-     * Whether a balancer has one of the places that may be empty: every fourth number, and never
-     * one of a tier of two. At most a quarter of a tier, rounded up, can be aside at once, whatever
-     * hears nothing.
-     */
-    static boolean maySelfDrain(int rank, int count, double maxFraction) {
-        int interval = (int) Math.round(1 / maxFraction);
-        return count > 2 && rank % interval == interval - 1;
-    }
-
-    // What is known.
-
-    /** How this balancer's list stands to the others'. */
+    /** How this balancer's list stands to those of its peers. */
     public Standing listStanding() {
-        return listStanding;
+        return list.standing();
     }
 
-    /** How its configuration stands to theirs. */
+    /** How its configuration stands to those of its peers. */
     public Standing configStanding() {
-        return configStanding;
+        return config.standing();
     }
 
-    /** The newest list that is proved, {@link Long#MIN_VALUE} where none is. */
+    /** The newest proven list revision, {@link Long#MIN_VALUE} where there is none. */
     public long newestListRevision() {
-        return newestListRevision;
+        return list.newestRevision();
     }
 
-    /** Likewise the newest configuration. */
+    /** The newest proven configuration number, {@link Long#MIN_VALUE} where there is none. */
     public long newestConfigNumber() {
-        return newestConfigNumber;
+        return config.newestNumber();
     }
 
-    /** For how long it has been behind a list, in nanoseconds; -1 where it is not. */
+    /** For how long its list has been behind, in nanoseconds; -1 where it is not. */
     public long behindForNanos(long now) {
-        return behindSinceNanos == NEVER_NANOS ? -1 : now - behindSinceNanos;
+        return list.behindForNanos(now);
     }
 
-    /** The caches avoided on others' word. */
+    /** The caches avoided because of peers' reports. */
     public Set<Long> avoidedCaches() {
-        return avoidedCaches;
+        return avoidance.avoidedCaches();
     }
 
-    /** Those among them that others' operators hold. */
+    /** The caches that peers' operators drain and the own operators do not. */
     public Set<Long> drainedByPeers() {
-        return drainedByPeers;
+        return avoidance.drainedByPeers();
     }
 
-    /**
-     * The kinds whose version this balancer serves worse under than before it took it, by its own
-     * counts.
-     */
+    /** The kinds whose current version this balancer serves worse under than under the previous. */
     public List<VersionKind> failingKinds() {
-        return serviceByKind.entrySet().stream()
-                .filter(entry -> entry.getValue().isFailing())
-                .map(Map.Entry::getKey)
-                .toList();
+        return rolloutGuard.failingKinds();
     }
 
-    /**
-     * Whether what another says of shared state, counts, budgets, claims of ownership, is to be
-     * gone by.
-     */
+    /** Whether a peer's reports of shared state, such as counts and claims, are to be used. */
     public PeerFreshness freshnessOf(long now, int rank) {
-        PeerVersionState peer = peers[rank];
-        if (isIsolated || !peer.isKnownAlive()) {
+        PeerVersionState peer = fleet.peer(rank);
+        if (fleet.isIsolated() || !peer.isKnownAlive()) {
             return PeerFreshness.UNKNOWN;
         }
-        return peer.olderListSinceNanos != NEVER_NANOS
-                        && now - peer.olderListSinceNanos >= settings.stalenessBoundNanos()
+        return peer.hasBeenOlderFor(now, settings.stalenessBoundNanos())
                 ? PeerFreshness.PASSED_OVER
                 : PeerFreshness.CURRENT;
     }
 
-    /** Whether it has stepped aside. */
+    /** Whether this balancer drains itself. */
     public boolean isSelfDraining() {
-        return isSelfDraining;
+        return selfDrain.isDraining();
     }
 
-    /** How often discovery was asked out of turn. */
+    /** How often the discovery service was polled because the list was behind. */
     public long pollCount() {
-        return pollCount;
+        return list.pollCount();
     }
 }
--- a/staleness/src/main/java/frostrelay/staleness/StalenessSettings.java
+++ b/staleness/src/main/java/frostrelay/staleness/StalenessSettings.java
@@ -1,31 +1,30 @@
 package frostrelay.staleness;
 
 /**
- * Bounds, in nanoseconds and parts of 1, each with its reason.
+ * Timeouts and limits, in nanoseconds and parts of 1.
  *
- * @param graceNanos a newer list that others act on is waited for so long: discovery tells it to
- *     all within this as a rule
- * @param minPollIntervalNanos from one call of discovery to the next, at first; doubled each time
- *     that it brought nothing
- * @param maxPollIntervalNanos the most of that, and from one reading of the configuration's file to
- *     the next
- * @param probationNanos a later configuration is followed no sooner than so long behind its proof
- * @param pollSpreadNanos calls of several that are behind are spread over this for each of them at
- *     most, and in a large tier over
- * @param watchTimeoutNanos how long a watch waits, divided by the balancers: as often as all of
- *     them call in calm
- * @param reportLifetimeNanos a cache is avoided on others' word for so long at most, and on one's
- *     alone for no longer than
- * @param singleReportLifetimeNanos this, once in that time
- * @param stalenessBoundNanos behind for longer, and not brought up, a balancer is a straggler and
- *     may step aside
- * @param maxAvoidedFraction part of the caches that hearsay may take away, whoever says what
- * @param maxSelfDrainingFraction of the balancers that may be aside at once
- * @param failureMargin so much less of what ends is served than before: a version fails
- * @param attributionWindowNanos for so long behind its taking a version is answerable for what is
- *     served, and a word of that stands
- * @param earlyExitNanos a life that ends out of order so soon behind its taking of a version has
- *     ended by it
+ * @param graceNanos how long a newer list is waited for: the discovery service usually notifies all
+ *     balancers within this
+ * @param minPollIntervalNanos first interval between polls of the discovery service; doubled after
+ *     each
+ * @param maxPollIntervalNanos the longest such interval, and the one between readings of the
+ *     configuration's file
+ * @param probationNanos how long after its proof a newer configuration is followed at the earliest
+ * @param pollSpreadNanos time per balancer over which the polls of those that are behind are
+ *     spread, at most
+ * @param watchTimeoutNanos how long a watch waits: divided by the number of balancers, it limits
+ *     the spread in a large cluster, so that polls are as frequent as all watches together
+ * @param reportLifetimeNanos how long a cache is avoided because of peers' reports, at most
+ * @param singleReportLifetimeNanos how long, once within the former, because of a single peer's
+ * @param stalenessBoundNanos a balancer that is behind for longer is a straggler and may drain
+ *     itself
+ * @param maxAvoidedFraction part of the caches that peers' reports may take away
+ * @param maxSelfDrainingFraction part of the balancers that may drain themselves at once
+ * @param failureMargin decrease of the success ratio that makes a version failing
+ * @param attributionWindowNanos how long after it was applied a version is blamed for failures, and
+ *     how long a report of that is valid
+ * @param earlyExitNanos a process that crashes so soon after it applied a version crashed because
+ *     of it
  */
 public record StalenessSettings(
         long graceNanos,
@@ -45,19 +44,20 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /**
-     * Grace: a watch is told within the platform's slack of 200 ms, and a peer's word takes 30 ms.
-     * Ask: a call costs discovery what a list costs; at a second and doubling, a fleet of a hundred
-     * that is told nothing makes 10 calls a second, as many as its watches alone. Probation: those
-     * that took a version say within 3.5 s that they serve worse under it, and within two more
-     * others have heard. Spread: five calls a second, as a hundred watches of 20 s make. Hearsay:
-     * the platform holds that whatever is to be told has been within 6 s; five times that. Alone:
-     * that slack; one that lies takes a third of the caches for a fifth of the time. Bound: behind
-     * for 6 s is past that slack. Away: fleets of caches have shrunk to a third and served; a third
-     * fewer is borne. Part: three in four balancers carry what four did. Worse: calm days of one
-     * build differ by 0.03, a second's share over 20 requests by 0.07; a fifth is neither.
-     * Answerable: a minute, as an old fault that shows later is not told from a new one. Young: a
-     * start takes 2 s here, up to 30 s on a slow machine, and what a configuration breaks it breaks
-     * at once.
+     * The standard values. Grace: a watch is notified within the platform's tolerance of 200 ms,
+     * and a peer's datagram takes 30 ms. Poll intervals: a poll costs the discovery service as much
+     * as a list does; from a second on and doubling, a cluster of a hundred that gets no
+     * notification makes 10 polls a second, as many as its watches alone. Probation: balancers on a
+     * version report within 3.5 s that they serve worse under it, and within two more their peers
+     * have received that. Spread: five polls a second, as a hundred watches of 20 s make. Report
+     * lifetime: five times the 6 s within which the platform notifies everybody. Single report:
+     * those 6 s; a wrong one takes a third of the caches away for a fifth of the time. Staleness
+     * bound: 6 s is past that tolerance. Avoided fraction: clusters of caches have shrunk to a
+     * third and served; a third fewer is tolerable. Draining fraction: three in four balancers
+     * carry the load of four. Failure margin: days without faults under one build differ by 0.03, a
+     * second's ratio over 20 requests by 0.07; a fifth is neither. Attribution: a minute, as an old
+     * fault that shows later cannot be told from a new one. Early exit: a start takes 2 s, up to 30
+     * s on a slow machine, and what a configuration breaks it breaks at once.
      */
     public static final StalenessSettings STANDARD =
             new StalenessSettings(
--- a/staleness/src/main/java/frostrelay/staleness/VersionOrder.java
+++ b/staleness/src/main/java/frostrelay/staleness/VersionOrder.java
@@ -3,26 +3,31 @@
 import frostrelay.gossip.AppliedVersions;
 
 /**
- * What orders two versions, kind by kind: how another's stands to one's own. Pure.
+ * The order of two versions of one kind: how a peer's stands to the local one. Pure.
  *
- * <p>A list is ordered by discovery's version, a configuration by the operators' number where both
- * have one. One number with two contents is a conflict, which no balancer settles: operators do.
- * Configurations without numbers, holds and builds have no order: they are the same or they differ.
+ * <p>Lists are ordered by the discovery service's revision, configurations by the operators' number
+ * where both have one. One number with two contents is a conflict, which operators have to resolve.
+ * Configurations without numbers have no order: they are equal or they differ.
  */
 public enum VersionOrder {
+    /** Equal contents. */
     SAME,
+    /** The peer's is newer. */
     NEWER,
+    /** The peer's is older. */
     OLDER,
+    /** One number with two contents. */
     CONFLICT,
+    /** Different contents without an order. */
     UNORDERED;
 
-    /** How the other's list stands to mine. */
+    /** How a peer's list stands to the local one. */
     public static VersionOrder compareLists(AppliedVersions local, AppliedVersions other) {
         return compareNumbered(
                 local.listRevision(), local.listDigest(), other.listRevision(), other.listDigest());
     }
 
-    /** How the other's configuration stands to mine. */
+    /** How a peer's configuration stands to the local one. */
     public static VersionOrder compareConfigs(AppliedVersions local, AppliedVersions other) {
         if (local.configNumber() == AppliedVersions.NO_NUMBER
                 || other.configNumber() == AppliedVersions.NO_NUMBER) {
--- a/staleness/src/main/java/frostrelay/staleness/VersionRegressionDetector.java
+++ b/staleness/src/main/java/frostrelay/staleness/VersionRegressionDetector.java
@@ -1,33 +1,36 @@
 package frostrelay.staleness;
 
+import java.util.Arrays;
+
 /**
- * Whether this balancer serves worse since it took a version, by its own counts alone. Others
- * compare such words of those that took a version with those of balancers that did not: a fault of
- * caches hits both. Lists change all the time, and each cache that drains leaves less room: of a
- * list only that it ends nearly all service is held against it.
+ * Detects that this balancer serves worse since it applied a version, by its own counts alone.
+ * Peers compare the reports of balancers that apply a version with those of balancers that do not,
+ * as a fault of the caches affects both. Lists change all the time, and each draining cache reduces
+ * the capacity: a list counts as failing only if it ends nearly all service.
  */
 public final class VersionRegressionDetector {
     private static final long NEVER_NANOS = Long.MIN_VALUE;
     private static final int WINDOW_SECONDS = 10;
+    private static final int EVALUATED_SECONDS = 3;
 
-    /** A share over fewer requests is chance: at 20 a share of 0.9 has a spread of 0.07. */
+    /**
+     * Fewer requests are not significant: at 20 a ratio of 0.9 has a standard deviation of 0.07.
+     */
     private static final int MIN_REQUESTS = 20;
 
-    /** One bad second is a start, a pause or a burst. */
+    /** A single bad second may be a start, a pause or a burst. */
     private static final int MIN_CONSECUTIVE_FAILURES = 2;
 
-    /** Of what was usual: a list that leaves less is no mere drain. */
+    /** Part of the usual success ratio: less than this is no mere drain. */
     private static final double LIST_FAILURE_RATIO = 0.25;
 
-    /**
-     * Nothing is known of before where it has just started: then half is the measure of a
-     * configuration.
-     */
+    /** The threshold of a configuration after a start, when there is no earlier ratio. */
     private static final double DEFAULT_CONFIG_THRESHOLD = 0.5;
 
     private final StalenessSettings settings;
+    private final VersionKind kind;
 
-    /** Requests that ended and those served among them, by seconds, in a ring. */
+    /** Completed requests, and those served among them, by second, in a ring. */
     private final long[] completed = new long[WINDOW_SECONDS];
 
     private final long[] served = new long[WINDOW_SECONDS];
@@ -39,17 +42,15 @@
     private int consecutiveFailures;
     private boolean isFailing;
 
-    private final VersionKind kind;
-
-    /** {@code settings}: how much worse is worse, and for how long a version is answerable. */
+    /** Starts without a version to watch. */
     public VersionRegressionDetector(StalenessSettings settings, VersionKind kind) {
         this.settings = settings;
         this.kind = kind;
     }
 
     /**
-     * Another version holds from now on. Where one comes soon behind another, what was usual before
-     * the first stays the measure.
+     * Another version applies from now on. If it follows soon after another, the baseline stays the
+     * ratio before the first of them.
      */
     public void onVersionApplied(long now) {
         if (versionAppliedAtNanos == NEVER_NANOS
@@ -58,13 +59,15 @@
             baselineSuccessRatio = Double.isNaN(successRatio) ? baselineSuccessRatio : successRatio;
         }
         versionAppliedAtNanos = now;
-        java.util.Arrays.fill(completed, 0);
-        java.util.Arrays.fill(served, 0);
+        Arrays.fill(completed, 0);
+        Arrays.fill(served, 0);
     }
 
     /**
-     * Counts since the start, about once a second: requests that ended, whatever came of them, and
-     * those that were served.
+     * Counts since the start, to be passed about once a second.
+     *
+     * @param totalCompleted requests that completed in whatever way
+     * @param totalServed those among them that were served
      */
     public void onServiceCounts(long now, long totalCompleted, long totalServed) {
         currentSecond = (currentSecond + 1) % WINDOW_SECONDS;
@@ -78,16 +81,14 @@
             consecutiveFailures = 0;
             return;
         }
-        double successRatio = successRatio(3);
+        double successRatio = successRatio(EVALUATED_SECONDS);
         if (!Double.isNaN(successRatio)) {
-            double threshold = failureThreshold();
-            consecutiveFailures =
-                    successRatio
-                                    < (isFailing
-                                            ? threshold + settings.failureMargin() / 2
-                                            : threshold)
-                            ? consecutiveFailures + 1
-                            : 0;
+            // Hysteresis: recovering takes half of the margin more.
+            double threshold =
+                    isFailing
+                            ? failureThreshold() + settings.failureMargin() / 2
+                            : failureThreshold();
+            consecutiveFailures = successRatio < threshold ? consecutiveFailures + 1 : 0;
             isFailing = consecutiveFailures >= MIN_CONSECUTIVE_FAILURES;
         }
     }
@@ -103,9 +104,7 @@
                 : baselineSuccessRatio - settings.failureMargin();
     }
 
-    /**
-     * Served of those that ended in the last so many seconds; NaN where they are too few to tell.
-     */
+    /** The part served of what completed in the last seconds; NaN where that is too little. */
     private double successRatio(int seconds) {
         long totalCompleted = 0;
         long totalServed = 0;
@@ -117,7 +116,7 @@
     }
 
     /**
-     * Whether it serves worse, by more than the settings allow, than before it took the version.
+     * Whether it serves worse, by more than the settings allow, than under the previous version.
      */
     public boolean isFailing() {
         return isFailing;
--- /dev/null
+++ b/staleness/src/test/java/frostrelay/staleness/ConfigStalenessTest.java
@@ -0,0 +1,45 @@
+package frostrelay.staleness;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import frostrelay.gossip.AppliedVersions;
+import frostrelay.gossip.MemberState;
+
+import org.junit.jupiter.api.Test;
+
+/** The standing of the local configuration, and how it catches up. */
+class ConfigStalenessTest extends StalenessDetectorFixture {
+    @Test
+    void aLaterConfigurationOfTwoMakesItReadItsFileNowAndThen() {
+        StalenessDetector detector = createDetector(0, 5);
+        AppliedVersions newerConfig = new AppliedVersions(1, 2, 8, 5, 5 * 31, 0, 0);
+        detector.onPeerState(NANOS_PER_SECOND, 1, MemberState.ALIVE, newerConfig, 1, 0);
+        detector.onPeerState(NANOS_PER_SECOND, 2, MemberState.ALIVE, listVersion(5), 1, 0);
+        detector.onPeerState(NANOS_PER_SECOND, 3, MemberState.ALIVE, listVersion(5), 1, 0);
+        runUntil(detector, 5 * NANOS_PER_SECOND);
+        assertEquals(0, rereadCount, "one alone proves nothing among three");
+        detector.onPeerState(5 * NANOS_PER_SECOND, 2, MemberState.ALIVE, newerConfig, 1, 0);
+        runUntil(detector, 9 * NANOS_PER_SECOND);
+        assertEquals(0, rereadCount, "those that took it have not yet shown what it does");
+        runUntil(detector, 32 * NANOS_PER_SECOND);
+        assertEquals(3, rereadCount);
+        detector.onLocalVersions(33 * NANOS_PER_SECOND, newerConfig, CACHES);
+        runUntil(detector, 60 * NANOS_PER_SECOND);
+        assertEquals(3, rereadCount);
+    }
+
+    @Test
+    void aRejectedConfigurationIsAKnownReasonAndOneThatOnlyPeersHaveIsFetched() {
+        StalenessDetector detector = createDetectorAmongFive();
+        detector.onPeerState(2 * NANOS_PER_SECOND, 1, MemberState.ALIVE, configVersion(2, 0), 1, 0);
+        detector.onPeerState(2 * NANOS_PER_SECOND, 2, MemberState.ALIVE, configVersion(2, 0), 1, 0);
+        runUntil(detector, 11 * NANOS_PER_SECOND);
+        assertEquals(14, fetchedDigest, "its digest");
+        assertEquals(StalenessDetector.Standing.STRAGGLER, detector.configStanding());
+        assertFalse(isSelfDraining, "a roll-out in steps has most of a fleet behind on purpose");
+        detector.onConfigRejected(12 * NANOS_PER_SECOND, 2);
+        assertEquals(StalenessDetector.Standing.REFUSED, detector.configStanding());
+        assertEquals(0, fetchedDigest, "what cannot be used is not fetched");
+    }
+}
--- a/staleness/src/test/java/frostrelay/staleness/ConfigTransferTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/ConfigTransferTest.java
@@ -15,15 +15,19 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A content comes whole or not at all, whatever is lost, doubled, late or somebody else's. */
+/** A content arrives complete or not at all, whatever is lost, duplicated, late or forged. */
 class ConfigTransferTest {
     private static final long DIGEST = 77;
 
+    /** Digest, number of the piece and number of all pieces. */
+    private static final int PIECE_HEADER_BYTES = Long.BYTES + 2 * Short.BYTES;
+
     private record PieceRequest(int holder, int piece) {}
 
     /**
-     * {@code lossPercent}: of a hundred pieces; holder 0 is silent, holder 1 gives other content,
-     * the others give the right one.
+     * Holder 0 does not answer, holder 1 sends another content, the others send the right one.
+     *
+     * @param lossPercent of the pieces
      */
     @Property(tries = 200)
     void theRightContentArrivesCompleteFromThoseWhoHaveIt(
@@ -69,30 +73,13 @@
                                     request.piece,
                                     request.holder == 1 ? wrongContent : expectedContent);
                     boolean isLost = request.holder == 0 || random.nextInt(100) < lossPercent;
-                    for (int duplicates = random.nextInt(2);
-                            piece != null && !isLost && duplicates >= 0;
-                            duplicates--) {
-                        ByteBuffer in = piece.duplicate();
-                        byte[] content = new byte[in.remaining() - 12];
-                        transfer.onPiece(
-                                now,
-                                request.holder,
-                                in.getLong(),
-                                in.getShort(),
-                                in.getShort(),
-                                in.get(content) == null ? null : content);
-                        // Somebody else's piece, and one that cannot be.
-                        transfer.onPiece(now, 3 - request.holder, DIGEST, 0, 9, new byte[3]);
-                        transfer.onPiece(now, request.holder, DIGEST, 600, 700, new byte[3]);
+                    int duplicates = random.nextInt(2);
+                    if (piece != null) {
+                        int copies = isLost ? 0 : 1 + duplicates;
+                        deliver(transfer, now, request, piece, copies);
                     }
                 }
-                now =
-                        Math.max(
-                                now + 1_000_000,
-                                pieceRequests.isEmpty()
-                                        ? Math.min(
-                                                transfer.nextTimerAtNanos(), now + 10_000_000_000L)
-                                        : 0);
+                now = nextMoment(now, transfer, pieceRequests.isEmpty());
                 transfer.onTimer(now);
             }
         }
@@ -103,4 +90,27 @@
         assertEquals(Long.MAX_VALUE, transfer.nextTimerAtNanos(), "nothing is under way any more");
         assertNull(StalenessCodec.encodePiece(DIGEST, 600, expectedContent));
     }
+
+    /** Delivers a piece, and with each copy one of another holder and one that cannot exist. */
+    private static void deliver(
+            ConfigTransfer transfer, long now, PieceRequest request, ByteBuffer piece, int copies) {
+        for (int copy = 0; copy < copies; copy++) {
+            ByteBuffer in = piece.duplicate();
+            byte[] content = new byte[in.remaining() - PIECE_HEADER_BYTES];
+            transfer.onPiece(
+                    now,
+                    request.holder,
+                    in.getLong(),
+                    in.getShort(),
+                    in.getShort(),
+                    in.get(content) == null ? null : content);
+            transfer.onPiece(now, 3 - request.holder, DIGEST, 0, 9, new byte[3]);
+            transfer.onPiece(now, request.holder, DIGEST, 600, 700, new byte[3]);
+        }
+    }
+
+    private static long nextMoment(long now, ConfigTransfer transfer, boolean isIdle) {
+        long timerNanos = isIdle ? Math.min(transfer.nextTimerAtNanos(), now + 10_000_000_000L) : 0;
+        return Math.max(now + 1_000_000, timerNanos);
+    }
 }
--- /dev/null
+++ b/staleness/src/test/java/frostrelay/staleness/ListStalenessTest.java
@@ -0,0 +1,52 @@
+package frostrelay.staleness;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import frostrelay.gossip.MemberState;
+
+import org.junit.jupiter.api.Test;
+
+/** The standing of the local endpoint list, and when the discovery service is polled. */
+class ListStalenessTest extends StalenessDetectorFixture {
+    @Test
+    void newerListIsPolledWithBackoffAndBalancerDrainsItselfWhenThatFails() {
+        StalenessDetector detector = createDetector(3, 5);
+        for (int peer : new int[] {0, 1, 2}) {
+            detector.onPeerState(NANOS_PER_SECOND, peer, MemberState.ALIVE, listVersion(9), 1, 0);
+        }
+        assertEquals(
+                StalenessDetector.Standing.WAITING,
+                detector.listStanding(),
+                "known at once; it may yet come by itself");
+        runUntil(detector, NANOS_PER_SECOND + 3 * NANOS_PER_SECOND);
+        assertEquals(StalenessDetector.Standing.BEHIND, detector.listStanding());
+        assertTrue(
+                pollCount >= 1 && pollCount <= 4, "asked " + pollCount + " times in three seconds");
+        assertFalse(isSelfDraining);
+        runUntil(detector, NANOS_PER_SECOND + 7 * NANOS_PER_SECOND);
+        assertEquals(StalenessDetector.Standing.STRAGGLER, detector.listStanding());
+        assertTrue(isSelfDraining);
+        runUntil(detector, NANOS_PER_SECOND + 60 * NANOS_PER_SECOND);
+        assertTrue(
+                pollCount < 15,
+                "a fleet that is told nothing does not mob discovery: " + pollCount);
+        detector.onLocalVersions(70 * NANOS_PER_SECOND, listVersion(9), CACHES);
+        assertEquals(StalenessDetector.Standing.CURRENT, detector.listStanding());
+        assertFalse(isSelfDraining, "it comes back by itself");
+    }
+
+    @Test
+    void aBalancerThatReceivesNothingIsNeitherCurrentNorBehindAndStays() {
+        StalenessDetector detector = createDetector(3, 5);
+        for (int peer : new int[] {0, 1, 2}) {
+            detector.onPeerState(NANOS_PER_SECOND, peer, MemberState.ALIVE, listVersion(9), 1, 0);
+        }
+        runUntil(detector, 20 * NANOS_PER_SECOND);
+        assertTrue(isSelfDraining);
+        detector.onIsolation(21 * NANOS_PER_SECOND, true);
+        assertEquals(StalenessDetector.Standing.HEARS_NOTHING, detector.listStanding());
+        assertFalse(isSelfDraining, "hearing nobody is no reason to be aside");
+    }
+}
