--- a/gossip/src/main/java/frostrelay/gossip/package-info.java
+++ b/gossip/src/main/java/frostrelay/gossip/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Cluster membership and dissemination among the balancers of one tier: failure detection in the
+ * Cluster membership and dissemination among the balancers of one cluster: failure detection in the
  * manner of SWIM with Lifeguard's local health multiplier, and gossip of which versions ({@link
  * frostrelay.gossip.AppliedVersions}) each member applies.
  *
--- a/gossip/src/test/java/frostrelay/gossip/GossipNodeTest.java
+++ b/gossip/src/test/java/frostrelay/gossip/GossipNodeTest.java
@@ -89,7 +89,7 @@
                 assertEquals(
                         1,
                         node.snapshotOf(3).appliedVersions().listRevision(),
-                        "what it last acted on is still known");
+                        "what it last applied is still known");
             }
         }
         network.nodes[3].start(1_790_000_100_000L, 8);
--- a/staleness/src/main/java/frostrelay/staleness/ConfigStaleness.java
+++ b/staleness/src/main/java/frostrelay/staleness/ConfigStaleness.java
@@ -110,7 +110,7 @@
                     standing
                             + " on configuration "
                             + fleet.localVersions().configNumber()
-                            + ", others act on "
+                            + ", peers apply "
                             + newestNumber);
         }
         if (standing == Standing.STAYS_BEHIND) {
--- a/staleness/src/main/java/frostrelay/staleness/ListStaleness.java
+++ b/staleness/src/main/java/frostrelay/staleness/ListStaleness.java
@@ -122,7 +122,7 @@
                 || previous == Standing.STRAGGLER
                 || standing == Standing.CONFLICT) {
             actions.notifyOperators(
-                    standing + " on list " + localRevision() + ", others act on " + newestRevision);
+                    standing + " on list " + localRevision() + ", peers apply " + newestRevision);
         }
         if (standing == Standing.STAYS_BEHIND) {
             actions.onVersionNotFollowed(
--- a/staleness/src/main/java/frostrelay/staleness/SelfDrain.java
+++ b/staleness/src/main/java/frostrelay/staleness/SelfDrain.java
@@ -3,7 +3,7 @@
 import frostrelay.staleness.StalenessDetector.Standing;
 
 /**
- * Decides whether this balancer drains itself: because operators shut it out, or because its list
+ * Decides whether this balancer drains itself: because shut out by operators, or because its list
  * is stale, at least half of the cluster is alive and current, and its rank is one of the few that
  * may drain themselves. As the ranks are fixed, no partition can drain more balancers at once.
  */
@@ -66,7 +66,7 @@
 
     private String reason(long now, boolean isShutOut) {
         if (!isDraining) {
-            return "no straggler any more";
+            return "not stale any more";
         }
         return isShutOut
                 ? "operators shut it out"
--- a/staleness/src/main/java/frostrelay/staleness/StalenessDetector.java
+++ b/staleness/src/main/java/frostrelay/staleness/StalenessDetector.java
@@ -68,6 +68,8 @@
     }
 
     static final long NEVER_NANOS = Long.MAX_VALUE;
+
+    /** Recorded in the audit log; the text is part of the stored data. */
     static final String NOT_FOLLOWED_REASON = "those that took it fail under it";
 
     private final StalenessSettings settings;
--- a/staleness/src/test/java/frostrelay/staleness/CacheAvoidanceTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/CacheAvoidanceTest.java
@@ -24,12 +24,12 @@
             detector.onPeerAdminDrain(NANOS_PER_SECOND, peer, 0, 6);
             detector.onCacheUnavailable(NANOS_PER_SECOND, peer, 6, 1);
         }
-        assertEquals(Set.of(1L, 6L), avoided, "one is held elsewhere, one drains");
+        assertEquals(Set.of(1L, 6L), avoided, "one has admin drains, one is draining");
         detector.onCacheUnavailable(2 * NANOS_PER_SECOND, 0, 8, 3);
         detector.onCacheUnavailable(2 * NANOS_PER_SECOND, 1, 8, 3);
-        assertEquals(Set.of(3L, 6L), avoided, "the newest word first");
+        assertEquals(Set.of(3L, 6L), avoided, "the newest report first");
         detector.onLocalAdminDrains(3 * NANOS_PER_SECOND, Set.of(6L));
-        assertEquals(Set.of(1L, 3L), avoided, "what is held here is out of use already");
+        assertEquals(Set.of(1L, 3L), avoided, "what is drained here is out of use already");
         detector.onLocalAdminDrains(4 * NANOS_PER_SECOND, Set.of());
         assertEquals(Set.of(3L, 6L), avoided);
     }
@@ -48,12 +48,12 @@
         assertEquals(StalenessDetector.Standing.CURRENT, detector.listStanding());
         assertTrue(avoided.size() <= 2, "a third of the caches at most");
         runUntil(detector, 8 * NANOS_PER_SECOND + NANOS_PER_MILLI);
-        assertEquals(Set.of(), avoided, "alone it is believed for six seconds");
+        assertEquals(Set.of(), avoided, "a single report is believed for six seconds");
         for (int i = 9; i < 30; i++) {
             for (long cache : CACHES) {
                 detector.onCacheUnavailable(i * NANOS_PER_SECOND, 2, Long.MAX_VALUE, cache);
             }
-            assertEquals(Set.of(), avoided, "and not again for saying it again");
+            assertEquals(Set.of(), avoided, "and not again when it is repeated");
         }
         runUntil(detector, 30 * NANOS_PER_SECOND);
         assertEquals(0, pollCount);
@@ -74,7 +74,8 @@
                     8 * NANOS_PER_SECOND, peer, MemberState.ALIVE, listVersion(9), 1, 0);
             detector.onCacheRestored(8 * NANOS_PER_SECOND, peer, 9, 4);
         }
-        assertEquals(Set.of(), avoided, "the liar alone has been believed for as long as one is");
+        assertEquals(
+                Set.of(), avoided, "a single report has been believed for as long as it may be");
     }
 
     @Test
@@ -85,17 +86,16 @@
         detector.onCacheUnavailable(NANOS_PER_SECOND, 1, 8, 3);
         assertEquals(Set.of(2L, 3L), avoided);
         detector.onCacheRestored(2 * NANOS_PER_SECOND, 2, 9, 3);
-        assertEquals(Set.of(2L, 3L), avoided, "nobody is known to act on version 9");
+        assertEquals(Set.of(2L, 3L), avoided, "no peer is known to apply version 9");
         detector.onPeerState(2 * NANOS_PER_SECOND, 2, MemberState.ALIVE, listVersion(9), 1, 0);
         assertEquals(Set.of(2L), avoided);
         detector.onCacheUnavailable(2 * NANOS_PER_SECOND, 1, 8, 3);
         detector.onCacheUnavailable(2 * NANOS_PER_SECOND, 2, 8, 3);
-        assertEquals(Set.of(2L), avoided, "a word that was overtaken on its way");
+        assertEquals(Set.of(2L), avoided, "a report that was overtaken on its way");
         detector.onLocalVersions(3 * NANOS_PER_SECOND, listVersion(7), CACHES);
-        assertEquals(
-                Set.of(), avoided, "the own list of that version names it as ready: that stands");
+        assertEquals(Set.of(), avoided, "the local list of that revision names it as ready");
         detector.onCacheUnavailable(4 * NANOS_PER_SECOND, 1, 6, 2);
-        assertEquals(Set.of(), avoided, "older than the own list");
+        assertEquals(Set.of(), avoided, "older than the local list");
     }
 
     @Test
@@ -104,7 +104,7 @@
         detector.onPeerAdminDrain(2 * NANOS_PER_SECOND, 1, 99, 4);
         detector.onPeerState(
                 2 * NANOS_PER_SECOND, 1, MemberState.ALIVE, configVersion(1, 99), 1, 0);
-        assertEquals(Set.of(), avoided, "one balancer's hold is its own");
+        assertEquals(Set.of(), avoided, "one balancer's admin drain is its own");
         detector.onPeerAdminDrain(3 * NANOS_PER_SECOND, 2, 99, 4);
         detector.onPeerState(
                 3 * NANOS_PER_SECOND, 2, MemberState.ALIVE, configVersion(1, 99), 1, 0);
@@ -113,17 +113,18 @@
         assertEquals(Set.of(4L), avoided, "it needs no renewal");
         detector.onIsolation(61 * NANOS_PER_SECOND, true);
         runUntil(detector, 80 * NANOS_PER_SECOND);
-        assertEquals(Set.of(4L), avoided, "hearing nobody is no release");
+        assertEquals(Set.of(4L), avoided, "receiving nothing does not end a drain");
         runUntil(detector, 95 * NANOS_PER_SECOND);
-        assertEquals(Set.of(), avoided, "nor does it hold for ever");
+        assertEquals(Set.of(), avoided, "nor does the drain last for ever");
         detector.onIsolation(96 * NANOS_PER_SECOND, false);
         for (long cache : CACHES) {
             detector.onPeerAdminDrain(97 * NANOS_PER_SECOND, 1, 77, cache);
             detector.onPeerAdminDrain(97 * NANOS_PER_SECOND, 2, 77, cache);
         }
-        assertEquals(2, avoided.size(), "a third of the caches, whoever says what");
+        assertEquals(2, avoided.size(), "a third of the caches, whatever is reported");
         detector.onPeerState(
                 100 * NANOS_PER_SECOND, 1, MemberState.ALIVE, configVersion(1, 0), 1, 0);
-        assertEquals(Set.of(), avoided, "its stamp has another digest: released");
+        assertEquals(
+                Set.of(), avoided, "its applied versions have another digest: the drain has ended");
     }
 }
--- a/staleness/src/test/java/frostrelay/staleness/ConfigStalenessTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/ConfigStalenessTest.java
@@ -21,7 +21,7 @@
         assertEquals(0, rereadCount, "one alone proves nothing among three");
         detector.onPeerState(5 * NANOS_PER_SECOND, 2, MemberState.ALIVE, newerConfig, 1, 0);
         runUntil(detector, 9 * NANOS_PER_SECOND);
-        assertEquals(0, rereadCount, "those that took it have not yet shown what it does");
+        assertEquals(0, rereadCount, "the probation is not over");
         runUntil(detector, 32 * NANOS_PER_SECOND);
         assertEquals(3, rereadCount);
         detector.onLocalVersions(33 * NANOS_PER_SECOND, newerConfig, CACHES);
@@ -37,7 +37,8 @@
         runUntil(detector, 11 * NANOS_PER_SECOND);
         assertEquals(14, fetchedDigest, "its digest");
         assertEquals(StalenessDetector.Standing.STRAGGLER, detector.configStanding());
-        assertFalse(isSelfDraining, "a roll-out in steps has most of a fleet behind on purpose");
+        assertFalse(
+                isSelfDraining, "a rollout in steps leaves most of a cluster behind on purpose");
         detector.onConfigRejected(12 * NANOS_PER_SECOND, 2);
         assertEquals(StalenessDetector.Standing.REFUSED, detector.configStanding());
         assertEquals(0, fetchedDigest, "what cannot be used is not fetched");
--- a/staleness/src/test/java/frostrelay/staleness/ConfigTransferTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/ConfigTransferTest.java
@@ -84,7 +84,9 @@
             }
         }
         assertEquals(
-                1, acceptedContents.size(), "asked in turn, with " + lossPercent + " of 100 lost");
+                1,
+                acceptedContents.size(),
+                "requested in turn, with " + lossPercent + " of 100 lost");
         assertArrayEquals(expectedContent, acceptedContents.get(0));
         assertTrue(maxOpenRequests <= 6, "open at once: " + maxOpenRequests);
         assertEquals(Long.MAX_VALUE, transfer.nextTimerAtNanos(), "nothing is under way any more");
--- a/staleness/src/test/java/frostrelay/staleness/ListStalenessTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/ListStalenessTest.java
@@ -22,16 +22,13 @@
                 "known at once; it may yet come by itself");
         runUntil(detector, NANOS_PER_SECOND + 3 * NANOS_PER_SECOND);
         assertEquals(StalenessDetector.Standing.BEHIND, detector.listStanding());
-        assertTrue(
-                pollCount >= 1 && pollCount <= 4, "asked " + pollCount + " times in three seconds");
+        assertTrue(pollCount >= 1 && pollCount <= 4, pollCount + " polls in three seconds");
         assertFalse(isSelfDraining);
         runUntil(detector, NANOS_PER_SECOND + 7 * NANOS_PER_SECOND);
         assertEquals(StalenessDetector.Standing.STRAGGLER, detector.listStanding());
         assertTrue(isSelfDraining);
         runUntil(detector, NANOS_PER_SECOND + 60 * NANOS_PER_SECOND);
-        assertTrue(
-                pollCount < 15,
-                "a fleet that is told nothing does not mob discovery: " + pollCount);
+        assertTrue(pollCount < 15, "polls without result back off: " + pollCount);
         detector.onLocalVersions(70 * NANOS_PER_SECOND, listVersion(9), CACHES);
         assertEquals(StalenessDetector.Standing.CURRENT, detector.listStanding());
         assertFalse(isSelfDraining, "it comes back by itself");
@@ -47,6 +44,6 @@
         assertTrue(isSelfDraining);
         detector.onIsolation(21 * NANOS_PER_SECOND, true);
         assertEquals(StalenessDetector.Standing.HEARS_NOTHING, detector.listStanding());
-        assertFalse(isSelfDraining, "hearing nobody is no reason to be aside");
+        assertFalse(isSelfDraining, "isolation is no reason to drain");
     }
 }
--- a/staleness/src/test/java/frostrelay/staleness/RolloutGuardTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/RolloutGuardTest.java
@@ -58,7 +58,8 @@
                 StalenessDetector.Standing.STAYS_BEHIND,
                 detector.configStanding(),
                 "and now it died as well");
-        // A fault that those feel who did not take it says nothing of the version.
+        // A fault that also affects balancers on the old version does not count against the new
+        // one.
         versionsNotFollowed.clear();
         StalenessDetector otherDetector = createDetectorAmongFive();
         for (int peer = 1; peer < 5; peer++) {
@@ -109,7 +110,7 @@
         assertEquals(
                 List.of(),
                 detector.failingKinds(),
-                "a list that leaves less room is not at fault for that");
+                "a list that reduces the capacity is not failing");
         for (int second = 120; second < 126; second++) {
             detector.onServiceCounts(second * NANOS_PER_SECOND, completed += 40, served += 1);
         }
--- a/staleness/src/test/java/frostrelay/staleness/SelfDrainTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/SelfDrainTest.java
@@ -26,7 +26,7 @@
         assertEquals(
                 StalenessDetector.Standing.STRAGGLER,
                 detector.listStanding(),
-                "it is one all the same");
+                "it is stale all the same");
     }
 
     @Test
@@ -34,7 +34,7 @@
         StalenessDetector detector = createDetectorAmongFive();
         detector.onOverrides(
                 2 * NANOS_PER_SECOND, new OperatorOverrides(Set.of(OperatorOverrides.SHUT_OUT)));
-        assertTrue(isSelfDraining, "without a place, without being behind");
+        assertTrue(isSelfDraining, "whatever its rank, and although it is not behind");
         detector.onOverrides(3 * NANOS_PER_SECOND, OperatorOverrides.NONE);
         assertFalse(isSelfDraining);
     }
