--- a/config/src/main/java/frostrelay/config/Key.java
+++ b/config/src/main/java/frostrelay/config/Key.java
@@ -3,9 +3,13 @@
 import java.util.List;
 
 /**
- * One key of a table: what it may hold and what it is for. {@code defaultValue}: the value where
- * the file has none, in the kind's own unit, or null where the file must have one. {@code min} and
- * {@code max}: bounds in the kind's own unit, for kinds that have an order.
+ * One key of a table: its allowed values and its purpose.
+ *
+ * @param defaultValue the value if the file has none, in the kind's unit; null if it is required
+ * @param min lower bound in the kind's unit, for ordered kinds
+ * @param max upper bound in the kind's unit, for ordered kinds
+ * @param choices the allowed texts, for {@link Kind#CHOICE}
+ * @param purpose description for the people who write the file
  */
 record Key(
         String name,
@@ -15,7 +19,7 @@
         double max,
         List<String> choices,
         String purpose) {
-    /** What is allowed, in words. */
+    /** Describes the allowed values in words. */
     String allowed() {
         if (kind == Kind.CHOICE) {
             return "one of " + String.join(", ", choices);
@@ -23,14 +27,19 @@
         if (!kind.isOrdered()) {
             return kind.description;
         }
+        return kind.description + describeBounds();
+    }
+
+    private String describeBounds() {
         boolean hasMin = min > Double.NEGATIVE_INFINITY;
         boolean hasMax = max < Double.POSITIVE_INFINITY;
-        return kind.description
-                + (hasMin && hasMax
-                        ? " from " + formatBound(min) + " to " + formatBound(max)
-                        : hasMin
-                                ? " of at least " + formatBound(min)
-                                : hasMax ? " of at most " + formatBound(max) : "");
+        if (hasMin && hasMax) {
+            return " from " + formatBound(min) + " to " + formatBound(max);
+        }
+        if (hasMin) {
+            return " of at least " + formatBound(min);
+        }
+        return hasMax ? " of at most " + formatBound(max) : "";
     }
 
     private String formatBound(double value) {
@@ -39,7 +48,7 @@
         return kind.format(typedValue).replace("\"", "");
     }
 
-    /** Whether a value of the right kind lies within what is allowed. */
+    /** Whether a value of this kind is within the bounds, or one of the choices. */
     boolean isAllowed(Object value) {
         if (kind == Kind.CHOICE) {
             return choices.contains(value);
--- a/config/src/main/java/frostrelay/config/Kind.java
+++ b/config/src/main/java/frostrelay/config/Kind.java
@@ -8,9 +8,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The kinds of values a key can hold, each with its form in a file and the unit it is kept in. */
+/** The kinds of values of keys, each with its form in a file and the unit of the parsed value. */
 enum Kind {
-    /** Kept in nanoseconds; written with a unit. */
+    /** Parsed to nanoseconds; written with a unit. */
     DURATION(
             "a duration with a unit, as \"250ms\", \"2s\" or \"1m\"",
             units(
@@ -24,7 +24,7 @@
                     60_000_000_000L,
                     "h",
                     3_600_000_000_000L)),
-    /** Kept in bytes; written with a unit. */
+    /** Parsed to bytes; written with a unit. */
     BYTES(
             "a size with a unit, as \"512B\", \"64KiB\" or \"10MB\"",
             units(
@@ -42,7 +42,7 @@
                     1L << 20,
                     "GiB",
                     1L << 30)),
-    /** Kept as a number a second; written with its span. */
+    /** Parsed to a number per second; written with a time span. */
     RATE("a rate, as \"200/s\" or \"600/min\"", Map.of()),
     WHOLE("a whole number", Map.of()),
     NUMBER("a number", Map.of()),
@@ -54,8 +54,13 @@
             Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*([A-Za-z]+)");
     private static final Pattern PER_SPAN =
             Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*/\\s*(s|min|h)");
+
+    /** Seconds of the time spans of rates. */
     private static final Map<String, Integer> SPANS = Map.of("s", 1, "min", 60, "h", 3_600);
 
+    /** The sum of a few larger values would overflow. */
+    private static final BigDecimal MAX_QUANTITY = BigDecimal.valueOf(Long.MAX_VALUE / 4);
+
     final String description;
     private final Map<String, Long> units;
 
@@ -72,7 +77,7 @@
         return units;
     }
 
-    /** The value in its own unit; null if it is no such value. */
+    /** The value in the unit of this kind; null if the raw value is of another kind. */
     Object parse(Object raw) {
         return switch (this) {
             case DURATION, BYTES -> raw instanceof String text ? parseQuantity(text.trim()) : null;
@@ -96,10 +101,7 @@
             return null;
         }
         BigDecimal value = new BigDecimal(parts.group(1)).multiply(BigDecimal.valueOf(unit));
-        // Past this nobody means it, and sums of such values would overflow.
-        return value.compareTo(BigDecimal.valueOf(Long.MAX_VALUE / 4)) > 0
-                ? null
-                : Long.valueOf(value.longValue());
+        return value.compareTo(MAX_QUANTITY) > 0 ? null : Long.valueOf(value.longValue());
     }
 
     private static Double parseRate(String text) {
@@ -109,7 +111,7 @@
                 : null;
     }
 
-    /** The value as a file would write it. */
+    /** Formats a value as in a file. */
     String format(Object value) {
         return switch (this) {
             case DURATION, BYTES -> '"' + formatInLargestUnit((Long) value) + '"';
@@ -141,7 +143,7 @@
                 : Double.toString(value);
     }
 
-    /** Which kinds have an order, so that bounds can hold for them. */
+    /** Whether values have an order, so that they can have bounds. */
     boolean isOrdered() {
         return !List.of(TEXT, CHOICE, BOOL).contains(this);
     }
--- a/config/src/main/java/frostrelay/config/Problem.java
+++ b/config/src/main/java/frostrelay/config/Problem.java
@@ -1,8 +1,13 @@
 package frostrelay.config;
 
 /**
- * One thing that is wrong with a file. {@code line}: from 1 on, 0 where the whole file is meant;
- * {@code key}: the path of the key, empty where the text is no TOML at all.
+ * One problem of a file.
+ *
+ * @param file the file as named by the user
+ * @param line line number from 1; 0 for the file as a whole
+ * @param key path of the key; empty if the text is no TOML
+ * @param found what the file contains
+ * @param allowed what it may contain instead
  */
 public record Problem(String file, int line, String key, String found, String allowed) {
     @Override
--- a/config/src/main/java/frostrelay/config/TableSchema.java
+++ b/config/src/main/java/frostrelay/config/TableSchema.java
@@ -5,11 +5,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** The form of a table: its keys and the tables in it, single ones and lists of them. */
+/**
+ * The schema of a table: its keys and nested tables, which are single or lists. The methods that
+ * add a key or table return this schema; a null default makes a key required.
+ */
 public final class TableSchema {
     /**
-     * A table within a table. {@code isList}: written as [[name]], any number of times up to {@code
-     * most}.
+     * A table within a table.
+     *
+     * @param isList written as [[name]], at most {@code max} times
      */
     record Nested(TableSchema table, boolean isList, int max) {}
 
@@ -22,19 +26,19 @@
         this.purpose = purpose;
     }
 
-    /** A length of time; bounds and standard in the form of a file. */
+    /** Adds a duration; default and bounds are given as in a file. */
     public TableSchema duration(
             String name, String defaultValue, String min, String max, String purpose) {
         return quantity(name, Kind.DURATION, defaultValue, min, max, purpose);
     }
 
-    /** A number of bytes; bounds and standard in the form of a file. */
+    /** Adds a number of bytes; default and bounds are given as in a file. */
     public TableSchema bytes(
             String name, String defaultValue, String min, String max, String purpose) {
         return quantity(name, Kind.BYTES, defaultValue, min, max, purpose);
     }
 
-    /** A number a second; bounds and standard in the form of a file. */
+    /** Adds a number per second; default and bounds are given as in a file. */
     public TableSchema rate(
             String name, String defaultValue, String min, String max, String purpose) {
         return quantity(name, Kind.RATE, defaultValue, min, max, purpose);
@@ -53,29 +57,29 @@
                         purpose));
     }
 
-    /** A whole number. */
+    /** Adds a whole number. */
     public TableSchema whole(String name, Long defaultValue, long min, long max, String purpose) {
         return add(new Key(name, Kind.WHOLE, defaultValue, min, max, List.of(), purpose));
     }
 
-    /** A number, whole or not. */
+    /** Adds a number, whole or not. */
     public TableSchema number(
             String name, Double defaultValue, double min, double max, String purpose) {
         return add(new Key(name, Kind.NUMBER, defaultValue, min, max, List.of(), purpose));
     }
 
-    /** A text that is not blank; null where the file must have one. */
+    /** Adds a text, which must not be blank. */
     public TableSchema text(String name, String defaultValue, String purpose) {
         return add(new Key(name, Kind.TEXT, defaultValue, 0, 0, List.of(), purpose));
     }
 
-    /** One of some words; null where the file must have one. */
+    /** Adds a text that must be one of the choices. */
     public TableSchema choice(
             String name, String defaultValue, List<String> choices, String purpose) {
         return add(new Key(name, Kind.CHOICE, defaultValue, 0, 0, choices, purpose));
     }
 
-    /** Yes or no. */
+    /** Adds a boolean. */
     public TableSchema bool(String name, boolean defaultValue, String purpose) {
         return add(new Key(name, Kind.BOOL, defaultValue, 0, 0, List.of(), purpose));
     }
@@ -85,13 +89,13 @@
         return this;
     }
 
-    /** A table within this one. */
+    /** Adds a nested table. */
     public TableSchema table(String name, TableSchema inner) {
         tables.put(name, new Nested(inner, false, 1));
         return this;
     }
 
-    /** A list of tables within this one, of at most {@code max}. */
+    /** Adds a list of at most {@code max} nested tables. */
     public TableSchema list(String name, int max, TableSchema inner) {
         tables.put(name, new Nested(inner, true, max));
         return this;
@@ -103,7 +107,7 @@
         return names;
     }
 
-    /** The form in Markdown, a table of keys for each table of the file. */
+    /** Describes the schema in Markdown, with a table of keys for each table of the file. */
     public String describe() {
         StringBuilder text = new StringBuilder();
         describe("", false, text);
--- a/config/src/main/java/frostrelay/config/TableValues.java
+++ b/config/src/main/java/frostrelay/config/TableValues.java
@@ -11,9 +11,9 @@
 import java.util.regex.Pattern;
 
 /**
- * The values in force of one table: those of the file, and the standard ones where it has none.
- * Immutable. A name or a kind that the form does not have is a fault of the program and told by an
- * exception.
+ * The effective values of one table: those of the file, or else the defaults. Immutable. Access by
+ * a name or kind that the schema does not have is a programming error and throws a
+ * NullPointerException or ClassCastException.
  */
 public final class TableValues {
     private static final Pattern PATH_STEP = Pattern.compile("([^\\[]+)(?:\\[(\\d{1,6})])?");
@@ -34,17 +34,17 @@
         this.line = line;
     }
 
-    /** Where the table begins in its file, from 1 on; 0 where the file does not have it. */
+    /** The line number from 1 at which the table begins; 0 if the file does not contain it. */
     public int line() {
         return line;
     }
 
-    /** Nanoseconds of a duration, bytes of a size, or a whole number. */
+    /** A duration in nanoseconds, a size in bytes, or a whole number. */
     public long whole(String name) {
         return (Long) value(name);
     }
 
-    /** A number, or a rate a second. */
+    /** A number, or a rate per second. */
     public double number(String name) {
         return (Double) value(name);
     }
@@ -54,7 +54,7 @@
         return (String) value(name);
     }
 
-    /** Yes or no. */
+    /** A boolean. */
     public boolean bool(String name) {
         return (Boolean) value(name);
     }
@@ -63,43 +63,53 @@
         return Objects.requireNonNull(values.get(name), name);
     }
 
-    /** The one table of this name. */
+    /** The nested table of this name. */
     public TableValues table(String name) {
         return list(name).get(0);
     }
 
-    /** All tables of this name, in the order of the file. */
+    /** All nested tables of this name, in the order of the file. */
     public List<TableValues> list(String name) {
         return Objects.requireNonNull(tables.get(name), name);
     }
 
     /**
-     * The same values but for one. {@code path}: as problems name keys, {@code clients.rate} or
-     * {@code class[0].aim}; {@code literal}: as a file has it, quotes left out or not. Throws
-     * {@link BadConfigException}; {@code file} and {@code line} are where it was asked for.
+     * A copy with one value replaced.
+     *
+     * @param path path of the key as in problems: {@code clients.rate} or {@code class[0].aim}
+     * @param literal the value as in a file; quotes may be left out
+     * @param file where the replacement was requested, for problems
+     * @param line line in that file, for problems
+     * @throws BadConfigException if there is no such key or the value is not allowed
      */
     public TableValues with(String path, String literal, String file, int line) {
         int dot = path.indexOf('.');
-        if (dot >= 0) {
-            Matcher step = PATH_STEP.matcher(path.substring(0, dot));
-            List<TableValues> siblings = step.matches() ? tables.get(step.group(1)) : null;
-            int index =
-                    siblings == null || step.group(2) == null ? 0 : Integer.parseInt(step.group(2));
-            if (siblings == null || index >= siblings.size()) {
-                throw invalid(
-                        file,
-                        line,
-                        path,
-                        "a table that is not there",
-                        String.join(", ", tables.keySet()));
-            }
-            List<TableValues> updated = new ArrayList<>(siblings);
-            updated.set(
-                    index, siblings.get(index).with(path.substring(dot + 1), literal, file, line));
-            Map<String, List<TableValues>> updatedTables = new HashMap<>(tables);
-            updatedTables.put(step.group(1), List.copyOf(updated));
-            return new TableValues(schema, values, updatedTables, this.line);
+        return dot >= 0
+                ? withNestedValue(path, dot, literal, file, line)
+                : withOwnValue(path, literal, file, line);
+    }
+
+    private TableValues withNestedValue(
+            String path, int dot, String literal, String file, int line) {
+        Matcher step = PATH_STEP.matcher(path.substring(0, dot));
+        List<TableValues> list = step.matches() ? tables.get(step.group(1)) : null;
+        int index = list == null || step.group(2) == null ? 0 : Integer.parseInt(step.group(2));
+        if (list == null || index >= list.size()) {
+            throw invalid(
+                    file,
+                    line,
+                    path,
+                    "a table that is not there",
+                    String.join(", ", tables.keySet()));
         }
+        List<TableValues> updated = new ArrayList<>(list);
+        updated.set(index, list.get(index).with(path.substring(dot + 1), literal, file, line));
+        Map<String, List<TableValues>> updatedTables = new HashMap<>(tables);
+        updatedTables.put(step.group(1), List.copyOf(updated));
+        return new TableValues(schema, values, updatedTables, this.line);
+    }
+
+    private TableValues withOwnValue(String path, String literal, String file, int line) {
         Key key = schema.keys.get(path);
         if (key == null) {
             throw invalid(
@@ -122,14 +132,14 @@
         return new BadConfigException(List.of(new Problem(file, line, path, found, allowed)));
     }
 
-    /** The same values with none of a list's tables. */
+    /** A copy in which the list of this name is empty. */
     public TableValues without(String list) {
         Map<String, List<TableValues>> remainingTables = new HashMap<>(tables);
         remainingTables.put(list, List.of());
         return new TableValues(schema, values, remainingTables, line);
     }
 
-    /** Everything in force, as a file would say it. */
+    /** All effective values as a TOML file. */
     public String toToml() {
         StringBuilder text = new StringBuilder();
         toToml("", false, text);
--- a/config/src/main/java/frostrelay/config/TomlFile.java
+++ b/config/src/main/java/frostrelay/config/TomlFile.java
@@ -18,14 +18,14 @@
 import java.util.Map;
 
 /**
- * Reads a TOML file by a form: whole or not at all, and with every problem told. TOML by tomlj,
- * which keeps where each key stands.
+ * Reads a TOML file and validates it against a schema. A file is accepted as a whole or rejected
+ * with all of its problems. Parsed by tomlj, which reports the position of each key.
  */
 public final class TomlFile {
-    /** A larger file is nobody's configuration. */
+    /** A larger file is rejected without being read. */
     private static final long MAX_FILE_BYTES = 4L << 20;
 
-    /** Names that differ by more letters are not taken for a slip. */
+    /** Names that differ by more letters are not suggested as corrections. */
     private static final int MAX_EDIT_DISTANCE = 3;
 
     private static final int MAX_SHOWN_LENGTH = 60;
@@ -38,7 +38,9 @@
     }
 
     /**
-     * The values in force; throws {@link BadConfigException} with all problems if there are any.
+     * Reads a file and returns its effective values.
+     *
+     * @throws BadConfigException with all problems, if the file cannot be read or is invalid
      */
     public static TableValues read(Path path, TableSchema schema) {
         String name = path.toString();
@@ -73,12 +75,17 @@
         return parse(name, text, schema);
     }
 
-    /** Likewise from a text; {@code file} is how problems name it. */
+    /**
+     * Parses a text and returns its effective values.
+     *
+     * @param file the name of the file in problems
+     * @throws BadConfigException with all problems, if the text is invalid
+     */
     public static TableValues parse(String file, String text, TableSchema schema) {
         TomlFile reader = new TomlFile(file);
         TomlParseResult toml = reader.parse(text);
-        // What stands behind a slip in the text may belong elsewhere: keys are looked at only in a
-        // sound text.
+        // After a syntax error, keys may be assigned to the wrong tables: keys are validated only
+        // in a text without syntax errors.
         TableValues values = toml == null ? null : reader.readTable("", toml, schema, 1);
         if (!reader.problems.isEmpty()) {
             throw new BadConfigException(reader.problems);
@@ -86,19 +93,18 @@
         return values;
     }
 
-    /** A sound text as tables; null where it is none, with what is wrong noted. */
+    /** The parsed text; null after a syntax error, which is added to the problems. */
     private TomlParseResult parse(String text) {
         try {
             TomlParseResult toml = Toml.parse(text);
             toml.errors().forEach(this::addSyntaxError);
             return toml.hasErrors() ? null : toml;
         } catch (TomlParseError e) {
-            // Some slips, as a bad escape in a key, are thrown instead of listed.
+            // Some syntax errors, such as a bad escape in a key, are thrown instead of listed.
             addSyntaxError(e);
             return null;
         } catch (RuntimeException | AssertionError e) {
-            // A quote that ends within an escape makes the parser itself fail; it does not say
-            // where.
+            // A quote that ends within an escape makes the parser itself fail, without a position.
             problems.add(
                     new Problem(
                             file,
@@ -176,7 +182,7 @@
         return values == null ? emptyValues(schema) : values;
     }
 
-    /** Stands in a file that is refused as a whole, so that the rest of it can be looked at. */
+    /** A placeholder for an invalid table, so that the rest of the file can be validated. */
     private static TableValues emptyValues(TableSchema schema) {
         return new TableValues(schema, Map.of(), Map.of(), 0);
     }
--- a/config/src/test/java/frostrelay/config/TomlFileTest.java
+++ b/config/src/test/java/frostrelay/config/TomlFileTest.java
@@ -15,7 +15,7 @@
 
 import java.util.List;
 
-/** A file is taken whole or not at all, and what is wrong is said with its place. */
+/** A file is accepted as a whole or rejected, and problems are reported with their position. */
 class TomlFileTest {
     private static final TableSchema SCHEMA =
             new TableSchema("A test.")
@@ -75,7 +75,7 @@
                 values.toToml(), reparsed.toToml(), "what is printed as in force can be read back");
     }
 
-    /** Line, key, and a word that the message must hold; then the text. */
+    /** Line and key of the expected problem, a text that its message must contain, and the file. */
     private record InvalidFile(int line, String key, String expectedText, String text) {}
 
     private static InvalidFile invalidFile(
