--- a/node/src/main/java/frostrelay/node/discovery/DiscoveryClient.java
+++ b/node/src/main/java/frostrelay/node/discovery/DiscoveryClient.java
@@ -37,19 +37,27 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Follows discovery's list of cache hosts, from when the module asks until a call fails. */
+/**
+ * Watches the discovery's endpoint list of cache servers by long polling, from {@link #subscribe}
+ * until a call fails. Owned by the event loop; not thread-safe.
+ */
 public final class DiscoveryClient {
-    /** Hears every list in order. A failure ends the watch; the module says when to ask again. */
+    /**
+     * Receives every list in order. A failure, {@link EndpointUpdateMode#FAILED}, ends the watch;
+     * the decision module decides when to subscribe again.
+     */
     public interface Listener {
         void onEndpointList(
                 EndpointUpdateMode mode, long revision, List<EndpointList.Endpoint> endpoints);
     }
 
     /**
-     * How long a watch may wait for news: what a silent one misses binds 6 s after it fell silent,
-     * or 2 s after its wait, so short waits are better; but each call takes room at discovery,
-     * which is one for all. Of all instances together at most two calls a second wait in vain,
-     * until {@link #MAX_WATCH_WAIT_MILLIS}. An agent that lists are pushed to is our own.
+     * How long a watch may wait for an update, per instance of the tier. An update that an
+     * unresponsive watch misses becomes binding 6 s after the watch stopped responding, or 2 s
+     * after its wait, so short waits are better; but each call uses capacity of the discovery,
+     * which all instances share. All instances together make at most two calls a second that return
+     * nothing, until {@link #MAX_WATCH_WAIT_MILLIS} is reached. An agent that lists are pushed to
+     * serves this balancer alone, so that the minimum applies.
      */
     private static final long WATCH_WAIT_PER_INSTANCE_MILLIS = 500;
 
@@ -57,25 +65,24 @@
     private static final long MAX_WATCH_WAIT_MILLIS = 20_000;
 
     /**
-     * No answer for so long past the wait is silence: half of the 2 s, so that one more call is
-     * answered within them.
+     * A watch without an answer for this long past its wait is unresponsive: half of the 2 s, so
+     * that one more call can be answered within them.
      */
     private static final long RESPONSE_GRACE_MILLIS = 1_000;
 
     /**
-     * A call may stand in line at discovery for 3 s before it is refused; given up sooner, it would
-     * lose its place.
+     * The discovery may queue a call for 3 s before it rejects it; a shorter timeout would lose the
+     * call's place in the queue.
      */
     private static final long QUEUEING_TIMEOUT_MILLIS = 3_500;
 
     private static final int CONNECTION_TIMEOUT_MILLIS = 1_000;
 
-    /**
-     * At most one call in this time, should answers come at once for ever; a watch allows 200 ms.
-     */
+    /** At most one call in this time, in case every answer is immediate; a watch allows 200 ms. */
     private static final long MIN_CALL_INTERVAL_MILLIS = 100;
 
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
+    private static final String ENDPOINTS_PATH = "/catalog/members";
 
     private InetSocketAddress address;
     private final CurrentSettings currentSettings;
@@ -84,16 +91,23 @@
     private long revision;
 
     /**
-     * The next call asks for the whole list, at once: after a move, as versions are one service's
-     * own, and at first of an agent.
+     * The next call requests the full list, without waiting: after a change of address, since
+     * versions are specific to one discovery, and for the first call to an agent.
      */
     private boolean needsFullList;
 
+    /** The address has changed and the discovery there has not answered yet. */
     private boolean isAddressNew;
 
-    /** The call that is out or about to begin; null while nobody watches. */
+    /** The call in progress or about to start; null while there is no watch. */
     private WatchCall currentCall;
 
+    /**
+     * Creates a client that does nothing until {@link #subscribe}.
+     *
+     * @param currentSettings the settings in effect, which the lists are parsed by
+     * @param listener called on {@code loop}
+     */
     public DiscoveryClient(
             Config config, CurrentSettings currentSettings, EventLoop loop, Listener listener) {
         this.address = config.discoveryAddress();
@@ -115,7 +129,7 @@
                 : MIN_WATCH_WAIT_MILLIS;
     }
 
-    /** Begins a watch from the last known version, unless one is on. */
+    /** Starts a watch from the last known version, unless there is one. */
     public void subscribe() {
         if (currentCall == null) {
             currentCall = new WatchCall();
@@ -124,8 +138,8 @@
     }
 
     /**
-     * Asks anew from the last known version: what the call that is out should have told may have
-     * been lost.
+     * Restarts the watch from the last known version, as the update that the call in progress
+     * should have returned may have been lost. Does nothing without a watch.
      */
     public void refresh() {
         if (currentCall != null) {
@@ -136,9 +150,9 @@
     }
 
     /**
-     * Discovery is to be found elsewhere. The call to the old address is dropped without a word, as
-     * its end is no failure that anyone should wait after, and the new address is asked at once:
-     * the old one tells nothing any more, and what the new one knows is wanted within seconds.
+     * Changes the address of the discovery. The call to the old address is cancelled silently, as
+     * its end is no failure that requires a backoff, and the new address is called at once: the old
+     * one sends no more updates, and those of the new one are needed within seconds.
      */
     public void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -156,8 +170,8 @@
     }
 
     /**
-     * One call, on a connection of its own: what a kept one had in flight when it broke is in
-     * doubt.
+     * One call, on a connection of its own: if a reused connection broke, it would be unknown
+     * whether the request in flight was processed.
      */
     private final class WatchCall extends SimpleChannelInboundHandler<FullHttpResponse> {
         private long startedAtNanos;
@@ -170,53 +184,52 @@
                 return;
             }
             startedAtNanos = Clock.now();
-            // Before the connection: a refused one may fail within this very call.
-            long timeoutMillis =
-                    needsFullList
-                            ? QUEUEING_TIMEOUT_MILLIS
-                            : Math.max(
-                                    QUEUEING_TIMEOUT_MILLIS,
-                                    watchWaitMillis() + RESPONSE_GRACE_MILLIS);
-            timeoutTask = loop.schedule(this::onTimeout, timeoutMillis, TimeUnit.MILLISECONDS);
-            Bootstrap bootstrap =
-                    new Bootstrap()
-                            .group(loop)
-                            .channel(NioSocketChannel.class)
-                            .option(ChannelOption.TCP_NODELAY, true)
-                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECTION_TIMEOUT_MILLIS)
-                            .handler(
-                                    new ChannelInitializer<>() {
-                                        @Override
-                                        protected void initChannel(Channel fresh) {
-                                            fresh.pipeline()
-                                                    .addLast(
-                                                            new HttpClientCodec(),
-                                                            new HttpObjectAggregator(
-                                                                    MAX_RESPONSE_BYTES),
-                                                            WatchCall.this);
-                                        }
-                                    });
+            // Before connecting, which may fail synchronously.
+            timeoutTask = loop.schedule(this::onTimeout, timeoutMillis(), TimeUnit.MILLISECONDS);
             channel =
                     Connector.connect(
-                            bootstrap,
+                            newBootstrap(),
                             address,
                             loop,
                             cause -> fail("no connection: " + cause.getMessage()));
         }
 
+        private long timeoutMillis() {
+            return needsFullList
+                    ? QUEUEING_TIMEOUT_MILLIS
+                    : Math.max(QUEUEING_TIMEOUT_MILLIS, watchWaitMillis() + RESPONSE_GRACE_MILLIS);
+        }
+
+        private Bootstrap newBootstrap() {
+            return new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECTION_TIMEOUT_MILLIS)
+                    .handler(
+                            new ChannelInitializer<>() {
+                                @Override
+                                protected void initChannel(Channel newChannel) {
+                                    newChannel
+                                            .pipeline()
+                                            .addLast(
+                                                    new HttpClientCodec(),
+                                                    new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                                    WatchCall.this);
+                                }
+                            });
+        }
+
+        private String requestUri() {
+            return needsFullList
+                    ? ENDPOINTS_PATH
+                    : ENDPOINTS_PATH + "?since=" + revision + "&timeout_ms=" + watchWaitMillis();
+        }
+
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             FullHttpRequest request =
-                    new DefaultFullHttpRequest(
-                            HttpVersion.HTTP_1_1,
-                            HttpMethod.GET,
-                            "/catalog/members"
-                                    + (needsFullList
-                                            ? ""
-                                            : "?since="
-                                                    + revision
-                                                    + "&timeout_ms="
-                                                    + watchWaitMillis()));
+                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, requestUri());
             request.headers()
                     .set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort())
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -245,6 +258,10 @@
                 return;
             }
             finish();
+            onList(endpointList);
+        }
+
+        private void onList(EndpointList endpointList) {
             if (isAddressNew) {
                 Log.write(
                         Event.DISCOVERY_ADDRESS_CONNECTED,
@@ -255,20 +272,23 @@
             isAddressNew = false;
             needsFullList = false;
             revision = endpointList.revision();
-            WatchCall nextCall = new WatchCall();
-            currentCall = nextCall;
-            long delayMillis =
-                    Math.max(
-                            0,
-                            MIN_CALL_INTERVAL_MILLIS
-                                    - (Clock.now() - startedAtNanos) / Clock.NANOS_PER_MILLISECOND);
-            loop.schedule(nextCall::start, delayMillis, TimeUnit.MILLISECONDS);
+            scheduleNextCall();
             listener.onEndpointList(
                     endpointList.isFull() ? EndpointUpdateMode.FULL : EndpointUpdateMode.DELTA,
                     endpointList.revision(),
                     endpointList.endpoints());
         }
 
+        private void scheduleNextCall() {
+            WatchCall nextCall = new WatchCall();
+            currentCall = nextCall;
+            long elapsedMillis = (Clock.now() - startedAtNanos) / Clock.NANOS_PER_MILLISECOND;
+            loop.schedule(
+                    nextCall::start,
+                    Math.max(0, MIN_CALL_INTERVAL_MILLIS - elapsedMillis),
+                    TimeUnit.MILLISECONDS);
+        }
+
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             fail("the call broke");
@@ -286,7 +306,7 @@
             }
         }
 
-        /** Ends the call, or keeps it from starting, and tells nobody. */
+        /** Ends the call, or prevents it from starting, without notifying the listener. */
         void cancel() {
             finish();
             if (channel != null) {
@@ -295,8 +315,8 @@
         }
 
         /**
-         * Discovery may be well and only this call's connection dead: another one is opened at
-         * once, without a pause.
+         * The discovery may be healthy and only this call's connection dead, so another one is
+         * opened at once, without a backoff.
          */
         private void onTimeout() {
             Log.write(Event.DISCOVERY_FAILED, "silence");
--- a/node/src/main/java/frostrelay/node/discovery/ServerStartTimes.java
+++ b/node/src/main/java/frostrelay/node/discovery/ServerStartTimes.java
@@ -7,37 +7,43 @@
 import java.util.Set;
 
 /**
- * Translates the start times of servers, which discovery tells in Unix time, onto this program's
- * clock, which no step of the wall clock moves: taken as they are behind a step, a server that has
- * just started would count as warm, or as cold for an hour. It reads no clock.
+ * Converts the start times of servers, which the discovery reports in Unix time, to this process's
+ * monotonic clock. Without the conversion, after a step of the wall clock a server that has just
+ * started would count as warm, or one as warming up for an hour. Reads no clock; not thread-safe.
  */
 public final class ServerStartTimes {
-    /** The wall clock is set by so much at least where it is set at all; less is drift. */
+    /** A smaller change of the wall clock's offset is drift, not a step. */
     private static final long MIN_CLOCK_STEP_NANOS = 500 * Clock.NANOS_PER_MILLISECOND;
 
-    /** A start from before a step may be told of so long after it. */
+    /** How long after a step starts from before it may still be reported. */
     private static final long CLOCK_STEP_GRACE_NANOS = 300 * Clock.NANOS_PER_SECOND;
 
-    /** A start as it was told, and on this program's clock. */
+    /** A start as reported, in Unix time, and on this process's clock. */
     private record Start(long unixNanos, long localNanos) {}
 
     private final Map<Long, Start> starts = new HashMap<>();
 
-    /** When the last list came, and by how much the wall clock was ahead then. */
+    /** When the last list was received; 0 before the first. */
     private long lastListAtNanos;
 
+    /** By how much the wall clock was ahead of the process's clock at the last list. */
     private long wallClockOffsetNanos;
 
     /**
-     * No start that is told first in this time was before it: the last list before a step did not
-     * have it.
+     * The earliest possible start of servers first reported after a step, until {@link
+     * #earliestStartUntilNanos}: the last list before the step did not contain them.
      */
     private long earliestStartNanos;
 
     private long earliestStartUntilNanos;
     private long nowNanos;
 
-    /** A list has come; {@code wallNanos}: Unix time in nanoseconds. */
+    /**
+     * Records that a list was received, before its start times are converted.
+     *
+     * @param nowNanos reading of this process's clock
+     * @param wallNanos Unix time in nanoseconds
+     */
     public void onEndpointList(long nowNanos, long wallNanos) {
         this.nowNanos = nowNanos;
         long newOffsetNanos = wallNanos - nowNanos;
@@ -51,8 +57,11 @@
     }
 
     /**
-     * When a server of the present list started; {@code unixNanos}: in Unix time in nanoseconds, 0
-     * for long ago.
+     * The start of a server of the current list on this process's clock, in nanoseconds. The first
+     * conversion of a reported start is kept.
+     *
+     * @param unixNanos the reported start, Unix time in nanoseconds; 0 or less for long ago, which
+     *     returns 0
      */
     public long toLocalStart(long server, long unixNanos) {
         if (unixNanos <= 0) {
@@ -74,7 +83,7 @@
                 : localNanos;
     }
 
-    /** A server is gone. */
+    /** Forgets a server that was removed. */
     public void forget(long server) {
         starts.remove(server);
     }
--- a/node/src/main/java/frostrelay/node/log/Event.java
+++ b/node/src/main/java/frostrelay/node/log/Event.java
@@ -6,49 +6,52 @@
 
 /**
  * Everything that the balancer logs, with the fields of each line in their order. {@code
- * docs/events.md} is made from this and a test holds it to it.
+ * docs/events.md} is generated from this, and a test keeps the two the same.
  */
 public enum Event {
-    SERVING(Level.INFO, "Clients are taken from now on.", "listen", "admin"),
-    CANNOT_START(Level.ERROR, "It ends with 1.", "reason"),
+    SERVING(Level.INFO, "The balancer accepts clients from now on.", "listen", "admin"),
+    CANNOT_START(Level.ERROR, "The balancer cannot start; the process exits with 1.", "reason"),
     SHUTDOWN_STARTED(
             Level.INFO,
-            "SIGTERM came: requests are accepted and answered for so many milliseconds more.",
+            "SIGTERM was received: requests are accepted and answered for the given number of milliseconds.",
             "replaced",
             "accept-ms",
             "answer-ms"),
     SHUTDOWN_PROGRESS(
             Level.INFO,
-            "How far a shutdown is: connections of clients, and the first open requests with the milliseconds"
-                    + " that are left to answer each.",
+            "Progress of a shutdown: the number of client connections and open requests, and the first open"
+                    + " requests with the milliseconds left to answer each.",
             "elapsed-ms",
             "clients",
             "open",
             "requests"),
     REQUEST(Level.DEBUG, "A request changed its state.", "id", "state", "detail"),
-    CLIENT_CLOSED(Level.DEBUG, "A client's connection ended.", "client", "reason", "unanswered"),
+    CLIENT_CLOSED(
+            Level.DEBUG, "A client's connection was closed.", "client", "reason", "unanswered"),
     SHUTDOWN_FAILED(
-            Level.ERROR, "The orderly stop failed; the process ends all the same.", "reason"),
+            Level.ERROR, "The graceful shutdown failed; the process exits regardless.", "reason"),
     SIGNAL_IGNORED(
             Level.WARN,
-            "It was started where SIGHUP is ignored, as under nohup: a replaced configuration is"
-                    + " found by looking at the file instead.",
+            "The process was started with SIGHUP ignored, as under nohup: the configuration file is"
+                    + " polled for changes instead.",
             "signal",
             "poll-interval-ms"),
-    SETTINGS_APPLIED(
-            Level.INFO, "A replaced configuration holds from now on.", "classes", "attempts"),
+    SETTINGS_APPLIED(Level.INFO, "A new configuration is in effect.", "classes", "attempts"),
     SETTINGS_REJECTED(
             Level.ERROR,
-            "A replaced configuration cannot be used; the old one stays, whole.",
+            "A new configuration is invalid; the current one stays in effect completely.",
             "reason"),
     COUNTS(
             Level.INFO,
-            "What has been counted since the start, every ten seconds; what is 0 is left out.",
+            "The counters since the start, by default every ten seconds; counters that are 0 are left out.",
             "counts",
             "gauges"),
-    DRAIN_STARTED(Level.INFO, "Operators send the clients away."),
-    DRAIN_ENDED(Level.INFO, "Clients are taken again."),
-    ADMIN_DRAINS(Level.INFO, "What operators hold out of use has changed.", "caches"),
+    DRAIN_STARTED(Level.INFO, "This balancer drains its clients."),
+    DRAIN_ENDED(Level.INFO, "This balancer accepts clients again."),
+    ADMIN_DRAINS(
+            Level.INFO,
+            "The set of cache servers that administrators drained has changed.",
+            "caches"),
     PEER_PROCESS_SERVING(
             Level.INFO,
             "Another process of this balancer serves: descriptors are shared with it.",
@@ -56,116 +59,129 @@
     PEER_PROCESS_ENDED(Level.INFO, "Another process of this balancer has ended.", "peer-processes"),
     PEER_PROCESSES_UNREADABLE(
             Level.WARN,
-            "Other processes of this balancer cannot be looked for, or cannot see this one.",
+            "Other processes of this balancer cannot be detected, or cannot detect this one.",
             "reason"),
     ADMIN_DRAINS_UNREADABLE(
             Level.WARN,
-            "The file of holds is torn or somebody else's; those known so far stay.",
+            "A file of drains or overrides is corrupt or foreign; the last known values stay in effect.",
             "file",
             "reason"),
     SHARED_DIRECTORY_FAILED(
-            Level.WARN, "A look at the folder shared with other processes failed.", "reason"),
-    ADMIN_CALL_FAILED(Level.WARN, "An operators' call could not be carried out.", "reason"),
+            Level.WARN,
+            "The directory shared with other processes could not be read or written.",
+            "reason"),
+    ADMIN_CALL_FAILED(Level.WARN, "An administrator's call could not be executed.", "reason"),
     DISCOVERY_ADDRESS_CHANGED(
-            Level.INFO, "The configuration names another discovery.", "from", "to"),
+            Level.INFO, "The configuration contains another discovery address.", "from", "to"),
     DISCOVERY_ADDRESS_CONNECTED(
-            Level.INFO, "The other discovery has answered.", "address", "version", "known-version"),
+            Level.INFO,
+            "The discovery at the new address has answered.",
+            "address",
+            "version",
+            "known-version"),
     DISCOVERY_FAILED(
             Level.WARN,
-            "A call or a watch ended without a list; the module says when to ask again. `silence`: another one is opened at once.",
+            "A call or a watch ended without an endpoint list; the decision module decides when to subscribe"
+                    + " again. `silence`: there was no answer in time, and another call starts at once.",
             "reason"),
     PROTOCOL_VIOLATION(
             Level.WARN,
-            "A peer did what the protocol does not allow. At most 20 such lines between two counts.",
+            "A peer violated the protocol. At most 20 such lines between two reports of the counters.",
             "detail"),
     INVARIANT_VIOLATION(
             Level.ERROR,
-            "What must never happen did: a fault of this program, or a machine that gave it no time. Bounded as lines"
-                    + " of peers are.",
+            "An invariant was violated: a fault of this program, or it was not given CPU time. Limited like"
+                    + " protocol violations.",
             "invariant",
             "detail"),
     UNEXPECTED_EXCEPTION(
             Level.ERROR,
-            "An exception that nobody expected. Bounded as lines of peers are.",
+            "An unexpected exception. Limited like protocol violations.",
             "where",
             "exception",
             "trace"),
     LIBRARY_WARNING(
             Level.WARN,
-            "A library complains. At most 100 such lines in a process's life.",
+            "A warning of a library. At most 100 such lines during the life of a process.",
             "logger",
             "message",
             "exception"),
     GOSSIP_STARTED(
             Level.INFO,
-            "It talks with the balancers of its tier from now on.",
+            "This balancer takes part in its tier's gossip from now on.",
             "address",
             "member",
             "members",
             "max-bytes-per-second"),
-    GOSSIP_DISABLED(Level.WARN, "It was to talk with its peers and does not.", "reason"),
+    GOSSIP_DISABLED(Level.WARN, "Gossip is enabled but cannot be used.", "reason"),
     PEER_STATE(
             Level.INFO,
-            "What is believed of another balancer has changed. At most 200 such lines between two counts.",
+            "The membership state of another balancer has changed. At most 200 such lines between two reports of"
+                    + " the counters.",
             "member",
             "state",
             "reported-by"),
     STALE_INSTANCE(
             Level.WARN,
-            "This balancer has become a straggler, or is none any more, or a version has two contents.",
+            "This balancer has become stale or is current again, or one version has two different contents.",
             "detail"),
     CACHES_AVOIDED(
             Level.INFO,
-            "So many caches are avoided on others' word, as their lists or their operators' holds have it.",
+            "The number of cache servers avoided because of peers' endpoint lists or their administrators' drains.",
             "caches",
             "list",
             "peers-list",
             "admin-drained"),
     VERSION_NOT_FOLLOWED(
             Level.ERROR,
-            "Others act on a newer version and fail under it: it is not followed. Operators decide.",
+            "Peers use a newer version and fail with it: it is not followed. Administrators decide.",
             "kind",
             "number",
             "reason"),
     DEGRADATION_REPORTED(
             Level.WARN,
-            "By its own counts this balancer serves worse since it took a version of these kinds; others are told.",
+            "By its own counters this balancer serves worse since it applied a version of these kinds; peers are"
+                    + " notified.",
             "kinds",
             "list",
             "config"),
     SETTINGS_RECEIVED_FROM_PEER(
             Level.INFO,
-            "Settings that its file lacks came from another balancer, whole by their digest.",
+            "Settings that this balancer's file lacks were received from a peer and match their digest.",
             "config"),
     OUTLIER_REPORTED(
             Level.INFO,
-            "By its own attempts this balancer finds a cache bad and tells others. Bounded likewise.",
+            "By its own attempts this balancer found a cache server to be an outlier and notifies its peers."
+                    + " Limited like peer states.",
             "cache"),
     OUTLIERS_DOWNWEIGHTED(
             Level.INFO,
-            "Exactly these caches are lowered now, as others find them bad. Bounded as lines on peers' states are.",
+            "Exactly these cache servers have a reduced weight now, as peers report them as outliers. Limited like"
+                    + " peer states.",
             "caches"),
-    OVERRIDES(
-            Level.INFO, "What operators decided in place of the program has changed.", "overrides"),
+    OVERRIDES(Level.INFO, "The administrators' override decisions have changed.", "overrides"),
     STALE_DRAIN_STARTED(
             Level.WARN,
-            "Behind for long and not brought up, it sends clients away until it is current.",
+            "This balancer has been stale for long without catching up and drains its clients until it is current.",
             "reason"),
     STALE_DRAIN_ENDED(
-            Level.INFO, "It is current again, or may not be aside, and takes clients.", "reason"),
+            Level.INFO,
+            "This balancer is current again, or may not stay drained, and accepts clients.",
+            "reason"),
     AUDIT_GAP(
             Level.ERROR,
-            "The audit's record cannot be written; what is missing is named in it as a gap. Service goes on.",
+            "The audit record cannot be written; the missing part is marked in it as a gap. Service continues.",
             "reason"),
-    CLASS_ARCHIVE_TRAINED(Level.INFO, "The build has played a balancer's life once.", "responses");
+    CLASS_ARCHIVE_TRAINED(
+            Level.INFO, "The class archive's training run of the build is complete.", "responses");
 
-    /** How much it matters. */
+    /** The severity. */
     public final Level level;
 
-    /** What it means, in a sentence. */
+    /** What the event means, for the documentation. */
     public final String meaning;
 
-    /** The names of its fields, in their order. */
+    /** The names of the fields, in their order. */
     public final List<String> fields;
 
     Event(Level level, String meaning, String... fields) {
@@ -174,19 +190,19 @@
         this.fields = List.of(fields);
     }
 
-    /** The name in the log. */
+    /** The name in the log, in kebab case. */
     public String logName() {
         return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
     }
 
-    /** The page on all events. */
+    /** Renders the documentation of all events as Markdown. */
     public static String renderDocumentation() {
         StringBuilder page =
                 new StringBuilder(
-                        "# What the balancer logs\n\n"
-                                + "One line an event. On a terminal it is text; otherwise a JSON object with `time` (UTC), `level`,"
-                                + " `event`, `balancer`\nand the fields named here. Values and keys of clients never appear. What peers"
-                                + " can cause is bounded in lines and length.\n\n"
+                        "# Log events\n\n"
+                                + "Each event is one line: text on a terminal, otherwise a JSON object with `time` (UTC), `level`,"
+                                + " `event`, `balancer`\nand the fields listed here. Values and keys of clients are never logged. Lines that"
+                                + " peers can cause are limited\nin number and length.\n\n"
                                 + "| event | level | fields | meaning |\n| --- | --- | --- | --- |\n");
         for (Event event : values()) {
             page.append("| `")
--- a/node/src/main/java/frostrelay/node/log/LineEncoder.java
+++ b/node/src/main/java/frostrelay/node/log/LineEncoder.java
@@ -21,9 +21,9 @@
 import java.util.Map;
 
 /**
- * One line an event, as JSON or as text. Logback's own JSON encoder puts fields into a list of
- * pairs, and its patterns open a file of time zones at the first line: where that line tells of
- * missing descriptors, this would fail in turn.
+ * Encodes each event as one line of JSON or text. Logback's own JSON encoder writes fields as a
+ * list of pairs, and its patterns open a time zone file at the first line, which would fail if that
+ * line reports a lack of file descriptors.
  */
 final class LineEncoder extends EncoderBase<ILoggingEvent> {
     private static final int MAX_TEXT_LENGTH = 2_000;
@@ -126,7 +126,7 @@
     private static String text(
             String time, String level, String name, String balancer, Map<String, Object> fields) {
         List<String> pairs = new ArrayList<>();
-        // No peer may end a line, or begin one that looks like ours.
+        // Text from a peer must not end a line or forge another one.
         fields.forEach(
                 (key, value) -> pairs.add(key + "=" + format(value).replaceAll("\\p{Cntrl}", "?")));
         return time
--- a/node/src/main/java/frostrelay/node/log/Log.java
+++ b/node/src/main/java/frostrelay/node/log/Log.java
@@ -4,7 +4,7 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** Where events are logged. Safe for threads. */
+/** Writes events to the log. Thread-safe. */
 public final class Log {
     static final String NAME = "frostrelay";
     private static final Logger LOGGER = LoggerFactory.getLogger(NAME);
@@ -12,15 +12,18 @@
     private Log() {}
 
     /**
-     * Whether lines of this event are written at present: what is costly to put into words need not
-     * be.
+     * Whether lines of this event are written at the current level; lets callers skip costly field
+     * values.
      */
     public static boolean isEnabled(Event event) {
         return LOGGER.isEnabledForLevel(event.level);
     }
 
     /**
-     * One line: the values of the event's fields, in their order. A null stands for nothing to say.
+     * Writes one line with the values of the event's fields, in their declared order. A field whose
+     * value is null is left out.
+     *
+     * @throws IllegalArgumentException if the number of values differs from that of the fields
      */
     public static void write(Event event, Object... values) {
         if (values.length != event.fields.size()) {
--- a/node/src/main/java/frostrelay/node/log/LogSetup.java
+++ b/node/src/main/java/frostrelay/node/log/LogSetup.java
@@ -15,22 +15,25 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Sets logging up in code: reading a file of XML would cost a start more than all the rest of
- * logging. Found by Logback as a service.
+ * Configures Logback in code, since parsing an XML file would dominate the start-up cost of
+ * logging. Logback finds this class as a service.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
-    /** How lines look. */
+    /** The form of log lines. */
     public enum Format {
+        /** A JSON object per line. */
         JSON,
+        /** Text for a terminal. */
         TEXT,
+        /** Text on a terminal, JSON otherwise. */
         AUTO
     }
 
     static final String BALANCER_PROPERTY = "balancer";
 
     /**
-     * Lines that libraries may write in a process's life; what they say after that is the same
-     * again.
+     * Lines that libraries may write during the life of a process; later ones are assumed to repeat
+     * them.
      */
     private static final int MAX_LIBRARY_LINES = 100;
 
@@ -40,7 +43,9 @@
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
     }
 
-    /** From now on lines look so, name this balancer, and those below the level are left out. */
+    /**
+     * Applies the format, the lowest level that is written and the balancer's name to all lines.
+     */
     public static void apply(Format format, org.slf4j.event.Level minLevel, String balancer) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.putProperty(BALANCER_PROPERTY, balancer);
@@ -66,7 +71,7 @@
         context.getLogger(Log.NAME).setLevel(minLevel);
     }
 
-    /** Lets our own lines through and so many of others. */
+    /** Passes the balancer's own lines and a limited number of lines of libraries. */
     private static final class LibraryLimit extends Filter<ILoggingEvent> {
         private final AtomicInteger lineCount = new AtomicInteger();
 
--- a/node/src/main/java/frostrelay/node/metrics/CloseReason.java
+++ b/node/src/main/java/frostrelay/node/metrics/CloseReason.java
@@ -1,40 +1,40 @@
 package frostrelay.node.metrics;
 
-/** Why a client's connection ended. */
+/** Why a client's connection was closed. The names are logged. */
 public enum CloseReason {
     /** The client closed or reset it. */
     CLIENT_CLOSED,
     /** The client sent {@code quit}. */
     CLIENT_QUIT,
-    /** This process ends. */
+    /** This process is shutting down. */
     SHUTTING_DOWN,
-    /** Operators drain this balancer. */
+    /** This balancer is draining. */
     DRAINING,
-    /** It was closed to make room for another connection. */
+    /** It was evicted in favour of another connection. */
     EVICTED,
-    /** It came while there was no room for it, was refused, and ended. */
+    /** It was opened over the connection limit, and closed after its request was rejected. */
     OVER_CONNECTION_LIMIT,
-    /** It came while there was not even room to refuse it. */
+    /** It was opened while there was no capacity even to reject its requests. */
     CONNECTION_REJECTED,
-    /** Nothing was asked on it for too long. */
+    /** It was idle for too long. */
     IDLE,
-    /** No command came in time, or one that had begun was not completed. */
+    /** No command was received in time, or one was not completed. */
     INCOMPLETE_COMMAND,
     /**
-     * The client broke the protocol too often, or in a way that hides where the next command
-     * begins.
+     * The client violated the protocol too often, or in a way after which the start of the next
+     * command cannot be found.
      */
     PROTOCOL_ERROR,
-    /** The client leaves too many answers unread. */
+    /** The client left too many responses unread. */
     RESPONSES_UNREAD,
-    /** A long value moved neither at the client nor at the cache for too long. */
+    /** The transfer of a long value made no progress for too long, at the client or the cache. */
     VALUE_STALLED,
-    /** The cache ended a long value too early; only a close tells the client so. */
+    /** The cache ended a long value too early; closing is the only way to signal it. */
     VALUE_BROKEN,
     /** Reading or writing failed. */
     CONNECTION_ERROR;
 
-    /** Whether this end chose to close, and had to answer what it had read before that. */
+    /** Whether this side chose to close, and must answer the requests it has read before that. */
     public boolean isInitiatedLocally() {
         return switch (this) {
             case SHUTTING_DOWN,
--- a/node/src/main/java/frostrelay/node/metrics/Counters.java
+++ b/node/src/main/java/frostrelay/node/metrics/Counters.java
@@ -13,18 +13,23 @@
 import java.util.Map;
 
 /**
- * Sparse counts for the log, to find causes by: how requests and attempts end, and how late we run.
+ * Counters for the log, to diagnose faults by: how requests and attempts end, and how late timers
+ * run. Also limits the lines that peers can cause between two reports. Owned by the event loop; not
+ * thread-safe.
  */
 public final class Counters {
     private static final long NANOS_PER_MICROSECOND = 1_000L;
 
-    /** Lines that peers may cause between two prints, and the length of one. */
+    /** A timer that runs later than this counts as late. */
+    private static final long LATE_TIMER_NANOS = 5 * Clock.NANOS_PER_MILLISECOND;
+
+    /** Lines that peers may cause between two reports. */
     private static final int MAX_WARNINGS_PER_REPORT = 20;
 
     private static final int MAX_WARNING_LENGTH = 200;
     private static final int MAX_STACK_FRAMES = 6;
 
-    /** Twice a large tier: every balancer of it may go and come back between two prints. */
+    /** Twice a large tier: every peer of it may fail and recover between two reports. */
     private static final int MAX_PEER_STATES_PER_REPORT = 200;
 
     private final long[] outcomes = new long[AttemptResult.values().length];
@@ -34,8 +39,8 @@
     private final long[] denials = new long[ActionGuard.SendDecision.values().length];
 
     /**
-     * Further attempts, by how the one before them ended; the last place counts those beside one
-     * that is still out.
+     * Retries, by the outcome of the attempt before them; the last element counts hedged ones,
+     * whose predecessor is still in flight.
      */
     private final long[] retries = new long[AttemptResult.values().length + 1];
 
@@ -44,18 +49,18 @@
     public long failed;
     public long disconnectedClients;
 
-    /** Commands whose clients had closed their connections before anything was done. */
+    /** Commands whose client disconnected before they were processed. */
     public long abandonedCommands;
 
     public long malformed;
 
-    /** Long values whose client got only part of them. */
+    /** Long values of which the client received only a part. */
     public long truncatedValues;
 
     public long lastCalls;
     public long connects;
 
-    /** Attempts for which there was no connection to a cache, nor room for one. */
+    /** Attempts for which there was neither a connection to a cache nor capacity for a new one. */
     public long noConnectionCapacity;
 
     private long timers;
@@ -76,12 +81,12 @@
         closes[reason.ordinal()]++;
     }
 
-    /** The guard kept an attempt from being written. */
-    public void recordDenial(ActionGuard.SendDecision verdict) {
-        denials[verdict.ordinal()]++;
+    /** Counts an attempt that the action guard kept from being written. */
+    public void recordDenial(ActionGuard.SendDecision decision) {
+        denials[decision.ordinal()]++;
     }
 
-    /** An invariant does not hold; {@code what}: whose, and by how much. */
+    /** Counts and logs an invariant violation; {@code what} names its subject and extent. */
     public void recordViolation(InvariantViolation violation, String what) {
         violations[violation.ordinal()]++;
         if (++warnings <= MAX_WARNINGS_PER_REPORT) {
@@ -90,8 +95,10 @@
     }
 
     /**
-     * One more attempt of a request; {@code previousOutcome}: how the one before it ended, null
-     * while that is still out.
+     * Counts a retry.
+     *
+     * @param previousOutcome outcome of the attempt before it; null while that is in flight, which
+     *     makes the retry a hedged request
      */
     public void recordRetry(AttemptResult previousOutcome) {
         retries[
@@ -108,7 +115,7 @@
         return sum;
     }
 
-    /** Requests that were refused. */
+    /** The number of rejected requests. */
     public long rejected() {
         return sum(rejections);
     }
@@ -117,7 +124,7 @@
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** The counts above 0, by the names of what they count. */
+    /** The counts above 0, by the names of their constants. */
     private static Map<String, Object> byName(Enum<?>[] constants, long[] values) {
         Map<String, Object> named = new LinkedHashMap<>();
         for (Enum<?> constant : constants) {
@@ -136,15 +143,18 @@
         return named;
     }
 
+    /** Counts a timer that ran this many nanoseconds late. */
     public void recordTimer(long latenessNanos) {
         timers++;
-        lateTimers += latenessNanos > 5 * Clock.NANOS_PER_MILLISECOND ? 1 : 0;
+        lateTimers += latenessNanos > LATE_TIMER_NANOS ? 1 : 0;
         maxLatenessNanos = Math.max(maxLatenessNanos, latenessNanos);
     }
 
     /**
-     * Writes what has been counted so far. What explains requests without an answer comes first,
-     * and what is 0 is left out: where logs are shown, long lines are cut.
+     * Logs the counters. Those that explain unanswered requests come first and those that are 0 are
+     * left out, as long lines may be truncated where logs are displayed.
+     *
+     * @param gauges current values to log along with the counters
      */
     public void logReport(Map<String, Object> gauges) {
         Map<String, Object> counts = new LinkedHashMap<>();
@@ -189,7 +199,7 @@
         }
     }
 
-    /** What a peer can cause as often as it likes: told in part, so that it cannot fill the log. */
+    /** Logs a fault of a peer, limited in number and length so that no peer can fill the log. */
     public void warn(String what) {
         if (++warnings <= MAX_WARNINGS_PER_REPORT) {
             Log.write(
@@ -200,12 +210,12 @@
         }
     }
 
-    /** Whether one more change of a peer's state may be told before the next print. */
+    /** Whether one more change of a peer's state may be logged before the next report. */
     public boolean mayLogPeerState() {
         return ++loggedPeerStates <= MAX_PEER_STATES_PER_REPORT;
     }
 
-    /** An exception that nobody expected: the place where it arose is what finds its cause. */
+    /** Logs an unexpected exception with the top of its stack trace, limited like {@link #warn}. */
     public void logUnexpected(String where, Throwable cause) {
         if (++warnings > MAX_WARNINGS_PER_REPORT) {
             return;
--- a/node/src/main/java/frostrelay/node/metrics/InvariantViolation.java
+++ b/node/src/main/java/frostrelay/node/metrics/InvariantViolation.java
@@ -1,16 +1,16 @@
 package frostrelay.node.metrics;
 
-/** What must never happen and is looked for while the program runs: each is counted and logged. */
+/** Invariants that are checked at run time; each violation is counted and logged. */
 public enum InvariantViolation {
-    /** A request had no final answer when it was due, or this process ended. */
+    /** A request had no final answer when it was due, or when this process ended. */
     UNANSWERED,
-    /** A connection was closed from this end with a request on it that had no answer. */
+    /** A connection was closed by this side with an unanswered request on it. */
     CLOSED_UNANSWERED,
     /**
-     * An attempt was written though its request was over, its time was up, its server had left, or
-     * it may have run before.
+     * An attempt was written although its request was complete, its deadline had passed, its server
+     * was unavailable or an earlier attempt may have executed.
      */
     WRITTEN_AGAINST_GUARD,
-    /** A server was told more time than the client has left. */
+    /** The timeout forwarded to a server exceeded the client's remaining time. */
     DEADLINE_OVERSTATED
 }
--- a/node/src/main/java/frostrelay/node/metrics/RejectionReason.java
+++ b/node/src/main/java/frostrelay/node/metrics/RejectionReason.java
@@ -1,25 +1,24 @@
 package frostrelay.node.metrics;
 
-/** Why a request was refused. */
+/** Why a request was rejected. The names are logged. */
 public enum RejectionReason {
-    /** The decision module refused it. */
+    /** The decision module rejected it. */
     BY_POLICY,
     /**
-     * It came too late to be answered before this process ends, or this balancer sends its clients
-     * away.
+     * It arrived too late to be answered before this process ends, or this balancer is draining.
      */
     NOT_ACCEPTING,
-    /** Its connection came while there was no room for it. */
+    /** Its connection is over the connection limit. */
     NO_CONNECTION_CAPACITY,
     /**
-     * Its client may have left: more of what it sent waits than is read ahead, and the end of its
-     * connection would not be seen.
+     * Its client may have disconnected: more input is pending than is read ahead, so that the end
+     * of the connection would go unnoticed.
      */
     CLIENT_UNOBSERVED,
-    /** As many requests are open as may be. */
+    /** The limit of open requests is reached. */
     TOO_MANY_OPEN,
-    /** There is no memory for its value. */
+    /** The memory limit for values is reached. */
     NO_MEMORY,
-    /** Its time was up, and nothing of it had left. */
+    /** Its deadline passed before any part of it was sent. */
     TIMED_OUT_UNSENT
 }
--- a/node/src/main/java/frostrelay/node/metrics/package-info.java
+++ b/node/src/main/java/frostrelay/node/metrics/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Counters for the log, and the reasons that rejections, closes and invariant violations are split
- * by.
+ * Counters for the log, and the reasons by which rejections, closes and invariant violations are
+ * counted.
  *
  * <p>Owned by the event loop; not synchronized.
  */
--- a/node/src/main/java/frostrelay/node/net/Connector.java
+++ b/node/src/main/java/frostrelay/node/net/Connector.java
@@ -8,14 +8,16 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
-/** Opens connections. */
+/** Opens connections and reports failures on the event loop. */
 public final class Connector {
     private Connector() {}
 
     /**
-     * Connects. {@code onFailure} hears on the loop why that came to nothing: where there is not
-     * even a descriptor, Netty tells it on a thread of its own, and all that hears of it belongs to
-     * the loop. May be called back before this returns.
+     * Connects and returns the channel, which need not be connected yet.
+     *
+     * @param onFailure called on {@code loop} with the cause if the connection fails, possibly
+     *     before this method returns. Without a free file descriptor Netty reports the failure on a
+     *     thread of its own; it is handed to the loop then.
      */
     public static Channel connect(
             Bootstrap bootstrap,
--- a/node/src/main/java/frostrelay/node/net/MemoryLimiter.java
+++ b/node/src/main/java/frostrelay/node/net/MemoryLimiter.java
@@ -1,9 +1,9 @@
 package frostrelay.node.net;
 
 /**
- * Bytes of values that may be held at one time, those of open requests and those still coming in
- * alike. What peers announce costs nothing; what they have sent counts, so that no crowd of them
- * can fill the heap.
+ * Limits the bytes of values in memory at one time, of open requests and of values still being
+ * received. Announced lengths cost nothing; received bytes count, so that no number of peers can
+ * fill the heap. Owned by the event loop; not thread-safe.
  */
 public final class MemoryLimiter {
     private final long limitBytes;
@@ -13,7 +13,10 @@
         this.limitBytes = limitBytes;
     }
 
-    /** Takes some; false, and nothing taken, if there is no room. */
+    /**
+     * Reserves bytes; returns false, and reserves nothing, if that exceeds the limit. A reservation
+     * of 0 always succeeds.
+     */
     public boolean tryReserve(int bytes) {
         if (bytes > 0 && reservedBytes + bytes > limitBytes) {
             return false;
--- a/node/src/main/java/frostrelay/node/time/Clock.java
+++ b/node/src/main/java/frostrelay/node/time/Clock.java
@@ -1,8 +1,9 @@
 package frostrelay.node.time;
 
 /**
- * The program's clock, in nanoseconds: the monotonic clock moved once onto Unix time. One fixed
- * offset keeps it from ever falling, and start times told by discovery compare with it directly.
+ * The process's clock in nanoseconds: the monotonic clock plus an offset to Unix time that is fixed
+ * at the start. It never goes backwards, and it is comparable with Unix times such as the start
+ * times that the discovery reports. Thread-safe.
  */
 public final class Clock {
     public static final long NANOS_PER_MILLISECOND = 1_000_000L;
@@ -12,6 +13,7 @@
 
     private Clock() {}
 
+    /** The current reading in nanoseconds. */
     public static long now() {
         return System.nanoTime() + UNIX_OFFSET_NANOS;
     }
--- a/node/src/main/java/frostrelay/node/time/package-info.java
+++ b/node/src/main/java/frostrelay/node/time/package-info.java
@@ -1,2 +1,2 @@
-/** The process's monotonic clock. */
+/** The process's monotonic clock. Stateless after class initialization; safe for all threads. */
 package frostrelay.node.time;
--- a/node/src/test/java/frostrelay/node/log/LogTest.java
+++ b/node/src/test/java/frostrelay/node/log/LogTest.java
@@ -21,8 +21,8 @@
 import java.util.Map;
 
 /**
- * Lines that programs read stay whole whatever peers put into them, and the page on events says
- * what there is.
+ * Log lines stay well-formed whatever peers put into them, and the page on events documents all of
+ * them.
  */
 class LogTest {
     private static String encodeLine(
@@ -88,7 +88,7 @@
         assertThrows(IllegalArgumentException.class, () -> Log.write(Event.SERVING, "a"));
     }
 
-    /** {@code -Dfrostrelay.write-pages=true} writes the page anew. */
+    /** {@code -Dfrostrelay.write-pages=true} regenerates the page. */
     @Test
     void thePageNamesEveryEvent() throws Exception {
         Path page = Path.of("../docs/events.md");
