--- a/node/src/main/java/frostrelay/node/config/Config.java
+++ b/node/src/main/java/frostrelay/node/config/Config.java
@@ -7,8 +7,17 @@
 import java.util.Map;
 
 /**
- * What the deployment tells this balancer. {@code adminAddress}: where operators call, or null;
- * {@code json}: all of it as it was told.
+ * The configuration that the deployment gives this balancer.
+ *
+ * @param name this balancer's name in the log
+ * @param listenAddress where clients connect
+ * @param adminAddress where administrators connect, or null for none
+ * @param discoveryAddress where the endpoint list is watched
+ * @param seed seed of the decision module's random numbers
+ * @param descriptorLimit file descriptors that all processes of this balancer may use together
+ * @param settings the settings of the deployment
+ * @param initialEndpoints the endpoint list known at the start
+ * @param json the whole configuration as it was parsed
  */
 public record Config(
         String name,
@@ -22,12 +31,19 @@
         Map<?, ?> json) {
     private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
 
+    /**
+     * Reads and validates a configuration file.
+     *
+     * @throws ConfigException if it cannot be read or is invalid
+     */
     public static Config read(ConfigFile file) {
         return parse(file.load());
     }
 
     /**
-     * What replaces this configuration: it must be whole, and goes by the numbering of this one.
+     * The configuration that replaces this one, with the numbers that this one assigned to names.
+     *
+     * @throws ConfigException if it is invalid or lacks a key that this one has
      */
     public Config replacedBy(Map<?, ?> newJson) {
         ConfigValidator.checkReplacement(json, newJson);
@@ -36,19 +52,24 @@
                 settings.replacedBy(Json.get(newJson, "settings", Map.class), Clock.now()));
     }
 
-    /** The operators' version number of it, or {@link AppliedVersions#NO_NUMBER}. */
+    /** The version number assigned by operators, or {@link AppliedVersions#NO_NUMBER}. */
     public long version() {
         return Json.get(json, "version", Number.class, AppliedVersions.NO_NUMBER).longValue();
     }
 
     /**
-     * Of the settings that all balancers of a tier share: the same for the same, in whatever order
-     * they stand.
+     * The digest of the settings that all balancers of a tier share; independent of the order of
+     * the keys.
      */
     public long settingsDigest() {
         return Digests.of(DeploymentSettings.sharedText(Json.get(json, "settings", Map.class)));
     }
 
+    /**
+     * Validates and converts a parsed configuration file.
+     *
+     * @throws ConfigException if a key is missing or has an invalid value
+     */
     public static Config parse(Map<?, ?> json) {
         ConfigValidator.checkValues(json);
         return parse(json, new DeploymentSettings(Json.get(json, "settings", Map.class)));
@@ -70,7 +91,7 @@
                     EndpointList.parse(endpointsJson, settings),
                     json);
         } catch (NumberFormatException e) {
-            throw new ConfigException("'seed' is no hexadecimal number");
+            throw new ConfigException("'seed' is no hexadecimal number", e);
         }
     }
 }
--- a/node/src/main/java/frostrelay/node/config/ConfigFile.java
+++ b/node/src/main/java/frostrelay/node/config/ConfigFile.java
@@ -9,18 +9,26 @@
 import java.util.Map;
 import java.util.zip.CRC32C;
 
-/** The configuration file and what was read of it last. Waits for files. Safe for threads. */
+/**
+ * The configuration file, and which version of it was loaded last. Blocks on file I/O; thread-safe.
+ */
 public final class ConfigFile {
     private record FileVersion(FileTime modified, long size) {}
 
     private final Path path;
     private long loadedChecksum;
 
-    /** Of the last look, and of the last that was found to hold nothing new. */
+    /** The version seen by the last check; null if the file could not be read. */
     private FileVersion lastSeenVersion;
 
+    /** The last version whose content was compared with what was loaded. */
     private FileVersion lastCheckedVersion;
 
+    /**
+     * Names the file without reading it.
+     *
+     * @throws ConfigException if the path is null or empty
+     */
     public ConfigFile(String path) {
         if (path == null || path.isEmpty()) {
             throw new ConfigException("GW_CONFIG is not set");
@@ -28,23 +36,27 @@
         this.path = Path.of(path);
     }
 
-    /** What it tells, as yet unchecked; throws {@link ConfigException} if that is no object. */
+    /**
+     * Reads the file and returns its JSON object, not yet validated.
+     *
+     * @throws ConfigException if the file cannot be read or contains no JSON object
+     */
     public synchronized Map<?, ?> load() {
         try {
             byte[] bytes = Files.readAllBytes(path);
             loadedChecksum = checksum(bytes);
             return Json.parse(bytes);
         } catch (IOException e) {
-            throw new ConfigException("cannot read " + path);
+            throw new ConfigException("cannot read " + path, e);
         } catch (ConfigException e) {
-            throw new ConfigException(path + ": " + e.getMessage());
+            throw new ConfigException(path + ": " + e.getMessage(), e);
         }
     }
 
     /**
-     * Whether it holds something else than was loaded last. To be called now and then: a change
-     * counts once two looks in a row have found the file the same, lest half of it be read while it
-     * is written.
+     * Whether the content differs from what was loaded last. To be called periodically: a change is
+     * reported once two calls in a row have found the file the same, so that a file is not read
+     * while it is being written.
      */
     public synchronized boolean hasChanged() {
         try {
@@ -58,7 +70,7 @@
             lastCheckedVersion = version;
             return checksum(Files.readAllBytes(path)) != loadedChecksum;
         } catch (IOException e) {
-            // It is being replaced, or gone for now: the old one stays until there is a new one.
+            // It is being replaced or temporarily missing: what was loaded stays in effect.
             lastSeenVersion = null;
             return false;
         }
@@ -71,8 +83,10 @@
     }
 
     /**
-     * Reads a file as a balancer would at its start and tells what holds, a line each. Throws
-     * {@link ConfigException} with what is wrong. Nothing is started.
+     * Reads and validates a file as a balancer does at its start, and describes the result, one
+     * value per line. Starts nothing.
+     *
+     * @throws ConfigException if the file is invalid
      */
     public static List<String> describe(Path file) {
         Config config = Config.read(new ConfigFile(file.toString()));
--- a/node/src/main/java/frostrelay/node/config/ConfigValidator.java
+++ b/node/src/main/java/frostrelay/node/config/ConfigValidator.java
@@ -5,19 +5,22 @@
 import java.util.Map;
 
 /**
- * Whether a configuration can be meant, and one that replaces a running one is whole. What the
- * running one tells the new one must tell too: a default in place of a key that went missing would
- * be nobody's intention.
+ * Validates configurations. One that replaces a running one must contain all of its keys, since a
+ * default in place of a key that was left out would hardly be intended.
  */
 final class ConfigValidator {
-    /** Only used at a start, and with a life of its own: that it is there is enough. */
+    /** Only used at the start and independent of the rest: its content is not compared. */
     private static final String INITIAL_ENDPOINTS_KEY = "known";
 
     private static final List<String> EFFECTS = List.of("retryable", "dedup", "fragile");
 
     private ConfigValidator() {}
 
-    /** Throws what is wrong, in one line. */
+    /**
+     * Validates a configuration that replaces a running one.
+     *
+     * @throws ConfigException if a key of the running one is missing or a value is invalid
+     */
     static void checkReplacement(Map<?, ?> running, Map<?, ?> replacement) {
         requireSameShape("", running, replacement);
         checkValues(replacement);
@@ -55,7 +58,7 @@
         }
     }
 
-    /** Each object of a list must tell what all of them told before. */
+    /** Each object of a list must have the keys that all objects of the old list had. */
     private static void requireSameItemShape(String path, List<?> oldValue, List<?> newValue) {
         if (!oldValue.stream().allMatch(Map.class::isInstance) || oldValue.isEmpty()) {
             return;
@@ -81,8 +84,9 @@
     }
 
     /**
-     * Whether what a configuration tells can be meant at all, at a start as well; throws what is
-     * wrong, in one line.
+     * Validates the values of a configuration, at the start and when it is replaced.
+     *
+     * @throws ConfigException if a value is missing or invalid
      */
     static void checkValues(Map<?, ?> json) {
         requirePositive("limits", Json.get(json, "limits", Map.class, Map.of()), "sockets");
@@ -111,7 +115,7 @@
                                 + "'");
             }
             names.add(name);
-            // Left out, the strictest holds.
+            // The strictest effect is the default.
             String effect = Json.get(category, "effect", String.class, "fragile");
             if (!EFFECTS.contains(effect)) {
                 throw new ConfigException(
--- a/node/src/main/java/frostrelay/node/config/CurrentSettings.java
+++ b/node/src/main/java/frostrelay/node/config/CurrentSettings.java
@@ -1,8 +1,8 @@
 package frostrelay.node.config;
 
 /**
- * The settings that hold now: one value, swapped whole, so that nothing ever goes by half of the
- * new ones.
+ * The settings in effect, replaced as a whole, so that no component sees a mix of old and new ones.
+ * Owned by the event loop; not thread-safe.
  */
 public final class CurrentSettings {
     private DeploymentSettings settings;
--- a/node/src/main/java/frostrelay/node/config/DeploymentSettings.java
+++ b/node/src/main/java/frostrelay/node/config/DeploymentSettings.java
@@ -12,11 +12,12 @@
 import java.util.TreeMap;
 
 /**
- * The settings of a site: those of the module, the names that stand on sockets for its numbers, and
- * the figures that only sockets need.
+ * The settings of a deployment: those of the decision module, the names that the protocol uses for
+ * the module's numbers, and the limits of connections. Owned by the event loop; immutable except
+ * that new zone and kind names get numbers.
  */
 public final class DeploymentSettings {
-    /** Load report fields: their names on sockets and in the settings, where these differ. */
+    /** Names of load report fields in the protocol, and in the settings where these differ. */
     private static final Map<String, String> REPORT_FIELD_ALIASES =
             Map.of(
                     "inflight",
@@ -32,7 +33,7 @@
                     "eps",
                     "fail_rate");
 
-    /** Settings that differ from balancer to balancer. */
+    /** Keys of the settings that differ from balancer to balancer. */
     static final List<String> LOCAL_KEYS = List.of("my-zone", "rank");
 
     private static final float[] EMPTY_REPORT = {};
@@ -48,15 +49,19 @@
     private final Map<String, Integer> kindNumbers;
     private final Map<String, Integer> reportFieldNumbers;
 
-    /** The settings as they were told, in the numbering of this program's life. */
+    /** The parsed settings, in the numbering that this process has used since its start. */
     private final Map<?, ?> json;
 
     /**
-     * Until when classes that are named no more are still taken: clients hear of new settings
-     * later.
+     * Until when removed classes are still accepted, by name: clients learn of new settings later.
      */
     private final Map<String, Long> removedClassUntilNanos;
 
+    /**
+     * Parses the settings.
+     *
+     * @throws ConfigException if a value is invalid or there is no request class
+     */
     public DeploymentSettings(Map<?, ?> json) {
         this(json, new HashMap<>());
     }
@@ -68,7 +73,7 @@
         try {
             policySettings = SettingsParser.parse(joinLines(lines));
         } catch (RuntimeException e) {
-            throw new ConfigException(e.getMessage());
+            throw new ConfigException(e.getMessage(), e);
         }
         if (policySettings.classes().isEmpty()) {
             throw new ConfigException("the settings name no request class");
@@ -86,8 +91,11 @@
     }
 
     /**
-     * What holds once these settings are told: names keep their numbers, and dropped classes live
-     * on for a while.
+     * The settings that replace these: names keep their numbers, and removed classes are accepted
+     * for a grace period.
+     *
+     * @param now clock reading in nanoseconds, from which the grace period counts
+     * @throws ConfigException if the new settings are invalid
      */
     public DeploymentSettings replacedBy(Map<?, ?> newJson, long now) {
         Map<String, Long> removedUntilNanos = new HashMap<>();
@@ -114,7 +122,7 @@
         return text.toString();
     }
 
-    /** What settings say to every balancer alike, a sorted line each. */
+    /** The settings that all balancers of a tier share, as sorted lines. */
     static String sharedText(Map<?, ?> json) {
         Map<String, String> lines = toLines(json);
         lines.keySet().removeAll(LOCAL_KEYS);
@@ -122,8 +130,8 @@
     }
 
     /**
-     * Writes an object in the form of the simulator's settings lines, so that both sides parse
-     * alike.
+     * Converts an object to the simulator's settings lines, so that both are parsed by the same
+     * code.
      */
     private static void flatten(String path, Object value, Map<String, String> lines) {
         if (value instanceof Map<?, ?> map) {
@@ -152,7 +160,7 @@
             String value = lines.get(path);
             return value == null ? defaultValue : (long) Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new ConfigException("setting " + path + " is no number");
+            throw new ConfigException("setting " + path + " is no number", e);
         }
     }
 
@@ -172,8 +180,8 @@
     }
 
     /**
-     * A name in the settings' characters, as read from a line byte by byte; most have none beyond
-     * ASCII.
+     * Decodes a name that was read from a line as ISO 8859-1 to the UTF-8 of the settings. Most
+     * names are ASCII and returned as they are.
      */
     private static String decodeName(String line) {
         for (int i = 0; line != null && i < line.length(); i++) {
@@ -186,8 +194,8 @@
     }
 
     /**
-     * The number of a request class, or null for a name that the settings do not hold, or no
-     * longer.
+     * The number of a request class, or null for an unknown name or a class removed longer ago than
+     * the grace period.
      */
     public Integer classNumber(String line) {
         String name = decodeName(line);
@@ -197,7 +205,7 @@
                 : null;
     }
 
-    /** The longest deadline of a class that the settings name. */
+    /** The longest deadline of all classes in the settings, in nanoseconds. */
     public long longestDeadlineNanos() {
         return classNames().stream()
                 .mapToLong(
@@ -210,7 +218,7 @@
                 .orElse(0);
     }
 
-    /** The classes that the settings name, those named no more left out. */
+    /** The names of all classes in the settings, sorted; without removed ones. */
     public List<String> classNames() {
         return classNumbers.keySet().stream()
                 .filter(name -> !removedClassUntilNanos.containsKey(name))
@@ -218,12 +226,14 @@
                 .toList();
     }
 
-    /** The number of a tenant; where the site has none, every name is tenant 0. */
+    /** The number of a tenant, or null for an unknown one; 0 for all if there are no tenants. */
     public Integer tenantNumber(String line) {
         return tenantNumbers.isEmpty() ? Integer.valueOf(0) : tenantNumbers.get(decodeName(line));
     }
 
-    /** A zone that the settings do not name gets a number of its own: it is nobody's own zone. */
+    /**
+     * The number of a zone. An unknown zone gets a new number, which no balancer has as its own.
+     */
     public int zoneNumber(String name) {
         return zoneNumbers.computeIfAbsent(name, n -> zoneNumbers.size());
     }
@@ -233,7 +243,8 @@
     }
 
     /**
-     * The values of a load report, as the settings order them; empty unless it holds all of them.
+     * Parses a load report. Returns its values in the order of the settings, or an empty array
+     * unless it contains all fields, each once, as finite numbers.
      */
     public float[] parseReport(String text) {
         if (text == null || reportFieldNumbers.isEmpty()) {
--- a/node/src/main/java/frostrelay/node/config/Digests.java
+++ b/node/src/main/java/frostrelay/node/config/Digests.java
@@ -6,20 +6,23 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * Digests of what balancers act on: the first 8 bytes of SHA-256, the same at every balancer and
- * for whoever checks.
+ * Digests of the data that balancers act on: the first 8 bytes of SHA-256, so that balancers and
+ * tools compute the same value for the same data.
  */
 public final class Digests {
     private Digests() {}
 
+    /** The digest of the bytes. */
     public static long of(byte[] bytes) {
         try {
             return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(bytes)).getLong();
         } catch (NoSuchAlgorithmException e) {
+            // Every Java platform has SHA-256.
             throw new IllegalStateException(e);
         }
     }
 
+    /** The digest of the text's UTF-8 bytes. */
     public static long of(String text) {
         return of(text.getBytes(StandardCharsets.UTF_8));
     }
--- a/node/src/main/java/frostrelay/node/config/EndpointList.java
+++ b/node/src/main/java/frostrelay/node/config/EndpointList.java
@@ -14,15 +14,32 @@
 import java.util.List;
 import java.util.Map;
 
-/** A list of cache hosts in discovery's form: all of them, or those that changed. */
+/**
+ * A list of cache servers from the discovery.
+ *
+ * @param revision the discovery's version number of the list
+ * @param isFull whether the list contains all servers, or only those that changed
+ * @param endpoints the servers
+ */
 public record EndpointList(long revision, boolean isFull, List<Endpoint> endpoints) {
     private static final int MAX_PORT = 0xffff;
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    /** A host as the module knows it, and where it is reached from here. */
+    /**
+     * A cache server.
+     *
+     * @param uid the discovery's id of the server
+     * @param server the server as the decision module knows it
+     * @param address where this balancer connects to it
+     */
     public record Endpoint(String uid, Server server, InetSocketAddress address) {}
 
+    /**
+     * Parses a list.
+     *
+     * @throws ConfigException if a key is missing or has an invalid value
+     */
     public static EndpointList parse(Map<?, ?> json, DeploymentSettings settings) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (Object target : Json.list(json, "targets")) {
@@ -44,9 +61,8 @@
                             throw new ConfigException(
                                     "unknown state of a cache host: " + json.get("state"));
                 };
-        // The id comes from the uid, never from the endpoint, which differs from balancer to
-        // balancer:
-        // rendezvous hashing and slow start need the same id everywhere.
+        // The id is derived from the uid, not from the endpoint, which differs from balancer to
+        // balancer: rendezvous hashing and slow start need the same id everywhere.
         String uid = Json.get(json, "uid", String.class);
         Server server =
                 new Server(
@@ -61,7 +77,7 @@
         return new Endpoint(uid, server, parseAddress(Json.get(json, "endpoint", String.class)));
     }
 
-    /** FNV-1a: the same 64-bit number for a text at every balancer. */
+    /** The 64-bit FNV-1a hash of the text's UTF-8 bytes, the same at every balancer. */
     public static long serverId(String text) {
         long hash = FNV_OFFSET;
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
@@ -70,7 +86,11 @@
         return hash;
     }
 
-    /** Reads ADDRESS:PORT; names are not looked up, as there is no DNS. */
+    /**
+     * Parses ADDRESS:PORT. The address must be numeric, as there is no DNS.
+     *
+     * @throws ConfigException if the text has another form
+     */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] address =
@@ -83,7 +103,7 @@
                 return new InetSocketAddress(InetAddress.getByAddress(address), port);
             }
         } catch (NumberFormatException | UnknownHostException e) {
-            // Told below.
+            // Reported by the exception below, like all other invalid texts.
         }
         throw new ConfigException("no address and port: " + text);
     }
--- a/node/src/main/java/frostrelay/node/config/Json.java
+++ b/node/src/main/java/frostrelay/node/config/Json.java
@@ -4,22 +4,37 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** Typed looks into parsed JSON; what is missing or of another type is said in one line. */
+/**
+ * Typed access to parsed JSON. What is missing or has another type is reported as {@link
+ * ConfigException} with a one-line message that names the key.
+ */
 public final class Json {
     private Json() {}
 
+    /**
+     * Parses a JSON object.
+     *
+     * @throws ConfigException if the bytes are no JSON object
+     */
     public static Map<?, ?> parse(byte[] utf8) {
         try {
             return JSON.std.mapFrom(new String(utf8, StandardCharsets.UTF_8));
         } catch (IOException e) {
             String reason = String.valueOf(e.getMessage());
-            throw new ConfigException("no JSON object: " + reason.lines().findFirst().orElse(""));
+            throw new ConfigException(
+                    "no JSON object: " + reason.lines().findFirst().orElse(""), e);
         }
     }
 
+    /**
+     * The value of a required key.
+     *
+     * @throws ConfigException if it is missing or has another type
+     */
     public static <T> T get(Map<?, ?> object, String name, Class<T> type) {
         Object value = object.get(name);
         if (!type.isInstance(value)) {
@@ -28,10 +43,20 @@
         return type.cast(value);
     }
 
+    /**
+     * The value of an optional key, or the default if it is missing or null.
+     *
+     * @throws ConfigException if it has another type
+     */
     public static <T> T get(Map<?, ?> object, String name, Class<T> type, T defaultValue) {
         return object.get(name) == null ? defaultValue : get(object, name, type);
     }
 
+    /**
+     * An item of a list of objects.
+     *
+     * @throws ConfigException if it is no object
+     */
     public static Map<?, ?> object(Object value) {
         if (value instanceof Map<?, ?> map) {
             return map;
@@ -39,7 +64,19 @@
         throw new ConfigException("a list holds something else than objects");
     }
 
+    /**
+     * The value of an optional key that is a list; an empty list if it is missing or null.
+     *
+     * @throws ConfigException if it has another type
+     */
     public static List<?> list(Map<?, ?> object, String name) {
         return get(object, name, List.class, List.of());
     }
+
+    /** A shallow, mutable copy of an object, in the same order. */
+    static Map<String, Object> copy(Map<?, ?> object) {
+        Map<String, Object> copy = new LinkedHashMap<>();
+        object.forEach((name, value) -> copy.put(String.valueOf(name), value));
+        return copy;
+    }
 }
--- a/node/src/main/java/frostrelay/node/config/SettingsMerge.java
+++ b/node/src/main/java/frostrelay/node/config/SettingsMerge.java
@@ -8,34 +8,28 @@
 import java.util.Set;
 
 /**
- * New settings in the numbering of the former ones. The module knows classes, tenants, zones and
- * kinds by their places in lists, and a file may name them in any order: what was named before
- * keeps its place, also if it is named no more, and what is new comes behind.
+ * Merges new settings into the numbering of the current ones. The decision module knows classes,
+ * tenants, zones and kinds by their indexes in lists, and a file may list them in any order: known
+ * names keep their index even if they are removed, and new ones are appended.
  */
 final class SettingsMerge {
     private SettingsMerge() {}
 
     static Map<String, Object> merge(Map<?, ?> current, Map<?, ?> replacement) {
-        Map<String, Object> merged = copy(replacement);
+        Map<String, Object> merged = Json.copy(replacement);
         for (String list : List.of("categories", "tenants")) {
             merged.put(list, mergeByName(Json.list(current, list), Json.list(replacement, list)));
         }
         renumber(merged, current, replacement, "zones", "my-zone");
         Map<String, Object> family =
-                copy(Json.get(replacement, "family-info", Map.class, Map.of()));
+                Json.copy(Json.get(replacement, "family-info", Map.class, Map.of()));
         renumber(family, current, replacement, "kinds", "origin-kind");
         merged.put("kinds", family.remove("kinds"));
         merged.put("family-info", family);
         return merged;
     }
 
-    private static Map<String, Object> copy(Map<?, ?> object) {
-        Map<String, Object> copy = new LinkedHashMap<>();
-        object.forEach((name, value) -> copy.put((String) name, value));
-        return copy;
-    }
-
-    /** Names that the former settings hold and the fresh ones do not. */
+    /** Names in a list of the current settings that the new ones do not contain. */
     static Set<String> removedNames(Map<?, ?> current, Map<?, ?> replacement, String list) {
         Set<String> removed = new HashSet<>(names(Json.list(current, list)));
         names(Json.list(replacement, list)).forEach(removed::remove);
@@ -62,8 +56,8 @@
     }
 
     /**
-     * Puts the merged list into an object, and into its {@code indexKey} where that points to in
-     * the list.
+     * Puts the merged list into an object, and adjusts the index into that list which the object
+     * has at {@code indexKey}, if any.
      */
     private static void renumber(
             Map<String, Object> object,
@@ -85,8 +79,8 @@
     }
 
     /**
-     * Where what stands at a place of the fresh list stands in the merged one; a place outside it
-     * stays.
+     * The index in the merged list of the value at an index of the new list; an index outside the
+     * new list is kept.
      */
     private static Object mergedIndex(
             Map<?, ?> current, Map<?, ?> replacement, String list, Object oldIndex) {
--- a/node/src/main/java/frostrelay/node/config/SharedSettingsCodec.java
+++ b/node/src/main/java/frostrelay/node/config/SharedSettingsCodec.java
@@ -5,7 +5,6 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Arrays;
-import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.zip.DataFormatException;
@@ -13,21 +12,28 @@
 import java.util.zip.Inflater;
 
 /**
- * What all balancers of a tier share of a configuration, the settings but for those of one balancer
- * and the operators' number, as bytes that can be handed to another.
+ * Encodes the part of a configuration that all balancers of a tier share: the version number and
+ * the settings without the keys of a single balancer. A peer can decode and apply it.
  */
 public final class SharedSettingsCodec {
-    /** A hundred times what a configuration has: what unpacks to more is none. */
+    /** A hundred times the size of a configuration; anything larger is rejected. */
     private static final int MAX_INFLATED_BYTES = 512 * 1024;
 
     private static final int BUFFER_BYTES = 4096;
+    private static final String INFLATE_FAILED =
+            "the settings received from a peer cannot be decompressed";
 
     private SharedSettingsCodec() {}
 
+    /**
+     * Encodes the shared part of a configuration as deflated JSON.
+     *
+     * @throws ConfigException if it has no settings
+     */
     public static byte[] encode(Map<?, ?> json) {
         Map<String, Object> shared = new TreeMap<>();
         shared.put("version", json.get("version"));
-        Map<String, Object> settings = copy(Json.get(json, "settings", Map.class));
+        Map<String, Object> settings = Json.copy(Json.get(json, "settings", Map.class));
         settings.keySet().removeAll(DeploymentSettings.LOCAL_KEYS);
         shared.put("settings", settings);
         Deflater deflater = new Deflater(Deflater.BEST_COMPRESSION);
@@ -49,16 +55,18 @@
     }
 
     /**
-     * A running configuration with what another balancer packed in place of its own; throws {@link
-     * ConfigException} where that is nothing of the kind or has another digest.
+     * Returns the running configuration with the shared part replaced by one that a peer encoded.
+     *
+     * @param digest the expected digest of the peer's shared settings
+     * @throws ConfigException if the bytes cannot be decoded or have another digest
      */
     public static Map<?, ?> withSharedSettings(Map<?, ?> running, byte[] encoded, long digest) {
         Map<?, ?> shared = Json.parse(inflate(encoded));
-        Map<String, Object> settings = copy(Json.get(shared, "settings", Map.class));
+        Map<String, Object> settings = Json.copy(Json.get(shared, "settings", Map.class));
         settings.keySet().removeAll(DeploymentSettings.LOCAL_KEYS);
         if (Digests.of(DeploymentSettings.sharedText(settings)) != digest) {
             throw new ConfigException(
-                    "the settings that were handed over are not those that were asked for");
+                    "the settings received from a peer do not match the requested digest");
         }
         Map<?, ?> localSettings = Json.get(running, "settings", Map.class);
         for (String name : DeploymentSettings.LOCAL_KEYS) {
@@ -66,7 +74,7 @@
                 settings.put(name, localSettings.get(name));
             }
         }
-        Map<String, Object> newConfig = copy(running);
+        Map<String, Object> newConfig = Json.copy(running);
         newConfig.put("settings", settings);
         newConfig.put("version", Json.get(shared, "version", Number.class));
         return newConfig;
@@ -83,21 +91,15 @@
                 length += inflatedBytes;
                 if (inflatedBytes == 0 && (inflater.needsInput() || inflater.needsDictionary())
                         || length >= MAX_INFLATED_BYTES) {
-                    throw new ConfigException("what was handed over cannot be unpacked");
+                    throw new ConfigException(INFLATE_FAILED);
                 }
                 out = length == out.length ? Arrays.copyOf(out, out.length * 2) : out;
             }
             return Arrays.copyOf(out, length);
         } catch (DataFormatException e) {
-            throw new ConfigException("what was handed over cannot be unpacked");
+            throw new ConfigException(INFLATE_FAILED, e);
         } finally {
             inflater.end();
         }
     }
-
-    private static Map<String, Object> copy(Map<?, ?> object) {
-        Map<String, Object> copy = new LinkedHashMap<>();
-        object.forEach((name, value) -> copy.put(String.valueOf(name), value));
-        return copy;
-    }
 }
