--- a/node/src/main/java/frostrelay/node/ClassArchiveTraining.java
+++ b/node/src/main/java/frostrelay/node/ClassArchiveTraining.java
@@ -27,17 +27,18 @@
 import java.nio.file.Path;
 
 /**
- * Plays a balancer's life once, on loopback, with a host and a discovery of its own. The build runs
- * it to archive the classes that this loads ({@code -XX:ArchiveClassesAtExit}): without the archive
- * a start costs twice the CPU and the first requests wait for class loading, on a small share of a
- * core for too long. Two balancers that talk come behind it, so that a start with talk, audit and
- * stragglers costs little more than one without.
+ * Runs a balancer from start to shutdown on the loopback interface, with a cache server and a
+ * discovery of its own. The build runs it to archive the classes that it loads ({@code
+ * -XX:ArchiveClassesAtExit}): without the archive a start costs twice the CPU, and the first
+ * requests wait for class loading, too long on a small share of a core. Two balancers with gossip
+ * follow, so that a start with gossip, audit and staleness detection costs little more than one
+ * without.
  */
 public final class ClassArchiveTraining {
     private static final int READ_COUNT = 50;
     private static final int READ_TIMEOUT_MILLIS = 20_000;
 
-    /** Within this the two have greeted each other, probed and told their lists. */
+    /** Enough time for the two to join, check each other's health and exchange their versions. */
     private static final int GOSSIP_WAIT_MILLIS = 1_500;
 
     private static final ClusterOptions GOSSIP_OPTIONS =
@@ -58,21 +59,21 @@
                "ceilings":{"peer-messages":true,"max-attempts":4,"may-duplicate":true,"cancelling":true,"retry-after":true}}}
             """;
 
-    /** What a peer answers to a line; null keeps it silent. */
+    /** The response of a server to a line; null for none. */
     private interface ResponseScript {
         String respond(String line);
     }
 
     private ClassArchiveTraining() {}
 
-    /** Takes no arguments; fails if the rehearsal went wrong. */
+    /** Takes no arguments; throws an exception if the training run fails. */
     public static void main(String[] args) throws Exception {
         int correctResponses = run();
         Log.write(Event.CLASS_ARCHIVE_TRAINED, correctResponses);
         System.exit(0);
     }
 
-    /** Returns how many commands were answered as they should be. */
+    /** Runs the balancers and returns how many commands got the expected response. */
     static int run() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         EventLoop loop = group.next();
@@ -227,7 +228,7 @@
                             try {
                                 task.run();
                             } catch (IOException e) {
-                                // The far end is done.
+                                // The peer has closed its connection, which ends the task.
                             }
                         });
         thread.setDaemon(true);
--- a/node/src/main/java/frostrelay/node/NodeProcess.java
+++ b/node/src/main/java/frostrelay/node/NodeProcess.java
@@ -22,24 +22,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The real balancer's life: it reads its configuration, at a signal again, serves until SIGTERM and
- * ends with 0.
+ * The balancer as a process: reads its configuration, reloads it on SIGHUP, serves until SIGTERM
+ * and exits with 0, or with 1 if it cannot start. Ends the JVM in both cases.
  */
 public final class NodeProcess {
-    /** Where the signal for a replaced configuration is ignored, the file is looked at so often. */
+    /** How often the configuration file is polled where SIGHUP is ignored. */
     private static final long DEFAULT_POLL_INTERVAL_NANOS = Clock.NANOS_PER_SECOND;
 
-    /** A shutdown does not wait longer for its folder. */
+    /** How long a shutdown waits for the shared directory. */
     private static final long SHARED_DIRECTORY_TIMEOUT_MILLIS = 100;
 
-    /** Nobody takes longer than this between two pieces of a file that he writes. */
+    /** A file that has not changed for this long is assumed to be written completely. */
     private static final long STABLE_FILE_DELAY_NANOS = 300 * Clock.NANOS_PER_MILLISECOND;
 
-    /** Where operators' own settings come from; read at the start and at each reload. */
+    /** The source of the operators' own options; read at the start and at each reload. */
     public interface OptionsSource {
         /**
-         * What is set now; throws an exception whose message says what is wrong, and then nothing
-         * changes.
+         * Reads the current options. A RuntimeException, with a message that says what is wrong,
+         * leaves the current configuration and options in effect.
          */
         Options read();
     }
@@ -64,14 +64,15 @@
     }
 
     /**
-     * Starts to serve and returns; the process ends with 1 if that fails. {@code configPath}: of
-     * the configuration.
+     * Starts to serve and returns; the process exits with 1 if that fails.
+     *
+     * @param configPath path of the configuration file
      */
     public static void start(String configPath, OptionsSource optionsSource) {
         start(configPath, optionsSource, TestHooks.NONE);
     }
 
-    /** Likewise with what a test build puts in between. */
+    /** Likewise, with the hooks of a test build. */
     public static void start(String configPath, OptionsSource optionsSource, TestHooks hooks) {
         try {
             ReloadSignal reloadSignal = ReloadSignal.install();
@@ -98,7 +99,7 @@
                             .get();
             NodeProcess process =
                     new NodeProcess(configFile, optionsSource, node, loop, sharedDirectory);
-            // A JVM that SIGTERM ends exits with 143; halting at the end of its hook makes that 0.
+            // A JVM ended by SIGTERM exits with 143; halting at the end of the hook makes that 0.
             Runtime.getRuntime().addShutdownHook(new Thread(process::stop, "stop"));
             if (options.cluster().stalenessDetection()) {
                 ScheduledExecutorService rereadExecutor =
@@ -126,9 +127,7 @@
         Runtime.getRuntime().halt(1);
     }
 
-    /**
-     * Looks at the file now and then where operators want that, or where no signal would be heard.
-     */
+    /** Polls the configuration file if the options ask for it or no signal would be received. */
     private void watchConfigFile(boolean isSignalIgnored, long requestedIntervalNanos) {
         long intervalNanos =
                 requestedIntervalNanos > 0 ? requestedIntervalNanos : DEFAULT_POLL_INTERVAL_NANOS;
@@ -152,8 +151,7 @@
     }
 
     /**
-     * Takes what the file holds where that is something else: a change counts once two looks have
-     * found the file the same.
+     * Reloads the file if its content has changed and two checks in a row have found it the same.
      */
     private void reloadOnceStable(ScheduledExecutorService executor) {
         executor.execute(configFile::hasChanged);
@@ -167,7 +165,9 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    /** Reads on the caller's thread. One at a time, so that what was read last is taken last. */
+    /**
+     * Reads on the caller's thread. Synchronized, so that the last version read is applied last.
+     */
     private synchronized void reload() {
         try {
             Map<?, ?> json = configFile.load();
@@ -185,7 +185,7 @@
         }
     }
 
-    /** The folder that all processes of this balancer share, and no other balancer. */
+    /** The directory that all processes of this balancer share with each other and nobody else. */
     private static Path temporaryDirectory() {
         String configuredPath = System.getenv("TMPDIR");
         return Path.of(
--- a/node/src/main/java/frostrelay/node/Options.java
+++ b/node/src/main/java/frostrelay/node/Options.java
@@ -8,10 +8,14 @@
 import org.slf4j.event.Level;
 
 /**
- * What operators set beyond the platform's configuration. {@code configPollNanos}: nanoseconds
- * between looks at the configuration file for a change, 0 to look only where the signal for it is
- * ignored; {@code counts}: nanoseconds between two lines of counts; {@code cluster}: what it has to
- * do with others of its tier.
+ * What operators set beyond the platform's configuration.
+ *
+ * @param logFormat the form of log lines
+ * @param logLevel the least severe level that is logged
+ * @param configPollNanos nanoseconds between two checks of the configuration file for a change; 0
+ *     to poll only where SIGHUP is ignored
+ * @param reportIntervalNanos nanoseconds between two reports of the counters
+ * @param cluster how this balancer cooperates with its peers
  */
 public record Options(
         LogSetup.Format logFormat,
@@ -19,7 +23,7 @@
         long configPollNanos,
         long reportIntervalNanos,
         ClusterOptions cluster) {
-    /** What holds where nothing is set: on the platform. */
+    /** The options in effect where nothing is set, as on the platform. */
     public static final Options DEFAULTS =
             new Options(
                     LogSetup.Format.AUTO,
@@ -29,8 +33,9 @@
                     ClusterOptions.OFF);
 
     /**
-     * The standard with what the JVM's own properties ask for; throws {@link ConfigException} for
-     * what they cannot.
+     * The defaults with the cluster options from the JVM's system properties.
+     *
+     * @throws ConfigException if a property has an invalid value
      */
     public static Options fromSystemProperties() {
         return new Options(
--- a/node/src/main/java/frostrelay/node/ReloadSignal.java
+++ b/node/src/main/java/frostrelay/node/ReloadSignal.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * SIGHUP, which means that the configuration was replaced. Without a handler it ends the JVM, so
- * this is installed before anything else; signals that come before there is anything to reload are
- * kept until then.
+ * Handles SIGHUP, which means that the configuration was replaced. Without a handler it ends the
+ * JVM, so this is installed before anything else; signals received before a reload is possible are
+ * queued until then.
  */
 final class ReloadSignal {
     private final CompletableFuture<Runnable> reloadAction = new CompletableFuture<>();
@@ -15,8 +15,9 @@
     private ReloadSignal() {}
 
     /**
-     * Signals are heard through {@code sun.misc.Signal} alone, the API of module jdk.unsupported.
-     * It is reached by reflection, as the compiler's warning of it can be silenced by nothing else.
+     * Installs the handler through {@code sun.misc.Signal} of module jdk.unsupported, the only API
+     * for signals. Reflection is used because the compiler's warning about that API cannot be
+     * suppressed otherwise.
      */
     static ReloadSignal install() throws ReflectiveOperationException {
         ReloadSignal reloadSignal = new ReloadSignal();
@@ -27,7 +28,7 @@
                         ReloadSignal.class.getClassLoader(),
                         new Class<?>[] {handlerClass},
                         (proxy, method, arguments) -> {
-                            // Its other methods are those of Object, which nobody calls.
+                            // Besides handle there are only Object's methods, which nobody calls.
                             reloadSignal.reloadAction.thenAccept(Runnable::run);
                             return null;
                         });
@@ -38,20 +39,20 @@
                                 null,
                                 signalClass.getConstructor(String.class).newInstance("HUP"),
                                 handlerProxy);
-        // Started where the signal is ignored, the JVM leaves it so and says nothing: only the old
-        // handler shows it.
+        // If the signal was ignored when the JVM started, the JVM silently leaves it ignored: only
+        // the previous handler shows that.
         reloadSignal.isIgnored = previousHandler == handlerClass.getField("SIG_IGN").get(null);
         return reloadSignal;
     }
 
-    /** Whether the signal will never come, as whoever started this program ignores it. */
+    /** Whether the signal will never arrive because the parent process set it to be ignored. */
     boolean isIgnored() {
         return isIgnored;
     }
 
     /**
-     * From now on each signal is handed on, on a thread of the JVM's own: {@code action} passes it
-     * to the loop.
+     * Runs the action for each signal, on a thread of the JVM's signal handling, and at once for
+     * signals received so far.
      */
     void setReloadAction(Runnable action) {
         reloadAction.complete(action);
--- /dev/null
+++ b/node/src/main/java/frostrelay/node/ShutdownSequence.java
@@ -0,0 +1,111 @@
+package frostrelay.node;
+
+import frostrelay.node.client.ClientListener;
+import frostrelay.node.lifecycle.DrainSchedule;
+import frostrelay.node.log.Event;
+import frostrelay.node.log.Log;
+import frostrelay.node.metrics.Counters;
+import frostrelay.node.metrics.InvariantViolation;
+import frostrelay.node.proxy.RequestDispatcher;
+import frostrelay.node.time.Clock;
+
+import io.netty.channel.EventLoop;
+
+import java.util.concurrent.TimeUnit;
+
+/**
+ * The graceful shutdown of a node after its drain has been scheduled: stops listening, waits until
+ * every request is answered and every client disconnected, and logs the progress. Runs on the event
+ * loop, once.
+ */
+final class ShutdownSequence {
+    private static final long POLL_INTERVAL_MILLIS = 10;
+    private static final long PROGRESS_INTERVAL_NANOS = 500 * Clock.NANOS_PER_MILLISECOND;
+    private static final int MAX_LISTED_REQUESTS = 10;
+
+    private final EventLoop loop;
+    private final ClientListener clientListener;
+    private final RequestDispatcher dispatcher;
+    private final Counters counters;
+    private final long requestedAtNanos;
+    private final DrainSchedule schedule;
+
+    /** Runs once no request or client is left, or the schedule's end is reached. */
+    private final Runnable onQuiescent;
+
+    /** How far into the shutdown its progress was last logged. */
+    private long progressLoggedAtNanos;
+
+    ShutdownSequence(
+            EventLoop loop,
+            ClientListener clientListener,
+            RequestDispatcher dispatcher,
+            Counters counters,
+            long requestedAtNanos,
+            DrainSchedule schedule,
+            Runnable onQuiescent) {
+        this.loop = loop;
+        this.clientListener = clientListener;
+        this.dispatcher = dispatcher;
+        this.counters = counters;
+        this.requestedAtNanos = requestedAtNanos;
+        this.schedule = schedule;
+        this.onQuiescent = onQuiescent;
+    }
+
+    /**
+     * Starts the sequence.
+     *
+     * @param isReplaced whether another process of this balancer listens, so that there is no need
+     *     to wait for new clients
+     */
+    void start(boolean isReplaced) {
+        // Connections that the system has already accepted are read first: closing the listening
+        // socket would reset them.
+        long listenForNanos =
+                isReplaced
+                        ? POLL_INTERVAL_MILLIS * Clock.NANOS_PER_MILLISECOND
+                        : schedule.acceptUntilNanos() - Clock.now();
+        loop.schedule(this::stopListening, Math.max(0, listenForNanos), TimeUnit.NANOSECONDS);
+    }
+
+    private void stopListening() {
+        clientListener.stopListening();
+        awaitQuiescence();
+    }
+
+    private void awaitQuiescence() {
+        boolean isQuiescent =
+                clientListener.connectionCount() == 0 && dispatcher.openRequestCount() == 0;
+        // At the schedule's end every request is answered: only clients that do not read can be
+        // left.
+        if (isQuiescent || Clock.now() >= schedule.exitAtNanos()) {
+            recordUnanswered();
+            onQuiescent.run();
+        } else {
+            logProgress();
+            loop.schedule(this::awaitQuiescence, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void recordUnanswered() {
+        if (dispatcher.openRequestCount() > 0) {
+            counters.recordViolation(
+                    InvariantViolation.UNANSWERED,
+                    "at the end of the process: " + dispatcher.openRequests(MAX_LISTED_REQUESTS));
+        }
+    }
+
+    private void logProgress() {
+        long elapsedNanos = Clock.now() - requestedAtNanos;
+        if (elapsedNanos >= progressLoggedAtNanos + PROGRESS_INTERVAL_NANOS) {
+            progressLoggedAtNanos = elapsedNanos;
+            Log.write(
+                    Event.SHUTDOWN_PROGRESS,
+                    elapsedNanos / Clock.NANOS_PER_MILLISECOND,
+                    clientListener.connectionCount(),
+                    dispatcher.openRequestCount(),
+                    dispatcher.openRequests(MAX_LISTED_REQUESTS));
+        }
+    }
+}
--- a/node/src/main/java/frostrelay/node/admin/AdminOperations.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminOperations.java
@@ -3,37 +3,38 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * What operators may ask of a balancer. Calls come on its event loop; repeating one is harmless.
+ * The operations that administrators may call on a balancer. They are called on its event loop and
+ * are idempotent.
  */
 public interface AdminOperations {
     /** Whether this process is ready to serve. */
     boolean isReady();
 
     /**
-     * What this balancer acts on and what it knows of the others, as JSON; null where it keeps no
-     * account.
+     * The versions that this balancer uses and its view of its peers, as JSON; null if auditing is
+     * off.
      */
     byte[] auditStatement();
 
-    /** Its record so far, in the form of the audit's files; null where it keeps none. */
+    /** The audit record so far, in the format of the audit's files; null if there is none. */
     byte[] auditRecord();
 
     /**
-     * Decides in place of the program how this balancer stands to the others, lastingly: {@code
-     * keep-in}, {@code shut-out} or {@code follow:KIND:NUMBER}; an empty word with {@code isActive}
-     * false ends all of that. Done with false where it minds nobody.
+     * Stores a decision that overrides the staleness detection, for the life of the balancer.
+     * Completed with false if this balancer does not detect staleness; fails if the decision cannot
+     * be stored.
      */
-    Future<Boolean> setOverride(String decision, boolean isActive);
+    Future<Boolean> setOverride(OverrideDecision decision);
 
-    /** Sends clients away until {@link #stopDrain}. */
+    /** Drains this balancer's clients until {@link #stopDrain}. */
     void startDrain();
 
-    /** Takes clients again. */
+    /** Ends a drain: clients are accepted again. */
     void stopDrain();
 
     /**
-     * Holds a server out of use, or lets it be used again: done with false for an id that nobody
-     * has.
+     * Drains a cache server, or ends its drain. Completed with false for an unknown id; fails if
+     * the change cannot be stored.
      */
     Future<Boolean> setAdminDrain(String id, boolean isDrained);
 }
--- a/node/src/main/java/frostrelay/node/admin/AdminResponse.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminResponse.java
@@ -12,42 +12,49 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What a caller is told: a status and one word or line in JSON, or in its place a whole body.
- * {@code allowedMethod}: the method of the path, or null.
+ * The response to an administrator's call.
+ *
+ * @param allowedMethod the method to name in the header {@code Allow}; null for no such header
  */
 record AdminResponse(
         HttpResponseStatus status,
-        String text,
-        HttpMethod allowedMethod,
         byte[] body,
-        CharSequence contentType) {
-    AdminResponse(HttpResponseStatus status, String text, HttpMethod allowedMethod) {
-        this(status, text, allowedMethod, null, HttpHeaderValues.APPLICATION_JSON);
-    }
-
+        CharSequence contentType,
+        HttpMethod allowedMethod) {
+    /** A JSON object with one text, as its status or error; the text needs no escaping in JSON. */
     static AdminResponse of(HttpResponseStatus status, String text) {
-        return new AdminResponse(status, text, null);
+        return new AdminResponse(
+                status, json(status, text), HttpHeaderValues.APPLICATION_JSON, null);
     }
 
+    /** A successful response with this body. */
     static AdminResponse of(byte[] body, CharSequence contentType) {
-        return new AdminResponse(HttpResponseStatus.OK, null, null, body, contentType);
+        return new AdminResponse(HttpResponseStatus.OK, body, contentType, null);
     }
 
-    /** None of the texts holds what JSON would have to escape. */
-    FullHttpResponse toHttpResponse() {
+    /** Rejects the method of a call and names the allowed one. */
+    static AdminResponse methodNotAllowed(HttpMethod allowedMethod) {
+        HttpResponseStatus status = HttpResponseStatus.METHOD_NOT_ALLOWED;
+        return new AdminResponse(
+                status,
+                json(status, "the method is " + allowedMethod),
+                HttpHeaderValues.APPLICATION_JSON,
+                allowedMethod);
+    }
+
+    private static byte[] json(HttpResponseStatus status, String text) {
         String fieldName =
                 status.code() < HttpResponseStatus.BAD_REQUEST.code() ? "status" : "error";
-        byte[] bodyBytes =
-                body != null
-                        ? body
-                        : ("{\"" + fieldName + "\":\"" + text + "\"}\n")
-                                .getBytes(StandardCharsets.UTF_8);
+        return ("{\"" + fieldName + "\":\"" + text + "\"}\n").getBytes(StandardCharsets.UTF_8);
+    }
+
+    FullHttpResponse toHttpResponse() {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(
-                        HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(bodyBytes));
+                        HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers()
                 .set(HttpHeaderNames.CONTENT_TYPE, contentType)
-                .set(HttpHeaderNames.CONTENT_LENGTH, bodyBytes.length)
+                .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         if (allowedMethod != null) {
             response.headers().set(HttpHeaderNames.ALLOW, allowedMethod);
--- a/node/src/main/java/frostrelay/node/admin/AdminRoutes.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminRoutes.java
@@ -6,7 +6,6 @@
 import io.netty.handler.codec.TooLongFrameException;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.util.concurrent.Future;
@@ -14,13 +13,17 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import java.util.Map;
 
 /**
- * Translates calls into {@link AdminOperations} and what comes of them into answers; it decides
- * nothing.
+ * Dispatches calls to {@link AdminOperations} by {@link AdminRoute} and converts the results to
+ * responses. Makes no decisions of its own.
  */
 final class AdminRoutes {
+    /** What a version can be of that a balancer is made to follow. */
+    private static final List<String> VERSION_KINDS = List.of("list", "config");
+
     private final AdminOperations operations;
     private final EventLoop loop;
 
@@ -29,81 +32,72 @@
         this.loop = loop;
     }
 
+    /** Executes a call; a failed future means that the operation failed. */
     Future<AdminResponse> handle(FullHttpRequest request) {
         if (request.decoderResult().isFailure()) {
-            boolean isTooLong = request.decoderResult().cause() instanceof TooLongFrameException;
-            return completed(
-                    AdminResponse.of(
-                            isTooLong
-                                    ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
-                                    : HttpResponseStatus.BAD_REQUEST,
-                            "no call that can be read"));
+            return completed(malformedRequest(request.decoderResult().cause()));
         }
-        String path = new QueryStringDecoder(request.uri()).rawPath();
-        HttpMethod method =
-                switch (path) {
-                    case "/ops/readiness", "/ops/audit", "/ops/audit/record" -> HttpMethod.GET;
-                    case "/ops/drain/start",
-                            "/ops/drain/stop",
-                            "/ops/stragglers/keep-in",
-                            "/ops/stragglers/shut-out",
-                            "/ops/stragglers/follow",
-                            "/ops/stragglers/let-go",
-                            "/ops/template-caches/down",
-                            "/ops/template-caches/up" ->
-                            HttpMethod.POST;
-                    default -> null;
-                };
-        if (method == null) {
+        AdminRoute route = AdminRoute.ofPath(new QueryStringDecoder(request.uri()).rawPath());
+        if (route == null) {
             return completed(AdminResponse.of(HttpResponseStatus.NOT_FOUND, "no such path"));
         }
-        if (!method.equals(request.method())) {
-            return completed(
-                    new AdminResponse(
-                            HttpResponseStatus.METHOD_NOT_ALLOWED,
-                            "the method is " + method,
-                            method));
+        if (!route.method().equals(request.method())) {
+            return completed(AdminResponse.methodNotAllowed(route.method()));
         }
-        return switch (path) {
-            case "/ops/readiness" ->
-                    completed(
-                            operations.isReady()
-                                    ? AdminResponse.of(HttpResponseStatus.OK, "ready")
-                                    : AdminResponse.of(
-                                            HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready"));
-            case "/ops/audit" ->
+        return execute(route, request);
+    }
+
+    private static AdminResponse malformedRequest(Throwable cause) {
+        return AdminResponse.of(
+                cause instanceof TooLongFrameException
+                        ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+                        : HttpResponseStatus.BAD_REQUEST,
+                "no call that can be read");
+    }
+
+    private Future<AdminResponse> execute(AdminRoute route, FullHttpRequest request) {
+        return switch (route) {
+            case READINESS -> completed(readiness());
+            case AUDIT_STATEMENT ->
                     completed(
                             binaryResponse(
                                     operations.auditStatement(),
                                     HttpHeaderValues.APPLICATION_JSON));
-            case "/ops/audit/record" ->
+            case AUDIT_RECORD ->
                     completed(
                             binaryResponse(
                                     operations.auditRecord(),
                                     HttpHeaderValues.APPLICATION_OCTET_STREAM));
-            case "/ops/stragglers/keep-in" -> setOverride("keep-in", true, "kept in");
-            case "/ops/stragglers/shut-out" -> setOverride("shut-out", true, "shut out");
-            case "/ops/stragglers/let-go" -> setOverride("", false, "let go");
-            case "/ops/stragglers/follow" -> followVersion(request);
-            case "/ops/drain/start" -> {
+            case START_DRAIN -> {
                 operations.startDrain();
                 yield completed(AdminResponse.of(HttpResponseStatus.OK, "draining"));
             }
-            case "/ops/drain/stop" -> {
+            case STOP_DRAIN -> {
                 operations.stopDrain();
                 yield completed(AdminResponse.of(HttpResponseStatus.OK, "serving"));
             }
-            default -> setAdminDrain(request, path.endsWith("/down"));
+            case KEEP_IN -> setOverride(OverrideDecision.KEEP_IN, "kept in");
+            case SHUT_OUT -> setOverride(OverrideDecision.SHUT_OUT, "shut out");
+            case CLEAR_OVERRIDES -> setOverride(OverrideDecision.CLEAR_ALL, "let go");
+            case FOLLOW_VERSION -> followVersion(request);
+            case DRAIN_SERVER -> setAdminDrain(request, true);
+            case RESTORE_SERVER -> setAdminDrain(request, false);
         };
     }
 
+    private AdminResponse readiness() {
+        return operations.isReady()
+                ? AdminResponse.of(HttpResponseStatus.OK, "ready")
+                : AdminResponse.of(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
+    }
+
     private static AdminResponse binaryResponse(byte[] body, CharSequence type) {
         return body == null
                 ? AdminResponse.of(HttpResponseStatus.NOT_FOUND, "this balancer keeps no account")
                 : AdminResponse.of(body, type);
     }
 
-    /** The call's body; null where it is no JSON. */
+    /** The parsed body; null if it is no JSON. */
     private static Object parseBody(FullHttpRequest request) {
         try {
             return JSON.std.anyFrom(request.content().toString(StandardCharsets.UTF_8));
@@ -132,22 +126,19 @@
     private Future<AdminResponse> followVersion(FullHttpRequest request) {
         if (!(parseBody(request) instanceof Map<?, ?> call
                 && call.get("number") instanceof Number number
-                && ("list".equals(call.get("kind")) || "config".equals(call.get("kind"))))) {
+                && call.get("kind") instanceof String kind
+                && VERSION_KINDS.contains(kind))) {
             return completed(
                     AdminResponse.of(
                             HttpResponseStatus.BAD_REQUEST,
                             "the body is {\"kind\": \"list\" or \"config\", \"number\": N}"));
         }
-        return setOverride(
-                "follow:" + call.get("kind") + ':' + number.longValue(), true, "followed");
+        return setOverride(OverrideDecision.followVersion(kind, number.longValue()), "followed");
     }
 
-    private Future<AdminResponse> setOverride(
-            String decision, boolean isActive, String successText) {
+    private Future<AdminResponse> setOverride(OverrideDecision decision, String successText) {
         return respondWhenDone(
-                operations.setOverride(decision, isActive),
-                successText,
-                "this balancer minds no others");
+                operations.setOverride(decision), successText, "this balancer minds no others");
     }
 
     private Future<AdminResponse> respondWhenDone(
--- a/node/src/main/java/frostrelay/node/admin/AdminServer.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminServer.java
@@ -11,6 +11,7 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.channel.socket.ChannelInputShutdownEvent;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -27,16 +28,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operators' address: HTTP/1.1, one call a connection. Heads, bodies, the number of connections
- * and the time each may take are bounded, so that callers who send nothing, half a call or too much
- * cost next to nothing.
+ * The administrators' HTTP/1.1 server, with one call per connection. The sizes of headers and
+ * bodies, the number of connections and their duration are limited, so that callers who send
+ * nothing, an incomplete call or too much use few resources. Runs on the balancer's event loop.
  */
 public final class AdminServer {
     private static final int MAX_REQUEST_LINE_BYTES = 1024;
     private static final int MAX_HEADER_BYTES = 8 * 1024;
     private static final int MAX_BODY_BYTES = 4 * 1024;
 
-    /** Connections at once; one more costs the oldest that still owes its call. */
+    /** Concurrent connections; one more closes the oldest that is not executing a call. */
     private static final int MAX_CONNECTIONS = 16;
 
     private static final int BACKLOG = 64;
@@ -47,8 +48,10 @@
     private final Set<Connection> connections = new LinkedHashSet<>();
 
     /**
-     * {@code callTimeoutMillis}: within this a call must be whole, and as long again its caller has
-     * to take the answer.
+     * Creates a server that does not listen yet.
+     *
+     * @param callTimeoutMillis how long a caller may take to send its call, and again to read the
+     *     response
      */
     public AdminServer(EventLoop loop, AdminOperations operations, long callTimeoutMillis) {
         this.loop = loop;
@@ -56,7 +59,7 @@
         this.callTimeoutMillis = callTimeoutMillis;
     }
 
-    /** Begins to take calls. */
+    /** Starts to accept calls; the future fails if the address cannot be bound. */
     public ChannelFuture listen(InetSocketAddress address) {
         return new ServerBootstrap()
                 .group(loop, loop)
@@ -64,14 +67,15 @@
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // A caller may end its sending behind the call and still wait for the answer.
+                // A caller may shut down its output after the call and still read the response.
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childHandler(
                         new ChannelInitializer<>() {
                             @Override
-                            protected void initChannel(Channel fresh) {
-                                Connection connection = new Connection(fresh);
-                                fresh.pipeline()
+                            protected void initChannel(Channel newChannel) {
+                                Connection connection = new Connection(newChannel);
+                                newChannel
+                                        .pipeline()
                                         .addLast(
                                                 new HttpServerCodec(
                                                         MAX_REQUEST_LINE_BYTES,
@@ -144,8 +148,8 @@
         }
 
         /**
-         * Answers once and ends the sending; what the caller still sends is read, lest a reset lose
-         * the answer.
+         * Responds once and shuts down the output. Further input is still read, as a reset could
+         * discard the response.
          */
         private void respond(AdminResponse response) {
             if (hasResponded || !channel.isActive()) {
@@ -169,10 +173,9 @@
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            // The far end has ended its sending: without a whole call, or behind the answer, that
-            // is all.
-            if (event instanceof io.netty.channel.socket.ChannelInputShutdownEvent
-                    && (!hasRequest || hasResponded)) {
+            // The caller has shut down its output: without a complete call, or after the response,
+            // the connection is of no further use.
+            if (event instanceof ChannelInputShutdownEvent && (!hasRequest || hasResponded)) {
                 ctx.close();
             }
         }
@@ -190,7 +193,7 @@
             ctx.close();
         }
 
-        /** Puts a call together; one with too much of a body is answered here. */
+        /** Aggregates a call and rejects one whose body is too long. */
         private final class RequestAggregator extends HttpObjectAggregator {
             RequestAggregator() {
                 super(MAX_BODY_BYTES);
--- a/node/src/main/java/frostrelay/node/lifecycle/ActionGuard.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/ActionGuard.java
@@ -1,72 +1,76 @@
 package frostrelay.node.lifecycle;
 
+import frostrelay.node.time.Clock;
+
 /**
- * The one place that decides whether a request may be accepted, sent or sent again, and a
- * connection closed, at this moment: by what is left of the request, of its client, of the server,
- * and of this process. Whoever is about to do one of these asks here right before, with the clock
- * read anew, however it was decided on earlier. It reads no clock and does no input or output.
+ * Decides whether a request may be accepted, sent or retried, and a connection closed, at a given
+ * moment, from the remaining time of the request, its client, the server and this process. Callers
+ * check immediately before acting, with a fresh clock reading, regardless of any earlier decision.
+ * Reads no clock and does no I/O.
  */
 public final class ActionGuard {
-    /** This process may be held up for so long between reading its clock and writing. */
-    public static final long MAX_PROCESS_STALL_NANOS = 150_000_000L;
+    /**
+     * The longest pause of this process that is allowed for between a clock reading and a write.
+     */
+    public static final long MAX_PROCESS_STALL_NANOS = 150 * Clock.NANOS_PER_MILLISECOND;
 
-    /** What never ends. */
+    /** A moment that never comes. */
     public static final long NEVER = Long.MAX_VALUE;
 
     /**
-     * While clients are sent away, one that has just come is not closed at once: its first request
-     * is on the way, and a close would cross it. A slow way there takes 60 ms, a busy client some
-     * more.
+     * While draining, a new connection is not closed within this time: its first request may be in
+     * transit and would cross the close. A slow network path takes 60 ms, a busy client some more.
      */
-    private static final long NEW_CONNECTION_GRACE_NANOS = 300_000_000L;
+    private static final long NEW_CONNECTION_GRACE_NANOS = 300 * Clock.NANOS_PER_MILLISECOND;
 
     /**
-     * Of the 100 ms within which a client that left must be seen to, the rest is for the way of
-     * what is sent.
+     * A client's disconnect must be acted on within 100 ms; the rest of that time is for the
+     * transmission of what is sent.
      */
-    private static final long MAX_UNOBSERVED_NANOS = 75_000_000L;
+    private static final long MAX_UNOBSERVED_NANOS = 75 * Clock.NANOS_PER_MILLISECOND;
 
     /**
-     * The terms allow 150 ms by which a wait may be overstated, and as much for which this process
-     * may be held up before it writes: what comes on top, such as the client's own way, is taken
-     * off; of short waits only a part.
+     * The protocol allows a forwarded timeout to be overstated by 150 ms, which covers a pause of
+     * this process before it writes. This margin covers the rest, such as the client's network
+     * path; of short timeouts only a fraction is subtracted.
      */
-    private static final long MAX_TIMEOUT_MARGIN_NANOS = 60_000_000L;
+    private static final long MAX_TIMEOUT_MARGIN_NANOS = 60 * Clock.NANOS_PER_MILLISECOND;
 
     private static final long TIMEOUT_MARGIN_DIVISOR = 8;
 
-    /** Whether an attempt may be written, or why not. */
+    /** Whether an attempt may be written, or the reason why not. */
     public enum SendDecision {
-        /** It may. */
+        /** The attempt may be written. */
         ALLOWED,
-        /** The request has its final answer, or its client has left. */
+        /** The request has its final answer, or its client has disconnected. */
         REQUEST_OVER,
         /**
-         * Its client's connection was not looked at for so long that the client may have left
-         * unseen.
+         * The client's connection has not been read for so long that a disconnect may have gone
+         * unnoticed.
          */
         CLIENT_UNOBSERVED,
-        /** The time to answer the request, or to wait for this attempt, is up. */
+        /** The request's deadline or the attempt's timeout has passed. */
         TIME_UP,
-        /** The server was told to drain, is gone or is held by operators, and the grace is over. */
+        /** The server is draining, removed or drained by administrators, and its grace is over. */
         SERVER_UNAVAILABLE,
         /** An earlier attempt may have run, and a second run could have a second effect. */
         MAY_HAVE_RUN
     }
 
     /**
-     * What is known of an attempt that is about to be written.
+     * The state of an attempt that is about to be written. All times are clock readings in
+     * nanoseconds.
      *
-     * @param isRequestOver whether the request has its final answer or its client has left
-     * @param unobservedSinceNanos since when its client could have left without being seen to;
-     *     {@link #NEVER} while it is watched
-     * @param attemptDeadlineNanos until when the attempt is waited for; its server is told what is
-     *     left of that
+     * @param isRequestOver whether the request has its final answer or its client has disconnected
+     * @param unobservedSinceNanos since when a disconnect of the client could have gone unnoticed;
+     *     {@link #NEVER} while its connection is being read
+     * @param attemptDeadlineNanos when the attempt times out; the remaining time is forwarded to
+     *     the server
      * @param requestDeadlineNanos when the request's final answer is due
      * @param serverUsableUntilNanos when the last send to the server may begin; {@link #NEVER}
      *     while it is in use
-     * @param retryUntilNanos when it may be sent at the latest, for what its earlier attempts may
-     *     have done; {@link #NEVER} for no limit
+     * @param retryUntilNanos the latest time to send, given what earlier attempts may have
+     *     executed; {@link #NEVER} for no limit
      */
     public record PendingSend(
             boolean isRequestOver,
@@ -76,11 +80,11 @@
             long serverUsableUntilNanos,
             long retryUntilNanos) {}
 
-    /** How clients are being sent away; null while they are welcome. */
+    /** The schedule of the current drain or shutdown; null while serving. */
     private DrainSchedule schedule;
 
     /**
-     * From now on clients are sent away by this schedule; null welcomes them again, unless this
+     * Starts to drain by this schedule, or returns to serving if it is null. Ignored once this
      * process is shutting down.
      */
     public void setSchedule(DrainSchedule newSchedule) {
@@ -89,38 +93,38 @@
         }
     }
 
-    /** Whether clients are being sent away, for whatever reason. */
+    /** Whether clients are being drained, for a drain or a shutdown. */
     public boolean isDraining() {
         return schedule != null;
     }
 
-    /** Whether this process ends. */
+    /** Whether this process is shutting down. */
     public boolean isShuttingDown() {
         return schedule != null && schedule.isShutdown();
     }
 
     /**
-     * Whether a request that has come whole may be accepted at all at present; refused, it has no
-     * effect.
+     * Whether a request that has been received completely may be accepted at {@code now}. A
+     * rejected one has no effect.
      */
     public boolean mayAccept(long now) {
         return schedule == null || now < schedule.acceptUntilNanos();
     }
 
     /**
-     * Whether a client could have left too long ago: nothing is begun for one that left more than
-     * 100 ms before.
+     * Whether the client could have disconnected too long ago: no work may start for a client that
+     * disconnected more than 100 ms before.
      *
-     * @param unobservedSinceNanos since when it could have left without being seen to; {@link
-     *     #NEVER} while it is watched
+     * @param unobservedSinceNanos since when a disconnect could have gone unnoticed; {@link #NEVER}
+     *     while its connection is being read
      */
     public boolean isClientUnobserved(long now, long unobservedSinceNanos) {
         return unobservedSinceNanos != NEVER && now - unobservedSinceNanos > MAX_UNOBSERVED_NANOS;
     }
 
     /**
-     * When the final answer of a request is due that came at {@code arrivedAtNanos} and whose
-     * client waits for {@code timeoutNanos}.
+     * When the final answer is due of a request that arrived at {@code arrivedAtNanos} with a
+     * timeout of {@code timeoutNanos}; no later than a shutdown allows.
      */
     public long requestDeadlineNanos(long arrivedAtNanos, long timeoutNanos) {
         long clientDeadlineNanos = arrivedAtNanos + timeoutNanos;
@@ -130,9 +134,9 @@
     }
 
     /**
-     * How long a server is told that an attempt is waited for, if it is written now: never more
-     * than the client has left once this process has been held up for a moment and the bytes have
-     * had their way.
+     * The timeout in nanoseconds that is forwarded to the server if the attempt is written now:
+     * never more than the client's remaining time less a margin for a pause of this process and for
+     * transmission.
      */
     public long forwardedTimeoutNanos(
             long now, long attemptDeadlineNanos, long requestDeadlineNanos) {
@@ -160,12 +164,12 @@
     }
 
     /**
-     * Whether a client's connection on which no request is open may be closed because clients are
-     * sent away.
+     * Whether a client's connection without open requests may be closed because of a drain or a
+     * shutdown.
      *
      * @param hasAcceptedRequest whether a request was ever accepted on it
-     * @param idleSinceNanos when it came, or fell idle
-     * @param hasPartialRequest whether a request has come in part
+     * @param idleSinceNanos when it was opened or became idle
+     * @param hasPartialRequest whether part of a request has been received
      */
     public boolean mayCloseIdle(
             long now, boolean hasAcceptedRequest, long idleSinceNanos, boolean hasPartialRequest) {
--- a/node/src/main/java/frostrelay/node/lifecycle/AdminStateStore.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/AdminStateStore.java
@@ -19,12 +19,13 @@
 import java.util.TreeSet;
 
 /**
- * Words that operators said, such as the ids that they hold out of use, in one small file that
- * outlasts the process. Every process of the balancer may change it, one at a time, and replaces it
- * whole, so that no reader finds half of it. Waits for files.
+ * A persistent set of strings set by administrators, such as the ids of drained servers, in one
+ * small JSON file that outlasts the process. Every process of the balancer may change it; a lock
+ * file serializes the changes, and each replaces the file atomically, so that no reader sees a
+ * partial one. Blocks on file I/O; not thread-safe within a process.
  */
 final class AdminStateStore {
-    /** A longer file is none of ours. */
+    /** A longer file was not written by a balancer. */
     private static final long MAX_FILE_BYTES = 1024 * 1024;
 
     private final String name;
@@ -32,12 +33,12 @@
     private final Path lockFile;
     private final Path temporaryFile;
 
-    /** What was read or written last: it stands while the file cannot be read. */
+    /** The values last read or written; used while the file cannot be read. */
     private Set<String> lastKnown = Set.of();
 
     private boolean isUnreadable;
 
-    /** {@code name}: of the file in the folder, and of the list in it. */
+    /** {@code name} is the base name of the file in the directory and the key of the list in it. */
     AdminStateStore(Path directory, String name) {
         this.name = name;
         file = directory.resolve(name + ".json");
@@ -45,7 +46,7 @@
         temporaryFile = directory.resolve(name + ".draft");
     }
 
-    /** The ids held; those known last if the file is torn or somebody else's. */
+    /** The stored values, or the last known ones if the file is corrupt or foreign. */
     Set<String> read() {
         try {
             lastKnown = parse();
@@ -75,28 +76,40 @@
         return Set.copyOf(read);
     }
 
-    /** Holds an id or lets it go, and returns all that are held then. */
+    /**
+     * Adds or removes a value and returns all values stored afterwards. Removing the empty string
+     * removes all of them.
+     *
+     * @throws IOException if the file cannot be locked or written; it is unchanged then
+     */
     Set<String> change(String id, boolean isPresent) throws IOException {
         try (FileChannel lockChannel =
                 FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
             lockChannel.lock();
-            Set<String> ids = new TreeSet<>(read());
-            // Letting go of nothing in particular is letting go of everything.
-            if (isPresent
-                    ? ids.add(id)
-                    : id.isEmpty() ? ids.removeAll(Set.copyOf(ids)) : ids.remove(id)) {
-                Files.writeString(
-                        temporaryFile,
-                        JSON.std.asString(Map.of(name, ids)),
-                        StandardCharsets.UTF_8);
-                Files.move(
-                        temporaryFile,
-                        file,
-                        StandardCopyOption.ATOMIC_MOVE,
-                        StandardCopyOption.REPLACE_EXISTING);
+            Set<String> stored = read();
+            Set<String> changed = new TreeSet<>(stored);
+            if (isPresent) {
+                changed.add(id);
+            } else if (id.isEmpty()) {
+                changed.clear();
+            } else {
+                changed.remove(id);
             }
-            lastKnown = Set.copyOf(ids);
+            if (!changed.equals(stored)) {
+                write(changed);
+            }
+            lastKnown = Set.copyOf(changed);
             return lastKnown;
         }
     }
+
+    private void write(Set<String> ids) throws IOException {
+        Files.writeString(
+                temporaryFile, JSON.std.asString(Map.of(name, ids)), StandardCharsets.UTF_8);
+        Files.move(
+                temporaryFile,
+                file,
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
+    }
 }
--- a/node/src/main/java/frostrelay/node/lifecycle/DescriptorUsage.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/DescriptorUsage.java
@@ -3,8 +3,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * How many descriptors a process has in use, for clients and for hosts: its balancer's processes
- * share one limit.
+ * The number of file descriptors that a process uses for client and for upstream connections. All
+ * processes of a balancer share one limit.
  */
 public record DescriptorUsage(int clients, int upstreams) {
     static final DescriptorUsage NONE = new DescriptorUsage(0, 0);
@@ -19,8 +19,8 @@
     }
 
     /**
-     * What was read, nothing where it is too short or cannot be: its writer may be about to write
-     * it.
+     * Decodes what {@link #encode} wrote. Returns {@link #NONE} for too few bytes, since the writer
+     * may not have written yet; negative counts become 0.
      */
     static DescriptorUsage decode(ByteBuffer bytes) {
         if (bytes.remaining() < ENCODED_BYTES) {
--- a/node/src/main/java/frostrelay/node/lifecycle/DrainSchedule.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/DrainSchedule.java
@@ -1,15 +1,17 @@
 package frostrelay.node.lifecycle;
 
+import frostrelay.node.time.Clock;
+
 /**
- * The schedule by which clients are sent away, for a drain or for a shutdown. A connection closes
- * behind the next answer on it, as its client then has nothing on the way that the close could
- * cross; one that is not used is closed at {@code idleUntilNanos}.
+ * The schedule of a drain or a graceful shutdown. A connection is closed after the next answer on
+ * it, when its client has nothing in transit that could cross the close; an unused one is closed at
+ * {@code idleUntilNanos}. All times are clock readings in nanoseconds.
  *
  * @param isShutdown whether this process ends; a drain leaves it running
- * @param acceptUntilNanos requests that come later are refused
- * @param idleUntilNanos connections with nothing to do are closed from then on
- * @param partialRequestUntilNanos a request that has come in part is waited for until then
- * @param answerUntilNanos every request must have its final answer by then
+ * @param acceptUntilNanos requests received later are rejected
+ * @param idleUntilNanos idle connections are closed from then on
+ * @param partialRequestUntilNanos when waiting for the rest of a partial request ends
+ * @param answerUntilNanos when every request must have its final answer
  */
 public record DrainSchedule(
         boolean isShutdown,
@@ -17,43 +19,39 @@
         long idleUntilNanos,
         long partialRequestUntilNanos,
         long answerUntilNanos) {
-    private static final long NANOS_PER_MILLISECOND = 1_000_000L;
-
     /**
-     * What operators see 4 s after a drain began must be over: this leaves the longest of half a
-     * request's time.
+     * Administrators check 4 s after the start of a drain that it is complete; this leaves enough
+     * time for the longest requests.
      */
-    private static final long DRAIN_IDLE_NANOS = 1_200 * NANOS_PER_MILLISECOND;
+    private static final long DRAIN_IDLE_NANOS = 1_200 * Clock.NANOS_PER_MILLISECOND;
 
-    private static final long DRAIN_ACCEPT_NANOS = 1_900 * NANOS_PER_MILLISECOND;
-    private static final long DRAIN_PARTIAL_REQUEST_NANOS = 2_700 * NANOS_PER_MILLISECOND;
+    private static final long DRAIN_ACCEPT_NANOS = 1_900 * Clock.NANOS_PER_MILLISECOND;
+    private static final long DRAIN_PARTIAL_REQUEST_NANOS = 2_700 * Clock.NANOS_PER_MILLISECOND;
 
     /**
-     * SIGKILL may follow SIGTERM after the longest deadline, which counts as this at most, and
-     * {@link #KILL_DELAY_NANOS}.
+     * SIGKILL may follow SIGTERM after the longest request deadline, capped at this, plus {@link
+     * #KILL_DELAY_NANOS}.
      */
-    private static final long MAX_DEADLINE_NANOS = 3_000 * NANOS_PER_MILLISECOND;
+    private static final long MAX_DEADLINE_NANOS = 3_000 * Clock.NANOS_PER_MILLISECOND;
 
-    private static final long KILL_DELAY_NANOS = 700 * NANOS_PER_MILLISECOND;
+    private static final long KILL_DELAY_NANOS = 700 * Clock.NANOS_PER_MILLISECOND;
 
     /**
-     * Kept from that: up to 150 ms for which this process may be held up, 50 ms until the signal is
-     * seen, and the way of the last answers.
+     * Subtracted from that: a pause of this process of up to 150 ms, 50 ms until the signal is
+     * handled, and the transmission of the last answers.
      */
-    private static final long KILL_MARGIN_NANOS = 300 * NANOS_PER_MILLISECOND;
+    private static final long KILL_MARGIN_NANOS = 300 * Clock.NANOS_PER_MILLISECOND;
 
     /**
-     * Clients go on coming for up to 400 ms; what came within 700 ms has the whole of its deadline
-     * before the kill.
+     * New clients may arrive for up to 400 ms; a request received within 700 ms has its full
+     * deadline before the kill.
      */
-    private static final long SHUTDOWN_ACCEPT_NANOS = 600 * NANOS_PER_MILLISECOND;
+    private static final long SHUTDOWN_ACCEPT_NANOS = 600 * Clock.NANOS_PER_MILLISECOND;
 
-    /**
-     * Behind the last answer, slow clients are still given the rest of what they are being sent.
-     */
-    private static final long FLUSH_TIMEOUT_NANOS = 2_000 * NANOS_PER_MILLISECOND;
+    /** How long slow clients may take after the last answer to read what is still being sent. */
+    private static final long FLUSH_TIMEOUT_NANOS = 2_000 * Clock.NANOS_PER_MILLISECOND;
 
-    /** For a drain that begins now. */
+    /** The schedule of a drain that begins at {@code now}. */
     public static DrainSchedule forDrain(long now) {
         return new DrainSchedule(
                 false,
@@ -64,8 +62,8 @@
     }
 
     /**
-     * For a shutdown that was asked for at {@code signalledAtNanos}, under settings with this
-     * longest deadline of a request.
+     * The schedule of a shutdown that was requested at {@code signalledAtNanos}, under settings
+     * with this longest request deadline.
      */
     public static DrainSchedule forShutdown(long signalledAtNanos, long longestDeadlineNanos) {
         long killAtNanos =
@@ -79,7 +77,7 @@
                 true, acceptUntilNanos, acceptUntilNanos, answerUntilNanos, answerUntilNanos);
     }
 
-    /** When the process ends at the latest, if nobody ends it before. */
+    /** The latest time at which the process exits by itself. */
     public long exitAtNanos() {
         return answerUntilNanos + FLUSH_TIMEOUT_NANOS;
     }
--- a/node/src/main/java/frostrelay/node/lifecycle/ProcessRegistry.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/ProcessRegistry.java
@@ -15,13 +15,13 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The serving processes of one balancer: during an upgrade there are two, which share its folder.
- * Each holds the lock on a file of its own, which the system lets go however the process ends; a
- * file whose lock is free is a dead one's. The file tells what its process has in use. All of this
- * waits for files.
+ * The serving processes of one balancer; during an upgrade there are two, which share a directory.
+ * Each process locks a file of its own, and the operating system releases that lock however the
+ * process ends: a file without a lock belongs to a dead process. The file contains the descriptor
+ * usage of its process. Blocks on file I/O.
  */
 final class ProcessRegistry implements AutoCloseable {
-    /** What the others amount to. */
+    /** The number of the other serving processes and their total usage. */
     record PeerProcesses(int count, DescriptorUsage usage) {
         private static final PeerProcesses NONE = new PeerProcesses(0, DescriptorUsage.NONE);
 
@@ -36,16 +36,16 @@
     private final Path ownFile;
     private FileChannel ownChannel;
 
-    /** The folder could not be read, and the log says so. */
+    /** The directory could not be read, and this has been logged. */
     private boolean isUnreadable;
 
-    /** {@code name} is this process's own among those that share the folder. */
+    /** {@code name} identifies this process among those that share the directory. */
     ProcessRegistry(Path directory, String name) {
         this.directory = directory;
         this.ownFile = directory.resolve(PREFIX + name);
     }
 
-    /** Tells the others that this process serves, until it ends. */
+    /** Registers this process as serving, until it ends or {@link #close} is called. */
     void announce() {
         try {
             ownChannel =
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Tells the others what this process has in use. */
+    /** Publishes the descriptor usage of this process; does nothing before {@link #announce}. */
     void publish(DescriptorUsage usage) throws IOException {
         if (ownChannel != null) {
             ownChannel.write(usage.encode(), 0);
@@ -81,7 +81,7 @@
         return peers;
     }
 
-    /** What the process has in use whose file this is; null if it is dead. */
+    /** The usage of the process that owns the file; null if that process is dead. */
     private static DescriptorUsage read(Path file) throws IOException {
         try (FileChannel channel =
                 FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
@@ -101,7 +101,7 @@
         try (FileLock lock = channel.tryLock()) {
             return lock != null;
         } catch (OverlappingFileLockException e) {
-            // Held within this very process: several balancers of one test.
+            // The lock belongs to this JVM: a test runs several balancers in one.
             return false;
         }
     }
--- a/node/src/main/java/frostrelay/node/lifecycle/SharedDirectory.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/SharedDirectory.java
@@ -12,18 +12,22 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 import java.util.function.Supplier;
 
 /**
- * What the processes of one balancer share through {@code $TMPDIR}: the operators' holds, and while
- * an upgrade lasts, that there are two of them. It is looked at on a thread of its own: an event
- * loop must not wait for files.
+ * The state that the processes of one balancer share through {@code $TMPDIR}: the administrators'
+ * drains and overrides and, during an upgrade, which processes serve. All file I/O runs on a thread
+ * of its own, since an event loop must not block; callbacks are invoked on that thread.
  */
 public final class SharedDirectory implements AutoCloseable {
     /**
-     * What a look showed: the ids held, what else operators decided, the further processes of this
-     * balancer that serve now, and their use.
+     * The shared state at one moment.
+     *
+     * @param adminDrains ids of the servers that administrators drained
+     * @param overrides the administrators' override decisions
+     * @param peerProcessCount number of other serving processes of this balancer
+     * @param peerUsage total descriptor usage of those processes
      */
     public record Snapshot(
             Set<String> adminDrains,
@@ -31,13 +35,22 @@
             int peerProcessCount,
             DescriptorUsage peerUsage) {}
 
-    /** Hears on the folder's thread what it shows; every look is told, changed or not. */
+    /** Receives the state after every poll, changed or not, on the directory's thread. */
     public interface Listener {
-        /** In the order of the looks and of the changes. */
+        /** Called in the order of the polls and of the changes. */
         void onSnapshot(Snapshot snapshot);
     }
 
-    /** Far below the time within which another process's hold must be heeded. */
+    /** The outcome of a change to the administrators' state. */
+    public sealed interface ChangeResult {
+        /** The change is on disk; {@code values} are all values stored now. */
+        record Saved(Set<String> values) implements ChangeResult {}
+
+        /** The change could not be stored. */
+        record Failed(Exception cause) implements ChangeResult {}
+    }
+
+    /** Far below the time within which a drain set at another process must take effect. */
     private static final long POLL_INTERVAL_MILLIS = 100;
 
     private static final long CLOSE_TIMEOUT_MILLIS = 500;
@@ -53,21 +66,21 @@
                         return fresh;
                     });
 
-    /** {@code name} is this process's own among those that share the folder. */
+    /** {@code name} identifies this process among those that share the directory. */
     public SharedDirectory(Path directory, String name) {
         processRegistry = new ProcessRegistry(directory, name);
         adminDrainStore = new AdminStateStore(directory, "holds");
         overrideStore = new AdminStateStore(directory, "overrides");
     }
 
-    /** What is there now; waits for it. */
+    /** Reads the current state; blocks until it has been read. */
     public Snapshot snapshot() throws Exception {
         return executor.submit((Callable<Snapshot>) this::read).get();
     }
 
     /**
-     * Whether other processes of this balancer serve now; no, where the folder does not tell within
-     * the limit.
+     * Whether other processes of this balancer serve now; false if the directory cannot be read
+     * within the timeout.
      */
     public boolean hasServingPeers(long timeoutMillis)
             throws InterruptedException, ExecutionException {
@@ -89,7 +102,8 @@
     }
 
     /**
-     * Says that this process serves and what it uses, and looks from now on a few times a second.
+     * Registers this process as serving, then publishes its usage and polls the state periodically
+     * until {@link #close}.
      */
     public void announceAndPoll(Supplier<DescriptorUsage> usage, Listener listener) {
         executor.execute(processRegistry::announce);
@@ -105,47 +119,46 @@
             processRegistry.publish(usage.get());
             listener.onSnapshot(read());
         } catch (IOException | RuntimeException e) {
-            // An exception would end the looks for good.
+            // An exception would cancel the periodic task.
             Log.write(Event.SHARED_DIRECTORY_FAILED, e.toString());
         }
     }
 
     /**
-     * Holds an id or lets it go; {@code callback} hears on the folder's thread what is held then,
-     * or why it failed.
+     * Drains a server or ends its drain; {@code callback} receives the outcome on the directory's
+     * thread.
      */
-    public void setAdminDrain(
-            String id, boolean isDrained, BiConsumer<Set<String>, Exception> callback) {
+    public void setAdminDrain(String id, boolean isDrained, Consumer<ChangeResult> callback) {
         change(adminDrainStore, id, isDrained, callback);
     }
 
     /**
-     * Likewise for a decision in place of the program; an empty word with {@code isActive} false
-     * ends all of them.
+     * Sets or clears an override decision; an empty decision with {@code isActive} false clears all
+     * of them. {@code callback} receives the outcome on the directory's thread.
      */
-    public void setOverride(
-            String decision, boolean isActive, BiConsumer<Set<String>, Exception> callback) {
+    public void setOverride(String decision, boolean isActive, Consumer<ChangeResult> callback) {
         change(overrideStore, decision, isActive, callback);
     }
 
     private void change(
             AdminStateStore store,
-            String id,
+            String value,
             boolean isPresent,
-            BiConsumer<Set<String>, Exception> callback) {
-        executor.execute(
-                () -> {
-                    try {
-                        callback.accept(store.change(id, isPresent), null);
-                    } catch (IOException | RuntimeException e) {
-                        callback.accept(null, e);
-                    }
-                });
+            Consumer<ChangeResult> callback) {
+        executor.execute(() -> callback.accept(changeNow(store, value, isPresent)));
+    }
+
+    private static ChangeResult changeNow(AdminStateStore store, String value, boolean isPresent) {
+        try {
+            return new ChangeResult.Saved(store.change(value, isPresent));
+        } catch (IOException | RuntimeException e) {
+            return new ChangeResult.Failed(e);
+        }
     }
 
     @Override
     public void close() throws IOException {
-        // Not shutdownNow: an interrupt would close the files that a look has open.
+        // Not shutdownNow: an interrupt would close the files that a poll has open.
         executor.shutdown();
         try {
             executor.awaitTermination(CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
--- a/node/src/test/java/frostrelay/node/admin/AdminServerTest.java
+++ b/node/src/test/java/frostrelay/node/admin/AdminServerTest.java
@@ -24,14 +24,14 @@
 import java.util.stream.Collectors;
 
 /**
- * Each call gets its one answer; callers who send nothing, half or too much get a 4xx and cost
- * nobody else theirs.
+ * Each call gets one response; callers who send nothing, an incomplete call or too much get a 4xx
+ * and do not affect others.
  */
 class AdminServerTest {
     private static final int READ_TIMEOUT_MILLIS = 20_000;
     private static final long LONG_CALL_TIMEOUT_MILLIS = READ_TIMEOUT_MILLIS;
 
-    /** A balancer that notes what it is asked. */
+    /** Operations that record their calls. */
     private final class RecordingOperations implements AdminOperations {
         volatile boolean ready;
         final List<String> calls = new ArrayList<>();
@@ -52,8 +52,8 @@
         }
 
         @Override
-        public Future<Boolean> setOverride(String decision, boolean isOn) {
-            calls.add(isOn ? decision : "none");
+        public Future<Boolean> setOverride(OverrideDecision decision) {
+            calls.add(decision.clearsAll() ? "none" : decision.word());
             return group.next().newSucceededFuture(true);
         }
 
--- a/node/src/test/java/frostrelay/node/lifecycle/ActionGuardTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/ActionGuardTest.java
@@ -9,7 +9,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Each thing that forbids an act does so by itself, from its moment on. */
+/** Each condition that forbids an action does so on its own, from its time on. */
 class ActionGuardTest {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
     private static final long NEVER = ActionGuard.NEVER;
--- a/node/src/test/java/frostrelay/node/lifecycle/AdminStateStoreTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/AdminStateStoreTest.java
@@ -12,7 +12,8 @@
 import java.util.Set;
 
 /**
- * Holds outlast the process, reach the other one, and survive a file that is not what it should be.
+ * The administrators' state outlasts the process, is visible to other processes, and survives a
+ * corrupt or foreign file.
  */
 class AdminStateStoreTest {
     @TempDir Path folder;
--- a/node/src/test/java/frostrelay/node/lifecycle/DrainScheduleTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/DrainScheduleTest.java
@@ -10,7 +10,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The schedules keep what operators and the system allow. */
+/** The schedules keep within the times that administrators and the platform allow. */
 class DrainScheduleTest {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
 
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Whatever the longest deadline is: all answers are there a held-up process's time before
-     * SIGKILL may come.
+     * For every longest deadline, all answers are due before SIGKILL, with a margin for a pause of
+     * the process.
      */
     @Property
     void whatIsAcceptedBeforeShutdownCanBeAnsweredBeforeTheKill(
--- a/node/src/test/java/frostrelay/node/lifecycle/ProcessRegistryTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/ProcessRegistryTest.java
@@ -9,7 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Processes of one balancer see each other through the folder that they share. */
+/** Processes of one balancer detect each other through the directory that they share. */
 class ProcessRegistryTest {
     @TempDir Path folder;
 
--- a/node/src/test/java/frostrelay/node/lifecycle/SharedDirectoryTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/SharedDirectoryTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A shutdown's time runs from its signal: it must not be spent on files. */
+/** Slow file I/O does not delay a shutdown, whose time counts from its signal. */
 class SharedDirectoryTest {
     @TempDir private Path folder;
 
