--- /dev/null
+++ b/node/src/test/java/frostrelay/node/BalancerProcess.java
@@ -0,0 +1,64 @@
+package frostrelay.node;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.concurrent.TimeUnit;
+
+/** Starts the balancer as a process of its own, for tests of its log, signals and exit code. */
+final class BalancerProcess {
+    static final String SERVING_EVENT = "\"event\":\"serving\"";
+
+    private BalancerProcess() {}
+
+    static Process start(String config, Path sharedDirectory) throws IOException {
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xshare:auto",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "frostrelay.node.Main");
+        builder.environment().remove("GW_CONFIG");
+        builder.environment().put("TMPDIR", sharedDirectory.toString());
+        if (config != null) {
+            builder.environment().put("GW_CONFIG", config);
+        }
+        return builder.start();
+    }
+
+    static BufferedReader openLog(Process process) {
+        return new BufferedReader(
+                new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8));
+    }
+
+    static int awaitExitCode(Process process) throws InterruptedException {
+        try {
+            assertTrue(process.waitFor(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+            return process.exitValue();
+        } finally {
+            process.destroyForcibly();
+        }
+    }
+
+    static int freePort() throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
+        }
+    }
+
+    static void awaitLine(BufferedReader log, String text) throws IOException {
+        String line = log.readLine();
+        while (line != null && !line.contains(text)) {
+            line = log.readLine();
+        }
+        assertTrue(line != null, text);
+    }
+}
--- a/node/src/test/java/frostrelay/node/StopTest.java
+++ b/node/src/test/java/frostrelay/node/StopTest.java
@@ -15,24 +15,18 @@
 
 import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.InputStreamReader;
 import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
 
-/** An orderly stop loses nothing that was taken. */
+/** A graceful shutdown loses no request that was accepted. */
 class StopTest {
-    private static final String SERVES_EVENT = "\"event\":\"serving\"";
-
-    /** SIGKILL may follow SIGTERM so long after the longest deadline. */
+    /** SIGKILL may follow SIGTERM this long after the longest deadline. */
     private static final int KILL_AFTER_LONGEST_MILLIS = 700;
 
     private static final int[] LATE_REQUEST_DELAYS_MILLIS = {
@@ -133,40 +127,11 @@
     }
 
     static Process startProcess(String config, Path sharedDirectory) throws IOException {
-        ProcessBuilder builder =
-                new ProcessBuilder(
-                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                        "-XX:TieredStopAtLevel=1",
-                        "-Xshare:auto",
-                        "-cp",
-                        System.getProperty("java.class.path"),
-                        "frostrelay.node.Main");
-        builder.environment().remove("GW_CONFIG");
-        builder.environment().put("TMPDIR", sharedDirectory.toString());
-        if (config != null) {
-            builder.environment().put("GW_CONFIG", config);
-        }
-        return builder.start();
-    }
-
-    private static BufferedReader openLog(Process process) {
-        return new BufferedReader(
-                new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8));
-    }
-
-    private static int awaitExitCode(Process process) throws InterruptedException {
-        try {
-            assertTrue(process.waitFor(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
-            return process.exitValue();
-        } finally {
-            process.destroyForcibly();
-        }
+        return BalancerProcess.start(config, sharedDirectory);
     }
 
     static int freePort() throws IOException {
-        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return socket.getLocalPort();
-        }
+        return BalancerProcess.freePort();
     }
 
     @Test
@@ -178,7 +143,8 @@
                             folder.resolve("config.json"), fixture.config("127.0.0.1:" + port));
             Process process = startProcess(config.toString());
             try {
-                awaitLine(openLog(process), SERVES_EVENT);
+                BalancerProcess.awaitLine(
+                        BalancerProcess.openLog(process), BalancerProcess.SERVING_EVENT);
                 try (TestConnection client =
                         new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
                     assertEquals("MN", client.request("mn"));
@@ -191,7 +157,7 @@
                     client.awaitClose();
                 }
             } finally {
-                assertEquals(0, awaitExitCode(process));
+                assertEquals(0, BalancerProcess.awaitExitCode(process));
             }
         }
     }
@@ -213,7 +179,8 @@
             Process process = startProcess(config.toString());
             List<TestConnection> clients = new ArrayList<>();
             try {
-                awaitLine(openLog(process), SERVES_EVENT);
+                BalancerProcess.awaitLine(
+                        BalancerProcess.openLog(process), BalancerProcess.SERVING_EVENT);
                 for (int i = 0; i < LATE_REQUEST_DELAYS_MILLIS.length; i++) {
                     TestConnection client =
                             new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
@@ -291,7 +258,8 @@
             builder.environment().put("GW_CONFIG", config.toString());
             Process process = builder.start();
             try {
-                awaitLine(openLog(process), SERVES_EVENT);
+                BalancerProcess.awaitLine(
+                        BalancerProcess.openLog(process), BalancerProcess.SERVING_EVENT);
                 for (int i = 0; i < 600; i++) {
                     floodConnections.add(
                             new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port)));
@@ -313,80 +281,7 @@
                 for (TestConnection connection : floodConnections) {
                     connection.close();
                 }
-                assertEquals(0, awaitExitCode(process));
-            }
-        }
-    }
-
-    /** SIGHUP ends a JVM that has no handler for it, and with it all that was taken. */
-    @Test
-    void theProgramReadsItsConfigurationAgainOnSighup() throws Exception {
-        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
-            int port = freePort();
-            Path config =
-                    Files.writeString(
-                            folder.resolve("config.json"), fixture.config("127.0.0.1:" + port));
-            Process process = startProcess(config.toString());
-            try {
-                BufferedReader log = openLog(process);
-                awaitLine(log, SERVES_EVENT);
-                try (TestConnection client =
-                        new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
-                    for (String broken : new String[] {"{", "", "{\"listen\":\"127.0.0.1:1\"}"}) {
-                        Files.writeString(config, broken);
-                        sendSighup(process);
-                        awaitLine(log, "\"event\":\"settings-rejected\"");
-                    }
-                    fixture.discovery = "127.0.0.1:2";
-                    Files.writeString(config, fixture.config("127.0.0.1:" + port));
-                    sendSighup(process);
-                    sendSighup(process);
-                    awaitLine(log, "\"event\":\"discovery-address-changed\"");
-                    assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
-                    process.destroy();
-                }
-            } finally {
-                assertEquals(0, awaitExitCode(process));
-            }
-        }
-    }
-
-    /**
-     * Under nohup and some supervisors SIGHUP is ignored, the JVM leaves it so without a word, and
-     * replaced configurations were passed over for ever.
-     */
-    @Test
-    void whereSighupIsIgnoredTheFileIsLookedAtInstead() throws Exception {
-        try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
-            int port = freePort();
-            Path config =
-                    Files.writeString(
-                            folder.resolve("config.json"), fixture.config("127.0.0.1:" + port));
-            ProcessBuilder builder =
-                    new ProcessBuilder(
-                            "sh",
-                            "-c",
-                            "trap '' HUP; exec \"$0\" \"$@\"",
-                            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                            "-XX:TieredStopAtLevel=1",
-                            "-cp",
-                            System.getProperty("java.class.path"),
-                            "frostrelay.node.Main");
-            builder.environment().put("GW_CONFIG", config.toString());
-            builder.environment().put("TMPDIR", folder.toString());
-            Process process = builder.start();
-            try {
-                BufferedReader log = openLog(process);
-                awaitLine(log, "\"event\":\"signal-ignored\"");
-                Files.writeString(config, "{");
-                sendSighup(process);
-                awaitLine(log, "\"event\":\"settings-rejected\"");
-                fixture.discovery = "127.0.0.1:2";
-                Files.writeString(config, fixture.config("127.0.0.1:" + port));
-                awaitLine(log, "\"event\":\"discovery-address-changed\"");
-                process.destroy();
-            } finally {
-                assertEquals(0, awaitExitCode(process));
+                assertEquals(0, BalancerProcess.awaitExitCode(process));
             }
         }
     }
@@ -405,25 +300,26 @@
             Path sharedDirectory = Files.createDirectory(folder.resolve("shared"));
             Process oldProcess = startProcess(config.toString(), sharedDirectory);
             try {
-                BufferedReader oldLog = openLog(oldProcess);
-                awaitLine(oldLog, SERVES_EVENT);
+                BufferedReader oldLog = BalancerProcess.openLog(oldProcess);
+                BalancerProcess.awaitLine(oldLog, BalancerProcess.SERVING_EVENT);
                 Process newProcess = startProcess(config.toString(), sharedDirectory);
                 try {
-                    awaitLine(openLog(newProcess), SERVES_EVENT);
-                    awaitLine(oldLog, "\"event\":\"peer-process-serving\"");
+                    BalancerProcess.awaitLine(
+                            BalancerProcess.openLog(newProcess), BalancerProcess.SERVING_EVENT);
+                    BalancerProcess.awaitLine(oldLog, "\"event\":\"peer-process-serving\"");
                     oldProcess.destroy();
                     while (oldProcess.isAlive()) {
                         String response = requestOnce(port);
                         // What the old socket held when it closed is asked again, as clients do.
                         assertEquals("HD O2 c77", response == null ? requestOnce(port) : response);
                     }
-                    assertEquals(0, awaitExitCode(oldProcess));
+                    assertEquals(0, BalancerProcess.awaitExitCode(oldProcess));
                     newProcess.destroy();
                 } finally {
-                    assertEquals(0, awaitExitCode(newProcess));
+                    assertEquals(0, BalancerProcess.awaitExitCode(newProcess));
                 }
             } finally {
-                awaitExitCode(oldProcess);
+                BalancerProcess.awaitExitCode(oldProcess);
             }
         }
     }
@@ -434,49 +330,4 @@
             return client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE);
         }
     }
-
-    private static void sendSighup(Process process) throws Exception {
-        assertEquals(
-                0,
-                new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
-    }
-
-    private static void awaitLine(BufferedReader log, String text) throws IOException {
-        String line = log.readLine();
-        while (line != null && !line.contains(text)) {
-            line = log.readLine();
-        }
-        assertTrue(line != null, text);
-    }
-
-    @Test
-    void withoutConfigurationTheProgramReportsWhyInOneLineAndFails() throws Exception {
-        Path broken = Files.writeString(folder.resolve("broken.json"), "{\"listen\":");
-        for (String config :
-                new String[] {null, folder.resolve("missing.json").toString(), broken.toString()}) {
-            Process process = startProcess(config);
-            assertEquals(1, openLog(process).lines().count());
-            assertEquals(1, awaitExitCode(process));
-        }
-    }
-
-    @Test
-    void anAddressInUseEndsTheProgram() throws Exception {
-        try (NodeTestFixture fixture = new NodeTestFixture();
-                ServerSocket occupiedSocket =
-                        new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Path config =
-                    Files.writeString(
-                            folder.resolve("config.json"),
-                            fixture.config("127.0.0.1:" + occupiedSocket.getLocalPort()));
-            Process process = startProcess(config.toString());
-            assertEquals(
-                    1,
-                    openLog(process)
-                            .lines()
-                            .filter(line -> line.contains("\"event\":\"cannot-start\""))
-                            .count());
-            assertEquals(1, awaitExitCode(process));
-        }
-    }
 }
