--- a/node/src/test/java/frostrelay/node/AdminOperationsTest.java
+++ b/node/src/test/java/frostrelay/node/AdminOperationsTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What operators ask for reaches clients and hosts. */
+/** Administrators' operations take effect on clients and cache servers. */
 class AdminOperationsTest {
     private static boolean isReady(NodeTestFixture fixture) throws Exception {
         return fixture.loop.submit(fixture.node::isReady).get();
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Another host takes what the held one would have got. */
+    /** Another server gets the requests that the drained one would have got. */
     @Test
     void aDrainedServerIsNotUsedUntilItIsRestored() throws Exception {
         FakeServer[] fakeServers = {FakeServer.servingAnyCommand(), FakeServer.servingAnyCommand()};
--- a/node/src/test/java/frostrelay/node/ClassArchiveTrainingTest.java
+++ b/node/src/test/java/frostrelay/node/ClassArchiveTrainingTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The build archives the classes that this loads; one that goes wrong would leave a start slow
- * unseen.
+ * The build archives the classes that the training run loads; a failed run would go unnoticed and
+ * leave the start slow.
  */
 class ClassArchiveTrainingTest {
     @Test
--- a/node/src/test/java/frostrelay/node/DiscoveryClientTest.java
+++ b/node/src/test/java/frostrelay/node/DiscoveryClientTest.java
@@ -167,7 +167,7 @@
                             true,
                             NodeTestFixture.target("s-1", fakeServers[1].endpoint(), "Ready")));
             fakeDiscovery.awaitRequest("since=8");
-            // The sweep, four times a second, forgets what is gone and has no connection.
+            // The sweep, four times a second, forgets removed servers without connections.
             Thread.sleep(600);
             assertTrue(
                     fixture.loop.submit(() -> fixture.node.setAdminDrain("s-0", true)).get().get(),
@@ -295,7 +295,7 @@
             fixture.policyFactory = (settings, seed, actions) -> recordingPolicy(actions);
             fixture.start();
             assertEquals("CACHED 1", FakeDiscovery.awaitNext(listUpdates));
-            // The stand-in holds this call: it says nothing for as long as it has no answer.
+            // The fake discovery does not respond to this call while it has no prepared response.
             assertTrue(
                     FakeDiscovery.awaitNext(fakeDiscovery.requests)
                             .startsWith("GET /catalog/members?since=7&timeout_ms="));
@@ -307,8 +307,8 @@
             assertTrue(
                     unresponsiveMillis < 4_500,
                     "of the 6 s, some are the second call's: " + unresponsiveMillis);
-            // Both calls take an answer: the first one's connection is closed, and nobody may hear
-            // of it.
+            // Both calls get a response: the first one's connection is closed, so that its response
+            // must be ignored.
             fakeDiscovery.responses.add(FakeDiscovery.listResponse(8, false));
             fakeDiscovery.responses.add(FakeDiscovery.listResponse(8, false));
             assertEquals(
--- a/node/src/test/java/frostrelay/node/ReloadTest.java
+++ b/node/src/test/java/frostrelay/node/ReloadTest.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import java.util.function.UnaryOperator;
 
-/** New settings are taken whole or not at all, and what is open under the former ones goes on. */
+/** New settings are applied completely or not at all, and open requests keep the former ones. */
 class ReloadTest {
     private static Map<?, ?> json(String text) {
         return Json.parse(text.getBytes(StandardCharsets.UTF_8));
@@ -72,8 +72,7 @@
     }
 
     /**
-     * Lines are read byte by byte, settings as UTF-8: names beyond ASCII were unknown, and all of
-     * their requests answered so.
+     * Lines are read as bytes and settings as UTF-8: names beyond ASCII must be known all the same.
      */
     @Test
     void namesMayHaveAnyLetters() throws Exception {
@@ -192,8 +191,8 @@
     }
 
     /**
-     * At a start as well: an effect that nobody knows was once taken for the strictest, and a
-     * missing deadline for a second.
+     * At the start as well: an unknown effect must not be treated as the strictest, nor a missing
+     * deadline as one second.
      */
     @Test
     void anInvalidValueIsRejectedWithItsKey() {
--- a/node/src/test/java/frostrelay/node/ServerStartTimesTest.java
+++ b/node/src/test/java/frostrelay/node/ServerStartTimesTest.java
@@ -21,14 +21,14 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A server that has just started is cold whatever is done to the wall clock, and one that runs for
- * long stays warm.
+ * Steps of the wall clock neither make a server that has just started count as warm, nor one that
+ * has run for long as warming up.
  */
 class ServerStartTimesTest {
     private static final long NANOS_PER_SECOND = Clock.NANOS_PER_SECOND;
     private static final long NANOS_PER_HOUR = 3_600 * NANOS_PER_SECOND;
 
-    /** Own time and wall time at the beginning. */
+    /** The process's clock and the wall clock at the beginning. */
     private static final long START_NANOS = 1_000 * NANOS_PER_SECOND;
 
     private static final long START_WALL_CLOCK_NANOS = 1_700_000_000L * NANOS_PER_SECOND;
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Told in the old time, heard of in the new one: it did not run when the last list before the
-     * step came.
+     * A start reported in the old time but received after the step: the server did not run when the
+     * last list before the step was received.
      */
     @Test
     void aStartShortlyBeforeAStepIsNeverTakenForAnOldOne() {
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Through the program: the module hears of a start on its own clock, though the wall clock was
-     * set back by an hour meanwhile.
+     * End to end: the policy receives a start on the process's clock, although the wall clock was
+     * set back by an hour in the meantime.
      */
     @Test
     void thePolicyReceivesAStartOnItsLocalClock() throws Exception {
--- a/node/src/test/java/frostrelay/node/StopTest.java
+++ b/node/src/test/java/frostrelay/node/StopTest.java
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Past the time in which all can still be answered, of commands that came together the first
-     * alone was told so.
+     * After the time in which requests can still be answered, all of the commands that were read
+     * together must be rejected, not only the first.
      */
     @Test
     void allThatIsReadTooLateBeforeTheExitIsRejected() throws Exception {
@@ -105,8 +105,8 @@
             client.write(NodeTestFixture.NON_IDEMPOTENT_WRITE.replace("O2", "Oheld") + "\r\n");
             assertTrue(fakeServer.awaitCommand() != null);
             fixture.loop.submit(() -> fixture.node.stop(false, Clock.now())).get();
-            // With deadlines of 10 s what comes more than 600 ms behind the call could not be
-            // answered in time.
+            // With deadlines of 10 s, a request that arrives more than 600 ms after the call could
+            // not be answered in time.
             Thread.sleep(800);
             client.write(
                     NodeTestFixture.NON_IDEMPOTENT_WRITE
@@ -163,8 +163,8 @@
     }
 
     /**
-     * Beside caches that hang, at whatever moment of the shutdown a request comes, its answer must
-     * be there before SIGKILL may be.
+     * With unresponsive caches, a request that arrives at any time during the shutdown must be
+     * answered before SIGKILL may follow.
      */
     @Test
     void everyRequestThatComesDuringAShutdownIsAnsweredBeforeTheKill() throws Exception {
@@ -185,7 +185,7 @@
                     TestConnection client =
                             new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
                     clients.add(client);
-                    // Holds the connection open: what follows on it crosses no close.
+                    // Keeps the connection open, so that later requests do not cross a close.
                     client.write(nonIdempotentWrite("early" + i));
                 }
                 for (int i = 0; i < LATE_REQUEST_DELAYS_MILLIS.length; i++) {
@@ -233,8 +233,8 @@
     }
 
     /**
-     * A burst of connections was accepted whole before any of it was looked at: it ran out of
-     * descriptors, and the fault ended the event loop and with it the program.
+     * A burst of connections must not be accepted as a whole before any of it is handled, as that
+     * would exhaust the file descriptors and end the event loop.
      */
     @Test
     void aFloodOfConnectionsDoesNotRunOutOfDescriptors() throws Exception {
@@ -287,8 +287,8 @@
     }
 
     /**
-     * The new process serves at the same address before the old one ends, and nobody is turned away
-     * meanwhile.
+     * The new process serves at the same address before the old one ends, and no request is
+     * rejected in the meantime.
      */
     @Test
     void aSecondProcessTakesOverWithoutALoss() throws Exception {
@@ -310,7 +310,7 @@
                     oldProcess.destroy();
                     while (oldProcess.isAlive()) {
                         String response = requestOnce(port);
-                        // What the old socket held when it closed is asked again, as clients do.
+                        // Connections pending at the old socket's close are retried, as by clients.
                         assertEquals("HD O2 c77", response == null ? requestOnce(port) : response);
                     }
                     assertEquals(0, BalancerProcess.awaitExitCode(oldProcess));
--- a/node/src/test/java/frostrelay/node/net/ConnectorTest.java
+++ b/node/src/test/java/frostrelay/node/net/ConnectorTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** How a connection that comes to nothing is told. */
+/** How a failed connection is reported. */
 class ConnectorTest {
     private static boolean isReportedOnTheLoop(EventLoop loop, Bootstrap bootstrap)
             throws Exception {
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Without a descriptor there is no channel, and Netty told it on another thread: the pool and
-     * the module were run on two.
+     * Without a file descriptor there is no channel and Netty reports the failure on another
+     * thread: it must be handed to the loop, as the pool and the policy belong to one thread.
      */
     @Test
     void aFailureIsReportedOnTheLoopAlsoWhereNoDescriptorIsLeft() throws Exception {
