--- a/node/src/main/java/frostrelay/node/client/ClientListener.java
+++ b/node/src/main/java/frostrelay/node/client/ClientListener.java
@@ -3,7 +3,9 @@
 import frostrelay.node.lifecycle.ActionGuard;
 import frostrelay.node.log.Event;
 import frostrelay.node.log.Log;
+import frostrelay.node.memcache.MalformedCommandException;
 import frostrelay.node.memcache.MetaCommand;
+import frostrelay.node.memcache.MetaCommandParser;
 import frostrelay.node.memcache.MetaDecoder;
 import frostrelay.node.memcache.MetaFrame;
 import frostrelay.node.metrics.CloseReason;
@@ -672,8 +674,8 @@
             usedSinceIdle = true;
             PendingResponse pendingResponse = new PendingResponse(this);
             pendingResponses.add(pendingResponse);
-            if (frame.fault() != null) {
-                rejectMalformed(pendingResponse, frame.fault(), frame.last());
+            if (frame.errorResponse() != null) {
+                rejectMalformed(pendingResponse, frame.errorResponse(), frame.endsStream());
             } else {
                 execute(pendingResponse, next);
             }
@@ -721,11 +723,11 @@
             }
             try {
                 pendingResponse.command =
-                        new MetaCommand(next.frame, dispatcher.deploymentSettings());
+                        MetaCommandParser.parse(next.frame, dispatcher.deploymentSettings());
                 pendingResponse.activeRequest =
                         dispatcher.accept(pendingResponse.command, next.atNanos, pendingResponse);
                 hasSentValidCommand = true;
-            } catch (MetaCommand.MalformedCommandException e) {
+            } catch (MalformedCommandException e) {
                 rejectMalformed(pendingResponse, e.getMessage(), false);
             } catch (IdInUseException e) {
                 rejectMalformed(pendingResponse, "CLIENT_ERROR " + e.getMessage(), false);
--- a/node/src/main/java/frostrelay/node/memcache/MetaDecoder.java
+++ b/node/src/main/java/frostrelay/node/memcache/MetaDecoder.java
@@ -13,46 +13,60 @@
 import java.util.Set;
 
 /**
- * Cuts a byte stream into {@link MetaFrame}s, strictly and within bounds. A fault in the framing
- * itself (an overlong line, a length that cannot be, a data block without its end) is the last
- * frame of a stream: parsing on would take somebody's data for commands or answers.
+ * Cuts a byte stream into {@link MetaFrame}s, strictly and within bounds. A framing error (a line
+ * that is too long, an impossible length, a data block without its end) ends the stream: parsing
+ * further would take data for commands or responses, so all later bytes are skipped.
+ *
+ * <p>A short data block is buffered and delivered with its frame. A long one is delivered as a
+ * streamed frame, retained {@link ByteBuf} chunks and {@link MetaFrame#END_OF_VALUE}.
  */
 public final class MetaDecoder extends ByteToMessageDecoder {
-    /** Far above the longest honest line: a key of 250 bytes, an id and a list of figures. */
+    /** Far above the longest valid line: a key of 250 bytes, an id and a parameter list. */
     static final int MAX_LINE_BYTES = 2048;
 
     private static final int MAX_LENGTH_DIGITS = 9;
     private static final int CRLF_BYTES = 2;
+    private static final char DELETE_CHARACTER = 0x7f;
 
-    /** A value's buffer begins this small and grows with what arrives. */
+    /** The initial size of a value's buffer, which grows as data arrive. */
     private static final int INITIAL_BUFFER_BYTES = 1024;
 
     private static final String BAD_CHUNK_RESPONSE = "CLIENT_ERROR bad data chunk";
 
     /**
-     * Commands of the classic protocol that bring data: they are not served, and their data are no
-     * commands.
+     * Commands of the classic protocol that carry a data block. They are not served, and end the
+     * stream so that their data are not parsed as commands.
      */
     private static final Set<String> CLASSIC_STORAGE_COMMANDS =
             Set.of("set", "add", "replace", "append", "prepend", "cas");
 
+    private enum State {
+        /** At a frame boundary or within a line. */
+        LINE,
+        /** Within a data block that is delivered with its frame. */
+        BUFFERED_DATA,
+        /** Within a data block that is delivered in chunks. */
+        STREAMED_DATA,
+        /** Behind a framing error. */
+        FAILED
+    }
+
     private final String dataCommand;
     private final int lengthTokenIndex;
     private final int maxValueBytes;
     private final MemoryLimiter memoryLimiter;
 
-    /** The line whose data block is coming in, null between frames. */
+    private State state = State.LINE;
+
+    /** The line whose data block is being received; null between frames. */
     private List<String> pendingTokens;
 
+    /** The buffer of the data block, reserved with the memory limiter; null between frames. */
     private byte[] data;
+
     private int dataLength;
     private int receivedBytes;
 
-    /** The data block is handed on piece by piece. */
-    private boolean streaming;
-
-    private boolean failed;
-
     private MetaDecoder(
             String dataCommand,
             int lengthTokenIndex,
@@ -64,39 +78,36 @@
         this.memoryLimiter = memoryLimiter;
     }
 
-    /** Reads what clients send: {@code ms} brings data. */
+    /** Decodes commands of clients, of which {@code ms} carries a data block. */
     public static MetaDecoder forCommands(MemoryLimiter memoryLimiter) {
         return new MetaDecoder("ms", 2, MetaFrame.MAX_BUFFERED_VALUE_BYTES, memoryLimiter);
     }
 
-    /** Reads what cache hosts answer: {@code VA} brings data. */
+    /** Decodes responses of cache servers, of which {@code VA} carries a data block. */
     public static MetaDecoder forResponses(MemoryLimiter memoryLimiter) {
         return new MetaDecoder("VA", 1, MetaFrame.MAX_VALUE_BYTES, memoryLimiter);
     }
 
-    /** Whether the stream stands right between two frames, with not a byte of the next one here. */
+    /** Whether the last frame is complete and no byte of the next one has been received. */
     public boolean isAtFrameBoundary() {
-        return !failed && pendingTokens == null && actualReadableBytes() == 0;
+        return state == State.LINE && actualReadableBytes() == 0;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (failed) {
-            in.skipBytes(in.readableBytes());
-        } else if (streaming) {
-            readChunk(in, out);
-        } else if (pendingTokens != null) {
-            readData(in, out);
-        } else {
-            readLine(in, out);
+        switch (state) {
+            case FAILED -> in.skipBytes(in.readableBytes());
+            case STREAMED_DATA -> readChunk(in, out);
+            case BUFFERED_DATA -> readData(in, out);
+            case LINE -> readLine(in, out);
         }
     }
 
     private void failStream(String errorResponse, ByteBuf in, List<Object> out) {
-        failed = true;
         in.skipBytes(in.readableBytes());
-        dropData();
-        out.add(MetaFrame.fault(errorResponse, true));
+        endDataBlock();
+        state = State.FAILED;
+        out.add(MetaFrame.malformed(errorResponse, true));
     }
 
     private void readLine(ByteBuf in, List<Object> out) {
@@ -118,13 +129,30 @@
     }
 
     private void parseLine(String line, ByteBuf in, List<Object> out) {
+        List<String> tokens = splitTokens(line);
+        if (tokens == null) {
+            failStream("CLIENT_ERROR control character in line", in, out);
+            return;
+        }
+        if (tokens.isEmpty()) {
+            out.add(MetaFrame.malformed("ERROR", false));
+        } else if (CLASSIC_STORAGE_COMMANDS.contains(tokens.get(0))) {
+            failStream("ERROR", in, out);
+        } else if (!tokens.get(0).equals(dataCommand)) {
+            out.add(MetaFrame.of(tokens, null));
+        } else {
+            startData(tokens, in, out);
+        }
+    }
+
+    /** The words of a line; null if it contains a control character. */
+    private static List<String> splitTokens(String line) {
         List<String> tokens = new ArrayList<>();
         int tokenStart = 0;
         for (int i = 0; i <= line.length(); i++) {
             char c = i < line.length() ? line.charAt(i) : ' ';
-            if (c < ' ' || c == 0x7f) {
-                failStream("CLIENT_ERROR control character in line", in, out);
-                return;
+            if (c < ' ' || c == DELETE_CHARACTER) {
+                return null;
             }
             if (c == ' ') {
                 if (i > tokenStart) {
@@ -133,20 +161,12 @@
                 tokenStart = i + 1;
             }
         }
-        if (tokens.isEmpty()) {
-            out.add(MetaFrame.fault("ERROR", false));
-        } else if (CLASSIC_STORAGE_COMMANDS.contains(tokens.get(0))) {
-            failStream("ERROR", in, out);
-        } else if (!tokens.get(0).equals(dataCommand)) {
-            out.add(MetaFrame.of(tokens, null));
-        } else {
-            startData(tokens, in, out);
-        }
+        return tokens;
     }
 
     private void startData(List<String> tokens, ByteBuf in, List<Object> out) {
         String lengthText = tokens.size() > lengthTokenIndex ? tokens.get(lengthTokenIndex) : "";
-        if (lengthText.isEmpty() || !lengthText.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        if (!isDecimal(lengthText)) {
             failStream(BAD_CHUNK_RESPONSE, in, out);
         } else if (lengthText.length() > MAX_LENGTH_DIGITS
                 || Integer.parseInt(lengthText) > maxValueBytes) {
@@ -156,11 +176,22 @@
             dataLength = Integer.parseInt(lengthText);
             data = new byte[0];
             receivedBytes = 0;
-            streaming = dataLength > MetaFrame.MAX_BUFFERED_VALUE_BYTES;
-            if (streaming) {
+            if (dataLength > MetaFrame.MAX_BUFFERED_VALUE_BYTES) {
+                state = State.STREAMED_DATA;
                 out.add(MetaFrame.streamed(tokens));
+            } else {
+                state = State.BUFFERED_DATA;
+            }
+        }
+    }
+
+    private static boolean isDecimal(String text) {
+        for (int i = 0; i < text.length(); i++) {
+            if (text.charAt(i) < '0' || text.charAt(i) > '9') {
+                return false;
             }
         }
+        return !text.isEmpty();
     }
 
     private void readChunk(ByteBuf in, List<Object> out) {
@@ -170,7 +201,7 @@
             out.add(in.readRetainedSlice(chunkBytes));
         } else if (receivedBytes == dataLength && in.readableBytes() >= CRLF_BYTES) {
             if (consumeBlockEnd(in)) {
-                dropData();
+                endDataBlock();
                 out.add(MetaFrame.END_OF_VALUE);
             } else {
                 failStream(BAD_CHUNK_RESPONSE, in, out);
@@ -201,9 +232,10 @@
                 MetaFrame.of(
                         pendingTokens,
                         data.length == dataLength ? data : Arrays.copyOf(data, dataLength)));
-        dropData();
+        endDataBlock();
     }
 
+    /** Enlarges the buffer; false if the memory limit does not allow it. */
     private boolean grow(int minBytes) {
         int newBytes =
                 Math.min(
@@ -216,17 +248,18 @@
         return true;
     }
 
-    private void dropData() {
+    /** Releases the buffer of the present data block, if there is one. */
+    private void endDataBlock() {
         if (pendingTokens != null) {
             memoryLimiter.release(data.length);
             pendingTokens = null;
             data = null;
-            streaming = false;
+            state = State.LINE;
         }
     }
 
     @Override
     protected void handlerRemoved0(ChannelHandlerContext ctx) {
-        dropData();
+        endDataBlock();
     }
 }
--- a/node/src/main/java/frostrelay/node/memcache/MetaFrame.java
+++ b/node/src/main/java/frostrelay/node/memcache/MetaFrame.java
@@ -6,30 +6,38 @@
 import java.util.List;
 
 /**
- * One line of the meta protocol with its data block, in either direction. The data of a {@code
- * streamed} frame come behind it, piece by piece, up to {@link #END_OF_VALUE}. Where {@code fault}
- * is set the line broke the protocol and {@code fault} is what its sender should be told. Behind a
- * {@code last} frame nobody knows where the next line begins: nothing that follows may be read as
- * one.
+ * One line of the meta protocol with its data block, in either direction. Immutable.
+ *
+ * @param tokens the words of the line; empty where the line broke the protocol
+ * @param data the complete data block; null where there is none or it is streamed
+ * @param errorResponse the response to the sender of a line that broke the protocol; else null
+ * @param endsStream whether the next frame boundary is unknown, so that nothing behind this frame
+ *     may be parsed
+ * @param streamed whether the data block follows in chunks, up to {@link #END_OF_VALUE}
  */
 public record MetaFrame(
-        List<String> tokens, byte[] data, String fault, boolean last, boolean streamed)
+        List<String> tokens,
+        byte[] data,
+        String errorResponse,
+        boolean endsStream,
+        boolean streamed)
         implements UpstreamResponse {
-    /** Values may hold so many bytes. */
+    /** The largest value that is served. */
     public static final int MAX_VALUE_BYTES = 4 * 1024 * 1024;
 
-    /** Those up to here are gathered before they are passed on. */
+    /** Values up to this size are received completely before they are forwarded. */
     public static final int MAX_BUFFERED_VALUE_BYTES = 64 * 1024;
 
-    /** Stands behind the last piece of a streamed frame's data. */
+    /** Follows the last chunk of a streamed frame's data. */
     public static final MetaFrame END_OF_VALUE = new MetaFrame(List.of(), null, null, false, false);
 
+    /** A correct line; {@code data} is null where it has no data block. */
     public static MetaFrame of(List<String> tokens, byte[] data) {
         return new MetaFrame(tokens, data, null, false, false);
     }
 
-    static MetaFrame fault(String errorResponse, boolean last) {
-        return new MetaFrame(List.of(), null, errorResponse, last, false);
+    static MetaFrame malformed(String errorResponse, boolean endsStream) {
+        return new MetaFrame(List.of(), null, errorResponse, endsStream, false);
     }
 
     static MetaFrame streamed(List<String> tokens) {
@@ -59,13 +67,14 @@
         return flagToken(1, 'L');
     }
 
+    /** Whether the line has a token at this index that equals the given one. */
     public boolean tokenEquals(int index, String token) {
         return index < tokens.size() && tokens.get(index).equals(token);
     }
 
     /**
-     * The token of a flag behind the first {@code fromIndex} words, without its letter; null if
-     * absent.
+     * The argument of the first flag with this letter, at {@code fromIndex} or behind it; null if
+     * the flag is absent.
      */
     public String flagToken(int fromIndex, char letter) {
         for (int i = fromIndex; i < tokens.size(); i++) {
--- a/node/src/main/java/frostrelay/node/upstream/UpstreamConnectionPool.java
+++ b/node/src/main/java/frostrelay/node/upstream/UpstreamConnectionPool.java
@@ -517,8 +517,8 @@
             if (isMalformed) {
                 counters.warn(
                         "a cache host broke the protocol: "
-                                + (response.fault() != null
-                                        ? response.fault()
+                                + (response.errorResponse() != null
+                                        ? response.errorResponse()
                                         : response.tokens()));
             }
             completeAttempt(
@@ -566,7 +566,7 @@
 
         /** What an answer means; null for what the protocol does not allow. */
         private static AttemptResult classify(ClientRequest clientRequest, MetaFrame response) {
-            if (response.fault() != null) {
+            if (response.errorResponse() != null) {
                 return null;
             }
             if (response.tokenEquals(0, "SERVER_ERROR")) {
--- a/node/src/test/java/frostrelay/node/BadInputTest.java
+++ b/node/src/test/java/frostrelay/node/BadInputTest.java
@@ -219,8 +219,8 @@
         write(otherChannel, "ms 1 65536 O1\r\n" + "y".repeat(40_000));
         write(channel, "x".repeat(62_536) + "\r\n");
         MetaFrame frame = channel.readInbound();
-        assertEquals("SERVER_ERROR out of memory", frame.fault());
-        assertTrue(frame.last());
+        assertEquals("SERVER_ERROR out of memory", frame.errorResponse());
+        assertTrue(frame.endsStream());
         write(otherChannel, "y".repeat(25_536) + "\r\n");
         frame = otherChannel.readInbound();
         assertEquals(65_536, frame.data().length);
--- a/node/src/test/java/frostrelay/node/OrderTest.java
+++ b/node/src/test/java/frostrelay/node/OrderTest.java
@@ -12,6 +12,7 @@
 import frostrelay.node.lifecycle.DescriptorUsage;
 import frostrelay.node.lifecycle.SharedDirectory;
 import frostrelay.node.memcache.MetaCommand;
+import frostrelay.node.memcache.MetaCommandParser;
 import frostrelay.node.memcache.MetaFrame;
 import frostrelay.node.metrics.Counters;
 import frostrelay.node.net.MemoryLimiter;
@@ -393,7 +394,7 @@
                 };
         try {
             MetaCommand command =
-                    new MetaCommand(
+                    MetaCommandParser.parse(
                             MetaFrame.of(
                                     List.of("ms", "1", "1", "O1", "Pc=copy,t=acme,d=100"),
                                     new byte[] {'x'}),
