--- a/node/src/main/java/frostrelay/node/memcache/MetaDecoder.java
+++ b/node/src/main/java/frostrelay/node/memcache/MetaDecoder.java
@@ -100,6 +100,7 @@
             case STREAMED_DATA -> readChunk(in, out);
             case BUFFERED_DATA -> readData(in, out);
             case LINE -> readLine(in, out);
+            default -> throw new IllegalStateException("unexpected state " + state);
         }
     }
 
