--- a/node/src/main/java/frostrelay/node/client/ConnectionLimiter.java
+++ b/node/src/main/java/frostrelay/node/client/ConnectionLimiter.java
@@ -14,62 +14,58 @@
 import java.util.Set;
 
 /**
- * Limits how many clients' connections are open, and decides which quiet one is closed to make room
- * for another. Runs on the event loop.
+ * Limits how many clients' connections are open, and chooses the idle one that is evicted for
+ * another. Runs on the event loop.
  */
 final class ConnectionLimiter<C extends ConnectionLimiter.LimitedConnection> {
-    /** A connection as far as the limiter deals with it. */
+    /** What the limiter needs of a connection. */
     interface LimitedConnection {
-        /** Since when it has been as it is: when it came, fell idle, or began to end. */
+        /** When it was accepted, became idle, or started to close its output. */
         long stateSinceNanos();
 
-        /** It has to go, to make room. */
+        /** Closes it, as its place is needed. */
         void evict();
 
-        /** There is no room for it: all it may get is a refusal. */
+        /** It exceeds the limit: its requests are to be rejected. */
         void rejectRequests();
     }
 
-    /**
-     * Connections on which nothing is going on, by what they are; in the order in which they make
-     * room.
-     */
+    /** The kinds of idle connections, in the order in which they are evicted. */
     enum IdleState {
-        /**
-         * This end's output has ended, and only the client's end is waited for: there is nothing on
-         * them to lose.
-         */
+        /** Their output is closed and only the client's end is awaited: nothing can be lost. */
         CLOSING,
-        /** They never brought a good command, or brought a bad one. */
+        /** They have sent no valid command, or an invalid one. */
         UNPROVEN,
-        /** They were served before. */
+        /** They have been served before. */
         IDLE
     }
 
     /**
-     * No connection that has yet to speak is closed sooner to make room: its command may be on its
-     * way.
+     * A connection without a command is not evicted before this age: its first command may be on
+     * its way.
      */
     private static final long MIN_UNPROVEN_AGE_NANOS = 100 * Clock.NANOS_PER_MILLISECOND;
 
-    /** So large a part of all connections without a good command is a crowd. */
+    /** More unproven connections than the limit divided by this count as a flood. */
     private static final int UNPROVEN_FLOOD_DIVISOR = 4;
 
     private final EventLoop loop;
     private final int maxOverflow;
     private final Set<C> openConnections = new LinkedHashSet<>();
 
-    /** Each in the order in which they fell quiet, the first for the longest time. */
+    /** Each in the order in which they became idle, the longest idle first. */
     private final Map<IdleState, Set<C>> idleByState = new EnumMap<>(IdleState.class);
 
-    /** Those that came while there was no room, and have not been given any yet. */
+    /** Connections that were accepted above the limit, for which none has been evicted yet. */
     private final Queue<C> awaitingCapacity = new ArrayDeque<>();
 
     private int maxConnections;
 
     /**
-     * {@code maxOverflow}: connections over {@code maxConnections} that are kept just to be
-     * refused.
+     * Creates a limiter without connections.
+     *
+     * @param maxOverflow connections above {@code maxConnections} that are admitted to reject their
+     *     requests
      */
     ConnectionLimiter(EventLoop loop, int maxConnections, int maxOverflow) {
         this.loop = loop;
@@ -80,9 +76,7 @@
         }
     }
 
-    /**
-     * From now on so many connections are held at most; idle ones make room as further ones come.
-     */
+    /** Changes the limit; idle connections above it are evicted as further ones are admitted. */
     void setMaxConnections(int newMax) {
         maxConnections = newMax;
     }
@@ -91,14 +85,14 @@
         return openConnections.size();
     }
 
-    /** All that are open now, safe against changes. */
+    /** A copy of the connections that are open now. */
     List<C> openConnections() {
         return List.copyOf(openConnections);
     }
 
     /**
-     * Takes a new connection, for which room is looked for if there is none; false if it cannot
-     * even be refused.
+     * Admits a new connection and, above the limit, evicts another one or has its requests
+     * rejected; false if it must be closed at once.
      */
     boolean admit(C connection) {
         if (openConnections.size() >= maxConnections + maxOverflow
@@ -116,28 +110,26 @@
         return true;
     }
 
-    /**
-     * Nothing is going on on a connection; false if that was so before, as it then keeps its place.
-     */
+    /** Registers a connection as idle; false if it was already, as it then keeps its place. */
     boolean markIdle(C connection, IdleState idleState) {
         return idleByState.get(idleState).add(connection);
     }
 
-    /** Something is going on on a connection, or may be. */
+    /** A connection is in use, or may be. */
     void markBusy(C connection) {
         idleByState.values().forEach(connections -> connections.remove(connection));
     }
 
-    /** A connection is not open any more, or will not be within this turn of the loop. */
+    /** A connection is closed, or will be within this turn of the loop. */
     void remove(C connection) {
         openConnections.remove(connection);
         markBusy(connection);
     }
 
     /**
-     * Finds room for those that came without any. It runs behind the reads of the same turn of the
-     * loop: a connection whose command was waiting to be read is not idle any more, and would be
-     * lost by a close.
+     * Evicts connections for those that were admitted above the limit. Runs after the reads of the
+     * same turn of the loop: a connection whose command was waiting to be read is not idle any
+     * more, and closing it would lose the command.
      */
     private void evictForWaiting() {
         for (C connection = awaitingCapacity.poll();
@@ -152,8 +144,8 @@
     }
 
     private boolean evictAny() {
-        // In a crowd that says nothing all are young: good idle connections must not make room for
-        // it.
+        // In a flood of unproven connections all are young: idle connections of proven clients must
+        // not be evicted for it.
         long minAgeNanos =
                 idleByState.get(IdleState.UNPROVEN).size() > maxConnections / UNPROVEN_FLOOD_DIVISOR
                         ? 0
--- a/node/src/main/java/frostrelay/node/client/ReadAhead.java
+++ b/node/src/main/java/frostrelay/node/client/ReadAhead.java
@@ -14,29 +14,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reads a client's connection ahead of what is served from it, as bytes and within a bound: the end
- * of a connection shows only behind all that was sent on it, and its client must be seen to leave
- * while its earlier commands are out. Runs on the event loop.
+ * Reads a client's connection ahead of the commands that are served from it, as bytes and within a
+ * bound: a disconnect is read only behind all bytes sent before it, and must be detected while
+ * earlier commands are in flight. Runs on the event loop.
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
-    /** Far more than honest clients send at once: hundreds of commands. */
+    /** More than well-behaved clients send at once: hundreds of commands. */
     private static final int MAX_BUFFERED_BYTES = 128 * 1024;
 
-    /** Handed on at a time: as few commands as can be are cut apart before their turn. */
+    /** Passed to the decoder at a time, so that few commands are decoded before their turn. */
     private static final int CHUNK_BYTES = 4 * 1024;
 
-    /** The loop reads before it runs what falls due after this. */
+    /** The loop reads its sockets before it runs a task with this delay. */
     private static final long NEXT_TURN_MILLIS = 1;
 
-    /** Bytes that come within this of one another count as having come with the first of them. */
+    /** Bytes that arrive within this time count as having arrived with the first of them. */
     private static final long SAME_ARRIVAL_NANOS = 5 * Clock.NANOS_PER_MILLISECOND;
 
-    /**
-     * What waited while the connection was not read is read within this of its being read again.
-     */
+    /** After reading resumes, bytes that had arrived during the pause are read within this time. */
     private static final long RESUME_WINDOW_NANOS = 20 * Clock.NANOS_PER_MILLISECOND;
 
-    /** Bytes that have come together. */
+    /** Bytes that arrived together. */
     private static final class Arrival {
         final long atNanos;
         int remainingBytes;
@@ -47,19 +45,21 @@
         }
     }
 
-    /** Hears of what has come. */
+    /** Is notified of what has been read. */
     interface Listener {
-        /** Some bytes wait to be {@link #feedDecoder fed}. */
+        /** Bytes wait for {@link #feedDecoder}. */
         void onBytesBuffered();
 
         /**
-         * All that had come has been read, or what one turn may read and the next; {@code
-         * hasBytes}: something was.
+         * All that had arrived has been read, or as much as this turn of the loop and the next may
+         * read.
+         *
+         * @param hasBytes whether anything was read
          */
         void onReadComplete(boolean hasBytes);
     }
 
-    /** Bytes that wait, over all connections. */
+    /** Bytes that wait for a decoder, over all connections. */
     static final class BufferedTotal {
         private static final long MAX_TOTAL_BYTES = 2L * 1024 * 1024;
         private long bytes;
@@ -68,32 +68,32 @@
     private final Listener listener;
     private final BufferedTotal bufferedTotal;
 
-    /** Reads of one turn of the loop; after so many there may be more. */
+    /** Reads per turn of the loop; after this many more bytes may be waiting. */
     private final int maxReadsPerTurn;
 
     private ChannelHandlerContext context;
     private ByteBuf buffer = Unpooled.EMPTY_BUFFER;
 
-    /** When the held bytes came, in their order. */
+    /** When the buffered bytes arrived, in their order. */
     private final Deque<Arrival> arrivals = new ArrayDeque<>(1);
 
-    /** When the piece came that was handed on last. */
+    /** When the bytes that were passed on last had arrived. */
     private long arrivedAtNanos;
 
     /**
-     * Since when nothing was read on purpose, and when that ended; what is read right behind may
-     * have come at the first. 0 for neither.
+     * When reading was paused, and when it resumed; bytes read shortly after may have arrived at
+     * any time since the pause began. 0 for neither.
      */
     private long pausedSinceNanos;
 
     private long resumedAtNanos;
 
-    /** Since when more may have come than was read; 0 while all has been. */
+    /** Since when unread bytes may have been waiting; 0 while all are read. */
     private long behindSinceNanos;
 
     private int readsThisTurn;
 
-    /** Turns of the loop in which it was read. */
+    /** Turns of the loop in which this connection was read. */
     private long turnCount;
 
     private boolean discarding;
@@ -143,13 +143,13 @@
         }
     }
 
-    /** The connection is not read for now: what comes meanwhile has come before it is read. */
+    /** Reading is paused: bytes that arrive meanwhile count from the start of the pause. */
     void markPaused() {
         pausedSinceNanos = pausedSinceNanos == 0 ? Clock.now() : pausedSinceNanos;
         resumedAtNanos = 0;
     }
 
-    /** It is read again; true if it was not until now. */
+    /** Reading resumes; true if it was paused. */
     boolean markResumed() {
         boolean wasPaused = pausedSinceNanos != 0 && resumedAtNanos == 0;
         resumedAtNanos = wasPaused ? Clock.now() : resumedAtNanos;
@@ -157,8 +157,8 @@
     }
 
     /**
-     * Since when the end of the connection would not be seen; {@link ActionGuard#NEVER} while it
-     * would.
+     * Since when a disconnect would have gone undetected; {@link ActionGuard#NEVER} while it would
+     * be detected.
      */
     long disconnectUndetectableSince(long now) {
         boolean wasPaused =
@@ -173,14 +173,14 @@
         resumedAtNanos = 0;
     }
 
-    /** When the bytes came that were handed on last. */
+    /** When the bytes that were passed to the decoder last had arrived. */
     long arrivedAtNanos() {
         return arrivedAtNanos;
     }
 
     /**
-     * Where as much was read as is at once, nothing is begun before the next turn has looked for
-     * more, and for the end.
+     * Where this turn has read as much as it may, no command is begun before the next turn has read
+     * more bytes, or the disconnect.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -199,8 +199,8 @@
     }
 
     /**
-     * What a task of this turn schedules runs in the next one, behind its reads: if there were
-     * none, all had been read.
+     * A task that a scheduled task schedules runs after the reads of the next turn: if there were
+     * none by then, all bytes had been read.
      */
     private void awaitNextTurn(long turn) {
         context.executor()
@@ -225,15 +225,12 @@
         behindSinceNanos = 0;
     }
 
-    /**
-     * Whether it is being read and more may have come: the end of the connection may stand right
-     * behind.
-     */
+    /** Whether reading is not paused and unread bytes may wait, with the disconnect behind them. */
     boolean isBehind() {
         return behindSinceNanos != 0 && pausedSinceNanos == 0;
     }
 
-    /** Whether to read on: one connection alone, or all together, may leave so much unserved. */
+    /** Whether to read on, within the limits of this connection and of all together. */
     boolean hasCapacity() {
         return !buffer.isReadable()
                 || buffer.readableBytes() < MAX_BUFFERED_BYTES
@@ -244,7 +241,7 @@
         return !buffer.isReadable();
     }
 
-    /** Hands some bytes on to be decoded; false if there are none. */
+    /** Passes some bytes to the decoder; false if there are none. */
     boolean feedDecoder() {
         if (isEmpty()) {
             return false;
@@ -266,7 +263,7 @@
         return true;
     }
 
-    /** From now on nothing that comes is handed on any more, as nothing will be answered. */
+    /** From now on drops all bytes, as no command will be answered any more. */
     void discard() {
         discarding = true;
         releaseBuffer();
