--- a/node/src/main/java/frostrelay/node/client/ConnectionLifecycle.java
+++ b/node/src/main/java/frostrelay/node/client/ConnectionLifecycle.java
@@ -36,7 +36,7 @@
         closeReason = closeReason == null ? reason : closeReason;
     }
 
-    /** A value was broken off, which is the reason for the close whatever was to be it before. */
+    /** A value was broken off; this replaces any earlier reason. */
     void onValueBroken() {
         closeReason = CloseReason.VALUE_BROKEN;
     }
--- a/node/src/main/java/frostrelay/node/proxy/Attempt.java
+++ b/node/src/main/java/frostrelay/node/proxy/Attempt.java
@@ -4,36 +4,38 @@
 
 import io.netty.util.concurrent.Future;
 
-/** One send of a request to a cache host; numbered by its place among the request's sends. */
+/** One attempt to send a request to a cache server; the request's first one has the number 0. */
 public final class Attempt {
+    /** The request that it belongs to. */
     public final ActiveRequest activeRequest;
+
     final int number;
 
-    /** The host that it goes to, by its number on the list. */
+    /** The server that it is sent to. */
     final long serverId;
 
     final long sentAtNanos;
     final long timeoutAtNanos;
 
-    /** Which stamp it was decided on under, by its number in this life. */
+    /** The applied version that it was decided on under, by its number in this incarnation. */
     final int appliedVersionIndex;
 
-    /** Set once, with the attempt's one outcome. */
+    /** Whether it has its one outcome. */
     boolean completed;
 
-    /** That outcome; null before. */
+    /** Its outcome; null before. */
     AttemptResult result;
 
-    /** Whether it went out whole. */
+    /** Whether its write has been started. */
     boolean writeStarted;
 
-    /** Ends the wait at {@link #timeoutAtNanos}. */
+    /** Times it out at {@link #timeoutAtNanos}; null if it never was sent. */
     Future<?> timeoutTask;
 
-    /** The milliseconds that its server was told it is waited for; 0 before it is written. */
+    /** The timeout in milliseconds that its server was given; 0 before it is written. */
     public long announcedTimeoutMillis;
 
-    /** What carries it, or will once it is up; null before and after. */
+    /** The connection that carries it, or will once it is open; null before and after. */
     public Upstream.AttemptConnection connection;
 
     Attempt(
@@ -51,7 +53,7 @@
         this.appliedVersionIndex = appliedVersionIndex;
     }
 
-    /** Whether its last byte has left: from then on it may run. */
+    /** Whether its last byte has been sent: from then on it may run. */
     boolean isWritten() {
         return connection != null && connection.isWritten();
     }
--- a/node/src/main/java/frostrelay/node/proxy/ClientRequest.java
+++ b/node/src/main/java/frostrelay/node/proxy/ClientRequest.java
@@ -4,35 +4,37 @@
 import io.netty.buffer.ByteBufAllocator;
 
 /**
- * What a client asks for, checked, whatever protocol it speaks: as much as a request's life needs
- * to know of it.
+ * A valid request of a client, in whatever protocol, as far as its handling depends on it.
+ * Immutable.
  */
 public interface ClientRequest {
-    /** Under which its hosts know the request. */
+    /** The id by which servers know the request. */
     String id();
 
-    /** Its class and tenant, by their numbers in the settings. */
+    /** Its class, by the number in the settings. */
     int requestClass();
 
+    /** Its tenant, by the number in the settings. */
     int tenant();
 
-    /** The key as the module's number. */
+    /** The key as a number for the policy. */
     long numericKey();
 
-    /** How long the client waits, in milliseconds. */
+    /** The client's timeout in milliseconds. */
     long clientTimeoutMillis();
 
-    /** Expected work in nanoseconds, 0 if not told. */
+    /** Expected work in nanoseconds; 0 if unknown. */
     long expectedWorkNanos();
 
-    /** Whether the client says that it asks again. */
+    /** Whether the client marks the request as a retry of its own. */
     boolean isClientRetry();
 
+    /** Whether it changes what is stored. */
     boolean isWrite();
 
-    /** Bytes that it holds until it is over. */
+    /** Bytes of memory that it occupies until it is over. */
     int sizeBytes();
 
-    /** As a host is told it, with how long is left to wait. */
+    /** Encodes it for a server, with the remaining timeout. The caller releases the buffer. */
     ByteBuf encode(ByteBufAllocator alloc, long remainingMillis);
 }
--- a/node/src/main/java/frostrelay/node/proxy/DecisionObserver.java
+++ b/node/src/main/java/frostrelay/node/proxy/DecisionObserver.java
@@ -10,55 +10,64 @@
 import java.util.List;
 import java.util.Set;
 
-/** Hears what a balancer acts on, just before it does, and what it does. On the event loop. */
+/**
+ * Is notified of the state that decisions are based on, just before it is applied, and of the
+ * decisions. Called on the event loop. All methods have defaults that do nothing.
+ */
 public interface DecisionObserver {
-    /** Where nobody wants to know. */
+    /** Ignores everything. */
     DecisionObserver NONE = new DecisionObserver() {};
 
-    /** The list is applied; what failed changes nothing. */
+    /** An update of the endpoint list is applied; one that failed changes nothing. */
     default void onEndpointList(
             EndpointUpdateMode mode, long revision, List<EndpointList.Endpoint> members) {}
 
+    /** A configuration is applied. */
     default void onConfig(Config config) {}
 
-    /** Operators hold these out of use, by the names that the list has for them. */
+    /** Operators drain these servers now, by their names in the endpoint list. */
     default void onAdminDrains(Set<String> names) {}
 
-    /** A configuration that was not taken. */
+    /** A configuration was invalid and is not applied. */
     default void onConfigRejected(String reason) {}
 
-    /** The number of the stamp that decisions are made under now. */
+    /** The number of the applied version that decisions are made under now. */
     default int versionSequence() {
         return 0;
     }
 
-    /** The number that a cache goes by here. */
+    /** The number of a cache server in these events. */
     default int cacheNumber(String uid) {
         return 0;
     }
 
     /**
-     * An attempt is written; {@code versionSequence}: the stamp it was decided on under; {@code
-     * hedged}: another is still out.
+     * An attempt is about to be written.
+     *
+     * @param versionSequence the applied version that it was decided on under
+     * @param cache the {@link #cacheNumber} of its server
+     * @param hedged whether an earlier attempt of the request is still in flight
      */
     default void onAttemptSent(
             int versionSequence, int cache, int attempt, boolean hedged, ClientRequest request) {}
 
     /**
-     * An attempt at a cache, begun at {@code sentAtNanos}, has ended and told this of it; {@code
-     * cache}: its number on the list.
+     * An attempt has ended and shows this of its server's health.
+     *
+     * @param cache the id of its server in the endpoint list
+     * @param sentAtNanos when the attempt was started
      */
     default void onAttemptObserved(long cache, AttemptObservation observation, long sentAtNanos) {}
 
-    /** A request is taken; {@code clientRetry}: its client asked before. */
+    /** A request is accepted, which the client may have marked as a retry. */
     default void onRequestAccepted(boolean clientRetry) {}
 
     /** An attempt that was written has ended. */
     default void onAttemptCompleted(AttemptResult result, ResponseSource source) {}
 
-    /** A request is refused by decision. */
+    /** A request is rejected. */
     default void onRequestRejected() {}
 
-    /** A request is given up by decision. */
+    /** A request is given up, of which an attempt may have run. */
     default void onRequestFailed() {}
 }
--- a/node/src/main/java/frostrelay/node/proxy/IdInUseException.java
+++ b/node/src/main/java/frostrelay/node/proxy/IdInUseException.java
@@ -1,6 +1,9 @@
 package frostrelay.node.proxy;
 
-/** Hosts know requests by their ids alone, and another one is open under this. */
+/**
+ * Another request with the same id is open, and servers know requests by their ids alone. Made
+ * without a stack trace, as clients can cause any number of these.
+ */
 public final class IdInUseException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- /dev/null
+++ b/node/src/main/java/frostrelay/node/proxy/RequestCompletion.java
@@ -0,0 +1,65 @@
+package frostrelay.node.proxy;
+
+import frostrelay.node.lifecycle.ActionGuard;
+import frostrelay.node.metrics.Counters;
+import frostrelay.node.metrics.InvariantViolation;
+import frostrelay.node.metrics.RejectionReason;
+import frostrelay.node.time.Clock;
+
+/** Gives requests their one final response, and checks that it is not late. */
+final class RequestCompletion {
+    /**
+     * A final response that is later than this has another cause than a stall of this process
+     * within its limit.
+     */
+    private static final long MAX_LATENESS_NANOS =
+            ActionGuard.MAX_PROCESS_STALL_NANOS + 50 * Clock.NANOS_PER_MILLISECOND;
+
+    private final Counters counters;
+    private final DecisionObserver observer;
+    private final RequestTable requestTable;
+
+    RequestCompletion(Counters counters, DecisionObserver observer, RequestTable requestTable) {
+        this.counters = counters;
+        this.observer = observer;
+        this.requestTable = requestTable;
+    }
+
+    /** Rejects a request; {@code retryAfterMillis} is 0 if the client is told no time. */
+    void reject(ActiveRequest activeRequest, RejectionReason reason, long retryAfterMillis) {
+        counters.rejected(reason);
+        activeRequest.trace("rejected", reason);
+        observer.onRequestRejected();
+        if (markCompleted(activeRequest)) {
+            activeRequest.client.onRejected(retryAfterMillis);
+        }
+    }
+
+    /** Gives up a request, of which an attempt may have run. */
+    void fail(ActiveRequest activeRequest) {
+        counters.failed++;
+        activeRequest.trace("failed", null);
+        observer.onRequestFailed();
+        if (markCompleted(activeRequest)) {
+            activeRequest.client.onFailed();
+        }
+    }
+
+    /** Closes a request; true the first time only, so that there is never a second response. */
+    boolean markCompleted(ActiveRequest activeRequest) {
+        if (!activeRequest.markCompleted()) {
+            return false;
+        }
+        long latenessNanos = activeRequest.latenessNanos(Clock.now());
+        if (latenessNanos > MAX_LATENESS_NANOS) {
+            counters.recordViolation(
+                    InvariantViolation.UNANSWERED,
+                    activeRequest.clientRequest.id()
+                            + ": for "
+                            + latenessNanos / Clock.NANOS_PER_MILLISECOND
+                            + " ms past its time");
+        }
+        requestTable.onCompleted(activeRequest);
+        return true;
+    }
+}
--- /dev/null
+++ b/node/src/main/java/frostrelay/node/proxy/SendGuard.java
@@ -0,0 +1,110 @@
+package frostrelay.node.proxy;
+
+import frostrelay.node.config.CurrentSettings;
+import frostrelay.node.lifecycle.ActionGuard;
+import frostrelay.node.metrics.Counters;
+import frostrelay.node.metrics.InvariantViolation;
+import frostrelay.node.time.Clock;
+import frostrelay.policy.api.RequestClass;
+
+/**
+ * Collects for {@link ActionGuard} what is known of an attempt, immediately before its write, and
+ * checks the write once more when it is done.
+ */
+final class SendGuard {
+    private final ActionGuard guard;
+    private final CurrentSettings currentSettings;
+    private final Counters counters;
+
+    SendGuard(ActionGuard guard, CurrentSettings currentSettings, Counters counters) {
+        this.guard = guard;
+        this.currentSettings = currentSettings;
+        this.counters = counters;
+    }
+
+    /** See {@link Upstream.Listener#maySend}. */
+    ActionGuard.SendDecision check(Attempt attempt, long sendAllowedUntilNanos) {
+        long now = Clock.now();
+        return guard.checkSend(now, pendingSend(now, attempt, sendAllowedUntilNanos));
+    }
+
+    /** See {@link Upstream.Listener#remainingTimeoutNanos}. */
+    long remainingTimeoutNanos(Attempt attempt) {
+        return guard.forwardedTimeoutNanos(
+                Clock.now(), attempt.timeoutAtNanos, attempt.activeRequest.deadlineNanos);
+    }
+
+    private ActionGuard.PendingSend pendingSend(
+            long now, Attempt attempt, long sendAllowedUntilNanos) {
+        ActiveRequest activeRequest = attempt.activeRequest;
+        return new ActionGuard.PendingSend(
+                activeRequest.completed,
+                activeRequest.client.disconnectUndetectableSince(now),
+                attempt.timeoutAtNanos,
+                activeRequest.deadlineNanos,
+                sendAllowedUntilNanos,
+                retryAllowedUntilNanos(attempt));
+    }
+
+    /**
+     * Until when an attempt may be sent, given what the attempts before it may have done; {@link
+     * ActionGuard#NEVER} for no limit.
+     */
+    private long retryAllowedUntilNanos(Attempt attempt) {
+        for (int i = 0; i < attempt.number; i++) {
+            Attempt earlier = attempt.activeRequest.attempts.get(i);
+            if (earlier.result == null || !earlier.result.neverRan) {
+                RequestClass current =
+                        currentSettings
+                                .get()
+                                .policySettings
+                                .classes()
+                                .get(attempt.activeRequest.clientRequest.requestClass());
+                return Math.min(
+                        retryAllowedUntilNanos(attempt.activeRequest.requestClass, earlier),
+                        retryAllowedUntilNanos(current, earlier));
+            }
+        }
+        return ActionGuard.NEVER;
+    }
+
+    private static long retryAllowedUntilNanos(RequestClass requestClass, Attempt attempt) {
+        return switch (requestClass.idempotency()) {
+            case IDEMPOTENT -> ActionGuard.NEVER;
+            case IDEMPOTENCY_KEY ->
+                    attempt.sentAtNanos
+                            + requestClass.deduplicationWindowNanos()
+                            - ActionGuard.MAX_PROCESS_STALL_NANOS;
+            case NOT_IDEMPOTENT -> attempt.sentAtNanos;
+        };
+    }
+
+    /**
+     * Checks a write again with a new reading of the clock, and records a violation if this process
+     * stalled before it for longer than the guard allows for.
+     */
+    void verifyWritten(Attempt attempt, long sendAllowedUntilNanos) {
+        long now = Clock.now();
+        ActionGuard.SendDecision decision =
+                guard.checkSend(
+                        now - ActionGuard.MAX_PROCESS_STALL_NANOS,
+                        pendingSend(now, attempt, sendAllowedUntilNanos));
+        if (decision != ActionGuard.SendDecision.ALLOWED) {
+            counters.recordViolation(
+                    InvariantViolation.WRITTEN_AGAINST_GUARD,
+                    attempt.activeRequest.clientRequest.id() + ": " + decision);
+        }
+        long overstatedNanos =
+                now
+                        + attempt.announcedTimeoutMillis * Clock.NANOS_PER_MILLISECOND
+                        - attempt.activeRequest.deadlineNanos;
+        if (overstatedNanos > ActionGuard.MAX_PROCESS_STALL_NANOS) {
+            counters.recordViolation(
+                    InvariantViolation.DEADLINE_OVERSTATED,
+                    attempt.activeRequest.clientRequest.id()
+                            + ": by "
+                            + overstatedNanos / Clock.NANOS_PER_MILLISECOND
+                            + " ms");
+        }
+    }
+}
--- a/node/src/main/java/frostrelay/node/proxy/UpstreamResponse.java
+++ b/node/src/main/java/frostrelay/node/proxy/UpstreamResponse.java
@@ -2,20 +2,20 @@
 
 import frostrelay.policy.api.ResponseSource;
 
-/** What a host served a request with, whatever protocol it speaks. */
+/** A server's successful response, in whatever protocol. Immutable. */
 public interface UpstreamResponse {
-    /** The value of a read; null where it is still coming, in pieces. */
+    /** The value of a read; null for a long one, which is streamed. */
     byte[] data();
 
-    /** Bytes of the value, whole. */
+    /** The complete length of the value in bytes. */
     long valueBytes();
 
-    /** What a write was confirmed with. */
+    /** The receipt that confirms a write. */
     String receipt();
 
-    /** Where the value came from, for a host that tells. */
+    /** Where the value came from, if the server reports it. */
     ResponseSource source();
 
-    /** What the host says of its load; null if it says nothing. */
+    /** The server's load report; null if it sent none. */
     String loadReport();
 }
--- a/node/src/main/java/frostrelay/node/proxy/ValueStream.java
+++ b/node/src/main/java/frostrelay/node/proxy/ValueStream.java
@@ -6,29 +6,29 @@
 import java.util.Queue;
 
 /**
- * One long value on its way from a host to a client, in pieces that neither end gathers: the host
- * is read only while the client takes what comes. Until the client's end is attached, and its turn
- * has come, at most what one read brought waits here.
+ * One long value on its way from a server to a client, in chunks that neither end collects: the
+ * server is read only while the client takes them. Until the client's end is attached, at most the
+ * chunks of one read are buffered here. Runs on the event loop.
  */
 public final class ValueStream {
-    /** The host's end. */
+    /** The server's end. */
     public interface Source {
-        /** Whether further pieces are wanted now. */
+        /** Whether further chunks are wanted now. */
         void setDemand(boolean wantsMore);
 
-        /** Nobody wants the rest. */
+        /** The rest is not wanted. */
         void cancel();
     }
 
     /** The client's end. */
     public interface Sink {
-        /** Takes over a piece. */
+        /** Takes ownership of a chunk. */
         void onChunk(ByteBuf chunk);
 
-        /** The value is whole. */
+        /** The value is complete. */
         void onStreamComplete();
 
-        /** The rest will never come: the client must be able to tell. */
+        /** The rest will never arrive, which the client must be able to recognise. */
         void onStreamFailed();
     }
 
@@ -44,14 +44,15 @@
     private State state = State.OPEN;
     private boolean cancelled;
 
+    /** Creates a stream and stops its source until there is demand. */
     public ValueStream(Source source) {
         this.source = source;
         source.setDemand(false);
     }
 
-    // From the host's end.
+    // Called by the server's end.
 
-    /** Takes over a piece. */
+    /** Takes ownership of a chunk. */
     public void addChunk(ByteBuf chunk) {
         if (cancelled) {
             chunk.release();
@@ -62,10 +63,12 @@
         }
     }
 
+    /** All chunks have been added. */
     public void complete() {
         finish(State.COMPLETE);
     }
 
+    /** No further chunk will arrive. */
     public void fail() {
         finish(State.FAILED);
     }
@@ -85,9 +88,9 @@
         }
     }
 
-    // From the client's end.
+    // Called by the client's end.
 
-    /** The client's turn has come: from now on pieces go there. */
+    /** Attaches the client's end, which receives the buffered chunks at once. */
     public void attach(Sink newSink) {
         sink = newSink;
         for (ByteBuf chunk = bufferedChunks.poll(); chunk != null; chunk = bufferedChunks.poll()) {
@@ -96,13 +99,14 @@
         notifyEnd();
     }
 
+    /** Whether further chunks are wanted now. */
     public void setDemand(boolean wantsMore) {
         if (state == State.OPEN && !cancelled) {
             source.setDemand(wantsMore);
         }
     }
 
-    /** The client does not want the rest. */
+    /** Drops the rest; the client does not want it. */
     public void cancel() {
         if (cancelled) {
             return;
