--- a/node/src/test/java/frostrelay/node/BadInputTest.java
+++ b/node/src/test/java/frostrelay/node/BadInputTest.java
@@ -20,9 +20,10 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.Semaphore;
 
-/** What breaks the protocol is answered, and harms no other request. */
+/** Input that breaks the protocol is answered, and affects no other request. */
 class BadInputTest {
     private static void assertProtocolError(String response, String command) {
         assertTrue(
@@ -83,8 +84,8 @@
     }
 
     /**
-     * Once the framing is at fault nobody knows what is a command: what follows may be somebody's
-     * data, and was once served as the request that it looked like.
+     * After a framing error the next frame boundary is unknown: what follows may be data, and must
+     * not be served as the request that it looks like.
      */
     @Test
     void nothingIsServedAfterAFramingError() throws Exception {
@@ -116,8 +117,8 @@
     }
 
     /**
-     * Hosts know requests by id: a second one under an open id could be served what was made for
-     * the first.
+     * Servers know requests by their ids: a second one with an open id could be served with the
+     * response to the first.
      */
     @Test
     void theIdOfAnOpenRequestIsRejectedForOtherRequests() throws Exception {
@@ -148,7 +149,7 @@
         }
     }
 
-    /** An hour asked for would hold its place and its timer for an hour. */
+    /** A timeout of an hour would occupy memory and a timer for an hour. */
     @Test
     void aTimeoutIsBoundedByTheDeadlineOfItsClass() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.respondingWith(c -> null))) {
@@ -162,7 +163,7 @@
         }
     }
 
-    /** Silent connections and half commands hold descriptors; good ones may be idle for longer. */
+    /** Silent connections and partial commands occupy descriptors; proven ones may idle longer. */
     @Test
     void clientsThatSendNothingOrAnIncompleteCommandAreClosed() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
@@ -177,14 +178,14 @@
             assertNull(idleClient.readLine());
             assertNull(incompleteClient.readLine());
             assertNull(laterIncompleteClient.readLine());
-            ServingTest.awaitGauge(fixture, "clients 1 held 0 ");
+            fixture.awaitGauges(Map.of("clients", 1, "held", 0));
             assertEquals("MN", goodClient.request("mn"));
         }
     }
 
     /**
-     * A client that sends the same fault for ever takes ever less of the loop, and then no more of
-     * it.
+     * A client that repeats a malformed command takes less and less time of the loop, and is closed
+     * in the end.
      */
     @Test
     void aClientThatKeepsSendingMalformedCommandsIsClosed() throws Exception {
@@ -205,7 +206,7 @@
     }
 
     /**
-     * What is announced costs nothing: many such lines once filled the heap without a byte of data.
+     * An announced length reserves nothing: many such lines could fill the heap without any data.
      */
     @Test
     void memoryIsReservedOnlyForWhatArrives() throws Exception {
--- a/node/src/test/java/frostrelay/node/ConnectingTest.java
+++ b/node/src/test/java/frostrelay/node/ConnectingTest.java
@@ -15,15 +15,13 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 
 /**
- * Connections that are long in coming up: what ended meanwhile must not be written once they are.
+ * Connections that are slow to open: an attempt that ended meanwhile must not be written on them.
  */
 class ConnectingTest {
-    /**
-     * A listening socket whose accept queue is full: connections to it come up only when it
-     * accepts.
-     */
+    /** A listening socket whose backlog is full: connections to it open only when it accepts. */
     private static final class FullBacklogServer implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         final List<Socket> fillers = new ArrayList<>();
@@ -70,19 +68,18 @@
                         "never written, so never run: trying again is harmless");
                 try (TestConnection disconnectingClient = fixture.client()) {
                     disconnectingClient.write("ms 1 1 O2 Pc=copy,t=acme,d=9000\r\nx\r\n");
-                    ServingTest.awaitGauge(fixture, " links 2 ");
+                    fixture.awaitGauge("links", 2);
                 }
-                // On a slow machine the module has tried once more before the leaver was seen to
-                // go.
+                // On a slow machine the policy may have retried before the disconnect was detected.
                 int connectionCount =
                         (int) fixture.loop.submit(fixture.node::gauges).get().get("links");
                 List<TestConnection> serverConnections = new ArrayList<>();
                 try {
-                    // All connections come up now, and the first command on each is one sent later.
+                    // All connections open now, and the first command on each is one sent later.
                     for (int i = 0; i < connectionCount; i++) {
                         serverConnections.add(fullServer.accept());
                     }
-                    ServingTest.awaitGauge(fixture, "idle " + connectionCount);
+                    fixture.awaitGauge("idle", connectionCount);
                     for (int i = 0; i < connectionCount; i++) {
                         client.write("ms 1 1 Olater" + i + " Pc=copy,t=acme,d=9000\r\nx\r\n");
                     }
@@ -100,8 +97,8 @@
     }
 
     /**
-     * Where nothing may be cancelled, what waited for its connection was sent once that was up,
-     * seconds after its client left.
+     * Where cancellation is not allowed, an attempt that waits for its connection must not be
+     * written seconds after its client disconnected.
      */
     @Test
     void anAttemptWhoseClientDisconnectsWhileConnectingIsNotSentWhereCancellationIsNotAllowed()
@@ -115,11 +112,11 @@
             try (TestConnection client = fixture.client()) {
                 try (TestConnection disconnectingClient = fixture.client()) {
                     disconnectingClient.write("ms 1 1 Oleft Pc=copy,t=acme,d=9000\r\nx\r\n");
-                    ServingTest.awaitGauge(fixture, "links 1 open 1");
+                    fixture.awaitGauges(Map.of("links", 1, "open", 1));
                 }
-                ServingTest.awaitGauge(fixture, "open 0");
+                fixture.awaitGauge("open", 0);
                 try (TestConnection serverConnection = fullServer.accept()) {
-                    ServingTest.awaitGauge(fixture, "idle 1 ledger 0");
+                    fixture.awaitGauges(Map.of("idle", 1, "ledger", 0));
                     client.write("ms 1 1 Olater Pc=copy,t=acme,d=9000\r\nx\r\n");
                     String command = serverConnection.readLine();
                     assertTrue(command.contains(" Olater "), command);
@@ -138,7 +135,7 @@
             try (TestConnection client = fixture.client()) {
                 assertEquals(
                         "SERVER_ERROR busy", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
-                ServingTest.awaitGauge(fixture, " links 0 ");
+                fixture.awaitGauge("links", 0);
             }
         }
     }
@@ -153,7 +150,7 @@
             fixture.start();
             try (TestConnection client = fixture.client()) {
                 client.write(NodeTestFixture.NON_IDEMPOTENT_WRITE + "\r\n");
-                ServingTest.awaitGauge(fixture, " links 1 ");
+                fixture.awaitGauge("links", 1);
                 EndpointList endpointList =
                         EndpointList.parse(
                                 Json.parse(
--- a/node/src/test/java/frostrelay/node/FakeServer.java
+++ b/node/src/test/java/frostrelay/node/FakeServer.java
@@ -9,24 +9,24 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A tiny peer on an ephemeral port: does what the test says with each connection. */
+/** A server on an ephemeral port that runs the script of a test on each connection. */
 public final class FakeServer implements AutoCloseable {
-    /** What happens on one connection, from its start to its end. */
+    /** Handles one connection, from its start to its end. */
     public interface ConnectionScript {
         void run(TestConnection connection) throws IOException;
     }
 
-    /** What is answered to one command; nothing if null. */
+    /** Gives the response to a command; null for none. */
     interface Responder {
         String respondTo(String command);
     }
 
     public final AtomicInteger connections = new AtomicInteger();
 
-    /** First lines of commands, in the order in which they came. */
+    /** First lines of commands, in the order of their arrival. */
     public final BlockingQueue<String> commands = new LinkedBlockingQueue<>();
 
-    /** Takes an element for every connection that its far end has closed. */
+    /** Contains an element for every connection that its far end has closed. */
     final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
 
     private final ServerSocket server;
@@ -70,7 +70,7 @@
         return thread;
     }
 
-    /** A host that answers every command. */
+    /** A server that answers every command. */
     static FakeServer respondingWith(Responder responder) throws IOException {
         FakeServer[] fakeServer = new FakeServer[1];
         fakeServer[0] =
@@ -89,7 +89,7 @@
         return fakeServer[0];
     }
 
-    /** A host that serves: the value of a read is its key, the receipt of a write its data. */
+    /** A server whose response to a read is its key, and to a write a fixed receipt. */
     public static FakeServer servingAnyCommand() throws IOException {
         return respondingWith(FakeServer::successResponse);
     }
@@ -120,7 +120,7 @@
         return "O";
     }
 
-    /** Reads a command with its data, notes it, and returns its line; null at the end. */
+    /** Reads a command with its data, records it, and returns its line; null at the end. */
     String readCommand(TestConnection connection) throws IOException {
         String line = connection.readLine();
         if (line != null) {
@@ -133,7 +133,7 @@
         return line;
     }
 
-    /** The next command that came, waited for. */
+    /** Waits for the next command; null if none arrives in time. */
     String awaitCommand() throws InterruptedException {
         return commands.poll(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -146,7 +146,7 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Refuses connections from now on. */
+    /** Stops listening, so that connections are refused from now on. */
     public void stopListening() throws IOException, InterruptedException {
         server.close();
         // The kernel keeps listening while a thread is still inside its accept.
--- a/node/src/test/java/frostrelay/node/LateWorkTest.java
+++ b/node/src/test/java/frostrelay/node/LateWorkTest.java
@@ -24,6 +24,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -31,7 +32,7 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Nothing is accepted, begun, sent again or promised for longer than its client, its server or this
+ * Nothing is accepted, begun, retried or given a timeout beyond what its client, its server or this
  * process has left.
  */
 class LateWorkTest {
@@ -57,8 +58,8 @@
     // Shutdown.
 
     /**
-     * The longest deadline counts as 3 s at most: a client that would wait for 9 s has its answer
-     * before the kill all the same.
+     * A shutdown allows 3 s for open requests: a client with a timeout of 9 s still gets its
+     * response before the process is killed.
      */
     @Test
     void requestsOpenBeforeAShutdownAreAnsweredBeforeTheKillHoweverLongTheirClientsWait()
@@ -85,7 +86,7 @@
             assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
             fixture.fakeServers.get(0).awaitCommand();
             client.write(NON_IDEMPOTENT_WRITE_HEAD);
-            ServingTest.awaitGauge(fixture, "clients 1 open 0");
+            fixture.awaitGauges(Map.of("clients", 1, "open", 0));
             Thread.sleep(50);
             startShutdown(fixture);
             Thread.sleep(1_500);
@@ -96,10 +97,7 @@
         }
     }
 
-    /**
-     * The listening socket was closed before there was one: the shutdown ended in an exception, and
-     * the process never.
-     */
+    /** A shutdown before the process listens must not fail for lack of a listening socket. */
     @Test
     void aProcessThatIsTerminatedBeforeItServesExits() throws Exception {
         try (ServerSocket unresponsiveSocket =
@@ -125,8 +123,8 @@
     }
 
     /**
-     * A shutdown during a drain goes by its own schedule, and the end of the drain changes nothing
-     * any more.
+     * A shutdown during a drain follows its own schedule, which the end of the drain does not
+     * change.
      */
     @Test
     void aShutdownIsNotEndedByTheEndOfADrain() throws Exception {
@@ -141,7 +139,9 @@
         }
     }
 
-    /** A class that a new configuration does not name any more is none of its longest deadlines. */
+    /**
+     * A class that a new configuration no longer contains does not count for its longest deadline.
+     */
     @Test
     void theKillIsExpectedByTheDeadlinesOfTheClassesThatAreNamed() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture()) {
@@ -166,11 +166,11 @@
         }
     }
 
-    // What stands in line.
+    // Queued commands.
 
     /**
-     * A client's wait runs while its command stands in line: the server was told all of it, however
-     * late its turn came.
+     * A client's timeout runs while its command is queued, so the server is given only what
+     * remains.
      */
     @Test
     void queueingTimeIsSubtractedFromTheTimeoutSentToAServer() throws Exception {
@@ -178,12 +178,12 @@
         FakeServer fakeServer =
                 FakeServer.respondingWith(
                         command -> {
-                            await(gate);
+                            NodeTestFixture.await(gate);
                             return FakeServer.successResponse(command);
                         });
         try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
                 TestConnection client = fixture.client()) {
-            client.write(pipelinedReads(65));
+            client.write(NodeTestFixture.pipelinedReads(65, ""));
             for (int i = 0; i < 64; i++) {
                 assertTrue(fakeServer.awaitCommand() != null);
             }
@@ -197,8 +197,8 @@
     }
 
     /**
-     * Held up for as long as it may be between its clock and the write, it has still told no more
-     * than the terms allow.
+     * Even after the longest stall between reading the clock and writing, the server is given no
+     * more time than allowed.
      */
     @Test
     void theTimeoutSentToAServerIsShorterThanTheClients() throws Exception {
@@ -218,29 +218,9 @@
         }
     }
 
-    private static String pipelinedReads(int count) {
-        StringBuilder commands = new StringBuilder();
-        for (int i = 0; i < count; i++) {
-            commands.append("mg ")
-                    .append(i)
-                    .append(" v O")
-                    .append(i)
-                    .append(" Pc=read,t=acme,d=9000\r\n");
-        }
-        return commands.toString();
-    }
-
-    private static void await(CountDownLatch gate) {
-        try {
-            gate.await(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-    }
-
     /**
-     * A connection on which more waits than is read ahead does not show its end: its commands are
-     * not begun long after that.
+     * Where more bytes wait than are read ahead, a disconnect is not detected: commands must not be
+     * begun long after it all the same.
      */
     @Test
     void commandsBeyondTheReadAheadOfADisconnectedClientAreNotStarted() throws Exception {
@@ -256,20 +236,20 @@
                         });
         try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
                 TestConnection first = fixture.client()) {
-            // Brings up connections, and a program that has run before.
-            first.write(pipelinedReads(64));
+            // Opens connections and warms up the program.
+            first.write(NodeTestFixture.pipelinedReads(64, ""));
             for (int i = 0; i < 64; i++) {
                 first.readLine();
                 first.readLine();
             }
             startTimesNanos.clear();
-            String commands = pipelinedReads(8_000);
+            String commands = NodeTestFixture.pipelinedReads(8_000, "");
             long disconnectedAtNanos;
             try (TestConnection client = fixture.client()) {
                 client.write(commands);
                 disconnectedAtNanos = System.nanoTime();
             }
-            ServingTest.awaitGauge(fixture, "open 0 clients 1");
+            fixture.awaitGauges(Map.of("open", 0, "clients", 1));
             synchronized (startTimesNanos) {
                 long lateStarts =
                         startTimesNanos.stream()
@@ -283,9 +263,9 @@
         }
     }
 
-    // Sends and repeats.
+    // Sends and retries.
 
-    /** Sends the first request once more as soon as it is told of, whatever its class. */
+    /** Sends each request a second time after a while, whatever its class. */
     private static final class ResendingPolicy extends NoOpPolicy {
         private long serverId;
 
@@ -327,7 +307,7 @@
     }
 
     /**
-     * The last one to decide, right at the write, whatever the module says: a second run has a
+     * Checked immediately before the write, whatever the policy decided: a second run would have a
      * second effect.
      */
     @Test
@@ -349,8 +329,8 @@
     }
 
     /**
-     * A process that stood still finds connections idle for longer than their hosts keep them: a
-     * write there might be lost.
+     * After a pause of the process connections may be idle for longer than their servers keep them:
+     * a write there might be lost.
      */
     @Test
     void connectionsThatWereIdleForTooLongAreNotUsedAfterAPause() throws Exception {
--- a/node/src/test/java/frostrelay/node/LimitsTest.java
+++ b/node/src/test/java/frostrelay/node/LimitsTest.java
@@ -7,14 +7,17 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
 
 /**
- * Running out of connections or room refuses; it neither ends the process nor loses what was taken.
+ * At the limits on connections and memory requests are rejected; the process goes on and accepted
+ * requests are answered.
  */
 class LimitsTest {
     private static final int SOCKET_LIMIT = 64;
 
-    /** What the limit of 64 leaves: 48 after the reserve, 29 of them for clients, 15 for hosts. */
+    /** Of the limit of 64, 48 are left after the reserve: 29 for clients, 15 for servers. */
     private static final int CLIENT_LIMIT = 29;
 
     private static final int SERVER_CONNECTION_LIMIT = 15;
@@ -34,7 +37,7 @@
             assertEquals(
                     null, clientConnections.get(0).readLine(), "idle for longest, closed first");
             assertEquals("MN", clientConnections.get(clientConnections.size() - 1).request("mn"));
-            ServingTest.awaitGauge(fixture, "clients " + CLIENT_LIMIT + " ");
+            fixture.awaitGauge("clients", CLIENT_LIMIT);
         } finally {
             for (TestConnection connection : clientConnections) {
                 connection.close();
@@ -43,7 +46,8 @@
     }
 
     /**
-     * Hundreds that connect at once and say nothing once cost good clients their idle connections.
+     * Hundreds of connections at once without a command must not evict the idle connections of
+     * proven clients.
      */
     @Test
     void manyClientsThatSendNothingDoNotEvictGoodClients() throws Exception {
@@ -76,20 +80,11 @@
     @Test
     void clientsPastTheLimitAreRejectedAndThoseInsideAreNot() throws Exception {
         List<TestConnection> clientConnections = new ArrayList<>();
-        boolean[] release = new boolean[1];
-        Object gate = new Object();
+        CountDownLatch release = new CountDownLatch(1);
         FakeServer fakeServer =
                 FakeServer.respondingWith(
                         command -> {
-                            synchronized (gate) {
-                                while (!release[0]) {
-                                    try {
-                                        gate.wait();
-                                    } catch (InterruptedException e) {
-                                        return null;
-                                    }
-                                }
-                            }
+                            NodeTestFixture.await(release);
                             return FakeServer.successResponse(command);
                         });
         try (NodeTestFixture fixture = new NodeTestFixture(fakeServer)) {
@@ -104,18 +99,15 @@
             for (int i = 0; i < SERVER_CONNECTION_LIMIT; i++) {
                 assertTrue(fakeServer.awaitCommand() != null);
             }
-            // The others found no free connection: refused at once, and the hosts bear no blame for
-            // it.
-            ServingTest.awaitGauge(fixture, "open " + SERVER_CONNECTION_LIMIT + " ");
+            // The others found no free connection: rejected at once, which counts against no
+            // server.
+            fixture.awaitGauge("open", SERVER_CONNECTION_LIMIT);
             TestConnection lateClient = fixture.client();
             clientConnections.add(lateClient);
             assertEquals(
                     "SERVER_ERROR busy", lateClient.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
-            synchronized (gate) {
-                release[0] = true;
-                gate.notifyAll();
-            }
-            ServingTest.awaitGauge(fixture, "open 0 ");
+            release.countDown();
+            fixture.awaitGauge("open", 0);
             assertEquals("HD O2 c77", lateClient.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
             int servedCount = 0;
             for (int i = 0; i < CLIENT_LIMIT; i++) {
@@ -130,27 +122,20 @@
         }
     }
 
-    /** Sent at once, far more than one connection may have open: all are answered, in order. */
+    /** Far more than one connection may have open are sent at once: all are answered, in order. */
     @Test
     void pipelinedRequestsAreBoundedAndAllAnswered() throws Exception {
         int requests = 2_000;
-        StringBuilder commands = new StringBuilder();
-        for (int i = 0; i < requests; i++) {
-            commands.append("mg ")
-                    .append(i)
-                    .append(" v O")
-                    .append(i)
-                    .append(" Pc=read,t=acme,d=9000\r\n");
-        }
+        String commands = NodeTestFixture.pipelinedReads(requests, "");
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
                 TestConnection client = fixture.client()) {
             Thread writer =
                     new Thread(
                             () -> {
                                 try {
-                                    client.write(commands.toString());
+                                    client.write(commands);
                                 } catch (java.io.IOException e) {
-                                    // Seen below as a missing answer.
+                                    // Detected below as a missing response.
                                 }
                             });
             writer.start();
@@ -160,44 +145,37 @@
                 assertEquals(value, client.readData(value.length()));
             }
             writer.join();
-            // As many as one connection may have open, and those whose answer's read is not over
-            // yet.
+            // As many as one connection may have open, and those whose response is still being
+            // read.
             assertTrue(fixture.fakeServers.get(0).connections.get() <= 2 * 64);
         }
     }
 
     /**
-     * The end of a connection stands behind all that was sent on it. Read no further than what one
-     * may have open, a client that sent more and left was not seen to go until its first requests
-     * were over, and the others were begun then.
+     * A disconnect is read only behind all bytes that were sent before it. Without reading further
+     * than the requests that may be open, that of a client which sent more would be detected only
+     * when its first requests are over, and the others would be begun then.
      */
     @Test
     void theDisconnectOfAClientThatPipelinedMoreThanTheLimitIsDetected() throws Exception {
         int requests = 1_000;
-        StringBuilder commands = new StringBuilder();
-        for (int i = 0; i < requests; i++) {
-            commands.append("mg ")
-                    .append(i)
-                    .append(" v O")
-                    .append(i)
-                    .append(" Pc=read,t=acme,d=9000\r\n");
-        }
+        String commands = NodeTestFixture.pipelinedReads(requests, "");
         try (NodeTestFixture fixture =
                 new NodeTestFixture(FakeServer.respondingWith(command -> null)).start()) {
             long startNanos;
             try (TestConnection client = fixture.client()) {
-                client.write(commands.toString());
+                client.write(commands);
                 for (int i = 0; i < 60; i++) {
                     assertTrue(fixture.fakeServers.get(0).awaitCommand() != null);
                 }
                 startNanos = System.nanoTime();
             }
-            ServingTest.awaitGauge(fixture, "open 0 clients 0");
+            fixture.awaitGauges(Map.of("open", 0, "clients", 0));
             long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
             assertTrue(
                     elapsedMillis < 3_000,
                     "seen by its end and not by their deadlines: " + elapsedMillis);
-            ServingTest.awaitGauge(fixture, "ledger 0");
+            fixture.awaitGauge("ledger", 0);
             assertTrue(
                     fixture.fakeServers.get(0).commands.size() <= 4,
                     "begun: 60 and " + fixture.fakeServers.get(0).commands.size());
@@ -205,8 +183,8 @@
     }
 
     /**
-     * A close over bytes that were not read resets the connection, and with it goes what the system
-     * still held of an answer that its client reads slowly.
+     * Closing over unread bytes would reset the connection, and lose what the system still buffers
+     * of a response that its client reads slowly.
      */
     @Test
     void aClientThatSendsOnAfterAProtocolErrorGetsCompleteResponses() throws Exception {
@@ -218,9 +196,9 @@
                                 .start();
                 TestConnection client = fixture.slowClient()) {
             client.write(NodeTestFixture.READ + "\r\nms k x\r\n" + "y".repeat(150_000));
-            // It reads nothing before we have closed.
-            ServingTest.awaitGauge(fixture, "clients 1");
-            ServingTest.awaitGauge(fixture, "clients 0");
+            // The client reads nothing before the balancer has closed.
+            fixture.awaitGauge("clients", 1);
+            fixture.awaitGauge("clients", 0);
             assertEquals("VA 60000 O1", client.readLine());
             assertEquals(value, client.readData(value.length()));
             assertEquals("CLIENT_ERROR bad data chunk", client.readLine());
@@ -229,8 +207,8 @@
     }
 
     /**
-     * The end of our output has crossed what it sent: it is not served any more, and its client
-     * asks again elsewhere.
+     * A command that crosses the end of the output is not served any more; its client sends it
+     * again on another connection.
      */
     @Test
     void inputAfterOutputShutdownIsNotForwarded() throws Exception {
@@ -243,14 +221,14 @@
             assertEquals(null, client.readLine(), "closed behind its answer");
             client.write(NodeTestFixture.NON_IDEMPOTENT_WRITE + "\r\n");
             client.disconnect();
-            ServingTest.awaitGauge(fixture, "clients 0");
+            fixture.awaitGauge("clients", 0);
             assertEquals(2, fakeServer.commands.size());
         }
     }
 
     /**
-     * A client that reads nothing must not gather answers without bound; others are served beside
-     * it.
+     * The responses to a client that reads nothing must be bounded; other clients are served
+     * meanwhile.
      */
     @Test
     void aClientThatDoesNotReadStopsBeingReadItself() throws Exception {
--- a/node/src/test/java/frostrelay/node/LocalLatenessTest.java
+++ b/node/src/test/java/frostrelay/node/LocalLatenessTest.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What a balancer that is late itself, on a cold start or a small share of a core, must not take
- * for load.
+ * A balancer that is late itself, after a start or on a small part of a core, must not take that
+ * for load of the servers.
  */
 class LocalLatenessTest {
     private static final int READ_COUNT = 60;
@@ -38,7 +38,7 @@
     }
 
     /**
-     * A host turns away a request whose client has gone meanwhile, and reports no load with that.
+     * A server rejects a request whose client has disconnected meanwhile, without a load report.
      */
     @Test
     void rejectionsWithoutTheReportThatOtherAnswersBringShedNothing() throws Exception {
@@ -61,8 +61,8 @@
     }
 
     /**
-     * The module, on a loop that stands still while it takes the last of {@code READ_COUNT}
-     * requests. As many before them only bring up connections and are kept from the module.
+     * The real policy on a loop that stalls while it accepts the last of {@code READ_COUNT}
+     * requests. As many before them only open connections and do not reach the real policy.
      */
     private static final class StallingPolicy extends NoOpPolicy {
         private final Router router;
@@ -124,28 +124,14 @@
     }
 
     private static void assertPipelinedReadsServed(TestConnection client) throws IOException {
-        client.write(pipelinedReads());
+        client.write(NodeTestFixture.pipelinedReads(READ_COUNT, "r"));
         for (int i = 0; i < READ_COUNT; i++) {
             assertEquals("VA 1 Or" + i, client.readLine());
             client.readData(1);
         }
     }
 
-    private static String pipelinedReads() {
-        StringBuilder commands = new StringBuilder();
-        for (int i = 0; i < READ_COUNT; i++) {
-            commands.append("mg ")
-                    .append(i)
-                    .append(" v Or")
-                    .append(i)
-                    .append(" Pc=read,t=acme,d=9000\r\n");
-        }
-        return commands.toString();
-    }
-
-    /**
-     * Tries multiplied as more of them were refused, since nothing told clients when to come again.
-     */
+    /** Without Retry-After the retries of clients would multiply as more requests are rejected. */
     @Test
     void theMoreIsShedTheLongerTheRetryAfter() throws Exception {
         FakeServer overloadedServer =
@@ -166,8 +152,8 @@
     }
 
     /**
-     * Answers that came while the loop stood still had not been read when the timers that miss them
-     * ran.
+     * Responses that arrive while the loop stalls have not been read yet when the timers of their
+     * attempts run.
      */
     @Test
     void unreadResponsesAreNotCountedAsSlow() throws Exception {
@@ -202,7 +188,7 @@
     }
 
     /**
-     * All that waits behind a stall may be dead by its end, and would be served before the living.
+     * After a stall all waiting commands may be of disconnected clients, and would delay live ones.
      */
     @Test
     void aCommandWhoseClientHasDisconnectedIsNotAccepted() throws Exception {
--- a/node/src/test/java/frostrelay/node/LongValuesTest.java
+++ b/node/src/test/java/frostrelay/node/LongValuesTest.java
@@ -11,14 +11,13 @@
 
 import org.junit.jupiter.api.Test;
 
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Long values stream through: whole, in step with the slower end, and visibly short where they
- * cannot be finished.
+ * Long values are streamed: completely, at the pace of the slower end, and recognisably short where
+ * they cannot be completed.
  */
 class LongValuesTest {
     private static final int MAX_VALUE_BYTES = MetaFrame.MAX_VALUE_BYTES;
@@ -43,7 +42,7 @@
                 assertEquals(value, client.readData(MAX_VALUE_BYTES));
             }
             assertEquals(1, fakeServer.connections.get());
-            ServingTest.awaitGauge(fixture, "open 0 ");
+            fixture.awaitGauge("open", 0);
         }
     }
 
@@ -74,7 +73,7 @@
         }
     }
 
-    /** The first bytes are passed on before the last have come. */
+    /** The first bytes are forwarded before the last ones have arrived. */
     @Test
     void receivedDataIsForwardedAtOnce() throws Exception {
         CountDownLatch firstPartReceived = new CountDownLatch(1);
@@ -87,7 +86,7 @@
                                     FakeServer.valueResponse(
                                             fakeServer[0].readCommand(connection), value);
                             connection.write(completeResponse.substring(0, 100_000));
-                            await(firstPartReceived);
+                            NodeTestFixture.await(firstPartReceived);
                             connection.write(completeResponse.substring(100_000));
                             fakeServer[0].readCommand(connection);
                         });
@@ -99,14 +98,6 @@
         }
     }
 
-    private static void await(CountDownLatch latch) throws IOException {
-        try {
-            latch.await();
-        } catch (InterruptedException e) {
-            throw new IOException(e);
-        }
-    }
-
     @Test
     void aTruncatedValueClosesTheClientsConnection() throws Exception {
         String value = sampleText(MAX_VALUE_BYTES);
@@ -163,7 +154,7 @@
         }
     }
 
-    /** Behind a slower answer the value waits at its host, and is passed on in its turn. */
+    /** Behind a slower response the value waits at its server, and is forwarded in its turn. */
     @Test
     void aValueWaitsForItsTurn() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -174,7 +165,7 @@
                         connection -> {
                             String command = fakeServer[0].readCommand(connection);
                             if (command.contains(" O2 ")) {
-                                await(release);
+                                NodeTestFixture.await(release);
                                 connection.write(FakeServer.successResponse(command));
                             } else {
                                 connection.write(FakeServer.valueResponse(command, value));
@@ -187,7 +178,7 @@
             fakeServer[0].awaitCommand();
             client.write(NodeTestFixture.READ + "\r\n");
             fakeServer[0].awaitCommand();
-            ServingTest.awaitGauge(fixture, "open 1 ");
+            fixture.awaitGauge("open", 1);
             release.countDown();
             assertEquals("HD O2 c77", client.readLine());
             assertEquals("VA " + MAX_VALUE_BYTES + " O1", client.readLine());
@@ -215,12 +206,12 @@
                 TestConnection client = fixture.client()) {
             assertEquals("VA " + MAX_VALUE_BYTES + " O1", client.request(NodeTestFixture.READ));
             client.reset();
-            await(transferEnded);
-            ServingTest.awaitGauge(fixture, "clients 0 ");
+            NodeTestFixture.await(transferEnded);
+            fixture.awaitGauge("clients", 0);
         }
     }
 
-    /** What a host may still send is asked for by the client's end alone. */
+    /** Only the client's end creates demand for further chunks. */
     @Test
     void aServerIsReadOnlyWhileItsClientAcceptsData() {
         List<String> sourceCalls = new ArrayList<>();
--- a/node/src/test/java/frostrelay/node/NoOpPolicy.java
+++ b/node/src/test/java/frostrelay/node/NoOpPolicy.java
@@ -11,13 +11,8 @@
 import java.util.List;
 import java.util.Set;
 
-/** A module that does nothing: tests override what they are about. */
+/** A policy that does nothing; tests override the events that they are about. */
 public class NoOpPolicy implements PolicyEvents {
-    @Override
-    public void onPeerHealthReports(long now, java.util.Set<Long> outliers) {
-        // No test of this class looks at it.
-    }
-
     final PolicyActions actions;
 
     public NoOpPolicy(PolicyActions actions) {
@@ -48,6 +43,9 @@
     @Override
     public void onSettings(long now, PolicySettings settings) {}
 
+    @Override
+    public void onPeerHealthReports(long now, Set<Long> outliers) {}
+
     @Override
     public void onSiblingProcesses(long now, int siblingCount) {}
 }
--- a/node/src/test/java/frostrelay/node/NodeTestFixture.java
+++ b/node/src/test/java/frostrelay/node/NodeTestFixture.java
@@ -1,5 +1,7 @@
 package frostrelay.node;
 
+import static org.junit.jupiter.api.Assertions.fail;
+
 import frostrelay.node.cluster.TestHooks;
 import frostrelay.node.config.Config;
 import frostrelay.node.config.DeploymentSettings;
@@ -22,10 +24,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
 
-/** A balancer on an ephemeral port, with the hosts and settings that a test gives it. */
+/** A balancer on an ephemeral port, with the servers and settings that a test gives it. */
 public final class NodeTestFixture implements AutoCloseable {
     static final String READ = "mg 7f3a9c21e0b4d655 v O1 Pc=read,t=acme,d=5000";
     public static final String NON_IDEMPOTENT_WRITE =
@@ -54,7 +59,7 @@
 
     final List<FakeServer> fakeServers = new ArrayList<>();
 
-    /** Further hosts, as discovery lists them. */
+    /** Further servers, as discovery lists them. */
     final List<String> extraTargets = new ArrayList<>();
 
     long deadlineMillis = 10_000;
@@ -66,18 +71,18 @@
     int socketLimit = 1024;
     boolean cancellationAllowed = true;
 
-    /** Lists are pushed to an agent beside the balancer, in place of being asked for. */
+    /** Whether endpoint lists are pushed to an agent beside the balancer instead of polled. */
     public boolean endpointsPushed;
 
     public String discovery = "127.0.0.1:1";
 
-    /** Where operators call; nowhere if null. */
+    /** The address of the admin interface; none if null. */
     String adminAddress;
 
     public RequestDispatcher.PolicyFactory policyFactory = Router::new;
     public TestHooks testHooks = TestHooks.NONE;
 
-    /** What is done to the text of the settings. */
+    /** A change of the text of the settings. */
     UnaryOperator<String> settingsTransform = UnaryOperator.identity();
 
     public Node node;
@@ -177,7 +182,7 @@
                 new Socket(InetAddress.getLoopbackAddress(), clientAddress.getPort()));
     }
 
-    /** A client that leaves its answers unread, with a small receive buffer. */
+    /** A client with a small receive buffer, for tests that leave responses unread. */
     TestConnection slowClient() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4096);
@@ -185,14 +190,66 @@
         return new TestConnection(socket);
     }
 
+    /**
+     * Pipelined reads of the keys 0, 1 and so on, each with its key behind the prefix as its id.
+     */
+    static String pipelinedReads(int count, String idPrefix) {
+        StringBuilder commands = new StringBuilder();
+        for (int i = 0; i < count; i++) {
+            commands.append("mg ")
+                    .append(i)
+                    .append(" v O")
+                    .append(idPrefix)
+                    .append(i)
+                    .append(" Pc=read,t=acme,d=9000\r\n");
+        }
+        return commands.toString();
+    }
+
+    /** Waits for a latch, on whatever thread; fails if that takes too long. */
+    static void await(CountDownLatch latch) {
+        try {
+            if (!latch.await(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+                throw new IllegalStateException("not released in time");
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+            throw new IllegalStateException("interrupted while waiting", e);
+        }
+    }
+
+    /** Waits until the balancer's gauge has this value. */
+    void awaitGauge(String name, int value) throws Exception {
+        awaitGauges(Map.of(name, value));
+    }
+
+    /** Waits until the balancer's gauges have these values, all at once. */
+    void awaitGauges(Map<String, Integer> expected) throws Exception {
+        Map<String, Object> gauges = Map.of();
+        for (long endNanos = System.nanoTime() + TestConnection.TIMEOUT_MILLIS * 1_000_000L;
+                System.nanoTime() < endNanos;
+                Thread.sleep(2)) {
+            gauges = loop.submit(node::gauges).get();
+            boolean allMatch = true;
+            for (Map.Entry<String, Integer> gauge : expected.entrySet()) {
+                allMatch &=
+                        String.valueOf(gauges.get(gauge.getKey()))
+                                .equals(String.valueOf(gauge.getValue()));
+            }
+            if (allMatch) {
+                return;
+            }
+        }
+        fail(expected + " expected, " + gauges + " found");
+    }
+
     @Override
     public void close() throws IOException {
         if (sharedDirectory != null) {
             sharedDirectory.close();
         }
         if (group != null) {
-            group.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.SECONDS)
-                    .syncUninterruptibly();
+            group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
         }
         for (FakeServer fakeServer : fakeServers) {
             fakeServer.close();
--- a/node/src/test/java/frostrelay/node/OrderTest.java
+++ b/node/src/test/java/frostrelay/node/OrderTest.java
@@ -5,26 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostrelay.node.config.Config;
-import frostrelay.node.config.EndpointList;
-import frostrelay.node.config.Json;
-import frostrelay.node.lifecycle.ActionGuard;
-import frostrelay.node.lifecycle.DescriptorUsage;
-import frostrelay.node.lifecycle.SharedDirectory;
-import frostrelay.node.memcache.MetaCommand;
-import frostrelay.node.memcache.MetaCommandParser;
 import frostrelay.node.memcache.MetaFrame;
-import frostrelay.node.metrics.Counters;
-import frostrelay.node.net.MemoryLimiter;
-import frostrelay.node.proxy.ActiveRequest;
-import frostrelay.node.proxy.Attempt;
-import frostrelay.node.proxy.DecisionObserver;
 import frostrelay.node.proxy.RequestDispatcher;
-import frostrelay.node.proxy.Upstream;
-import frostrelay.node.proxy.UpstreamResponse;
-import frostrelay.node.proxy.ValueStream;
 import frostrelay.node.time.Clock;
-import frostrelay.policy.Router;
 import frostrelay.policy.api.AttemptOutcome;
 import frostrelay.policy.api.AttemptResult;
 import frostrelay.policy.api.EndpointUpdateMode;
@@ -34,22 +17,16 @@
 import frostrelay.policy.api.ResponseSource;
 import frostrelay.policy.api.Server;
 
-import io.netty.channel.EventLoop;
-import io.netty.channel.nio.NioEventLoopGroup;
-
 import org.junit.jupiter.api.Test;
 
-import java.nio.charset.StandardCharsets;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the module asks for takes effect in order, and every send gets one outcome, after the module
- * returned.
+ * The policy's actions take effect in order, and every attempt gets one outcome, after the policy
+ * has returned.
  */
 class OrderTest {
     private static final long NANOS_PER_MILLISECOND = Clock.NANOS_PER_MILLISECOND;
@@ -57,7 +34,7 @@
     private volatile boolean wasReentered;
     private volatile Request acceptedRequest;
 
-    /** Writes down outcomes, and whether one came while the module was still at work. */
+    /** Records outcomes, and whether one was delivered while the policy was still running. */
     private class Recording extends NoOpPolicy {
         private boolean isActing;
         List<Server> servers = List.of();
@@ -271,7 +248,7 @@
     }
 
     /**
-     * A fault in the module must neither end the process nor leave a request without its answer.
+     * A fault in the policy must neither end the process nor leave a request without its response.
      */
     @Test
     void aRequestThatTheModuleFailsOnIsAnsweredByTheRules() throws Exception {
@@ -292,7 +269,7 @@
         }
     }
 
-    /** The module's silence must not become the client's. */
+    /** A request must be answered even if the policy never decides on it. */
     @Test
     void aRequestThatTheModuleForgetsIsAnsweredAtItsDeadline() throws Exception {
         try (NodeTestFixture fixture =
@@ -304,127 +281,4 @@
             assertEquals("SERVER_ERROR busy", client.request("mg 1 v O1 Pc=read,t=acme,d=60"));
         }
     }
-
-    /** Holds all that it is to send: no connection ever comes up. */
-    private static final class NeverConnectingUpstream implements Upstream {
-        @Override
-        public void update(EndpointUpdateMode mode, List<EndpointList.Endpoint> members) {}
-
-        @Override
-        public void setDrainedServers(Set<Long> servers) {}
-
-        @Override
-        public boolean isKnown(long server) {
-            return false;
-        }
-
-        @Override
-        public void send(Attempt attempt, long server) {}
-
-        @Override
-        public void abandon(Attempt attempt) {}
-
-        @Override
-        public void closeIdleConnections(long server) {}
-
-        @Override
-        public void setMaxConnections(int maxConnections) {}
-
-        @Override
-        public void sweep() {}
-
-        @Override
-        public int connectionCount() {
-            return 0;
-        }
-
-        @Override
-        public void collectGauges(Map<String, Object> into) {}
-    }
-
-    /**
-     * Where the loop was late between two timers of a request, its last call came before the cut of
-     * what was never sent: told as cancelled, that may have run, and a write was told failed for
-     * the module's answer that came first.
-     */
-    @Test
-    void anUnsentRequestIsRejectedEvenIfTheDeadlineFallbackRunsBeforeTheAttemptTimeout()
-            throws Exception {
-        NodeTestFixture fixture = new NodeTestFixture();
-        fixture.extraTargets.add(NodeTestFixture.target("s-1", "127.0.0.1:1", "Ready"));
-        Config config =
-                Config.parse(
-                        Json.parse(fixture.config("127.0.0.1:0").getBytes(StandardCharsets.UTF_8)));
-        // Asked between the two: the cut is set later than it was meant by as much as this takes.
-        DecisionObserver slowObserver =
-                new DecisionObserver() {
-                    @Override
-                    public int versionSequence() {
-                        for (long end = Clock.now() + 20 * NANOS_PER_MILLISECOND;
-                                Clock.now() < end; ) {
-                            Thread.onSpinWait();
-                        }
-                        return 0;
-                    }
-                };
-        NioEventLoopGroup group = new NioEventLoopGroup(1);
-        EventLoop loop = group.next();
-        BlockingQueue<String> responses = new LinkedBlockingQueue<>();
-        ActiveRequest.ResponseListener client =
-                new ActiveRequest.ResponseListener() {
-                    @Override
-                    public void onServed(UpstreamResponse response, ValueStream value) {
-                        responses.add("served");
-                    }
-
-                    @Override
-                    public void onRejected(long retryAfterMillis) {
-                        responses.add("refused");
-                    }
-
-                    @Override
-                    public void onFailed() {
-                        responses.add("failed");
-                    }
-
-                    @Override
-                    public long disconnectUndetectableSince(long now) {
-                        return ActionGuard.NEVER;
-                    }
-                };
-        try {
-            MetaCommand command =
-                    MetaCommandParser.parse(
-                            MetaFrame.of(
-                                    List.of("ms", "1", "1", "O1", "Pc=copy,t=acme,d=100"),
-                                    new byte[] {'x'}),
-                            config.settings());
-            loop.submit(
-                            () ->
-                                    new RequestDispatcher(
-                                                    config,
-                                                    loop,
-                                                    new Counters(),
-                                                    Router::new,
-                                                    (site, listener) ->
-                                                            new NeverConnectingUpstream(),
-                                                    new MemoryLimiter(1_000),
-                                                    new ActionGuard(),
-                                                    new SharedDirectory.Snapshot(
-                                                            Set.of(),
-                                                            Set.of(),
-                                                            0,
-                                                            new DescriptorUsage(0, 0)),
-                                                    slowObserver,
-                                                    System::currentTimeMillis)
-                                            .accept(command, Clock.now(), client))
-                    .get();
-            assertEquals(
-                    "refused",
-                    responses.poll(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
-            assertNull(responses.poll(100, TimeUnit.MILLISECONDS), "one answer");
-        } finally {
-            group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
-        }
-    }
 }
--- a/node/src/test/java/frostrelay/node/ServingTest.java
+++ b/node/src/test/java/frostrelay/node/ServingTest.java
@@ -3,17 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.junit.jupiter.api.Assertions.fail;
 
-import frostrelay.node.config.DeploymentSettings;
 import frostrelay.node.memcache.MetaFrame;
 
 import org.junit.jupiter.api.Test;
 
-import java.util.Map;
-import java.util.concurrent.Semaphore;
+import java.util.concurrent.CountDownLatch;
 
-/** A client's request and its one final answer. */
+/** A client's request and its one final response. */
 class ServingTest {
     private static int timeoutMillis(String command) {
         String parameters = command.substring(command.indexOf(" P") + 2).split(" ")[0];
@@ -64,21 +61,12 @@
 
     @Test
     void answersComeInTheOrderOfTheCommands() throws Exception {
-        Object lock = new Object();
-        boolean[] release = new boolean[1];
+        CountDownLatch release = new CountDownLatch(1);
         FakeServer fakeServer =
                 FakeServer.respondingWith(
                         command -> {
                             if (command.contains(" Oslow ")) {
-                                synchronized (lock) {
-                                    while (!release[0]) {
-                                        try {
-                                            lock.wait();
-                                        } catch (InterruptedException e) {
-                                            return null;
-                                        }
-                                    }
-                                }
+                                NodeTestFixture.await(release);
                             }
                             return FakeServer.valueResponse(command, "x");
                         });
@@ -88,10 +76,7 @@
                     "mg 1 v Oslow Pc=read,t=acme,d=9000\r\nnonsense\r\nmg 2 v Oquick Pc=read,t=acme,d=9000\r\n");
             fakeServer.awaitCommand();
             fakeServer.awaitCommand();
-            synchronized (lock) {
-                release[0] = true;
-                lock.notifyAll();
-            }
+            release.countDown();
             assertEquals("VA 1 Oslow", client.readLine());
             client.readData(1);
             assertEquals("ERROR", client.readLine());
@@ -191,154 +176,6 @@
         }
     }
 
-    @Test
-    void anInvalidServerResponseEndsThatAttemptOnly() throws Exception {
-        String[] invalidResponses = {
-            "VA 1 Oother\r\nx\r\n",
-            "HD O1 c9\r\n",
-            "VA x O1\r\n",
-            "nonsense\r\n",
-            "\r\n",
-            "VA 99999999 O1\r\n",
-            "VA 3000000000 O1\r\nxxx",
-            "VA 1 O1\r\nlonger than one\r\n",
-            "MN\r\n",
-            "a".repeat(5000)
-        };
-        int[] index = new int[1];
-        try (NodeTestFixture fixture =
-                        new NodeTestFixture(
-                                        FakeServer.respondingWith(c -> invalidResponses[index[0]]))
-                                .start();
-                TestConnection client = fixture.client()) {
-            for (index[0] = 0; index[0] < invalidResponses.length; index[0]++) {
-                assertEquals(
-                        "SERVER_ERROR busy",
-                        client.request(NodeTestFixture.READ),
-                        invalidResponses[index[0]]);
-            }
-            index[0] = 1;
-            assertEquals(
-                    "SERVER_ERROR failed",
-                    client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE),
-                    "it may have run");
-        }
-    }
-
-    /**
-     * A good answer with more behind it is served, and its connection is of no further use: the
-     * rest, whole or in part, was once taken for the answer to the next request.
-     */
-    @Test
-    void bytesAfterAGoodResponseAffectNoOther() throws Exception {
-        String[] trailingBytes = {"HD O9 c9\r\n", "noise\r\n", "no end", "\r", "VA 9 O1\r\nhalf"};
-        int[] index = new int[1];
-        FakeServer fakeServer =
-                FakeServer.respondingWith(
-                        c -> FakeServer.successResponse(c) + trailingBytes[index[0]]);
-        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
-                TestConnection client = fixture.client()) {
-            for (index[0] = 0; index[0] < trailingBytes.length; index[0]++) {
-                assertEquals(
-                        "HD O2 c77",
-                        client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE),
-                        trailingBytes[index[0]]);
-                assertEquals(
-                        "end", fakeServer.awaitClose(), "closed after " + trailingBytes[index[0]]);
-            }
-            assertEquals(trailingBytes.length, fakeServer.connections.get());
-        }
-    }
-
-    /**
-     * Bytes on an idle connection, here without the end of a line, retire it before it is used
-     * again.
-     */
-    /**
-     * A second answer may come milliseconds late: behind the next command it failed that one, which
-     * may not run twice.
-     */
-    @Test
-    void aDuplicateResponseAfterTheNextCommandDoesNotFailIt() throws Exception {
-        FakeServer[] fakeServer = new FakeServer[1];
-        fakeServer[0] =
-                new FakeServer(
-                        connection -> {
-                            String previousResponse = "";
-                            for (String command = fakeServer[0].readCommand(connection);
-                                    command != null;
-                                    command = fakeServer[0].readCommand(connection)) {
-                                String response = FakeServer.successResponse(command);
-                                connection.write(previousResponse + response);
-                                previousResponse = response;
-                            }
-                        });
-        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
-                TestConnection client = fixture.client()) {
-            for (int i = 0; i < 5; i++) {
-                assertEquals(
-                        "HD Ow" + i + " c77",
-                        client.request(
-                                NodeTestFixture.NON_IDEMPOTENT_WRITE.replace("O2", "Ow" + i)));
-                assertEquals(
-                        "VA 16 Or" + i,
-                        client.request(NodeTestFixture.READ.replace("O1", "Or" + i)));
-                assertEquals("7f3a9c21e0b4d655", client.readData(16));
-            }
-            assertEquals(1, fakeServer[0].connections.get());
-        }
-    }
-
-    @Test
-    void anyByteOnAnIdleConnectionEndsIt() throws Exception {
-        FakeServer[] fakeServer = new FakeServer[1];
-        Semaphore gate = new Semaphore(0);
-        fakeServer[0] =
-                new FakeServer(
-                        connection -> {
-                            connection.write(
-                                    FakeServer.successResponse(
-                                            fakeServer[0].readCommand(connection)));
-                            gate.acquireUninterruptibly();
-                            connection.write("x");
-                            connection.awaitClose();
-                            fakeServer[0].closedConnections.add("end");
-                        });
-        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
-                TestConnection client = fixture.client()) {
-            assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
-            awaitGauge(fixture, " links 1 idle 1");
-            gate.release();
-            assertEquals("end", fakeServer[0].awaitClose());
-            awaitGauge(fixture, " links 0 idle 0");
-        }
-    }
-
-    /**
-     * A load report that cannot be read, or is no number to reckon with, is dropped; the answer
-     * stands.
-     */
-    @Test
-    void loadReportsThatCannotBeReadAreDropped() throws Exception {
-        try (NodeTestFixture fixture = new NodeTestFixture()) {
-            DeploymentSettings settings = fixture.deploymentSettings();
-            for (String malformed :
-                    new String[] {
-                        "util=NaN", "util=Infinity", "util=-1e99", "util=", "util", "=", "", "x=1"
-                    }) {
-                assertEquals(0, settings.parseReport(malformed).length, malformed);
-            }
-            assertEquals(0.5f, settings.parseReport("util=0.5")[0]);
-        }
-        FakeServer fakeServer =
-                FakeServer.respondingWith(
-                        c -> "HD " + FakeServer.opaque(c) + " c77 Lutil=oops,=,\r\n");
-        try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
-                TestConnection client = fixture.client()) {
-            assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
-        }
-    }
-
     @Test
     void aConnectionClosedByItsServerIsNotReused() throws Exception {
         FakeServer[] fakeServer = new FakeServer[1];
@@ -352,32 +189,12 @@
                 TestConnection client = fixture.client()) {
             for (int i = 1; i <= 3; i++) {
                 assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
-                awaitGauge(fixture, " links 0 ");
+                fixture.awaitGauge("links", 0);
                 assertEquals(i, fakeServer[0].connections.get());
             }
         }
     }
 
-    /** Waits until gauges stand at values: "links 2 idle 0". */
-    static void awaitGauge(NodeTestFixture fixture, String expected) throws Exception {
-        String[] namesAndValues = expected.trim().split(" ");
-        Map<String, Object> gauges = Map.of();
-        for (long endNanos = System.nanoTime() + TestConnection.TIMEOUT_MILLIS * 1_000_000L;
-                System.nanoTime() < endNanos;
-                Thread.sleep(2)) {
-            gauges = fixture.loop.submit(fixture.node::gauges).get();
-            boolean allMatch = true;
-            for (int i = 0; i < namesAndValues.length; i += 2) {
-                allMatch &=
-                        String.valueOf(gauges.get(namesAndValues[i])).equals(namesAndValues[i + 1]);
-            }
-            if (allMatch) {
-                return;
-            }
-        }
-        fail(expected + " expected, " + gauges + " found");
-    }
-
     @Test
     void idleConnectionsAreRetiredBeforeTheirServerClosesThem() throws Exception {
         FakeServer fakeServer = FakeServer.servingAnyCommand();
--- a/node/src/test/java/frostrelay/node/TestConnection.java
+++ b/node/src/test/java/frostrelay/node/TestConnection.java
@@ -4,9 +4,10 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 
-/** The far end of one connection, blocking and with a generous limit on every wait. */
+/** One end of a connection, blocking with a generous timeout on every read. */
 public final class TestConnection implements AutoCloseable {
     public static final int TIMEOUT_MILLIS = 20_000;
     private final Socket socket;
@@ -38,7 +39,7 @@
                 }
                 line.append((char) c);
             }
-        } catch (java.net.SocketException e) {
+        } catch (SocketException e) {
             return null;
         }
         return null;
@@ -50,24 +51,24 @@
         return data;
     }
 
-    /** Asks and reads one line of answer. */
+    /** Sends a command and reads one line of its response. */
     public String request(String command) throws IOException {
         return write(command + "\r\n").readLine();
     }
 
-    /** Waits for the far end to close; whether it did so in order, and not with a reset. */
+    /** Waits for the far end to close; whether it did so without a reset. */
     boolean closesGracefully() throws IOException {
         try {
             while (in.read() >= 0) {
-                // What it still says is passed over.
+                // Bytes before the end are ignored.
             }
             return true;
-        } catch (java.net.SocketException e) {
+        } catch (SocketException e) {
             return false;
         }
     }
 
-    /** Waits for the far end to close; what it still says is passed over. */
+    /** Waits for the far end to close; lines before that are ignored. */
     void awaitClose() throws IOException {
         String line = readLine();
         while (line != null) {
