--- a/node/src/test/java/frostrelay/node/DeadlineFallbackTest.java
+++ b/node/src/test/java/frostrelay/node/DeadlineFallbackTest.java
@@ -142,7 +142,7 @@
                                                     loop,
                                                     new Counters(),
                                                     Router::new,
-                                                    (site, listener) ->
+                                                    (currentSettings, listener) ->
                                                             new NeverConnectingUpstream(),
                                                     new MemoryLimiter(1_000),
                                                     new ActionGuard(),
--- a/node/src/test/java/frostrelay/node/LateWorkTest.java
+++ b/node/src/test/java/frostrelay/node/LateWorkTest.java
@@ -153,8 +153,8 @@
                                             "\"deadline-ns\":1000000000",
                                             "\"deadline-ns\":2500000000")
                                     .getBytes());
-            DeploymentSettings site = new DeploymentSettings(Json.object(before));
-            assertEquals(2_500 * Clock.NANOS_PER_MILLISECOND, site.longestDeadlineNanos());
+            DeploymentSettings settings = new DeploymentSettings(Json.object(before));
+            assertEquals(2_500 * Clock.NANOS_PER_MILLISECOND, settings.longestDeadlineNanos());
             Object after =
                     Json.parse(
                             fixture.settings()
@@ -162,7 +162,7 @@
                                     .getBytes());
             assertEquals(
                     1_000 * Clock.NANOS_PER_MILLISECOND,
-                    site.replacedBy(Json.object(after), Clock.now()).longestDeadlineNanos());
+                    settings.replacedBy(Json.object(after), Clock.now()).longestDeadlineNanos());
         }
     }
 
--- a/node/src/test/java/frostrelay/node/NodeTestFixture.java
+++ b/node/src/test/java/frostrelay/node/NodeTestFixture.java
@@ -156,8 +156,8 @@
         loop = group.next();
         Config config =
                 Config.parse(Json.parse(config("127.0.0.1:0").getBytes(StandardCharsets.UTF_8)));
-        temporaryDirectory = Files.createTempDirectory("rig");
-        sharedDirectory = new SharedDirectory(temporaryDirectory, "rig");
+        temporaryDirectory = Files.createTempDirectory("node-test");
+        sharedDirectory = new SharedDirectory(temporaryDirectory, "node-test");
         SharedDirectory.Snapshot sharedState = sharedDirectory.snapshot();
         node =
                 loop.submit(
--- a/node/src/test/java/frostrelay/node/OrderTest.java
+++ b/node/src/test/java/frostrelay/node/OrderTest.java
@@ -69,8 +69,8 @@
         void run(PolicyActions actions, long now, Request request, long serverId);
     }
 
-    private NodeTestFixture fixture(RequestAction action, FakeServer... hosts) {
-        NodeTestFixture fixture = new NodeTestFixture(hosts);
+    private NodeTestFixture fixture(RequestAction action, FakeServer... fakeServers) {
+        NodeTestFixture fixture = new NodeTestFixture(fakeServers);
         fixture.policyFactory =
                 (settings, seed, actions) ->
                         new Recording(actions) {
@@ -153,7 +153,7 @@
     @Test
     void theFirstAnswerIsTheFinalOne() throws Exception {
         int[] commandCount = new int[1];
-        FakeServer serverId =
+        FakeServer fakeServer =
                 FakeServer.respondingWith(
                         c -> commandCount[0]++ == 0 ? null : FakeServer.valueResponse(c, "v"));
         try (NodeTestFixture fixture =
@@ -162,7 +162,7 @@
                             actions.send(request.id(), server, 0);
                             actions.scheduleTimer(now + NANOS_PER_MILLISECOND, 1);
                         },
-                        serverId)) {
+                        fakeServer)) {
             RequestDispatcher.PolicyFactory innerFactory = fixture.policyFactory;
             fixture.policyFactory =
                     (settings, seed, actions) -> {
