--- a/node/src/main/java/frostrelay/node/Node.java
+++ b/node/src/main/java/frostrelay/node/Node.java
@@ -204,7 +204,7 @@
     }
 
     private void listenOnceEndpointsKnown(Promise<ChannelFuture> started) {
-        dispatcher.heard().addListener(endpointsKnown -> listen(started));
+        dispatcher.initialEndpointsReceived().addListener(endpointsKnown -> listen(started));
     }
 
     private void listen(Promise<ChannelFuture> started) {
--- a/node/src/main/java/frostrelay/node/proxy/RequestDispatcher.java
+++ b/node/src/main/java/frostrelay/node/proxy/RequestDispatcher.java
@@ -130,7 +130,7 @@
      * start of this process and the configuration's may be old: nothing is sent before the agent
      * has answered or failed.
      */
-    public Future<Void> heard() {
+    public Future<Void> initialEndpointsReceived() {
         return endpointSubscription.initialListReceived();
     }
 
