--- a/policy/src/main/java/frostrelay/policy/api/Idempotency.java
+++ b/policy/src/main/java/frostrelay/policy/api/Idempotency.java
@@ -1,11 +1,11 @@
 package frostrelay.policy.api;
 
-/** How often a request of a class may take effect. */
+/** Whether a request of a class may be executed more than once. */
 public enum Idempotency {
-    /** Repeats do no harm. */
+    /** Repeated execution is harmless. */
     IDEMPOTENT,
-    /** Servers of one group drop repeats for a while. */
+    /** Servers of one {@link DeduplicationScope} drop repeats within the deduplication window. */
     IDEMPOTENCY_KEY,
-    /** Must never run twice. */
+    /** Must never be executed twice. */
     NOT_IDEMPOTENT
 }
--- a/policy/src/main/java/frostrelay/policy/api/PolicyEvents.java
+++ b/policy/src/main/java/frostrelay/policy/api/PolicyEvents.java
@@ -3,46 +3,50 @@
 import java.util.List;
 import java.util.Set;
 
-/** PolicyEvents in. All times are nanoseconds of the caller's clock. */
+/**
+ * What the decision module is notified of. All times are nanoseconds of the caller's clock. All
+ * methods are called on one thread.
+ */
 public interface PolicyEvents {
-    /** The server list changed, or a call for it failed. */
+    /** The endpoint list changed, or a call for it failed. */
     void onEndpointUpdate(long now, EndpointUpdateMode mode, List<Server> servers);
 
-    /** A client request arrived; one final answer is owed from here on. */
+    /** A client request arrived; it gets exactly one final answer. */
     void onRequest(long now, Request request);
 
-    /** An attempt ended. Unknown requests are passed over. */
+    /** An attempt ended. Outcomes of unknown requests or attempts are ignored. */
     void onAttemptOutcome(long now, AttemptOutcome outcome);
 
-    /** A streamed answer began. */
+    /** The first byte of a streamed answer arrived. */
     void onFirstByte(long now, long request, int attempt);
 
-    /** The client left; nothing is owed any more. */
+    /** The client disconnected; its request needs no answer any more. */
     void onClientDisconnect(long now, long request);
 
     /** A timer set by {@link PolicyActions#scheduleTimer} is due. */
     void onTimer(long now, int token);
 
     /**
-     * Operators hold these servers out of use, all of them and no others, whatever the list says.
-     * One that is let go may have been restarted meanwhile.
+     * Operators drain exactly these servers, whatever the endpoint list says. A server whose drain
+     * ends may have been restarted meanwhile.
      */
     void onAdminDrains(long now, Set<Long> drainedServers);
 
     /**
-     * What the fleet knows of its servers: exactly these are found bad by others, as far as that is
-     * to be gone by. Advice: their traffic is lowered, not ended.
+     * Peers consider exactly these servers to be outliers, according to a quorum that the caller
+     * has checked. The report is advice: traffic to outliers is reduced, not stopped.
      */
     void onPeerHealthReports(long now, Set<Long> outliers);
 
     /**
-     * New settings hold from now on. A class or tenant keeps its number for the life of the module,
-     * also one that is no longer named: its open requests go on.
+     * New settings apply from now on. A class or tenant keeps its index for the lifetime of the
+     * module, also when it is no longer configured: its open requests continue.
      */
     void onSettings(long now, PolicySettings settings);
 
     /**
-     * So many further processes of this balancer serve beside this one: an upgrade is under way.
+     * This many further processes of the same balancer serve beside this one: an upgrade is in
+     * progress.
      */
     void onSiblingProcesses(long now, int siblingCount);
 }
--- a/policy/src/main/java/frostrelay/policy/api/Request.java
+++ b/policy/src/main/java/frostrelay/policy/api/Request.java
@@ -1,6 +1,17 @@
 package frostrelay.policy.api;
 
-/** A client request. A {@code work} of 0 means no hint; a {@code key} of 0 means none. */
+/**
+ * A client request.
+ *
+ * @param id unique id
+ * @param requestClass index into {@link PolicySettings#classes}
+ * @param tenant index into {@link PolicySettings#tenants}; an unknown tenant has no quota
+ * @param key cache key, 0 for none
+ * @param deadlineNanos when the client stops waiting
+ * @param work hint of the amount of work, 0 for none
+ * @param clientRetry whether the client repeats an earlier request
+ * @param write whether the request writes
+ */
 public record Request(
         long id,
         int requestClass,
--- a/policy/src/main/java/frostrelay/policy/api/ResponseSource.java
+++ b/policy/src/main/java/frostrelay/policy/api/ResponseSource.java
@@ -1,8 +1,11 @@
 package frostrelay.policy.api;
 
-/** Where a read's answer came from, for caches that tell. */
+/** Where a read's answer came from. */
 public enum ResponseSource {
+    /** The cache did not report it. */
     UNKNOWN,
+    /** A cache held the value. */
     CACHE,
+    /** The value was fetched from the origin. */
     ORIGIN
 }
--- a/policy/src/main/java/frostrelay/policy/api/Tenant.java
+++ b/policy/src/main/java/frostrelay/policy/api/Tenant.java
@@ -1,4 +1,9 @@
 package frostrelay.policy.api;
 
-/** A tenant: requests a second within its share over all balancers, and its fraction of service. */
+/**
+ * A tenant.
+ *
+ * @param quotaPerSecond requests per second within its quota, over all balancers
+ * @param serviceFraction its fraction of the service
+ */
 public record Tenant(double quotaPerSecond, double serviceFraction) {}
--- a/policy/src/main/java/frostrelay/policy/api/package-info.java
+++ b/policy/src/main/java/frostrelay/policy/api/package-info.java
@@ -1,8 +1,14 @@
 /**
- * The interface of the decision module: events and settings in, actions out, and the values they
- * carry.
+ * The interface of the decision module: {@link frostrelay.policy.api.PolicyEvents events} and
+ * {@link frostrelay.policy.api.PolicySettings settings} in, {@link
+ * frostrelay.policy.api.PolicyActions actions} out, and the values that they carry.
  *
- * <p>All types are immutable. Times are nanoseconds of the caller's clock, which never falls;
- * durations are nanoseconds. The module may keep what it is given.
+ * <p>All values are immutable; the module may keep the lists, sets and arrays that it is given, so
+ * that callers must not change them afterwards. Times are nanoseconds of the caller's monotonic
+ * clock; durations are nanoseconds. Events of one module are delivered on one thread, and its
+ * actions are called on that thread from within an event.
+ *
+ * <p>The package depends on nothing but the JDK. {@code frostrelay.policy} implements it; the node,
+ * the simulator adapter and embedding programs call it.
  */
 package frostrelay.policy.api;
--- a/policy/src/main/java/frostrelay/settings/SettingsParser.java
+++ b/policy/src/main/java/frostrelay/settings/SettingsParser.java
@@ -10,169 +10,180 @@
 
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
 
 /**
- * Reads the settings lines of the wire. Unknown keys are skipped; a missing key gets a default that
- * is safe: the strictest effect, no copies, no cancelling, one attempt, the slowest warm-up.
+ * Parses settings lines into {@link PolicySettings}. Unknown keys are ignored. A missing key gets a
+ * safe default: requests are not idempotent, there is no hedging, no cancellation, a single attempt
+ * and the longest slow start.
  */
 public final class SettingsParser {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long DEFAULT_DEADLINE_NANOS = NANOS_PER_SECOND;
+    private static final long DEFAULT_POLL_INTERVAL_NANOS = 10 * NANOS_PER_SECOND;
     private static final double DEFAULT_SLOW_START_FRACTION = 0.1;
+    private static final long DEFAULT_SLOW_START_NANOS = 30 * NANOS_PER_SECOND;
     private static final double DEFAULT_OVERLOAD_MULTIPLE = 2;
-    private static final long DEFAULT_KEY_IDLE_NANOS = NANOS_PER_SECOND;
+    private static final long DEFAULT_OVERLOAD_WINDOW_NANOS = NANOS_PER_SECOND;
+    private static final long DEFAULT_KEY_QUARANTINE_NANOS = NANOS_PER_SECOND;
     private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = NANOS_PER_SECOND / 4;
-    private static final long DEFAULT_RETRY_BUDGET_SPAN_NANOS = 10 * NANOS_PER_SECOND;
+    private static final long DEFAULT_RETRY_BUDGET_WINDOW_NANOS = 10 * NANOS_PER_SECOND;
 
-    /** More items than this in a list are taken for a damaged message. */
-    private static final int MAX_ITEMS = 10_000;
+    private static final String RETRY_BUDGET_MIN = "guarantees.budget-free";
+    private static final String RETRY_BUDGET_RATIO = "guarantees.repeat-ratio";
+    private static final String RETRY_BUDGET_WINDOW = "guarantees.resend-span-ns";
 
-    private final Map<String, String> values = new HashMap<>();
+    private final SettingsText text;
 
-    private SettingsParser(String text) {
-        for (String line : text.split("\n")) {
-            int equals = line.indexOf('=');
-            if (equals > 0) {
-                values.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
-            }
-        }
+    private SettingsParser(SettingsText text) {
+        this.text = text;
     }
 
-    /** Both sides read their settings here, so that the same text means the same to them. */
+    /**
+     * Parses settings lines of the form {@code key=value}.
+     *
+     * @throws SettingsException if a value is not a number, or a list's size is impossible
+     */
     public static PolicySettings parse(String text) {
-        return new SettingsParser(text).parseSettings();
+        return new SettingsParser(new SettingsText(text)).parseSettings();
     }
 
+    /** Reads the settings in the order of the record's components. */
     private PolicySettings parseSettings() {
+        List<RequestClass> classes = parseRequestClasses();
+        List<Tenant> tenants = parseTenants();
+
+        int zone = text.readInt("my-zone", 0);
+        int instanceIndex = text.readInt("rank", 0);
+        int instanceCount = (int) Math.max(1, text.readLong("n-instances", 1));
+        boolean lookAside = text.readText("family-info.mode", "through").equals("aside");
+        int originKind = text.readInt("family-info.origin-kind", -1);
+        boolean subscribe = text.readText("discovery", "automatic").equals("subscribe");
+
+        int maxAttempts = text.readInt("ceilings.max-attempts", 1);
+        boolean hedgingAllowed = text.readBoolean("ceilings.may-duplicate");
+        boolean cancellationAllowed = text.readBoolean("ceilings.cancelling");
+        long connectTimeoutNanos =
+                text.readLong("ceilings.connect-timeout-ns", DEFAULT_CONNECT_TIMEOUT_NANOS);
+        boolean retryAfterSupported = text.readBoolean("ceilings.retry-after");
+        long maxRetryAfterNanos = text.readLong("ceilings.max-retry-after-ns", 0);
+
+        long drainGraceNanos = text.readLong("guarantees.stop-sending-within-ns", 0);
+        long pollIntervalNanos =
+                text.readLong("guarantees.ask-within-ns", DEFAULT_POLL_INTERVAL_NANOS);
+        double slowStartInitialFraction =
+                text.readDouble("guarantees.cold-from", DEFAULT_SLOW_START_FRACTION);
+        long slowStartNanos = text.readLong("guarantees.warm-within-ns", DEFAULT_SLOW_START_NANOS);
+        double overloadMultiple =
+                text.readDouble("guarantees.tip-multiple", DEFAULT_OVERLOAD_MULTIPLE);
+        long overloadWindowNanos =
+                Math.max(1, text.readLong("guarantees.fall-ns", DEFAULT_OVERLOAD_WINDOW_NANOS));
+        double overQuotaWeight = text.readDouble("over-share-worth", 1);
+        long keyQuarantineNanos =
+                text.readLong("guarantees.key-quiet-ns", DEFAULT_KEY_QUARANTINE_NANOS);
+
+        return new PolicySettings(
+                classes,
+                tenants,
+                zone,
+                instanceIndex,
+                instanceCount,
+                lookAside,
+                originKind,
+                subscribe,
+                maxAttempts,
+                hedgingAllowed,
+                cancellationAllowed,
+                connectTimeoutNanos,
+                retryAfterSupported,
+                maxRetryAfterNanos,
+                drainGraceNanos,
+                pollIntervalNanos,
+                slowStartInitialFraction,
+                slowStartNanos,
+                overloadMultiple,
+                overloadWindowNanos,
+                overQuotaWeight,
+                keyQuarantineNanos,
+                parseRetryBudget(),
+                parseLoadReportLayout());
+    }
+
+    private List<RequestClass> parseRequestClasses() {
+        int count = text.readCount("categories.count");
         List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < readCount("categories.count"); i++) {
+        for (int i = 0; i < count; i++) {
             classes.add(parseRequestClass("categories." + i + "."));
         }
-        List<Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < readCount("tenants.count"); i++) {
-            tenants.add(
-                    new Tenant(
-                            readDouble("tenants." + i + ".allowance-per-s", 0),
-                            readDouble("tenants." + i + ".fraction", 1)));
-        }
-        List<String> loadReportFields =
-                Arrays.asList(readText("load-report.fields", "").split(","));
-        return new PolicySettings(
-                List.copyOf(classes),
-                List.copyOf(tenants),
-                (int) readLong("my-zone", 0),
-                (int) readLong("rank", 0),
-                (int) Math.max(1, readLong("n-instances", 1)),
-                readText("family-info.mode", "through").equals("aside"),
-                (int) readLong("family-info.origin-kind", -1),
-                readText("discovery", "automatic").equals("subscribe"),
-                (int) readLong("ceilings.max-attempts", 1),
-                readBoolean("ceilings.may-duplicate"),
-                readBoolean("ceilings.cancelling"),
-                readLong("ceilings.connect-timeout-ns", DEFAULT_CONNECT_TIMEOUT_NANOS),
-                readBoolean("ceilings.retry-after"),
-                readLong("ceilings.max-retry-after-ns", 0),
-                readLong("guarantees.stop-sending-within-ns", 0),
-                readLong("guarantees.ask-within-ns", 10 * NANOS_PER_SECOND),
-                readDouble("guarantees.cold-from", DEFAULT_SLOW_START_FRACTION),
-                readLong("guarantees.warm-within-ns", 30 * NANOS_PER_SECOND),
-                readDouble("guarantees.tip-multiple", DEFAULT_OVERLOAD_MULTIPLE),
-                Math.max(1, readLong("guarantees.fall-ns", NANOS_PER_SECOND)),
-                readDouble("over-share-worth", 1),
-                readLong("guarantees.key-quiet-ns", DEFAULT_KEY_IDLE_NANOS),
-                parseRetryBudget(),
-                new LoadReportLayout(
-                        loadReportFields.indexOf("rif"),
-                        loadReportFields.indexOf("q"),
-                        loadReportFields.indexOf("busy")));
+        return List.copyOf(classes);
     }
 
     private RequestClass parseRequestClass(String prefix) {
-        long deadlineNanos = readLong(prefix + "deadline-ns", DEFAULT_DEADLINE_NANOS);
-        Idempotency idempotency =
-                switch (readText(prefix + "effect", "fragile")) {
-                    case "retryable" -> Idempotency.IDEMPOTENT;
-                    case "dedup" -> Idempotency.IDEMPOTENCY_KEY;
-                    default -> Idempotency.NOT_IDEMPOTENT;
-                };
-        DeduplicationScope deduplicationScope =
-                switch (readText(prefix + "group", "cell").toLowerCase(Locale.ROOT)) {
-                    case "all" -> DeduplicationScope.ALL;
-                    case "zone" -> DeduplicationScope.ZONE;
-                    default -> DeduplicationScope.CELL;
-                };
+        long deadlineNanos = text.readLong(prefix + "deadline-ns", DEFAULT_DEADLINE_NANOS);
         return new RequestClass(
-                Math.max(1, readLong(prefix + "goal-time-ns", deadlineNanos)),
-                readDouble(prefix + "aim-stretch", 0),
+                Math.max(1, text.readLong(prefix + "goal-time-ns", deadlineNanos)),
+                text.readDouble(prefix + "aim-stretch", 0),
                 deadlineNanos,
-                readDouble(prefix + "worth", 1),
-                readDouble(prefix + "late-worth", 0),
-                idempotency,
-                deduplicationScope,
-                readLong(prefix + "window-ns", 0),
-                readBoolean(prefix + "stream"),
-                readBoolean(prefix + "serial-by-key"));
-    }
-
-    /**
-     * There is a budget as soon as one of its settings is named; what is left out of it allows
-     * nothing.
-     */
-    private RetryBudget parseRetryBudget() {
-        boolean isConfigured =
-                values.containsKey("guarantees.budget-free")
-                        || values.containsKey("guarantees.repeat-ratio")
-                        || values.containsKey("guarantees.resend-span-ns");
-        return isConfigured
-                ? new RetryBudget(
-                        readDouble("guarantees.budget-free", 0),
-                        readDouble("guarantees.repeat-ratio", 0),
-                        readLong("guarantees.resend-span-ns", DEFAULT_RETRY_BUDGET_SPAN_NANOS))
-                : null;
+                text.readDouble(prefix + "worth", 1),
+                text.readDouble(prefix + "late-worth", 0),
+                parseIdempotency(prefix + "effect"),
+                parseDeduplicationScope(prefix + "group"),
+                text.readLong(prefix + "window-ns", 0),
+                text.readBoolean(prefix + "stream"),
+                text.readBoolean(prefix + "serial-by-key"));
     }
 
-    private int readCount(String key) {
-        long size = readLong(key, 0);
-        if (size < 0 || size > MAX_ITEMS) {
-            throw new SettingsException("setting " + key + " has an impossible value: " + size);
-        }
-        return (int) size;
+    private Idempotency parseIdempotency(String key) {
+        return switch (text.readText(key, "fragile")) {
+            case "retryable" -> Idempotency.IDEMPOTENT;
+            case "dedup" -> Idempotency.IDEMPOTENCY_KEY;
+            default -> Idempotency.NOT_IDEMPOTENT;
+        };
     }
 
-    private String readText(String key, String defaultValue) {
-        return values.getOrDefault(key, defaultValue);
+    private DeduplicationScope parseDeduplicationScope(String key) {
+        return switch (text.readText(key, "cell").toLowerCase(Locale.ROOT)) {
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            default -> DeduplicationScope.CELL;
+        };
     }
 
-    private boolean readBoolean(String key) {
-        return readText(key, "false").equals("true");
+    private List<Tenant> parseTenants() {
+        int count = text.readCount("tenants.count");
+        List<Tenant> tenants = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            String prefix = "tenants." + i + ".";
+            tenants.add(
+                    new Tenant(
+                            text.readDouble(prefix + "allowance-per-s", 0),
+                            text.readDouble(prefix + "fraction", 1)));
+        }
+        return List.copyOf(tenants);
     }
 
-    private long readLong(String key, long defaultValue) {
-        String value = values.get(key);
-        try {
-            return value == null || value.isEmpty() ? defaultValue : Long.parseLong(value);
-        } catch (NumberFormatException e) {
-            return (long) readDouble(key, defaultValue);
+    /**
+     * Returns null unless one of the budget's settings is present; one that is then missing allows
+     * nothing.
+     */
+    private RetryBudget parseRetryBudget() {
+        boolean isConfigured =
+                text.contains(RETRY_BUDGET_MIN)
+                        || text.contains(RETRY_BUDGET_RATIO)
+                        || text.contains(RETRY_BUDGET_WINDOW);
+        if (!isConfigured) {
+            return null;
         }
+        return new RetryBudget(
+                text.readDouble(RETRY_BUDGET_MIN, 0),
+                text.readDouble(RETRY_BUDGET_RATIO, 0),
+                text.readLong(RETRY_BUDGET_WINDOW, DEFAULT_RETRY_BUDGET_WINDOW_NANOS));
     }
 
-    private double readDouble(String key, double defaultValue) {
-        String value = values.get(key);
-        if (value == null || value.isEmpty()) {
-            return defaultValue;
-        }
-        try {
-            double number = Double.parseDouble(value);
-            if (Double.isFinite(number)) {
-                return number;
-            }
-        } catch (NumberFormatException e) {
-            // Told below, as for numbers that are not finite.
-        }
-        throw new SettingsException("setting " + key + " is no number: " + value);
+    private LoadReportLayout parseLoadReportLayout() {
+        List<String> fields = Arrays.asList(text.readText("load-report.fields", "").split(","));
+        return new LoadReportLayout(
+                fields.indexOf("rif"), fields.indexOf("q"), fields.indexOf("busy"));
     }
 }
--- a/policy/src/test/java/frostrelay/settings/SettingsParserTest.java
+++ b/policy/src/test/java/frostrelay/settings/SettingsParserTest.java
@@ -10,7 +10,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What settings mean where they say too little, or nothing that can be meant. */
+/** Defaults for missing settings, and errors for settings with unusable values. */
 class SettingsParserTest {
     @Test
     void missingSettingsGetSafeDefaults() {
@@ -49,6 +49,6 @@
         assertEquals(0, emptyBudget.minRetries() + emptyBudget.retryRatio());
         assertTrue(
                 SettingsParser.parse("guarantees.key-quiet-ns=\n").keyQuarantineNanos() > 0,
-                "a key rests");
+                "a serialized key is quarantined");
     }
 }
