--- a/policy/src/main/java/frostrelay/policy/AdmissionControl.java
+++ b/policy/src/main/java/frostrelay/policy/AdmissionControl.java
@@ -5,41 +5,53 @@
 
 import java.util.Arrays;
 
-/** What is turned away before any work is done, and how hard the fleet looks pressed from here. */
+/**
+ * Sheds load before any work is done: by each tenant's quota, and by an admitted fraction that
+ * follows load signals from the fleet.
+ */
 final class AdmissionControl {
     /**
-     * Requests of a tenant's allowance that may be saved up; fewer would take chance for excess.
+     * Requests of a tenant's quota that may be saved up; with fewer, random bursts would exceed it.
      */
     private static final double BURST = 20;
 
     /**
-     * What a sign does to the share admitted: more for a balancer that sees few, within these
-     * limits.
+     * Limits of the logarithmic change of the admitted fraction by a signal of strength 1. It grows
+     * with the time since the last signal: a balancer that sees few signals weighs each one more.
      */
     private static final double MIN_STEP = 0.02;
 
     private static final double MAX_STEP = 0.15;
+
+    /** Time since the last signal that gives a step of 1, before the limits. */
     private static final long STEP_NANOS = 1_000_000_000L;
 
-    /** Part of the aim after which a request that is still out is a sign of overload. */
+    /** Fraction of the latency objective after which a missing answer is a sign of overload. */
     private static final double SLOW_OBJECTIVE_FRACTION = 0.45;
 
-    /** What a rejection and a slow request say of the load, where a quick answer says 1. */
+    /** Load signals of a rejection and of a slow request, where a fast answer gives 1. */
     static final double REJECTION_SIGNAL = -2.5;
 
     static final double SLOWNESS_SIGNAL = -1;
+
+    /** Signal without effect on the admitted fraction. */
+    static final double NEUTRAL_SIGNAL = 0;
+
     private static final double MIN_ADMITTED = 0.05;
 
-    /** Part of the longest wait told to a refused client that is told to each of them. */
-    private static final double MIN_WAIT = 0.25;
+    /** Smallest Retry-After as a fraction of the largest at the same load. */
+    private static final double MIN_WAIT_FRACTION = 0.25;
 
+    /** Attempts over which the mean write duration is averaged. */
     private static final int WRITE_SMOOTHING = 8;
 
+    private static final double SECONDS_PER_NANO = 1e-9;
+
     private PolicySettings settings;
     private double admitted = 1;
     private long lastSignalAtNanos;
 
-    /** Mean time that an ordered request keeps its key. */
+    /** Moving average of the time that a serialized request blocks its key. */
     long meanWriteNanos;
 
     private double[] tokens;
@@ -51,24 +63,27 @@
         refilledAtNanos = new long[tokens.length];
     }
 
-    /** Tenants keep their numbers, and what they have saved up. */
+    /** Tenants keep their indexes, and what they have saved up. */
     void onSettings(PolicySettings newSettings) {
         settings = newSettings;
         tokens = Arrays.copyOf(tokens, newSettings.tenants().size());
         refilledAtNanos = Arrays.copyOf(refilledAtNanos, tokens.length);
     }
 
-    /** Guards against full, slow caches under lasting overload: traffic over shares goes first. */
+    /**
+     * Returns whether to shed a request. Guards against full, slow caches under lasting overload:
+     * traffic over its quota is shed first, writes last.
+     */
     boolean shouldShed(boolean isOverQuota, boolean isWrite, double randomUnit) {
         double passProbability = Math.max(0, isOverQuota ? 2 * admitted - 1 : 2 * admitted);
         return randomUnit >= (isWrite ? Math.sqrt(passProbability) : passProbability);
     }
 
     /**
-     * When a refused client should come again: at once while little is shed, spread over most of
-     * what it has left to wait while nearly all is. Guards against tries that multiply as more of
-     * them are refused, which costs a balancer the time that it needs to serve. Harm: a request
-     * that would have been let in at its next try comes late for its aim.
+     * Returns the Retry-After of a shed request: 0 while little is shed, spread over most of the
+     * time to its deadline while nearly everything is. Guards against retries that multiply as more
+     * of them are rejected, which costs a balancer the time that it needs to serve. Cost: a request
+     * that would have been admitted at its next attempt misses its latency objective.
      */
     long retryAfterNanos(RequestClass requestClass, double random) {
         double shedFraction = Math.max(0, 1 - 2 * admitted);
@@ -76,14 +91,14 @@
                 (requestClass.deadlineNanos()
                         * shedFraction
                         * shedFraction
-                        * (MIN_WAIT + (1 - MIN_WAIT) * random));
+                        * (MIN_WAIT_FRACTION + (1 - MIN_WAIT_FRACTION) * random));
     }
 
     /**
-     * A cache answered quickly, turned a request away, or has one out for long: half of one kind
-     * and half of the other balance, so that lost answers alone shed nothing. Guards against jams
-     * that outlast their cause, as servers that slow down when crowded make them. Harm: work that
-     * is slow by nature is shed.
+     * Records that a cache answered fast, rejected a request or was slow. Equal numbers of fast and
+     * slow answers balance, so that lost answers alone shed nothing. Guards against overload that
+     * outlasts its cause, as at servers that slow down under load. Cost: requests that are slow by
+     * nature are shed.
      */
     void recordLoadSignal(long now, double signal) {
         double step =
@@ -94,31 +109,33 @@
         admitted = Math.max(MIN_ADMITTED, Math.min(1, admitted * Math.exp(signal * step)));
     }
 
-    /** When a request that is still out tells of overload. */
+    /** Returns the time after which a missing answer is a sign of overload. */
     long slowAfterNanos(RequestClass requestClass) {
         return (long) (requestClass.latencyObjectiveNanos() * SLOW_OBJECTIVE_FRACTION);
     }
 
-    /** Whether so much is shed that nothing may be sent twice without need. */
+    /** Returns whether so much is shed that needless further attempts must not be sent. */
     boolean isOverloaded() {
         return admitted < 0.5;
     }
 
-    /** Whether its tenant's share is used up. */
+    /** Returns whether the tenant's quota is used up; a tenant without settings has none. */
     boolean isOverQuota(long now, int tenant) {
         if (tenant >= tokens.length) {
             return false;
         }
         double rate = settings.tenants().get(tenant).quotaPerSecond() / settings.instanceCount();
         tokens[tenant] =
-                Math.min(BURST, tokens[tenant] + (now - refilledAtNanos[tenant]) * 1e-9 * rate);
+                Math.min(
+                        BURST,
+                        tokens[tenant] + (now - refilledAtNanos[tenant]) * SECONDS_PER_NANO * rate);
         refilledAtNanos[tenant] = now;
         return tokens[tenant] < 1;
     }
 
     /**
-     * Counts an admitted request: guards against retries of refused ones using up their tenant's
-     * share.
+     * Counts an admitted request. Rejected ones do not count: their retries must not use up the
+     * tenant's quota.
      */
     void consumeQuota(int tenant) {
         if (tenant < tokens.length) {
@@ -126,7 +143,7 @@
         }
     }
 
-    /** An attempt of an ordered request ran to its end. */
+    /** An attempt of a serialized request ended. */
     void recordWriteDuration(long durationNanos) {
         meanWriteNanos += (durationNanos - meanWriteNanos) / WRITE_SMOOTHING;
     }
--- a/policy/src/main/java/frostrelay/policy/HedgingPolicy.java
+++ b/policy/src/main/java/frostrelay/policy/HedgingPolicy.java
@@ -5,24 +5,31 @@
 
 import frostrelay.policy.api.RetryBudget;
 
-import java.util.*;
+import java.util.ArrayDeque;
+import java.util.Deque;
 
 /**
- * When a copy of a slow read goes out, a quantile of recent served latencies, and what may be
- * repeated.
+ * When a slow read is hedged, after a quantile of recent latencies, and the budget of retries and
+ * hedged requests.
  */
 final class HedgingPolicy {
     private static final double HEDGE_QUANTILE = 0.95;
+
+    /** Accuracy of the digest: about this many centroids. */
     private static final double COMPRESSION = 50;
 
-    /** A digest begins anew after so many samples, or so long once it holds the minimum sample. */
+    /**
+     * The digest restarts after so many samples, or after so long once it has the minimum of them.
+     */
     private static final int MAX_SAMPLES = 512;
 
     private static final long MAX_AGE_NANOS = 10_000_000_000L;
     private static final int MIN_SAMPLES = 32;
+
+    /** Samples between two readings of the quantile. */
     private static final int REFRESH_SAMPLES = 16;
 
-    /** The budget of further attempts where none is stated. */
+    /** The retry budget where none is configured. */
     private static final RetryBudget DEFAULT_BUDGET = new RetryBudget(10, 0.2, 5_000_000_000L);
 
     private TDigest digest = new MergingDigest(COMPRESSION);
@@ -30,21 +37,22 @@
     private int samples;
     private long hedgeDelayNanos;
 
-    /** The sixth rule, with the times of requests taken and of further attempts. */
     private RetryBudget budget;
 
+    /** Times of recent requests, and of recent retries and hedged requests. */
     private final Deque<Long> requestTimes = new ArrayDeque<>();
+
     private final Deque<Long> retryTimes = new ArrayDeque<>();
 
     HedgingPolicy(RetryBudget budget) {
         onSettings(budget);
     }
 
-    final void onSettings(RetryBudget newBudget) {
+    void onSettings(RetryBudget newBudget) {
         budget = newBudget != null ? newBudget : DEFAULT_BUDGET;
     }
 
-    /** A request came, whether refused or not. */
+    /** Counts an arriving request, whether it is admitted or not. */
     void recordRequest(long now) {
         requestTimes.add(now);
         expire(requestTimes, now - budget.windowNanos());
@@ -57,8 +65,9 @@
     }
 
     /**
-     * Takes a copy or a retry from the budget, a window that slides. Guards against copies that
-     * pile up when every cache slows at once, and retries that keep a full fleet full.
+     * Takes a retry or hedged request from the budget of a sliding window; returns false if the
+     * budget is used up. Guards against hedged requests that pile up when every cache slows down at
+     * once, and retries that keep a full fleet full.
      */
     boolean trySpendRetry(long now) {
         expire(requestTimes, now - budget.windowNanos());
@@ -87,7 +96,7 @@
         }
     }
 
-    /** The wait before a copy, -1 for none: a handful of samples has no tail. */
+    /** Returns the delay before a hedged request, -1 for none while there are too few samples. */
     long hedgeDelayNanos() {
         return hedgeDelayNanos > 0 ? hedgeDelayNanos : -1;
     }
--- a/policy/src/main/java/frostrelay/policy/OriginFetchLimiter.java
+++ b/policy/src/main/java/frostrelay/policy/OriginFetchLimiter.java
@@ -1,16 +1,18 @@
 package frostrelay.policy;
 
-import frostrelay.policy.ServerHealth.TrackedServer;
 import frostrelay.policy.api.ResponseSource;
 
 /**
- * How much gets through to the origin behind the caches, and which keys need it. Guards against an
- * origin that stays full after its trouble is over (metastable failure: Bronson and others 2021,
- * Huang and others 2022). Harm: a key that some cache holds but that was not served from here
- * lately may be turned away.
+ * Limits the requests that reach the origin behind the caches, and remembers which keys need it.
+ * Guards against an origin that stays overloaded after a fault is over (metastable failure: Bronson
+ * et al. 2021, Huang et al. 2022). Cost: a request for a key that some cache holds, but that this
+ * balancer has not served recently, may be rejected.
  */
 final class OriginFetchLimiter {
-    /** What a fill does to the share let through; an eighth failed or a half late balance. */
+    /**
+     * Factors of the admitted fraction for a failed, late or successful origin fetch: one in eight
+     * failed, or half of them late, balance the successful ones.
+     */
     static final double FAILURE_FACTOR = 0.5;
 
     static final double LATE_FACTOR = 0.9;
@@ -18,26 +20,27 @@
     private static final double MIN_ADMITTED = 0.1;
 
     /**
-     * Keys served lately that are remembered, a power of two, and how long that tells of a copy.
+     * Recently served keys that are remembered, a power of two, and how long a key then counts as
+     * cached.
      */
     private static final int KEY_SLOTS = 4096;
 
     private static final long CACHED_NANOS = 30_000_000_000L;
 
     /**
-     * A host's failures count once in this time, and only beside another host's: guards against one
-     * that fails for a cause of its own, whose failures had writes turned away. The origin's show
-     * at many hosts.
+     * A server's failures count once in this time, and only beside another server's: guards against
+     * a server that fails for a cause of its own. The origin's failures show at many servers.
      */
     private static final long FAILURE_INTERVAL_NANOS = 1_000_000_000L;
 
     /**
-     * Reads before the keys of a new process tell anything: it knows none, and caches hold most.
+     * Reads before the remembered keys are used: a new process knows none, and caches hold most.
      */
     private static final int MIN_READS = 1_000;
 
     /**
-     * What a hit weighs, and the share of slow ones from which on a host's late fills tell nothing.
+     * Weight of a hit in the moving average of slow hits, and the average above which a server's
+     * late origin fetches say nothing about the origin.
      */
     private static final double SLOW_HIT_FRACTION = 0.1;
 
@@ -47,24 +50,25 @@
     private final long[] keys = new long[KEY_SLOTS];
     private final long[] servedAtNanos = new long[KEY_SLOTS];
 
-    /** Whether a request that needs the origin goes on; writes last. */
+    /** Returns whether a request that needs the origin is admitted; writes are rejected last. */
     boolean admits(boolean isWrite, double randomUnit) {
         return randomUnit < (isWrite ? Math.sqrt(admittedFraction) : admittedFraction);
     }
 
-    /** Whether fills fail, and not one by chance: a copy of a read may be a second one. */
+    /** Returns whether origin fetches fail, and not a single one by chance. */
     boolean isFailing() {
         return admittedFraction < 0.5;
     }
 
     /**
-     * A read or write that needed the origin ended; {@code factor}: one of the factors above, or 1.
+     * Scales the admitted fraction after a request that needed the origin, by one of the factors
+     * above or 1.
      */
     void scaleAdmittedFraction(double factor) {
         admittedFraction = Math.max(MIN_ADMITTED, Math.min(1, admittedFraction * factor));
     }
 
-    /** Whether some cache should hold the key. */
+    /** Returns whether some cache probably holds the key. */
     boolean mayBeCached(long now, long key) {
         int slot = slot(key);
         return readCount < MIN_READS
@@ -72,9 +76,9 @@
     }
 
     /**
-     * A read ended; what a cache holds tells nothing of the origin. Late fills tell of its queue
-     * where caches say which reads were fills and hits are in time: guards against a queue that
-     * nothing fails in.
+     * A read ended. Cache hits say nothing about the origin. Late fetches indicate a queue there if
+     * caches report which reads were fetches and their hits are fast: guards against a queue in
+     * which nothing fails.
      */
     void onReadCompleted(
             long now,
@@ -102,13 +106,13 @@
         servedAtNanos[slot(key)] = now;
     }
 
-    /** A write ended, and made copies void. */
+    /** A write ended, and invalidated cached values. */
     void onWriteCompleted(long key, boolean failed) {
         scaleAdmittedFraction(failed ? FAILURE_FACTOR : SUCCESS_FACTOR);
         keys[slot(key)] = 0;
     }
 
     private static int slot(long key) {
-        return (int) (RendezvousCandidates.mix(key) & (KEY_SLOTS - 1));
+        return (int) (SeededRandom.mix(key) & (KEY_SLOTS - 1));
     }
 }
--- a/policy/src/main/java/frostrelay/policy/PerKeyQueue.java
+++ b/policy/src/main/java/frostrelay/policy/PerKeyQueue.java
@@ -1,16 +1,17 @@
 package frostrelay.policy;
 
-import java.util.*;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.Map;
 
-/**
- * The fifth rule: requests of ordered classes with one key run one at a time, in the order taken.
- */
+/** Serializes requests by key: those with one key run one at a time, in the order of arrival. */
 final class PerKeyQueue<T> {
-    /** Requests between two looks for keys that nobody waits for any more. */
+    /** Requests between two sweeps for keys without requests. */
     private static final int SWEEP_INTERVAL = 256;
 
     /**
-     * The requests of one key that are not over, the running one first, and when the key's rest
+     * The incomplete requests of one key, the running one first, and when the key's quarantine
      * ends.
      */
     private static final class KeyQueue<T> {
@@ -30,7 +31,7 @@
         quarantineNanos = newQuarantineNanos;
     }
 
-    /** Puts a request at the end of its key's line; returns how many stand before it. */
+    /** Appends a request to its key's queue; returns how many are before it. */
     int enqueue(long now, long key, T request) {
         if (++enqueuedCount % SWEEP_INTERVAL == 0) {
             queues.values()
@@ -44,21 +45,22 @@
     }
 
     /**
-     * When the request may go: at the end of the key's rest, or not yet if another is before it.
+     * Returns when the request may start: at the end of the key's quarantine, or Long.MAX_VALUE
+     * while another one is before it.
      */
     long earliestStartNanos(long key, T request) {
         KeyQueue<T> queue = queues.get(key);
         return queue.requests.peek() == request ? queue.quarantinedUntilNanos : Long.MAX_VALUE;
     }
 
-    /** An attempt ended that may go on running at its server. */
+    /** An attempt ended that may still be running at its server: blocks the key for a while. */
     void quarantine(long now, long key) {
         queues.get(key).quarantinedUntilNanos = now + quarantineNanos;
     }
 
     /**
-     * The request is over and none of its attempts is out; returns the first of those left, or
-     * null.
+     * Removes a request that is complete and has no pending attempt; returns the first of the
+     * remaining ones, or null.
      */
     T remove(long key, T request) {
         KeyQueue<T> queue = queues.get(key);
--- a/policy/src/main/java/frostrelay/policy/RendezvousCandidates.java
+++ b/policy/src/main/java/frostrelay/policy/RendezvousCandidates.java
@@ -1,25 +1,29 @@
 package frostrelay.policy;
 
-import frostrelay.policy.ServerHealth.TrackedServer;
 import frostrelay.policy.hotkeys.HotKeys;
 
-/** Weighted rendezvous hashing: the few hosts that a key lives on. */
+/**
+ * Weighted rendezvous hashing: finds the few servers that hold a key. The result of the last search
+ * stays in {@link #ranked} until the next one.
+ */
 final class RendezvousCandidates {
-    /** Candidates of a key on the ordinary path. */
+    /** Candidates of a key that is not hot. */
     private static final int DEFAULT_CANDIDATES = 2;
 
-    /** Most candidates of a hot key, and further hosts kept for when all candidates are spent. */
+    /** Most candidates of a hot key, and further servers for when all candidates were tried. */
     private static final int MAX_CANDIDATES = 32;
 
     private static final int SPARE_SERVERS = 2;
 
-    /** Hosts of capacity given to a hot key, for each host's worth of traffic that it draws. */
+    /** Servers given to a hot key for each average server's traffic that it draws. */
     private static final double CAPACITY_FACTOR = 3;
 
+    /** Latency ratio from which on a server counts as slower than another one. */
     private static final double SLOWER_RATIO = 2;
 
     /**
-     * Reads of a lowered host that go to it all the same, one in so many: so it is seen to be back.
+     * One in this many reads of an outlier goes to it all the same, so that its recovery is
+     * noticed.
      */
     private static final int OUTLIER_READ_INTERVAL = 8;
 
@@ -40,8 +44,9 @@
     }
 
     /**
-     * Fills {@link #ranked} with the usable hosts of least -ln(1 - hash) / weight, near ones made
-     * heavier.
+     * Fills {@link #ranked} with the servers of least -ln(1 - hash) / weight that admit the key.
+     *
+     * @param localZoneBoost factor on the weight of servers in the balancer's zone
      */
     void find(long now, long key, double localZoneBoost) {
         candidateCount = candidateCountFor(key);
@@ -52,11 +57,11 @@
         double[] inverseWeights = health.inverseWeights;
         boolean[] inLocalZone = health.inLocalZone;
         for (int i = 0; i < health.cacheCount; i++) {
-            long hash = mix(key ^ salts[i]);
+            long hash = SeededRandom.mix(key ^ salts[i]);
             double uniform = (hash >>> 11) * HASH_TO_UNIT;
             double inverseWeight =
                     inLocalZone[i] ? inverseWeights[i] / localZoneBoost : inverseWeights[i];
-            // x <= -ln(1 - x): most hosts fall out here, without a logarithm.
+            // x <= -ln(1 - x): most servers are excluded here, without a logarithm.
             if (uniform * inverseWeight >= maxDistance) {
                 continue;
             }
@@ -65,30 +70,36 @@
             if (weightedDistance >= maxDistance || !health.admits(now, server, hash)) {
                 continue;
             }
-            int position = rankedCount < maxRanked ? rankedCount++ : maxRanked - 1;
-            while (position > 0 && distances[position - 1] > weightedDistance) {
-                distances[position] = distances[position - 1];
-                ranked[position] = ranked[position - 1];
-                position--;
-            }
-            distances[position] = weightedDistance;
-            ranked[position] = server;
+            insert(server, weightedDistance, maxRanked);
             if (rankedCount == maxRanked) {
                 maxDistance = distances[maxRanked - 1];
             }
         }
     }
 
+    /** Inserts a server by its distance; the farthest one drops out if all places are taken. */
+    private void insert(TrackedServer server, double distance, int maxRanked) {
+        int position = rankedCount < maxRanked ? rankedCount++ : maxRanked - 1;
+        while (position > 0 && distances[position - 1] > distance) {
+            distances[position] = distances[position - 1];
+            ranked[position] = ranked[position - 1];
+            position--;
+        }
+        distances[position] = distance;
+        ranked[position] = server;
+    }
+
     /** Counts an arrival for the key. */
     void recordArrival(long now, long key) {
-        hotKeys.recordArrival(now, key, mix(key));
+        hotKeys.recordArrival(now, key, SeededRandom.mix(key));
     }
 
     /**
-     * Guards against a hot key swamping two hosts: candidates grow with its share of our traffic.
+     * Returns a number of candidates that grows with the key's fraction of this balancer's traffic:
+     * guards against a hot key overloading two servers.
      */
     private int candidateCountFor(long key) {
-        double traffic = hotKeys.trafficFraction(key, mix(key));
+        double traffic = hotKeys.trafficFraction(key, SeededRandom.mix(key));
         return (int)
                 Math.max(
                         DEFAULT_CANDIDATES,
@@ -98,12 +109,12 @@
     }
 
     /**
-     * The candidate with the fewest of our requests in flight; among equals the nearest if not
-     * slow. One that the fleet finds bad counts as the busiest, but for every eighth read that it
-     * is a candidate of.
+     * Returns the candidate with the fewest of this balancer's attempts in flight, or null without
+     * candidates; among equals the nearest one unless it is slower. An outlier counts as the
+     * busiest, but for one in {@link #OUTLIER_READ_INTERVAL} of the reads it is a candidate of.
      */
     TrackedServer selectLeastLoaded() {
-        // With many balancers most counts are 0 and tell nothing: then latency does.
+        // With many balancers most counts are 0, so that latency must decide.
         TrackedServer best = null;
         boolean isBestSkipped = false;
         for (int i = 0; i < rankedCount && i < candidateCount; i++) {
@@ -112,11 +123,7 @@
                     server.isOutlier && ++server.skippedReads % OUTLIER_READ_INTERVAL != 0;
             if (best == null
                     || isBestSkipped && !isSkipped
-                    || isSkipped == isBestSkipped
-                            && (server.inFlight < best.inFlight
-                                    || server.inFlight == best.inFlight
-                                            && best.latencyNanos
-                                                    > SLOWER_RATIO * server.latencyNanos)) {
+                    || isSkipped == isBestSkipped && isLessLoaded(server, best)) {
                 best = server;
                 isBestSkipped = isSkipped;
             }
@@ -124,10 +131,9 @@
         return best;
     }
 
-    /** A 64-bit finaliser (SplitMix64): spreads every bit of the input over the output. */
-    static long mix(long z) {
-        z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
-        return z ^ (z >>> 31);
+    private static boolean isLessLoaded(TrackedServer server, TrackedServer other) {
+        return server.inFlight < other.inFlight
+                || server.inFlight == other.inFlight
+                        && other.latencyNanos > SLOWER_RATIO * server.latencyNanos;
     }
 }
--- /dev/null
+++ b/policy/src/main/java/frostrelay/policy/SlowStart.java
@@ -0,0 +1,170 @@
+package frostrelay.policy;
+
+import frostrelay.policy.api.PolicySettings;
+
+/**
+ * Limits what a server that has recently started gets. Its admitted fraction grows from the
+ * configured initial one to all: first by key, so that all balancers pick the same keys, then by a
+ * token bucket, so that all balancers together stay within what the server can take.
+ */
+final class SlowStart {
+    /** Fraction of the configured overload multiple that is used. */
+    private static final double OVERLOAD_MARGIN = 0.5;
+
+    /**
+     * The same for a load estimated from what warm servers serve: that is at most their capacity.
+     */
+    private static final double SERVED_MARGIN = 0.4;
+
+    /** Overload windows over which rates are averaged. */
+    private static final double RATE_WINDOWS = 4;
+
+    /** Fraction of an overload window's attempts that may be sent at once. */
+    private static final double BURST_FRACTION = 0.25;
+
+    /**
+     * Keys given to a cold server for each key that it could take at full load: servers are seldom
+     * at full load.
+     */
+    private static final double KEY_CAPACITY = 2;
+
+    /** Keys are admitted by the low bits of their hash: so many steps from none to all. */
+    private static final int KEY_STEPS = 2048;
+
+    /** Lower bound for the fleet's weight as a divisor. */
+    private static final double MIN_TOTAL_WEIGHT = 1e-9;
+
+    private PolicySettings settings;
+    private double fleetWeight;
+    private int fleetSize;
+
+    /** First attempts of requests, decaying exponentially, as of {@link #recentSendsAtNanos}. */
+    private double recentSends;
+
+    private long recentSendsAtNanos;
+    private long firstSendAtNanos;
+
+    /** Answers per overload window of the busiest warm server, and when they were recorded. */
+    private double maxServedPerWindow;
+
+    private long maxServedAtNanos;
+
+    SlowStart(PolicySettings settings) {
+        this.settings = settings;
+    }
+
+    void onSettings(PolicySettings newSettings) {
+        settings = newSettings;
+    }
+
+    /** Sets the number and total weight of the usable servers. */
+    void setFleet(int size, double weight) {
+        fleetSize = size;
+        fleetWeight = weight;
+    }
+
+    /**
+     * Returns whether the server takes the key with this hash now.
+     *
+     * @param mustChoose whether nothing else is left to choose from: keys and pace count for less
+     */
+    boolean admits(long now, TrackedServer server, long hash, boolean mustChoose) {
+        if (server.warmingSinceNanos == 0) {
+            return true;
+        }
+        double fraction = admittedFraction(now, server);
+        if (fraction >= 1) {
+            server.warmingSinceNanos = 0;
+            return true;
+        }
+        // All balancers choose the same keys, so that together they stay within the fraction.
+        boolean isKeyAdmitted =
+                (hash & (KEY_STEPS - 1)) < fraction * KEY_CAPACITY * KEY_STEPS || mustChoose;
+        return isKeyAdmitted && hasTokens(now, server, fraction, mustChoose);
+    }
+
+    private double admittedFraction(long now, TrackedServer server) {
+        double elapsed =
+                Math.max(0.0, now - server.warmingSinceNanos)
+                        / Math.max(1, settings.slowStartNanos());
+        return settings.slowStartInitialFraction()
+                + (1 - settings.slowStartInitialFraction()) * elapsed;
+    }
+
+    /**
+     * Refills the server's token bucket and returns whether an attempt may be sent. The bucket is
+     * filled with the server's part of this balancer's own sends, so that all balancers together
+     * stay within what the cold server can take, however hot its keys are.
+     */
+    private boolean hasTokens(long now, TrackedServer server, double fraction, boolean mustChoose) {
+        double allowed = fraction * settings.overloadMultiple() * fullLoad(now, server);
+        double burst = Math.max(1, allowed * BURST_FRACTION);
+        server.tokens += allowed * (now - server.refilledAtNanos) / settings.overloadWindowNanos();
+        server.tokens = Math.min(burst, server.tokens);
+        server.refilledAtNanos = now;
+        return server.tokens >= (mustChoose ? 0 : 1);
+    }
+
+    /**
+     * Estimates a safe number of attempts per overload window for the server when warm. While much
+     * load is shed this balancer's own sends are few, and what warm servers serve is the better
+     * estimate: otherwise cold servers would be idle beside full ones.
+     */
+    private double fullLoad(long now, TrackedServer server) {
+        // A reported weight may make an idle new server look many times its size: it counts as the
+        // average at most.
+        double fleetFraction =
+                Math.min(
+                        server.weight / Math.max(fleetWeight, MIN_TOTAL_WEIGHT),
+                        1.0 / Math.max(1, fleetSize));
+        double sendsPerWindow = OVERLOAD_MARGIN * recentSends / RATE_WINDOWS * fleetFraction;
+        return Math.max(sendsPerWindow, SERVED_MARGIN * maxServedPerWindow) / observedFraction(now);
+    }
+
+    /**
+     * Returns the fraction of a rate's averaging time that this balancer has observed so far.
+     * Guards against a balancer that takes over from another process and leaves cold servers idle
+     * until its own rates have grown.
+     */
+    private double observedFraction(long now) {
+        double windows =
+                Math.max(1, (double) (now - firstSendAtNanos) / settings.overloadWindowNanos());
+        return 1 - Math.exp(-windows / RATE_WINDOWS);
+    }
+
+    /** Starts the token bucket at a random level, so that balancers do not all send at once. */
+    void resetTokens(long now, TrackedServer server, SeededRandom random) {
+        server.tokens = random.nextUniform();
+        server.refilledAtNanos = now;
+    }
+
+    void onAttemptStarted(TrackedServer server) {
+        server.tokens -= server.warmingSinceNanos != 0 ? 1 : 0;
+    }
+
+    /** Counts a request's first attempt; retries, which multiply during faults, do not count. */
+    void recordFirstSend(long now) {
+        firstSendAtNanos = firstSendAtNanos == 0 ? now : firstSendAtNanos;
+        recentSends = 1 + recentSends * decay(recentSendsAtNanos, now);
+        recentSendsAtNanos = now;
+    }
+
+    /** Counts an answer, if the server is warm. */
+    void recordAnswer(long now, TrackedServer server) {
+        if (server.warmingSinceNanos != 0) {
+            return;
+        }
+        server.recentAnswers = 1 + server.recentAnswers * decay(server.recentAnswersAtNanos, now);
+        server.recentAnswersAtNanos = now;
+        double servedPerWindow = server.recentAnswers / RATE_WINDOWS;
+        if (servedPerWindow >= maxServedPerWindow
+                || now - maxServedAtNanos > settings.overloadWindowNanos()) {
+            maxServedPerWindow = servedPerWindow;
+            maxServedAtNanos = now;
+        }
+    }
+
+    private double decay(long fromNanos, long now) {
+        return Math.exp((fromNanos - now) / (RATE_WINDOWS * settings.overloadWindowNanos()));
+    }
+}
--- /dev/null
+++ b/policy/src/main/java/frostrelay/policy/package-info.java
@@ -0,0 +1,33 @@
+/**
+ * The decision module of the load balancer: which server a request goes to, when it is hedged,
+ * retried, rejected or failed.
+ *
+ * <p>{@link frostrelay.policy.Router} is the entry point. It receives {@link
+ * frostrelay.policy.api.PolicyEvents events} and calls {@link frostrelay.policy.api.PolicyActions
+ * actions}; the node, the simulator adapter and embedding programs perform them. The classes behind
+ * it each have one concern:
+ *
+ * <ul>
+ *   <li>{@link frostrelay.policy.RequestState} and {@link frostrelay.policy.RequestAlarms}: the
+ *       requests in flight and the times at which they need attention;
+ *   <li>{@link frostrelay.policy.ServerSelector} with {@link
+ *       frostrelay.policy.RendezvousCandidates}: the choice of a server;
+ *   <li>{@link frostrelay.policy.ServerHealth} with {@link frostrelay.policy.CircuitBreaker} and
+ *       {@link frostrelay.policy.SlowStart}: what is known of each server;
+ *   <li>{@link frostrelay.policy.AdmissionControl}, {@link frostrelay.policy.OriginFetchLimiter}
+ *       and {@link frostrelay.policy.OutcomeFeedback}: shedding load, and what it is based on;
+ *   <li>{@link frostrelay.policy.HedgingPolicy}, {@link frostrelay.policy.RetrySafety} and {@link
+ *       frostrelay.policy.PerKeyQueue}: whether a further attempt is worthwhile, affordable and
+ *       safe;
+ *   <li>{@link frostrelay.policy.SubscriptionSchedule}: when to subscribe to the endpoint list.
+ * </ul>
+ *
+ * <p>Invariants: every admitted request gets exactly one final answer; a request that may have been
+ * executed is repeated or rejected only where {@link frostrelay.policy.RetrySafety} allows it; a
+ * draining or removed server gets no new attempt.
+ *
+ * <p>The module does no I/O, reads no clock and draws random numbers only from its seed, so that
+ * the same events always give the same actions. Each router is confined to one thread. Per-request
+ * code allocates little, since it runs on every request.
+ */
+package frostrelay.policy;
--- a/policy/src/test/java/frostrelay/policy/OriginFetchLimiterTest.java
+++ b/policy/src/test/java/frostrelay/policy/OriginFetchLimiterTest.java
@@ -21,8 +21,8 @@
         return admitted / 1_000.0;
     }
 
-    private static ServerHealth.TrackedServer server(int number) {
-        return new ServerHealth.TrackedServer(number);
+    private static TrackedServer server(int number) {
+        return new TrackedServer(number);
     }
 
     /** As a process that has read for a while: a new one lets reads through whatever it knows. */
@@ -68,7 +68,7 @@
     @Test
     void oneServerThatAlwaysFailsClosesNothing() {
         OriginFetchLimiter limiter = limiterWithHistory();
-        ServerHealth.TrackedServer failingServer = server(1);
+        TrackedServer failingServer = server(1);
         for (int i = 0; i < 2_000; i++) {
             limiter.onReadCompleted(
                     i * NANOS_PER_SECOND / 50,
@@ -110,7 +110,7 @@
 
     private static OriginFetchLimiter limiterAfterReads(ResponseSource source, boolean slowHits) {
         OriginFetchLimiter limiter = limiterWithHistory();
-        ServerHealth.TrackedServer server = server(1);
+        TrackedServer server = server(1);
         for (int key = 1; key <= 200; key++) {
             limiter.onReadCompleted(
                     key, 50_001, server, false, ResponseSource.CACHE, slowHits && key % 4 == 0);
--- a/policy/src/test/java/frostrelay/policy/PolicyInvariantsTest.java
+++ b/policy/src/test/java/frostrelay/policy/PolicyInvariantsTest.java
@@ -448,7 +448,7 @@
         PolicySettings settings = new PolicyTestFixture.SettingsBuilder().build();
         long now = 1_000_000 * PolicyTestFixture.NANOS_PER_MILLI;
         for (long ageMillis : new long[] {0, 5_000}) {
-            ServerHealth health = new ServerHealth(settings, 7);
+            ServerHealth health = new ServerHealth(settings, new SeededRandom(7));
             health.onEndpointUpdate(
                     now,
                     EndpointUpdateMode.FULL,
@@ -480,7 +480,7 @@
     @Test
     void aServerInSlowStartIsPacedByWhatWarmedUpOnesServe() {
         PolicySettings settings = new PolicyTestFixture.SettingsBuilder().build();
-        ServerHealth health = new ServerHealth(settings, 7);
+        ServerHealth health = new ServerHealth(settings, new SeededRandom(7));
         long now = 1_000_000 * PolicyTestFixture.NANOS_PER_MILLI;
         health.onEndpointUpdate(
                 now,
@@ -488,8 +488,8 @@
                 List.of(
                         PolicyTestFixture.server(1),
                         PolicyTestFixture.server(2, EndpointState.READY, now)));
-        ServerHealth.TrackedServer warmedUpServer = health.caches[0];
-        ServerHealth.TrackedServer slowStartServer = health.caches[1];
+        TrackedServer warmedUpServer = health.caches[0];
+        TrackedServer slowStartServer = health.caches[1];
         int sent = 0;
         for (int i = 0; i < 400; i++) {
             now += 10 * PolicyTestFixture.NANOS_PER_MILLI;
@@ -508,7 +508,9 @@
     /** A balancer that has just begun has counted little; that must not keep cold hosts idle. */
     @Test
     void aNewBalancersFirstCountsStandForAWholeMean() {
-        ServerHealth health = new ServerHealth(new PolicyTestFixture.SettingsBuilder().build(), 7);
+        ServerHealth health =
+                new ServerHealth(
+                        new PolicyTestFixture.SettingsBuilder().build(), new SeededRandom(7));
         long now = 1_000_000 * PolicyTestFixture.NANOS_PER_MILLI;
         health.onEndpointUpdate(
                 now,
