--- a/adapter/src/main/java/frostrelay/adapter/Main.java
+++ b/adapter/src/main/java/frostrelay/adapter/Main.java
@@ -13,10 +13,14 @@
 public final class Main {
     private static final int BUFFER_BYTES = 1 << 16;
 
+    /** System property that enables gossip between hosted balancers when it is "on". */
+    private static final String GOSSIP_PROPERTY = "frostrelay.peers";
+
     private Main() {}
 
     /**
-     * Exits 0 at a clean end of input, 1 on input that breaks the wire's rules or a wrong argument.
+     * Exits with 0 at a regular end of input, and with 1 on malformed input, a failure to read or
+     * write, or a wrong argument.
      */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("adapter")) {
@@ -31,9 +35,11 @@
         }
     }
 
+    /** Serves until the end of input and returns the exit code. */
     static int serve(InputStream in, OutputStream out, PrintStream err) {
         try {
-            new Adapter(in, out, "on".equals(System.getProperty("frostrelay.peers"))).run();
+            boolean gossipEnabled = "on".equals(System.getProperty(GOSSIP_PROPERTY));
+            new Adapter(in, out, gossipEnabled).run();
             return 0;
         } catch (WireException e) {
             err.println("frostrelay: malformed input: " + e.getMessage());
--- a/adapter/src/main/java/frostrelay/adapter/ReplyWriter.java
+++ b/adapter/src/main/java/frostrelay/adapter/ReplyWriter.java
@@ -8,25 +8,49 @@
 import java.nio.ByteOrder;
 import java.util.Arrays;
 
-/** Collects the actions of one batch as a reply frame. */
+/**
+ * Collects the actions that answer one frame of events as a reply frame: a header, action records
+ * of fixed size, and a tail with the bytes of messages. All numbers are little-endian.
+ */
 final class ReplyWriter {
+    /** Header: length of the rest of the frame, number of records, both int32. */
     static final int HEADER_BYTES = 8;
+
     static final int ACTION_BYTES = 32;
-    private static final byte SUBSCRIBE = 64;
-    private static final byte FAIL = 65;
-    private static final byte SEND = 67;
-    private static final byte SET_TIMER = 68;
-    private static final byte SEND_MESSAGE = 69;
-    private static final byte CLOSE_IDLE = 72;
-    private static final byte CANCEL = 74;
-    private static final byte REJECT = 75;
-
-    private byte[] bytes = new byte[1 << 16];
+    private static final int FRAME_LENGTH = 0;
+    private static final int RECORD_COUNT = 4;
+    private static final int LENGTH_PREFIX_BYTES = 4;
+
+    /** Fields of all actions, relative to the record's offset. */
+    private static final int ACTION_CODE = 0;
+
+    private static final int BALANCER = 1;
+
+    /** Fields of single actions, relative to the record's offset. */
+    private static final int REQUEST_ID = 5;
+
+    private static final int SEND_ABANDON_AT = 13;
+    private static final int SEND_SERVER_ID = 21;
+    private static final int CANCEL_ATTEMPT = 13;
+    private static final int REJECT_RETRY_AFTER = 13;
+    private static final int TIMER_AT = 5;
+    private static final int TIMER_TOKEN = 13;
+    private static final int MESSAGE_RECEIVER = 5;
+    private static final int MESSAGE_TAIL_OFFSET = 9;
+    private static final int MESSAGE_LENGTH = 13;
+    private static final int CLOSE_SERVER_ID = 5;
+    private static final int SUBSCRIBE_ENABLED = 5;
+
+    private static final int INITIAL_RECORD_BYTES = 1 << 16;
+    private static final int INITIAL_TAIL_BYTES = 1 << 12;
+
+    private byte[] bytes = new byte[INITIAL_RECORD_BYTES];
     private ByteBuffer buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
     private int recordCount;
-    private byte[] tail = new byte[1 << 12];
+    private byte[] tail = new byte[INITIAL_TAIL_BYTES];
     private int tailLength;
 
+    /** Begins an empty reply frame. */
     void begin() {
         recordCount = 0;
         tailLength = 0;
@@ -35,88 +59,92 @@
     /** Completes the frame and writes it out. */
     void finish(OutputStream out) throws IOException {
         int length = HEADER_BYTES + recordCount * ACTION_BYTES;
-        buffer.putInt(0, length + tailLength - 4);
-        buffer.putInt(4, recordCount);
+        buffer.putInt(FRAME_LENGTH, length + tailLength - LENGTH_PREFIX_BYTES);
+        buffer.putInt(RECORD_COUNT, recordCount);
         out.write(bytes, 0, length);
         out.write(tail, 0, tailLength);
         out.flush();
     }
 
-    private int appendRecord(byte code, int balancer) {
+    private int appendRecord(ActionCode action, int balancer) {
         int offset = HEADER_BYTES + recordCount++ * ACTION_BYTES;
         if (offset + ACTION_BYTES > bytes.length) {
             bytes = Arrays.copyOf(bytes, bytes.length * 2);
             buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
         }
         Arrays.fill(bytes, offset, offset + ACTION_BYTES, (byte) 0);
-        bytes[offset] = code;
-        buffer.putInt(offset + 1, balancer);
+        bytes[offset + ACTION_CODE] = action.code;
+        buffer.putInt(offset + BALANCER, balancer);
         return offset;
     }
 
-    /** Sends bytes to another instance, by its number. */
+    /** Sends bytes to another balancer, by its number. */
     void sendMessage(int balancer, int receiver, byte[] data, int length) {
         if (tailLength + length > tail.length) {
             tail = Arrays.copyOf(tail, Math.max(2 * tail.length, tailLength + length));
         }
         System.arraycopy(data, 0, tail, tailLength, length);
-        int offset = appendRecord(SEND_MESSAGE, balancer);
-        buffer.putInt(offset + 5, receiver);
-        buffer.putInt(offset + 9, tailLength);
-        buffer.putInt(offset + 13, length);
+        int offset = appendRecord(ActionCode.SEND_MESSAGE, balancer);
+        buffer.putInt(offset + MESSAGE_RECEIVER, receiver);
+        buffer.putInt(offset + MESSAGE_TAIL_OFFSET, tailLength);
+        buffer.putInt(offset + MESSAGE_LENGTH, length);
         tailLength += length;
     }
 
-    /** The actions of one instance. */
+    /** Writes a server id of 48 bits. */
+    private void putServerId(int offset, long serverId) {
+        buffer.putInt(offset, (int) serverId);
+        buffer.putShort(offset + Integer.BYTES, (short) (serverId >>> Integer.SIZE));
+    }
+
+    /** Returns the actions of one balancer, to be collected here. */
     PolicyActions actionsOf(int balancer) {
         return new PolicyActions() {
             @Override
             public void send(long requestId, long serverId, long abandonAtNanos) {
-                int offset = appendRecord(SEND, balancer);
-                buffer.putLong(offset + 5, requestId);
-                buffer.putLong(offset + 13, abandonAtNanos);
-                buffer.putInt(offset + 21, (int) serverId);
-                buffer.putShort(offset + 25, (short) (serverId >>> 32));
+                int offset = appendRecord(ActionCode.SEND, balancer);
+                buffer.putLong(offset + REQUEST_ID, requestId);
+                buffer.putLong(offset + SEND_ABANDON_AT, abandonAtNanos);
+                putServerId(offset + SEND_SERVER_ID, serverId);
             }
 
             @Override
             public void cancel(long requestId, int attempt) {
-                int offset = appendRecord(CANCEL, balancer);
-                buffer.putLong(offset + 5, requestId);
-                buffer.putShort(offset + 13, (short) attempt);
+                int offset = appendRecord(ActionCode.CANCEL, balancer);
+                buffer.putLong(offset + REQUEST_ID, requestId);
+                buffer.putShort(offset + CANCEL_ATTEMPT, (short) attempt);
             }
 
             @Override
             public void reject(long requestId, long retryAfterNanos) {
-                int offset = appendRecord(REJECT, balancer);
-                buffer.putLong(offset + 5, requestId);
-                buffer.putLong(offset + 13, retryAfterNanos);
+                int offset = appendRecord(ActionCode.REJECT, balancer);
+                buffer.putLong(offset + REQUEST_ID, requestId);
+                buffer.putLong(offset + REJECT_RETRY_AFTER, retryAfterNanos);
             }
 
             @Override
             public void fail(long requestId) {
-                int offset = appendRecord(FAIL, balancer);
-                buffer.putLong(offset + 5, requestId);
+                int offset = appendRecord(ActionCode.FAIL, balancer);
+                buffer.putLong(offset + REQUEST_ID, requestId);
             }
 
             @Override
             public void scheduleTimer(long atNanos, int token) {
-                int offset = appendRecord(SET_TIMER, balancer);
-                buffer.putLong(offset + 5, atNanos);
-                buffer.putInt(offset + 13, token);
+                int offset = appendRecord(ActionCode.SET_TIMER, balancer);
+                buffer.putLong(offset + TIMER_AT, atNanos);
+                buffer.putInt(offset + TIMER_TOKEN, token);
             }
 
             @Override
             public void closeIdleConnections(long serverId) {
-                int offset = appendRecord(CLOSE_IDLE, balancer);
-                buffer.putInt(offset + 5, (int) serverId);
-                buffer.putShort(offset + 9, (short) (serverId >>> 32));
+                int offset = appendRecord(ActionCode.CLOSE_IDLE_CONNECTIONS, balancer);
+                putServerId(offset + CLOSE_SERVER_ID, serverId);
             }
 
             @Override
             public void subscribe() {
-                int offset = appendRecord(SUBSCRIBE, balancer);
-                bytes[offset + 5] = 1;
+                int offset = appendRecord(ActionCode.SUBSCRIBE, balancer);
+                bytes[offset + SUBSCRIBE_ENABLED] = 1;
             }
         };
     }
--- a/adapter/src/main/java/frostrelay/adapter/SimulatedGossip.java
+++ b/adapter/src/main/java/frostrelay/adapter/SimulatedGossip.java
@@ -24,22 +24,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * One hosted balancer's talk with its peers on the simulator's wire, and what it makes of that: the
- * same {@link GossipNode} and {@link StalenessDetector} as on sockets. The wire has no call of
- * discovery out of turn, no file to read again and no readiness: here a straggler leaves alone what
- * others know as draining, and no more.
+ * One hosted balancer's gossip with its peers over the simulator's wire, with the same {@link
+ * GossipNode} and {@link StalenessDetector} as on sockets. The wire has no unscheduled poll of the
+ * endpoint list, no configuration file and no readiness: a balancer with a stale list only avoids
+ * the caches that its peers know as draining.
  */
 final class SimulatedGossip
         implements GossipNode.Actions, GossipNode.Listener, StalenessDetector.Actions {
-    /** No timer of the decision module has it. */
+    /** Timer token that the decision module does not use. */
     static final int TIMER_TOKEN = Integer.MIN_VALUE;
 
     private static final String ENABLING_SETTING = "ceilings.peer-messages=true";
 
-    /**
-     * The simulator's clock begins at 0; lives are numbered as though that were a day in this
-     * century.
-     */
+    /** Wall clock time that stands for the simulator's time 0, for numbering incarnations. */
     private static final long WALL_CLOCK_START_MILLIS = 1_790_000_000_000L;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -92,7 +89,7 @@
         schedule();
     }
 
-    /** Begins to talk where it is wanted and the settings allow it; null elsewhere. */
+    /** Starts gossip if it is requested and the settings allow it; returns null otherwise. */
     static SimulatedGossip createIfEnabled(
             boolean isRequested,
             ReplyWriter reply,
@@ -109,7 +106,7 @@
                 : null;
     }
 
-    /** It has taken this version of the list; {@code isDelta}: these are changes to it. */
+    /** The balancer has applied this revision of the endpoint list, or changes to it. */
     void onListApplied(long atNanos, long listRevision, boolean isDelta, List<Server> servers) {
         now = atNanos;
         Set<Long> previouslyReady = new HashSet<>(readyCaches);
@@ -167,6 +164,7 @@
         schedule();
     }
 
+    /** Schedules the timer for the next event unless an earlier one is scheduled already. */
     private void schedule() {
         long next = Math.min(gossip.nextTimerAtNanos(), stalenessDetector.nextTimerAtNanos(now));
         if (next < timerAtNanos) {
@@ -175,14 +173,14 @@
         }
     }
 
-    /** What is known of another. */
+    /** Returns what is known of a peer. */
     MemberSnapshot snapshot(long atNanos, int rank) {
         return gossip.snapshot(atNanos, rank);
     }
 
-    /** What is known of another may have changed. */
+    /** Passes on what is known of a peer, which may have changed. */
     private void refreshPeerState(int rank) {
-        // Within the talk's own first words there is nothing to ask yet.
+        // The gossip node calls back from its constructor, before it is assigned.
         if (gossip != null && rank != gossip.rank()) {
             MemberSnapshot snapshot = gossip.snapshot(now, rank);
             stalenessDetector.onPeerState(
@@ -229,54 +227,54 @@
                 EndpointUpdateMode.DELTA,
                 changed.stream()
                         .map(serversById::get)
-                        .map(
-                                server ->
-                                        !caches.contains(server.id())
-                                                ? server
-                                                : new Server(
-                                                        server.id(),
-                                                        server.zone(),
-                                                        server.kind(),
-                                                        server.cell(),
-                                                        EndpointState.DRAINING,
-                                                        server.weight(),
-                                                        server.startedAtNanos()))
+                        .map(server -> caches.contains(server.id()) ? draining(server) : server)
                         .toList());
     }
 
+    private static Server draining(Server server) {
+        return new Server(
+                server.id(),
+                server.zone(),
+                server.kind(),
+                server.cell(),
+                EndpointState.DRAINING,
+                server.weight(),
+                server.startedAtNanos());
+    }
+
     @Override
     public void pollEndpointList() {
-        // Nothing on this wire does that.
+        // Not available on this wire.
     }
 
     @Override
     public void rereadConfig() {
-        // Likewise.
+        // Not available on this wire.
     }
 
     @Override
     public void fetchConfig(long digest, List<Integer> holders) {
-        // Likewise.
+        // Not available on this wire.
     }
 
     @Override
     public void setSelfDraining(boolean on, String why) {
-        // Likewise.
+        // Not available on this wire.
     }
 
     @Override
     public void announceFailingVersions() {
-        // Nothing is counted here.
+        // No metrics are collected here.
     }
 
     @Override
     public void onVersionNotFollowed(VersionKind kind, long number, String why) {
-        // Nobody reads along.
+        // There is no log here.
     }
 
     @Override
     public void notifyOperators(String what) {
-        // Likewise.
+        // There is no log here.
     }
 
     @Override
--- a/adapter/src/test/java/frostrelay/adapter/AdapterTest.java
+++ b/adapter/src/test/java/frostrelay/adapter/AdapterTest.java
@@ -9,6 +9,9 @@
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.PipedInputStream;
+import java.io.PipedOutputStream;
 import java.io.PrintStream;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
@@ -19,6 +22,7 @@
 import java.util.List;
 import java.util.Random;
 
+/** The wire of the adapter: replies, rejected input, and gossip between hosted balancers. */
 class AdapterTest {
     private static final String SETTINGS =
             """
@@ -44,7 +48,7 @@
     }
 
     private static ByteBuffer frame(int records, int tail) {
-        int length = 12 + records * Adapter.EVENT_BYTES + tail;
+        int length = 12 + records * EventFrame.EVENT_BYTES + tail;
         ByteBuffer frame = ByteBuffer.allocate(4 + length).order(ByteOrder.LITTLE_ENDIAN);
         return frame.putInt(0, length).putInt(4, records).putLong(8, NOW_NANOS);
     }
@@ -53,7 +57,7 @@
     private static byte[] session() {
         byte[] settings = SETTINGS.getBytes(StandardCharsets.UTF_8);
         ByteBuffer frame = frame(4, settings.length + 24);
-        int tail = 16 + 4 * Adapter.EVENT_BYTES;
+        int tail = 16 + 4 * EventFrame.EVENT_BYTES;
         frame.position(tail);
         frame.put(settings);
         frame.put(new byte[] {10, 11, 12, 13}).putShort((short) 5003).putShort((short) 0);
@@ -63,17 +67,17 @@
                 .putLong(offset + 5, 99)
                 .putInt(offset + 13, 0)
                 .putInt(offset + 17, settings.length);
-        offset += Adapter.EVENT_BYTES;
+        offset += EventFrame.EVENT_BYTES;
         frame.put(offset, (byte) 0)
                 .put(offset + 1, (byte) 4)
                 .putInt(offset + 2, settings.length)
                 .putInt(offset + 6, 1);
-        offset += Adapter.EVENT_BYTES;
+        offset += EventFrame.EVENT_BYTES;
         frame.put(offset, (byte) 6)
                 .putInt(offset + 1, 3)
                 .put(offset + 5, (byte) 2)
                 .put(offset + 14, (byte) 4);
-        offset += Adapter.EVENT_BYTES;
+        offset += EventFrame.EVENT_BYTES;
         frame.put(offset, (byte) 10)
                 .putInt(offset + 1, 3)
                 .putLong(offset + 5, 4242)
@@ -107,7 +111,7 @@
     void outcomesAndTimersOfUnknownRequestsArePassedOver() {
         ByteBuffer frame = frame(2, 0);
         frame.put(16, (byte) 2).putInt(17, 3).putLong(21, 999).putShort(37, (short) 200);
-        frame.put(16 + Adapter.EVENT_BYTES, (byte) 1).putInt(17 + Adapter.EVENT_BYTES, 3);
+        frame.put(16 + EventFrame.EVENT_BYTES, (byte) 1).putInt(17 + EventFrame.EVENT_BYTES, 3);
         byte[] start = session();
         byte[] both = Arrays.copyOf(start, start.length + frame.capacity());
         System.arraycopy(frame.array(), 0, both, start.length, frame.capacity());
@@ -142,13 +146,13 @@
         assertMalformed(
                 ByteBuffer.wrap(session())
                         .order(ByteOrder.LITTLE_ENDIAN)
-                        .put(16 + 2 * Adapter.EVENT_BYTES + 5, (byte) 9)
+                        .put(16 + 2 * EventFrame.EVENT_BYTES + 5, (byte) 9)
                         .array(),
                 "list mode");
         assertMalformed(
                 ByteBuffer.wrap(session())
                         .order(ByteOrder.LITTLE_ENDIAN)
-                        .putShort(16 + 3 * Adapter.EVENT_BYTES + 13, (short) 40)
+                        .putShort(16 + 3 * EventFrame.EVENT_BYTES + 13, (short) 40)
                         .array(),
                 "request class");
     }
@@ -183,7 +187,7 @@
     @Test
     void unknownConditionsAndOutcomesAreErrors() {
         byte[] start = session();
-        start[16 + 4 * Adapter.EVENT_BYTES + SETTINGS.length() + 11] = 9;
+        start[16 + 4 * EventFrame.EVENT_BYTES + SETTINGS.length() + 11] = 9;
         assertMalformed(start, "condition 9");
         ByteBuffer frame = frame(1, 0);
         frame.put(16, (byte) 2).putInt(17, 3).putLong(21, 4242).putShort(37, (short) 299);
@@ -194,8 +198,8 @@
     }
 
     /**
-     * Two hosted balancers that are allowed to talk know what the other acts on; nothing goes out
-     * unless it is wanted.
+     * Two hosted balancers whose settings allow it exchange gossip; nothing is sent unless gossip
+     * is enabled.
      */
     @Test
     void hostedBalancersGossipOnTheWire() throws Exception {
@@ -208,24 +212,28 @@
         }
     }
 
-    /** Plays the platform's part for two instances: carries timers and messages, 10 ms a batch. */
+    /** The simulator's side for two balancers: delivers timers and messages, 10 ms per batch. */
     private static final class PipedRounds {
-        private final java.io.PipedOutputStream to = new java.io.PipedOutputStream();
-        private final java.io.PipedInputStream from = new java.io.PipedInputStream(1 << 16);
-        private final List<long[]> timers = new ArrayList<>();
-        private final List<Object[]> messages = new ArrayList<>();
+        private record Timer(int balancer, long atNanos, int token) {}
+
+        private record Message(int sender, int receiver, byte[] data) {}
+
+        private final PipedOutputStream to = new PipedOutputStream();
+        private final PipedInputStream from = new PipedInputStream(1 << 16);
+        private final List<Timer> timers = new ArrayList<>();
+        private final List<Message> messages = new ArrayList<>();
         private long now = NOW_NANOS;
         int lateMessageCount;
 
         PipedRounds(boolean wanted) throws Exception {
-            java.io.PipedInputStream in = new java.io.PipedInputStream(to, 1 << 16);
-            java.io.PipedOutputStream out = new java.io.PipedOutputStream(from);
+            PipedInputStream in = new PipedInputStream(to, 1 << 16);
+            PipedOutputStream out = new PipedOutputStream(from);
             Thread thread =
                     new Thread(
                             () -> {
                                 try {
                                     new Adapter(in, out, wanted).run();
-                                } catch (java.io.IOException e) {
+                                } catch (IOException e) {
                                     // The test has ended.
                                 }
                             });
@@ -238,7 +246,7 @@
             for (int batch = 0; batch < batches; batch++) {
                 now += 10_000_000;
                 List<byte[]> records = new ArrayList<>();
-                java.io.ByteArrayOutputStream tail = new java.io.ByteArrayOutputStream();
+                ByteArrayOutputStream tail = new ByteArrayOutputStream();
                 for (int i = 0; batch == 0 && i < 2; i++) {
                     byte[] settings =
                             (SETTINGS.replace("n-instances=1", "n-instances=2")
@@ -254,17 +262,17 @@
                                     .array());
                     tail.writeBytes(settings);
                 }
-                for (long[] timer : List.copyOf(timers)) {
-                    if (timer[1] <= now) {
+                for (Timer timer : List.copyOf(timers)) {
+                    if (timer.atNanos() <= now) {
                         timers.remove(timer);
-                        records.add(record(1, (int) timer[0]).putInt(5, (int) timer[2]).array());
+                        records.add(record(1, timer.balancer()).putInt(5, timer.token()).array());
                     }
                 }
-                for (Object[] message : messages) {
-                    byte[] data = (byte[]) message[2];
+                for (Message message : messages) {
+                    byte[] data = message.data();
                     records.add(
-                            record(4, (Integer) message[1])
-                                    .putShort(5, (short) (int) (Integer) message[0])
+                            record(4, message.receiver())
+                                    .putShort(5, (short) message.sender())
                                     .putInt(7, tail.size())
                                     .putInt(11, data.length)
                                     .array());
@@ -275,7 +283,7 @@
                 ByteBuffer head =
                         ByteBuffer.allocate(16)
                                 .order(ByteOrder.LITTLE_ENDIAN)
-                                .putInt(12 + records.size() * Adapter.EVENT_BYTES + tail.size())
+                                .putInt(12 + records.size() * EventFrame.EVENT_BYTES + tail.size())
                                 .putInt(records.size())
                                 .putLong(now);
                 to.write(head.array());
@@ -290,7 +298,7 @@
         }
 
         private static ByteBuffer record(int code, int balancer) {
-            return ByteBuffer.allocate(Adapter.EVENT_BYTES)
+            return ByteBuffer.allocate(EventFrame.EVENT_BYTES)
                     .order(ByteOrder.LITTLE_ENDIAN)
                     .put(0, (byte) code)
                     .putInt(1, balancer);
@@ -306,16 +314,15 @@
                 int offset = 4 + i * ReplyWriter.ACTION_BYTES;
                 if (in.get(offset) == 68) {
                     timers.add(
-                            new long[] {
-                                in.getInt(offset + 1),
-                                in.getLong(offset + 5),
-                                in.getInt(offset + 13)
-                            });
+                            new Timer(
+                                    in.getInt(offset + 1),
+                                    in.getLong(offset + 5),
+                                    in.getInt(offset + 13)));
                 } else if (in.get(offset) == 69) {
                     byte[] data = new byte[in.getInt(offset + 13)];
                     in.get(4 + count * ReplyWriter.ACTION_BYTES + in.getInt(offset + 9), data);
                     assertTrue(data.length <= 256);
-                    messages.add(new Object[] {in.getInt(offset + 1), in.getInt(offset + 5), data});
+                    messages.add(new Message(in.getInt(offset + 1), in.getInt(offset + 5), data));
                     messageCount++;
                 }
             }
