--- a/policy/src/main/java/frostrelay/policy/AdmissionControl.java
+++ b/policy/src/main/java/frostrelay/policy/AdmissionControl.java
@@ -4,6 +4,7 @@
 import frostrelay.policy.api.RequestClass;
 
 import java.util.Arrays;
+import java.util.List;
 
 /**
  * Sheds load before any work is done: by each tenant's quota, and by an admitted fraction that
@@ -114,6 +115,11 @@
         return (long) (requestClass.latencyObjectiveNanos() * SLOW_OBJECTIVE_FRACTION);
     }
 
+    /** Returns the shortest of these times over the classes, 0 without classes. */
+    long minSlowAfterNanos(List<RequestClass> classes) {
+        return classes.stream().mapToLong(this::slowAfterNanos).min().orElse(0);
+    }
+
     /** Returns whether so much is shed that needless further attempts must not be sent. */
     boolean isOverloaded() {
         return admitted < 0.5;
--- a/policy/src/main/java/frostrelay/policy/RequestState.java
+++ b/policy/src/main/java/frostrelay/policy/RequestState.java
@@ -84,6 +84,11 @@
         pendingCount++;
     }
 
+    /** Returns whether another attempt is within both the given limit and that of its arrival. */
+    boolean hasAttemptsLeft(int maxAttempts) {
+        return attemptCount < Math.min(maxAttempts, attempts.length);
+    }
+
     /** Returns the earliest attempt that may have been executed, or null. */
     Attempt firstPossiblyExecuted() {
         for (int i = 0; i < attemptCount; i++) {
--- a/policy/src/main/java/frostrelay/policy/Router.java
+++ b/policy/src/main/java/frostrelay/policy/Router.java
@@ -37,6 +37,7 @@
     private final HedgingPolicy hedging;
     private final RetrySafety retrySafety;
     private final AdmissionControl admission;
+    private final RequestAdmission requestAdmission;
     private final OutcomeFeedback feedback;
     private final SubscriptionSchedule subscription;
     private final RequestAlarms alarms;
@@ -59,6 +60,7 @@
         this.health = new ServerHealth(settings, random);
         this.selector = new ServerSelector(settings, health, originFetches, random);
         this.admission = new AdmissionControl(settings);
+        this.requestAdmission = new RequestAdmission(settings, admission, originFetches, random);
         this.hedging = new HedgingPolicy(settings.retryBudget());
         this.retrySafety = new RetrySafety(settings);
         this.feedback = new OutcomeFeedback(settings, health, selector, admission, originFetches);
@@ -71,11 +73,7 @@
     private void applySettings(PolicySettings newSettings) {
         settings = newSettings;
         maxAttempts = Math.max(1, Math.min(MAX_ATTEMPTS_LIMIT, newSettings.maxAttempts()));
-        alarms.setMinSlowAfterNanos(minSlowAfterNanos(newSettings.classes()));
-    }
-
-    private long minSlowAfterNanos(List<RequestClass> classes) {
-        return classes.stream().mapToLong(admission::slowAfterNanos).min().orElse(0);
+        alarms.setMinSlowAfterNanos(admission.minSlowAfterNanos(newSettings.classes()));
     }
 
     /**
@@ -90,6 +88,7 @@
         health.onSettings(newSettings);
         selector.onSettings(newSettings);
         admission.onSettings(newSettings);
+        requestAdmission.onSettings(newSettings);
         hedging.onSettings(newSettings.retryBudget());
         retrySafety.onSettings(newSettings);
         feedback.onSettings(newSettings);
@@ -126,12 +125,8 @@
         RequestClass requestClass = settings.classes().get(request.requestClass());
         RequestState state = new RequestState(request, requestClass, now, maxAttempts);
         boolean isOverQuota = admission.isOverQuota(now, request.tenant());
-        boolean isTooLate = state.usefulUntilNanos <= now;
-        if (isTooLate || isShed(now, request, isOverQuota)) {
-            long retryAfterNanos =
-                    isOverQuota || isTooLate
-                            ? settings.maxRetryAfterNanos()
-                            : admission.retryAfterNanos(requestClass, random.nextUniform());
+        if (!requestAdmission.admits(now, state, isOverQuota)) {
+            long retryAfterNanos = requestAdmission.retryAfterNanos(now, state, isOverQuota);
             actions.reject(request.id(), retryAfterNanos);
             return;
         }
@@ -145,21 +140,6 @@
         }
     }
 
-    private boolean isShed(long now, Request request, boolean isOverQuota) {
-        if (needsOrigin(now, request)
-                && !originFetches.admits(request.write(), random.nextUniform())) {
-            return true;
-        }
-        return admission.shouldShed(isOverQuota, request.write(), random.nextUniform());
-    }
-
-    private boolean needsOrigin(long now, Request request) {
-        return request.write()
-                || !settings.lookAside()
-                        && originFetches.isFailing()
-                        && !originFetches.mayBeCached(now, request.key());
-    }
-
     /**
      * Lets a serialized request wait for those before it with its key. One that would wait until it
      * is useless is rejected immediately: guards against queues that grow without bound.
@@ -256,7 +236,7 @@
         if (state.isStreaming
                 || state.needsOrigin
                 || state.pendingCount != 1
-                || !hasAttemptsLeft(state)) {
+                || !state.hasAttemptsLeft(maxAttempts)) {
             return;
         }
         TrackedServer server = selector.selectForHedge(now, state);
@@ -269,10 +249,6 @@
         }
     }
 
-    private boolean hasAttemptsLeft(RequestState state) {
-        return state.attemptCount < Math.min(maxAttempts, state.attempts.length);
-    }
-
     @Override
     public void onFirstByte(long now, long requestId, int attempt) {
         RequestState state = requestsById.get(requestId);
@@ -357,7 +333,7 @@
             return;
         }
         if (now < state.usefulUntilNanos
-                && hasAttemptsLeft(state)
+                && state.hasAttemptsLeft(maxAttempts)
                 && result != AttemptResult.SUPERSEDED) {
             TrackedServer server = selector.selectForRetry(now, state, result);
             if (server != null
--- a/policy/src/main/java/frostrelay/policy/package-info.java
+++ b/policy/src/main/java/frostrelay/policy/package-info.java
@@ -14,8 +14,9 @@
  *       frostrelay.policy.RendezvousCandidates}: the choice of a server;
  *   <li>{@link frostrelay.policy.ServerHealth} with {@link frostrelay.policy.CircuitBreaker} and
  *       {@link frostrelay.policy.SlowStart}: what is known of each server;
- *   <li>{@link frostrelay.policy.AdmissionControl}, {@link frostrelay.policy.OriginFetchLimiter}
- *       and {@link frostrelay.policy.OutcomeFeedback}: shedding load, and what it is based on;
+ *   <li>{@link frostrelay.policy.RequestAdmission} with {@link frostrelay.policy.AdmissionControl}
+ *       and {@link frostrelay.policy.OriginFetchLimiter}: shedding load; {@link
+ *       frostrelay.policy.OutcomeFeedback}: the signals that it is based on;
  *   <li>{@link frostrelay.policy.HedgingPolicy}, {@link frostrelay.policy.RetrySafety} and {@link
  *       frostrelay.policy.PerKeyQueue}: whether a further attempt is worthwhile, affordable and
  *       safe;
