--- a/policy/src/test/java/frostrelay/policy/EmbeddingExample.java
+++ b/policy/src/test/java/frostrelay/policy/EmbeddingExample.java
@@ -18,97 +18,106 @@
 import java.util.List;
 import java.util.Queue;
 
-/** The smallest balancer: two servers, one request, an event loop with a clock of its own. */
+/** A minimal embedding of the decision module: two servers, one request, a clock set by hand. */
 final class EmbeddingExample {
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+
     private EmbeddingExample() {}
 
     /** Sends one read and returns the id of the server that it went to. */
     static long routeOne() {
         Queue<Long> sentTo = new ArrayDeque<>();
-        PolicyActions actions =
-                new PolicyActions() {
-                    @Override
-                    public void send(long request, long server, long abandonAtNanos) {
-                        sentTo.add(server); // start the attempt on your own connections
-                    }
-
-                    @Override
-                    public void cancel(long request, int attempt) {}
-
-                    @Override
-                    public void reject(long request, long retryAfterNanos) {}
-
-                    @Override
-                    public void fail(long request) {}
-
-                    @Override
-                    public void scheduleTimer(long atNanos, int token) {}
-
-                    @Override
-                    public void closeIdleConnections(long server) {}
-
-                    @Override
-                    public void subscribe() {}
-                };
-        long nanosPerMilli = 1_000_000L;
-        RequestClass read =
-                new RequestClass(
-                        300 * nanosPerMilli,
-                        0,
-                        600 * nanosPerMilli,
-                        1,
-                        0,
-                        Idempotency.IDEMPOTENT,
-                        DeduplicationScope.ALL,
-                        0,
-                        false,
-                        false);
-        PolicySettings settings =
-                new PolicySettings(
-                        List.of(read),
-                        List.of(),
-                        0,
-                        0,
-                        1,
-                        false,
-                        -1,
-                        false,
-                        3,
-                        true,
-                        true,
-                        250 * nanosPerMilli,
-                        false,
-                        0,
-                        250 * nanosPerMilli,
-                        10_000 * nanosPerMilli,
-                        0.2,
-                        20_000 * nanosPerMilli,
-                        4,
-                        1_000 * nanosPerMilli,
-                        1,
-                        0,
-                        null,
-                        new LoadReportLayout(-1, -1, -1));
-        Router router = new Router(settings, 42, actions);
-        long now = 1_000 * nanosPerMilli;
+        Router router = new Router(settings(), 42, recordSends(sentTo));
+        long now = 1_000 * NANOS_PER_MILLI;
         router.onEndpointUpdate(
                 now,
                 EndpointUpdateMode.FULL,
                 List.of(
                         new Server(1, 0, 0, 0, EndpointState.READY, 1, 0),
                         new Server(2, 0, 0, 0, EndpointState.READY, 1, 0)));
-        router.onRequest(now, new Request(7, 0, 0, 99, now + 600 * nanosPerMilli, 0, false, false));
-        now += 20 * nanosPerMilli;
+        router.onRequest(
+                now, new Request(7, 0, 0, 99, now + 600 * NANOS_PER_MILLI, 0, false, false));
+        now += 20 * NANOS_PER_MILLI;
         router.onAttemptOutcome(
                 now,
                 new AttemptOutcome(
                         7,
                         0,
                         AttemptResult.OK,
-                        20 * nanosPerMilli,
+                        20 * NANOS_PER_MILLI,
                         true,
                         ResponseSource.UNKNOWN,
                         new float[0]));
         return sentTo.remove();
     }
+
+    /** Actions that record the servers of attempts and do nothing else. */
+    private static PolicyActions recordSends(Queue<Long> sentTo) {
+        return new PolicyActions() {
+            @Override
+            public void send(long request, long server, long abandonAtNanos) {
+                sentTo.add(server); // start the attempt on your own connections
+            }
+
+            @Override
+            public void cancel(long request, int attempt) {}
+
+            @Override
+            public void reject(long request, long retryAfterNanos) {}
+
+            @Override
+            public void fail(long request) {}
+
+            @Override
+            public void scheduleTimer(long atNanos, int token) {}
+
+            @Override
+            public void closeIdleConnections(long server) {}
+
+            @Override
+            public void subscribe() {}
+        };
+    }
+
+    private static PolicySettings settings() {
+        return new PolicySettings(
+                List.of(readClass()),
+                List.of(),
+                0,
+                0,
+                1,
+                false,
+                -1,
+                false,
+                3,
+                true,
+                true,
+                250 * NANOS_PER_MILLI,
+                false,
+                0,
+                250 * NANOS_PER_MILLI,
+                10_000 * NANOS_PER_MILLI,
+                0.2,
+                20_000 * NANOS_PER_MILLI,
+                4,
+                1_000 * NANOS_PER_MILLI,
+                1,
+                0,
+                null,
+                new LoadReportLayout(-1, -1, -1));
+    }
+
+    private static RequestClass readClass() {
+        return new RequestClass(
+                300 * NANOS_PER_MILLI,
+                0,
+                600 * NANOS_PER_MILLI,
+                1,
+                0,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                false,
+                false);
+    }
 }
--- a/policy/src/test/java/frostrelay/policy/OriginFetchLimiterTest.java
+++ b/policy/src/test/java/frostrelay/policy/OriginFetchLimiterTest.java
@@ -47,7 +47,7 @@
                 0.1,
                 admittedFraction(limiter),
                 0.002,
-                "never shut: else nothing would tell that it is well again");
+                "never closed: recovery could not be observed");
         assertTrue(limiter.admits(true, 0.3), "writes go last");
         for (int key = 100; key < 125; key++) {
             limiter.onReadCompleted(key, key, server(key), false, ResponseSource.UNKNOWN, false);
@@ -55,14 +55,14 @@
         assertFalse(limiter.isFailing());
     }
 
-    /** Failed reads at one host had a third of the writes that came next turned away. */
+    /** Failed reads at one server must not lead to rejected writes. */
     @Test
     void oneServersFailureRejectsNothing() {
         OriginFetchLimiter limiter = limiterWithHistory();
         limiter.onReadCompleted(1, 1, server(1), true, ResponseSource.UNKNOWN, false);
         assertTrue(limiter.admits(true, 0.999));
         limiter.onReadCompleted(2, 2, server(2), true, ResponseSource.UNKNOWN, false);
-        assertFalse(limiter.admits(true, 0.999), "a second host's does");
+        assertFalse(limiter.admits(true, 0.999), "a second server's failure does");
     }
 
     @Test
@@ -102,10 +102,10 @@
         }
         assertEquals(before, admittedFraction(limiter), "one key, held since its last answer");
         assertTrue(limiter.mayBeCached(2_000, 50_001));
-        assertFalse(limiter.mayBeCached(60 * NANOS_PER_SECOND, 50_001), "copies do not last");
+        assertFalse(limiter.mayBeCached(60 * NANOS_PER_SECOND, 50_001), "cached values expire");
         limiter.onWriteCompleted(50_001, false);
-        assertFalse(limiter.mayBeCached(2_000, 50_001), "a write makes copies void");
-        assertFalse(limiter.mayBeCached(2_000, 0), "no key is no kept key");
+        assertFalse(limiter.mayBeCached(2_000, 50_001), "a write invalidates cached values");
+        assertFalse(limiter.mayBeCached(2_000, 0), "no key is not a cached key");
     }
 
     private static OriginFetchLimiter limiterAfterReads(ResponseSource source, boolean slowHits) {
@@ -133,7 +133,7 @@
             limiter.onReadCompleted(
                     2_000 + key, 60_000 + key, server(1), false, ResponseSource.ORIGIN, false);
         }
-        assertEquals(1, admittedFraction(limiter), "fills in time open it");
+        assertEquals(1, admittedFraction(limiter), "fetches in time open it");
         assertEquals(
                 1,
                 admittedFraction(limiterAfterReads(ResponseSource.ORIGIN, true)),
@@ -141,16 +141,16 @@
         assertEquals(
                 1,
                 admittedFraction(limiterAfterReads(ResponseSource.CACHE, false)),
-                "late hits are no fills");
+                "late hits are no fetches");
         assertEquals(
                 1,
                 admittedFraction(limiterAfterReads(ResponseSource.UNKNOWN, false)),
-                "caches that do not tell");
+                "caches that do not report the source");
     }
 
     /**
-     * With the whole module: while fills fail, a read of a kept key is sent on and others are
-     * refused for the most part.
+     * With the complete module: while fetches fail, a read of a cached key is forwarded and most
+     * others are rejected.
      */
     @Test
     void whileOriginFetchesFailCachedKeysAreServedAndOthersMostlyRejected() {
--- a/policy/src/test/java/frostrelay/policy/PolicyInvariantsTest.java
+++ b/policy/src/test/java/frostrelay/policy/PolicyInvariantsTest.java
@@ -7,15 +7,11 @@
 import frostrelay.policy.api.AttemptOutcome;
 import frostrelay.policy.api.AttemptResult;
 import frostrelay.policy.api.EndpointState;
-import frostrelay.policy.api.EndpointUpdateMode;
-import frostrelay.policy.api.Idempotency;
-import frostrelay.policy.api.PolicySettings;
 import frostrelay.policy.api.Request;
 import frostrelay.policy.api.ResponseSource;
 import frostrelay.policy.api.RetryBudget;
 import frostrelay.policy.api.Server;
 
-import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -27,7 +23,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Random event sequences against all six rules, judged by a ledger of its own. */
+/** Random event sequences, checked against the rules of the module by an independent ledger. */
 class PolicyInvariantsTest {
     private static final AttemptResult[] OUTCOMES = {
         AttemptResult.ERROR,
@@ -62,20 +58,27 @@
 
     private final Map<Long, Entry> ledger = new HashMap<>();
 
-    /**
-     * Keys in order: the requests taken and not over, oldest first, and when the key's rest ends.
-     */
+    /** Incomplete requests by serialized key, oldest first, and when the key's quarantine ends. */
     private final Map<Long, List<Long>> queuesByKey = new HashMap<>();
 
     private final Map<Long, Long> quarantinedUntil = new HashMap<>();
+
     private final List<Long> requestTimes = new ArrayList<>();
+
     private final List<Long> retryTimes = new ArrayList<>();
+
     private final Set<Long> listed = new HashSet<>();
+
     private final Set<Long> warmingUp = new HashSet<>();
+
     private int sendsSeen;
+
     private int rejectionsSeen;
+
     private int failuresSeen;
+
     private int sendsToWarmingUp;
+
     private int allSends;
 
     @ParameterizedTest
@@ -128,10 +131,10 @@
         }
         assertTrue(
                 sendsToWarmingUp <= allSends / 4 + 4,
-                "cold hosts got " + sendsToWarmingUp + " of " + allSends);
+                "servers in slow start got " + sendsToWarmingUp + " of " + allSends);
     }
 
-    /** A new full list: some hosts drain, some are missing, some have just started. */
+    /** A new full list: some servers drain, some are missing, some have just started. */
     private void updateEndpoints(PolicyTestFixture fixture, Random random) {
         List<Server> list = new ArrayList<>();
         listed.clear();
@@ -159,7 +162,7 @@
         fixture.updateEndpoints(list);
     }
 
-    /** Ends what is due, and some more if there is a source of chance. */
+    /** Completes what is due, and some more at random if there is a random source. */
     private void completeSome(PolicyTestFixture fixture, Random random) {
         for (long id : new ArrayList<>(ledger.keySet())) {
             Entry entry = ledger.get(id);
@@ -234,7 +237,7 @@
         }
     }
 
-    /** The fifth and the sixth rule. */
+    /** Checks serialization by key and the retry budget. */
     private void checkOrderAndRetryBudget(
             PolicyTestFixture fixture, PolicyTestFixture.Sent sent, Entry entry) {
         if (fixture.settings.classes().get(entry.requestClass).serializedByKey()) {
@@ -263,7 +266,7 @@
         }
     }
 
-    /** Judges all actions since the last call. */
+    /** Checks all actions since the last call. */
     private void checkActions(PolicyTestFixture fixture) {
         for (; rejectionsSeen < fixture.rejections.size(); rejectionsSeen++) {
             Entry entry = ledger.get(fixture.rejections.get(rejectionsSeen).request());
@@ -286,7 +289,7 @@
             assertTrue(entry != null && !entry.isAnswered, "sent after the end: " + sent);
             assertTrue(
                     listed.contains(sent.server()),
-                    "sent to a host that drains or is gone: " + sent);
+                    "sent to a draining or removed server: " + sent);
             assertTrue(
                     fixture.settings.hedgingAllowed() || entry.pendingAttempts.isEmpty(),
                     "two at once: " + sent);
@@ -342,196 +345,4 @@
         }
         return fixture.sends;
     }
-
-    /**
-     * The third rule: a host that operators hold counts as draining, whatever the list says of it.
-     */
-    @Test
-    void aDrainedServerGetsNothingNew() {
-        PolicyTestFixture fixture =
-                new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder()).servers(3);
-        fixture.router.onAdminDrains(fixture.now, Set.of(1L, 77L));
-        fixture.router.onEndpointUpdate(
-                fixture.now,
-                EndpointUpdateMode.FULL,
-                List.of(PolicyTestFixture.server(2), PolicyTestFixture.server(3)));
-        fixture.router.onEndpointUpdate(
-                fixture.now,
-                EndpointUpdateMode.FULL,
-                List.of(
-                        PolicyTestFixture.server(1),
-                        PolicyTestFixture.server(2),
-                        PolicyTestFixture.server(3)));
-        for (int i = 0; i < 60; i++) {
-            fixture.request(i, PolicyTestFixture.READ, i);
-            fixture.advanceMillis(2);
-        }
-        assertTrue(fixture.sends.stream().noneMatch(sent -> sent.server() == 1));
-        fixture.router.onAdminDrains(fixture.now, Set.of());
-        fixture.advanceMillis(10_000);
-        for (int i = 100; i < 160; i++) {
-            fixture.request(i, PolicyTestFixture.READ, i);
-            fixture.advanceMillis(2);
-        }
-        assertTrue(fixture.sends.stream().anyMatch(sent -> sent.server() == 1));
-    }
-
-    /**
-     * The fourth rule: operators restart what they hold, and the list tells of that late or not at
-     * all.
-     */
-    @Test
-    void aServerWhoseDrainEndsCountsAsWarmingUp() {
-        PolicyTestFixture fixture =
-                new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder()).servers(3);
-        fixture.router.onAdminDrains(fixture.now, Set.of(1L));
-        fixture.advanceMillis(1_000);
-        fixture.router.onAdminDrains(fixture.now, Set.of());
-        for (int i = 0; i < 200; i++) {
-            fixture.request(i, PolicyTestFixture.READ, i);
-            fixture.advanceMillis(2);
-        }
-        long sendsInSlowStart = fixture.sends.stream().filter(sent -> sent.server() == 1).count();
-        assertTrue(
-                sendsInSlowStart > 0 && sendsInSlowStart < 40,
-                "a third of 200 would be a warm host's part: " + sendsInSlowStart);
-    }
-
-    /**
-     * The second rule under new settings: what is open is repeated and refused only as both of them
-     * allow.
-     */
-    @Test
-    void anOpenRequestGoesByTheStricterOfItsClasses() {
-        PolicyTestFixture fixture =
-                new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder()).servers(3);
-        fixture.request(1, PolicyTestFixture.READ, 5);
-        fixture.request(2, PolicyTestFixture.UNSAFE_WRITE, 6);
-        PolicyTestFixture.SettingsBuilder swapped = new PolicyTestFixture.SettingsBuilder();
-        swapped.readIdempotency = Idempotency.NOT_IDEMPOTENT;
-        swapped.unsafeIdempotency = Idempotency.IDEMPOTENT;
-        fixture.router.onSettings(fixture.now, swapped.build());
-        fixture.outcome(1, 0, AttemptResult.RESET);
-        fixture.outcome(2, 0, AttemptResult.RESET);
-        assertEquals(2, fixture.sends.size(), "neither is sent again");
-        assertEquals(List.of(1L, 2L), fixture.failures, "nor refused");
-        fixture.request(3, PolicyTestFixture.UNSAFE_WRITE, 6);
-        fixture.outcome(3, 0, AttemptResult.RESET);
-        assertEquals(4, fixture.sends.size(), "what comes now goes by the new ones alone");
-    }
-
-    @Test
-    void fewerAttemptsHoldForWhatIsOpenAndMoreForWhatComes() {
-        PolicyTestFixture fixture =
-                new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder()).servers(6);
-        PolicyTestFixture.SettingsBuilder fewer = new PolicyTestFixture.SettingsBuilder();
-        fewer.maxAttempts = 1;
-        fixture.request(1, PolicyTestFixture.READ, 5);
-        fixture.router.onSettings(fixture.now, fewer.build());
-        fixture.outcome(1, 0, AttemptResult.ERROR);
-        assertEquals(1, fixture.sends.size());
-        fixture.request(2, PolicyTestFixture.READ, 5);
-        fixture.router.onSettings(fixture.now, new PolicyTestFixture.SettingsBuilder().build());
-        fixture.outcome(2, 0, AttemptResult.ERROR);
-        assertEquals(2, fixture.sends.size(), "it came with one");
-        fixture.request(3, PolicyTestFixture.READ, 5);
-        fixture.outcome(3, 0, AttemptResult.ERROR);
-        assertEquals(4, fixture.sends.size());
-    }
-
-    /**
-     * Others are seldom so full that a host half warm could not take every key: what it gets is
-     * paced alone.
-     */
-    @Test
-    void aHalfWarmedUpServerTakesEveryKeyAndANewOneFew() {
-        PolicySettings settings = new PolicyTestFixture.SettingsBuilder().build();
-        long now = 1_000_000 * PolicyTestFixture.NANOS_PER_MILLI;
-        for (long ageMillis : new long[] {0, 5_000}) {
-            ServerHealth health = new ServerHealth(settings, new SeededRandom(7));
-            health.onEndpointUpdate(
-                    now,
-                    EndpointUpdateMode.FULL,
-                    List.of(
-                            PolicyTestFixture.server(
-                                    1,
-                                    EndpointState.READY,
-                                    now - ageMillis * PolicyTestFixture.NANOS_PER_MILLI)));
-            long admitted = 0;
-            for (int i = 1; i <= 100; i++) {
-                health.recordFirstSend(now + i * 20 * PolicyTestFixture.NANOS_PER_MILLI);
-                admitted +=
-                        health.admits(
-                                        now + i * 20 * PolicyTestFixture.NANOS_PER_MILLI,
-                                        health.caches[0],
-                                        2047)
-                                ? 1
-                                : 0;
-            }
-            assertEquals(
-                    ageMillis > 0, admitted > 50, "age " + ageMillis + ", admitted " + admitted);
-        }
-    }
-
-    /**
-     * While most is shed a balancer's own sends are few; what warm hosts serve shows what a cold
-     * one can take.
-     */
-    @Test
-    void aServerInSlowStartIsPacedByWhatWarmedUpOnesServe() {
-        PolicySettings settings = new PolicyTestFixture.SettingsBuilder().build();
-        ServerHealth health = new ServerHealth(settings, new SeededRandom(7));
-        long now = 1_000_000 * PolicyTestFixture.NANOS_PER_MILLI;
-        health.onEndpointUpdate(
-                now,
-                EndpointUpdateMode.FULL,
-                List.of(
-                        PolicyTestFixture.server(1),
-                        PolicyTestFixture.server(2, EndpointState.READY, now)));
-        TrackedServer warmedUpServer = health.caches[0];
-        TrackedServer slowStartServer = health.caches[1];
-        int sent = 0;
-        for (int i = 0; i < 400; i++) {
-            now += 10 * PolicyTestFixture.NANOS_PER_MILLI;
-            health.onAttemptStarted(now, warmedUpServer);
-            health.onAttemptCompleted(now, warmedUpServer, AttemptResult.OK, 0, false);
-            if (health.admits(now, slowStartServer, 0)) {
-                health.onAttemptStarted(now, slowStartServer);
-                sent++;
-            }
-        }
-        // 100 a second are served, the cold one can do a fifth at first: 4 s at 20 or somewhat
-        // more.
-        assertTrue(sent > 60 && sent < 4 * 100, "sent " + sent);
-    }
-
-    /** A balancer that has just begun has counted little; that must not keep cold hosts idle. */
-    @Test
-    void aNewBalancersFirstCountsStandForAWholeMean() {
-        ServerHealth health =
-                new ServerHealth(
-                        new PolicyTestFixture.SettingsBuilder().build(), new SeededRandom(7));
-        long now = 1_000_000 * PolicyTestFixture.NANOS_PER_MILLI;
-        health.onEndpointUpdate(
-                now,
-                EndpointUpdateMode.FULL,
-                List.of(
-                        PolicyTestFixture.server(1),
-                        PolicyTestFixture.server(
-                                2,
-                                EndpointState.READY,
-                                now - 5_000 * PolicyTestFixture.NANOS_PER_MILLI)));
-        int sent = 0;
-        for (int i = 0; i < 100; i++) {
-            now += 10 * PolicyTestFixture.NANOS_PER_MILLI;
-            health.recordFirstSend(now);
-            if (health.admits(now, health.caches[1], 0)) {
-                health.onAttemptStarted(now, health.caches[1]);
-                sent++;
-            }
-        }
-        assertTrue(
-                sent > 20 && sent < 100,
-                "of 100, half of which are the half warm one's part: " + sent);
-    }
 }
--- a/policy/src/test/java/frostrelay/policy/PolicyTestFixture.java
+++ b/policy/src/test/java/frostrelay/policy/PolicyTestFixture.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import java.util.Objects;
 
-/** A test bed: a router with a set clock, recorded actions and short ways to say events. */
+/** A router with a clock set by hand, recorded actions, and shorthands for events. */
 final class PolicyTestFixture implements PolicyActions {
     static final long NANOS_PER_MILLI = 1_000_000L;
     static final int READ = 0;
@@ -106,7 +106,7 @@
         return new Server(id, 0, 2, 0, EndpointState.READY, 1, 0);
     }
 
-    /** A bed in aside mode with some caches and origin 99. */
+    /** Returns a fixture in look-aside mode with some caches and origin 99. */
     static PolicyTestFixture lookAside(int caches) {
         SettingsBuilder builder = new SettingsBuilder();
         builder.lookAside = true;
@@ -157,7 +157,7 @@
         return sends.size() > before ? sends.get(before) : null;
     }
 
-    /** Reports an end; returns the send that it caused, if any. */
+    /** Reports an outcome; returns the attempt that it caused, or null. */
     Sent outcome(long id, int attempt, AttemptResult reason) {
         int before = sends.size();
         router.onAttemptOutcome(
@@ -173,14 +173,14 @@
         return sends.size() > before ? sends.get(before) : null;
     }
 
-    /** Ends every attempt of a request alike, those that follow one another included. */
+    /** Ends every attempt of a request with the same result, including those that follow. */
     void completeAll(long id, AttemptResult reason) {
         for (int attempt = 0; attempt < settings.maxAttempts(); attempt++) {
             outcome(id, attempt, reason);
         }
     }
 
-    /** Slows the origin by writes that take nearly the aim. */
+    /** Slows the origin by writes that take nearly their latency objective. */
     void slowOrigin() {
         for (long id = 2_000_000; id < 2_000_040; id++) {
             request(id, KEYED_WRITE, id);
@@ -189,7 +189,7 @@
         }
     }
 
-    /** Opens the breaker of the host nearest to key 5 with requests 1 and 2; returns the host. */
+    /** Opens the breaker of key 5's first candidate with requests 1 and 2; returns the server. */
     long openBreaker() {
         long failedServer = 0;
         for (long id = 1; id <= 2; id++) {
@@ -200,7 +200,7 @@
         return failedServer;
     }
 
-    /** Moves the clock, firing the timers that fall due on the way. */
+    /** Advances the clock, firing the timers that become due. */
     void advanceMillis(long millis) {
         long untilNanos = now + millis * NANOS_PER_MILLI;
         while (true) {
@@ -220,7 +220,7 @@
         }
     }
 
-    /** Serves reads of 10 ms so that the digest holds a full sample. */
+    /** Serves reads of 10 ms so that the latency digest has enough samples. */
     void fillLatencyDigest(int count) {
         for (int i = 0; i < count; i++) {
             long id = 1_000_000 + i;
@@ -255,43 +255,8 @@
         LoadReportLayout loadReportLayout = new LoadReportLayout(-1, -1, -1);
 
         PolicySettings build() {
-            List<RequestClass> classes =
-                    List.of(
-                            new RequestClass(
-                                    1000 * NANOS_PER_MILLI,
-                                    0,
-                                    4000 * NANOS_PER_MILLI,
-                                    3,
-                                    latePriorityWeight,
-                                    readIdempotency,
-                                    DeduplicationScope.ALL,
-                                    0,
-                                    false,
-                                    false),
-                            new RequestClass(
-                                    1000 * NANOS_PER_MILLI,
-                                    0,
-                                    4000 * NANOS_PER_MILLI,
-                                    9,
-                                    latePriorityWeight,
-                                    Idempotency.IDEMPOTENCY_KEY,
-                                    deduplicationScope,
-                                    500 * NANOS_PER_MILLI,
-                                    false,
-                                    serializedByKey),
-                            new RequestClass(
-                                    1000 * NANOS_PER_MILLI,
-                                    0,
-                                    4000 * NANOS_PER_MILLI,
-                                    5,
-                                    latePriorityWeight,
-                                    unsafeIdempotency,
-                                    DeduplicationScope.CELL,
-                                    0,
-                                    false,
-                                    false));
             return new PolicySettings(
-                    classes,
+                    classes(),
                     tenants,
                     0,
                     instanceIndex,
@@ -316,5 +281,42 @@
                     retryBudget,
                     loadReportLayout);
         }
+
+        private List<RequestClass> classes() {
+            return List.of(
+                    new RequestClass(
+                            1000 * NANOS_PER_MILLI,
+                            0,
+                            4000 * NANOS_PER_MILLI,
+                            3,
+                            latePriorityWeight,
+                            readIdempotency,
+                            DeduplicationScope.ALL,
+                            0,
+                            false,
+                            false),
+                    new RequestClass(
+                            1000 * NANOS_PER_MILLI,
+                            0,
+                            4000 * NANOS_PER_MILLI,
+                            9,
+                            latePriorityWeight,
+                            Idempotency.IDEMPOTENCY_KEY,
+                            deduplicationScope,
+                            500 * NANOS_PER_MILLI,
+                            false,
+                            serializedByKey),
+                    new RequestClass(
+                            1000 * NANOS_PER_MILLI,
+                            0,
+                            4000 * NANOS_PER_MILLI,
+                            5,
+                            latePriorityWeight,
+                            unsafeIdempotency,
+                            DeduplicationScope.CELL,
+                            0,
+                            false,
+                            false));
+        }
     }
 }
--- a/policy/src/test/java/frostrelay/policy/RouterTest.java
+++ b/policy/src/test/java/frostrelay/policy/RouterTest.java
@@ -12,13 +12,12 @@
 import frostrelay.policy.api.EndpointState;
 import frostrelay.policy.api.EndpointUpdateMode;
 import frostrelay.policy.api.Server;
-import frostrelay.policy.api.Tenant;
 
 import org.junit.jupiter.api.Test;
 
-import java.util.ArrayList;
 import java.util.List;
 
+/** Routing of single requests: hedging, retries, rejections, deadlines and subscription. */
 class RouterTest {
     private static PolicyTestFixture fixture() {
         return new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder());
@@ -92,7 +91,7 @@
         int hedgedRequests = fixture.sends.size() - 100;
         assertTrue(
                 hedgedRequests > 0 && hedgedRequests <= 10 + 0.2 * 140,
-                "copies: " + hedgedRequests);
+                "hedged requests: " + hedgedRequests);
     }
 
     @Test
@@ -237,123 +236,6 @@
         assertEquals(1, fixture.request(100, PolicyTestFixture.READ, 5).server());
     }
 
-    @Test
-    void aFailedServerIsLeftAloneAndTriedAgain() {
-        PolicyTestFixture fixture = fixture().servers(2);
-        long failedServer = fixture.openBreaker();
-        for (int i = 10; i < 20; i++) {
-            assertNotEquals(failedServer, fixture.request(i, PolicyTestFixture.READ, 5).server());
-            fixture.outcome(i, 0, AttemptResult.OK);
-        }
-        fixture.advanceMillis(1500);
-        assertEquals(failedServer, fixture.request(30, PolicyTestFixture.READ, 5).server());
-        assertNotEquals(failedServer, fixture.request(31, PolicyTestFixture.READ, 5).server());
-    }
-
-    @Test
-    void whenAllServersFailTheSetIsNotEmptied() {
-        PolicyTestFixture fixture = fixture().servers(3);
-        for (int i = 0; i < 20; i++) {
-            fixture.request(i, PolicyTestFixture.READ, i);
-            for (int a = 0; a < 4; a++) {
-                fixture.outcome(i, a, AttemptResult.CONNECT_FAILED);
-            }
-        }
-        assertNotNull(fixture.request(100, PolicyTestFixture.READ, 5));
-    }
-
-    @Test
-    void aClusterOfServersInSlowStartIsStillUsed() {
-        PolicyTestFixture fixture = fixture();
-        List<Server> list = new ArrayList<>();
-        for (int i = 1; i <= 8; i++) {
-            list.add(PolicyTestFixture.server(i, EndpointState.READY, fixture.now));
-        }
-        fixture.updateEndpoints(list);
-        for (int i = 0; i < 8; i++) {
-            assertNotNull(fixture.request(i, PolicyTestFixture.READ, i), "request " + i);
-            fixture.outcome(i, 0, AttemptResult.OK);
-        }
-    }
-
-    @Test
-    void aServerInSlowStartGetsAGrowingPartOfKeys() {
-        PolicyTestFixture fixture = fixture().servers(3);
-        fixture.updateEndpointsByDelta(
-                PolicyTestFixture.server(4, EndpointState.READY, fixture.now));
-        int early = sentTo(fixture, 4, 0);
-        fixture.advanceMillis(4000);
-        int halfway = sentTo(fixture, 4, 1000);
-        fixture.advanceMillis(6000);
-        int warmedUp = sentTo(fixture, 4, 2000);
-        assertTrue(early < warmedUp / 2, early + " of " + warmedUp);
-        assertTrue(halfway > early && halfway < warmedUp, early + ", " + halfway + ", " + warmedUp);
-    }
-
-    private static int sentTo(PolicyTestFixture fixture, long server, int base) {
-        int count = 0;
-        for (int i = 0; i < 400; i++) {
-            count +=
-                    fixture.request(base + i, PolicyTestFixture.READ, i).server() == server ? 1 : 0;
-            fixture.advanceMillis(2);
-            fixture.outcome(base + i, 0, AttemptResult.OK);
-        }
-        return count;
-    }
-
-    @Test
-    void aBurstDoesNotSpendTheBudgetOfAServerInSlowStart() {
-        PolicyTestFixture warmedUpFixture = fixture().servers(10);
-        PolicyTestFixture fixture = fixture().servers(9);
-        fixture.updateEndpointsByDelta(
-                PolicyTestFixture.server(
-                        10,
-                        EndpointState.READY,
-                        fixture.now - 5_000 * PolicyTestFixture.NANOS_PER_MILLI));
-        int keys = 0;
-        int slowStartSends = 0;
-        for (int i = 0; i < 1500; i++) {
-            fixture.advanceMillis(1);
-            boolean isOwner = warmedUpFixture.request(i, PolicyTestFixture.READ, i).server() == 10;
-            warmedUpFixture.outcome(i, 0, AttemptResult.OK);
-            if (isOwner) {
-                keys++;
-                slowStartSends +=
-                        fixture.request(i, PolicyTestFixture.READ, i).server() == 10 ? 1 : 0;
-                fixture.outcome(i, 0, AttemptResult.OK);
-            }
-        }
-        assertTrue(
-                keys > 100 && slowStartSends > 0 && slowStartSends <= keys * 4 * 0.5 / 10 + 1,
-                slowStartSends + " of " + keys);
-    }
-
-    @Test
-    void trafficOverQuotaIsShedFirstUnderOverload() {
-        PolicyTestFixture.SettingsBuilder builder = new PolicyTestFixture.SettingsBuilder();
-        builder.tenants = List.of(new Tenant(10, 0.5), new Tenant(1000, 0.5));
-        builder.overQuotaWeight = 0.05;
-        PolicyTestFixture fixture = new PolicyTestFixture(builder).servers(4);
-        for (int i = 0; i < 40; i++) {
-            fixture.request(i, PolicyTestFixture.READ, i, 1, false);
-        }
-        for (int i = 0; i < 5; i++) {
-            fixture.outcome(i, 0, AttemptResult.REJECTED);
-        }
-        for (int i = 0; i < 120; i++) {
-            if (i == 60) {
-                fixture.rejections.clear();
-            }
-            fixture.advanceMillis(2);
-            fixture.request(1000 + i, PolicyTestFixture.READ, i, i % 2, false);
-        }
-        long overQuota = fixture.rejections.stream().filter(r -> r.request() % 2 == 0).count();
-        long withinQuota = fixture.rejections.size() - overQuota;
-        assertTrue(
-                overQuota >= 10 && withinQuota < overQuota / 2,
-                overQuota + " over, " + withinQuota + " within");
-    }
-
     @Test
     void instancesSubscribeOutOfStepAndAgainAfterAFailure() {
         long previousWaitNanos = 0;
@@ -382,8 +264,8 @@
     }
 
     /**
-     * News binds 6 s after discovery had it, whatever calls failed: a pause that grew to 20 s had
-     * drains broken.
+     * Updates of the endpoint list must be known within 6 s of discovery, whatever calls failed:
+     * the backoff must not grow beyond that.
      */
     @Test
     void theBackoffAfterFailedCallsStaysWithinTheUpdateLimit() {
@@ -412,8 +294,8 @@
     }
 
     /**
-     * The list's news binds one that takes over at once; it once waited its turn and sent to hosts
-     * that drained.
+     * A process that takes over must follow the endpoint list immediately: waiting for its turn
+     * would send to draining servers.
      */
     @Test
     void oneThatTakesOverSubscribesAtOnce() {
@@ -434,8 +316,8 @@
     }
 
     /**
-     * A repeat may begin as late as its connection comes up: by then servers must still know the
-     * first one.
+     * A retry may begin as late as its connection is established: servers must still remember the
+     * first attempt then.
      */
     @Test
     void aRetryWithAnIdempotencyKeyBeginsWithinTheWindowAlsoOnANewConnection() {
--- a/policy/src/test/java/frostrelay/policy/SerializationAndRetryBudgetTest.java
+++ b/policy/src/test/java/frostrelay/policy/SerializationAndRetryBudgetTest.java
@@ -108,7 +108,8 @@
             fixture.request(id, PolicyTestFixture.KEYED_WRITE, 5);
         }
         assertTrue(
-                fixture.rejections.size() >= 14, "refused at once: " + fixture.rejections.size());
+                fixture.rejections.size() >= 14,
+                "rejected immediately: " + fixture.rejections.size());
         assertTrue(
                 fixture.rejections.size() <= 16,
                 "those with hope wait: " + fixture.rejections.size());
@@ -141,7 +142,7 @@
         fixture.advanceMillis(2001);
         fixture.request(1, PolicyTestFixture.READ, 5);
         fixture.advanceMillis(100);
-        assertEquals(2, fixture.sends.size(), "the copy");
+        assertEquals(2, fixture.sends.size(), "the hedged request");
         fixture.request(2, PolicyTestFixture.READ, 6);
         assertNull(fixture.outcome(2, 0, AttemptResult.REJECTED));
     }
--- a/policy/src/test/java/frostrelay/policy/SlowStartSumTest.java
+++ b/policy/src/test/java/frostrelay/policy/SlowStartSumTest.java
@@ -17,15 +17,15 @@
 import java.util.Random;
 
 /**
- * A cold host bears only so much of all balancers together, and they share nothing: the sum over
- * many of them, each with little traffic, with bursts, and with some that start anew and know
- * nothing of what they sent.
+ * A server in slow start can take only so much from all balancers together, and they share no
+ * state: checks the sum over many balancers with little traffic each, with bursts, and with some
+ * that restart without knowledge of their earlier sends.
  */
 class SlowStartSumTest {
     private static final int SERVERS = 16;
     private static final long COLD_SERVER = 99;
 
-    /** Requests a second that one warm host can do. */
+    /** Requests a second that one warm server can serve. */
     private static final double FULL_RATE_PER_SECOND = 14;
 
     private static final double SLOW_START_INITIAL_FRACTION = 0.2;
@@ -57,7 +57,7 @@
         return fixture.updateEndpoints(list);
     }
 
-    /** The most by which the sum of any second went over what is borne, as a part of that. */
+    /** Returns the largest number of attempts in any second, as a fraction of the allowed one. */
     private static double worstOverrun(
             double overloadMultiple, int instanceCount, double load, boolean restarts, long seed) {
         Random random = new Random(seed);
@@ -78,25 +78,12 @@
         for (long now = startNanos;
                 now < bootedAtNanos + SLOW_START_MILLIS * PolicyTestFixture.NANOS_PER_MILLI; ) {
             double secondsSinceBoot = (now - bootedAtNanos) / 1e9;
-            boolean isBurst =
-                    secondsSinceBoot > 1 && secondsSinceBoot < 3
-                            || secondsSinceBoot > 5 && secondsSinceBoot < 6;
-            double rate = SERVERS * FULL_RATE_PER_SECOND * load * (isBurst ? 1.6 : 1);
+            double rate = requestsPerSecond(secondsSinceBoot, load);
             now += (long) (-Math.log(1 - random.nextDouble()) / rate * 1e9);
-            while (!completions.isEmpty() && completions.peek().atNanos <= now) {
-                PendingCompletion completion = completions.poll();
-                completion.fixture.now = completion.atNanos;
-                completion.fixture.outcome(
-                        completion.request, completion.attempt, AttemptResult.OK);
-            }
+            completeUntil(now, completions);
             if (!isNotified && now >= bootedAtNanos) {
                 isNotified = true;
-                for (PolicyTestFixture fixture : fixtures) {
-                    fixture.now = now;
-                    fixture.updateEndpointsByDelta(
-                            PolicyTestFixture.server(
-                                    COLD_SERVER, EndpointState.READY, bootedAtNanos));
-                }
+                addColdServer(now, fixtures, bootedAtNanos);
             }
             if (restarts && isNotified && secondsSinceBoot > 0.3 * (restartCount + 1)) {
                 fixtures.set(
@@ -110,45 +97,71 @@
                                 bootedAtNanos));
                 restartCount++;
             }
-            // Some see several times the mean.
-            PolicyTestFixture fixture =
-                    fixtures.get(
-                            Math.min(
-                                    instanceCount - 1,
-                                    (int) (instanceCount * Math.pow(random.nextDouble(), 1.5))));
+            PolicyTestFixture fixture = randomBalancer(fixtures, random);
             fixture.now = now;
             PolicyTestFixture.Sent sent =
                     fixture.request(++id, PolicyTestFixture.READ, key(random));
             if (sent == null) {
                 continue;
             }
-            completions.add(
-                    new PendingCompletion(
-                            now
-                                    + (long)
-                                            (70
-                                                    * PolicyTestFixture.NANOS_PER_MILLI
-                                                    * (0.5 + random.nextDouble())),
-                            fixture,
-                            id,
-                            0));
+            long completedAtNanos = now + serviceNanos(random);
+            completions.add(new PendingCompletion(completedAtNanos, fixture, id, 0));
             if (sent.server() == COLD_SERVER) {
                 window.add(now);
                 while (window.peek() <= now - 1_000 * PolicyTestFixture.NANOS_PER_MILLI) {
                     window.poll();
                 }
-                double slowStartFraction =
-                        SLOW_START_INITIAL_FRACTION
-                                + (1 - SLOW_START_INITIAL_FRACTION)
-                                        * Math.min(1, secondsSinceBoot * 1_000 / SLOW_START_MILLIS);
-                double allowed = overloadMultiple * slowStartFraction * FULL_RATE_PER_SECOND;
+                double allowed = allowedPerSecond(overloadMultiple, secondsSinceBoot);
                 worst = Math.max(worst, window.size() / (allowed + 2 * Math.sqrt(allowed) + 2));
             }
         }
         return worst;
     }
 
-    /** Popularity is uneven: some keys are asked for hundreds of times as often as others. */
+    private static double requestsPerSecond(double secondsSinceBoot, double load) {
+        boolean isBurst =
+                secondsSinceBoot > 1 && secondsSinceBoot < 3
+                        || secondsSinceBoot > 5 && secondsSinceBoot < 6;
+        return SERVERS * FULL_RATE_PER_SECOND * load * (isBurst ? 1.6 : 1);
+    }
+
+    private static void completeUntil(long now, PriorityQueue<PendingCompletion> completions) {
+        while (!completions.isEmpty() && completions.peek().atNanos <= now) {
+            PendingCompletion completion = completions.poll();
+            completion.fixture.now = completion.atNanos;
+            completion.fixture.outcome(completion.request, completion.attempt, AttemptResult.OK);
+        }
+    }
+
+    private static void addColdServer(
+            long now, List<PolicyTestFixture> fixtures, long bootedAtNanos) {
+        for (PolicyTestFixture fixture : fixtures) {
+            fixture.now = now;
+            fixture.updateEndpointsByDelta(
+                    PolicyTestFixture.server(COLD_SERVER, EndpointState.READY, bootedAtNanos));
+        }
+    }
+
+    /** Chooses unevenly: some balancers see several times the mean traffic. */
+    private static PolicyTestFixture randomBalancer(
+            List<PolicyTestFixture> fixtures, Random random) {
+        int index = (int) (fixtures.size() * Math.pow(random.nextDouble(), 1.5));
+        return fixtures.get(Math.min(fixtures.size() - 1, index));
+    }
+
+    private static long serviceNanos(Random random) {
+        return (long) (70 * PolicyTestFixture.NANOS_PER_MILLI * (0.5 + random.nextDouble()));
+    }
+
+    private static double allowedPerSecond(double overloadMultiple, double secondsSinceBoot) {
+        double slowStartFraction =
+                SLOW_START_INITIAL_FRACTION
+                        + (1 - SLOW_START_INITIAL_FRACTION)
+                                * Math.min(1, secondsSinceBoot * 1_000 / SLOW_START_MILLIS);
+        return overloadMultiple * slowStartFraction * FULL_RATE_PER_SECOND;
+    }
+
+    /** Popularity is uneven: some keys are requested hundreds of times as often as others. */
     private static long key(Random random) {
         return (long) Math.pow(3_000, random.nextDouble());
     }
