--- a/healthreports/src/main/java/frostrelay/counters/ClusterCounter.java
+++ b/healthreports/src/main/java/frostrelay/counters/ClusterCounter.java
@@ -3,27 +3,28 @@
 import java.util.Locale;
 
 /**
- * What each balancer counts since its life began; on the wire in this order, later ones at the end.
+ * What each balancer counts since its start. The order is the wire format: new constants go at the
+ * end.
  */
 public enum ClusterCounter {
-    /** Requests of clients, but for their retries. */
+    /** Clients' requests, without their retries. */
     FIRST_TRIES,
-    /** Clients' retries. */
+    /** Clients' retries of earlier requests. */
     REPEATS,
     /** Attempts written to caches. */
     SENDS,
-    /** Those of them that have ended: what lacks is in flight. */
+    /** Attempts that have ended; the difference to {@link #SENDS} is in flight. */
     ENDS,
-    /** Attempts written while another of the same request was out. */
+    /** Hedged requests: attempts written while another of the same request was in flight. */
     COPIES,
-    /** Reads for which a cache went to the origin and came back with the value. */
+    /** Reads that a cache answered with a value it fetched from the origin. */
     FETCHES,
-    /** Attempts that a cache answered as failed. */
+    /** Attempts that a cache answered with a failure. */
     FAILED,
-    /** Requests refused by decision. */
+    /** Requests that this balancer rejected. */
     REFUSED;
 
-    /** As operators read it. */
+    /** The name in admin output: lower case with hyphens. */
     public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/healthreports/src/main/java/frostrelay/counters/ClusterCounterSettings.java
+++ b/healthreports/src/main/java/frostrelay/counters/ClusterCounterSettings.java
@@ -1,19 +1,19 @@
 package frostrelay.counters;
 
 /**
- * Bounds, each with its reason; nanoseconds, a second, and parts of 1.
+ * Limits and intervals of cluster counters.
  *
- * @param minSendIntervalNanos one peer is told no sooner again
- * @param directSendAfterNanos who was told so long ago may be told straight
- * @param smallClusterPeers others of a tier that is small
- * @param smallClusterSendsPerSecond so many are told straight a second in one
- * @param sendsPerSecond and in one that is not
- * @param rateWindowNanos a rate is taken over so long at least
- * @param freshNanos a writer's rate counts in full for so long behind its last word
- * @param expiryNanos and slides to nothing by then
- * @param maxRateGrowth no balancer does more than this times what it was seen to do at its fastest
- * @param minPeakRatePerSecond and each is taken to do so much a second at its fastest
- * @param maxRatePerSecond what claims more a second is passed over
+ * @param minSendIntervalNanos shortest time between two sections to one peer
+ * @param directSendAfterNanos a peer last sent to this long ago may be sent to directly
+ * @param smallClusterPeers a cluster with at most this many peers is small
+ * @param smallClusterSendsPerSecond direct sends a second in a small cluster
+ * @param sendsPerSecond direct sends a second in a large cluster
+ * @param rateWindowNanos shortest time over which a rate is taken
+ * @param freshNanos a peer's rate has full weight up to this age of its last section
+ * @param expiryNanos the weight falls linearly to 0 at this age
+ * @param maxRateGrowth no balancer is taken to exceed this factor of its observed peak rate
+ * @param minPeakRatePerSecond lower limit for the peak rate that is assumed of a balancer
+ * @param maxRatePerSecond sections that imply a higher rate are rejected
  */
 public record ClusterCounterSettings(
         long minSendIntervalNanos,
@@ -30,13 +30,22 @@
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
 
     /**
-     * Again: four times a second to one peer is as often as anybody decides by it. Silent, few,
-     * posts: in a small tier all hear within a second or two; in a large one two datagrams of 80
-     * bytes a second are 0.0006 of what service is worth. Window: a second of ten requests has a
-     * third of chance in it, but a longer one is late. Fresh: a small tier's probes come round in
-     * three. Forget: as judgements. Leap: days have bursts of half as much again, and a tier that
-     * loses half doubles what is left; four leaves room for both. Least: a balancer that has just
-     * begun was seen to do nothing. Most: a core does ten thousand requests a second.
+     * The values in production, each with its reason:
+     *
+     * <ul>
+     *   <li>minSendInterval: four times a second, as often as any decision uses the totals.
+     *   <li>directSendAfter, smallClusterPeers and the sends a second: in a small cluster all peers
+     *       receive within a second or two; in a large one two datagrams of 80 bytes a second cost
+     *       0.0006 of the traffic served.
+     *   <li>rateWindow: in one second of ten requests a third of the rate is chance, but a longer
+     *       window reacts late.
+     *   <li>fresh: in a small cluster a round of probes takes three seconds.
+     *   <li>expiry: as for health reports.
+     *   <li>maxRateGrowth: daily bursts add half, and a cluster that loses half its balancers
+     *       doubles the load of the rest; four leaves a margin for both.
+     *   <li>minPeakRate: a balancer that has just started has no observed rate.
+     *   <li>maxRate: one core serves ten thousand requests a second.
+     * </ul>
      */
     public static final ClusterCounterSettings STANDARD =
             new ClusterCounterSettings(
--- a/healthreports/src/main/java/frostrelay/counters/ClusterCounters.java
+++ b/healthreports/src/main/java/frostrelay/counters/ClusterCounters.java
@@ -12,33 +12,33 @@
 import java.util.function.IntPredicate;
 
 /**
- * Counts over the fleet: what this balancer did, and what each other said that it had done,
- * first-hand. They ride on datagrams that go out anyway. What was not heard is not taken as
- * nothing: each sum says how many it covers, how old it is, and what it can be at most.
+ * Counters over the cluster: this balancer's own, and each peer's as that peer sent them itself,
+ * piggybacked on gossip datagrams. A missing peer does not count as 0: each total says how many
+ * balancers it covers, how old it is, and an upper bound.
  *
- * <p>Under silence a sum slides to this balancer's own count times the balancers that are there,
- * which is what a balancer alone goes by; it comes back as the others are heard, one by one.
- * Decides nothing; for one thread; moments are nanoseconds of one clock that never falls. {@code
- * docs/design/shared-state.md} has the ways weighed.
+ * <p>While no peer is heard from, the estimated rate moves to this balancer's own rate times the
+ * number of living balancers, and returns as sections arrive again. Not thread-safe; moments are
+ * nanoseconds of one monotonic clock. {@code docs/design/shared-state.md} has the alternatives
+ * considered.
  */
 public final class ClusterCounters implements PayloadProvider {
-    /** Where what others are to hear goes besides riding along. */
+    /** Sends sections besides those piggybacked on gossip datagrams. */
     public interface Actions {
-        /** Sends one section to one balancer now, if the bounds on talk let it through. */
+        /** Sends one section to one peer now, if the gossip bandwidth limit admits it. */
         void sendSection(int to, int type, ByteBuffer section);
     }
 
     private static final int COUNTERS_SECTION = 34;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** One balancer's, as known here. */
+    /** One balancer's counters as known here, and the rates derived from them. */
     private static final class WriterState {
         GrowOnlyCounters counters;
 
-        /** When its last word was written. */
+        /** When its latest counters were written, on this balancer's clock. */
         long updatedAtNanos;
 
-        /** Where its rates are taken from, and what they were. */
+        /** Values at {@link #rateBaselineNanos}, against which the next rates are taken. */
         long[] rateBaseline;
 
         long rateBaselineNanos;
@@ -81,14 +81,17 @@
     private final Map<Integer, WriterState> peerStates = new TreeMap<>();
     private final Map<Integer, Long> lastSentNanos = new TreeMap<>();
 
-    /** Whose turn it was last. */
+    /** Rank that the round robin of direct sends has reached. */
     private int lastRecipient;
 
     private long rejectedCount;
 
     /**
-     * {@code localRank}: this balancer's number among {@code clusterSize}; {@code isAlive}: whether
-     * another is there as far as is known.
+     * Creates counters at 0.
+     *
+     * @param localRank this balancer's number, from 0 to {@code clusterSize} - 1
+     * @param incarnation this balancer's incarnation
+     * @param isAlive whether the peer of a rank is alive as far as is known
      */
     public ClusterCounters(
             ClusterCounterSettings settings,
@@ -111,14 +114,18 @@
         return Incarnation.toUnixMillis(incarnation);
     }
 
-    /** This balancer did one more. */
+    /** Adds one to a counter of this balancer. */
     public void increment(ClusterCounter counter) {
         localValues[counter.ordinal()]++;
     }
 
     /**
-     * A section came from a peer in that life of it, held up for so long on its way; one of another
-     * module is passed over, and so is what nobody can have done.
+     * A gossip section was received; sections of other modules are ignored, and expired, truncated
+     * or impossible ones are rejected.
+     *
+     * @param delayNanos time for which the datagram was delayed on its way
+     * @param sender rank of the sending peer
+     * @param type section type
      */
     public void onSection(
             long now, long delayNanos, int sender, long incarnation, int type, ByteBuffer in) {
@@ -136,8 +143,7 @@
                 || received.startedAtUnixMillis() > peer.counters.startedAtUnixMillis()) {
             peer.reset(received, writtenAtNanos);
         } else if (received.startedAtUnixMillis() == peer.counters.startedAtUnixMillis()) {
-            // A second more than the time since: what was under way when it was last heard came
-            // late.
+            // One second is added to the elapsed time for counts that were delayed on their way.
             double maxIncrease =
                     settings.maxRatePerSecond()
                             * ((now - peer.updatedAtNanos) / NANOS_PER_SECOND + 1);
@@ -154,13 +160,13 @@
     }
 
     @Override
-    public void writeSections(long now, int to, PayloadBuffer hold) {
+    public void writeSections(long now, int to, PayloadBuffer buffer) {
         Long lastSent = lastSentNanos.get(to);
         if (lastSent != null && now - lastSent < settings.minSendIntervalNanos()
-                || hold.availableBytes() < GrowOnlyCounters.encodedBytes()) {
+                || buffer.availableBytes() < GrowOnlyCounters.encodedBytes()) {
             return;
         }
-        if (hold.add(COUNTERS_SECTION, encodeLocal())) {
+        if (buffer.add(COUNTERS_SECTION, encodeLocal())) {
             lastSentNanos.put(to, now);
         }
     }
@@ -171,7 +177,10 @@
         return out.flip();
     }
 
-    /** Those that were told longest ago hear it now: what rides along misses some for seconds. */
+    /**
+     * Sends directly to peers that were last sent to longest ago: piggybacking misses some for
+     * seconds.
+     */
     private void sendToStalest(long now) {
         int remainingSends =
                 clusterSize - 1 <= settings.smallClusterPeers()
@@ -190,7 +199,9 @@
         }
     }
 
-    /** To be called once a second: own rates are taken then, and some are told straight. */
+    /**
+     * To be called once a second: updates this balancer's rates and sends to some peers directly.
+     */
     public void tick(long now) {
         localState.counters =
                 new GrowOnlyCounters(
@@ -200,7 +211,7 @@
         sendToStalest(now);
     }
 
-    /** What is known of a count over the tier now. */
+    /** The cluster total of a counter as far as is known now. */
     public CounterTotal total(long now, ClusterCounter counter) {
         int index = counter.ordinal();
         long known = localValues[index];
@@ -217,8 +228,7 @@
             aliveMembers++;
             WriterState peer = peerStates.get(i);
             if (peer == null) {
-                // What one has done of which nothing was ever heard is not nothing: it is not
-                // known.
+                // Nothing was ever received from it: its count is unknown, not 0.
                 upperBound = Double.POSITIVE_INFINITY;
                 continue;
             }
@@ -257,7 +267,7 @@
         return writer.ratesPerSecond == null ? 0 : writer.ratesPerSecond[index];
     }
 
-    /** Without a step: in full while it is fresh, then less with age. */
+    /** 1 while the rate is fresh, then falling linearly to 0 at expiry. */
     private double weight(long ageNanos) {
         return Math.max(
                 0,
@@ -268,12 +278,15 @@
     }
 
     /**
-     * What each other said last, for operators: its number, life, age in nanoseconds, and its
-     * counts in their order.
+     * A peer's latest counters, for operators.
+     *
+     * @param startedAtUnixMillis start of its incarnation
+     * @param ageNanos time since the counters were written
+     * @param values by ordinal of {@link ClusterCounter}
      */
     public record PeerCounters(int rank, long startedAtUnixMillis, long ageNanos, long[] values) {}
 
-    /** All of them, by their numbers. */
+    /** Latest counters of all peers heard from, ordered by rank. */
     public List<PeerCounters> peerCounters(long now) {
         List<PeerCounters> rows = new ArrayList<>();
         peerStates.forEach(
@@ -287,7 +300,7 @@
         return rows;
     }
 
-    /** Words that were passed over as impossible. */
+    /** Sections rejected as expired, truncated or impossible. */
     public long rejectedCount() {
         return rejectedCount;
     }
--- a/healthreports/src/main/java/frostrelay/counters/CounterTotal.java
+++ b/healthreports/src/main/java/frostrelay/counters/CounterTotal.java
@@ -1,17 +1,17 @@
 package frostrelay.counters;
 
 /**
- * What is known of one count over the tier, and how well.
+ * An estimate of one counter over the whole cluster.
  *
- * @param known what those covered had done at the least, each in its present life as far as it is
- *     known
- * @param upperBound what all that are there can have done at the most by now, if none has
- *     quadrupled its pace since it was heard; infinite where of one of them nothing was ever heard
- * @param ratePerSecond of the whole tier a second, with what is missing taken to be as the mean of
- *     what is covered
- * @param coveredMembers balancers heard of lately, this one included
- * @param aliveMembers balancers that are there as far as is known
- * @param oldestAgeNanos age of the oldest word among the covered, nanoseconds
+ * @param known sum of the covered balancers' latest values, each since its own start; a lower bound
+ * @param upperBound what all living balancers can have counted by now, if none has exceeded {@link
+ *     ClusterCounterSettings#maxRateGrowth} times its peak rate since its last section; infinite if
+ *     nothing was ever received from one of them
+ * @param ratePerSecond of the whole cluster, balancers not covered being taken as the mean of the
+ *     covered
+ * @param coveredMembers balancers with a recent section, this one included
+ * @param aliveMembers living balancers as far as is known, this one included
+ * @param oldestAgeNanos age of the oldest section among the covered
  */
 public record CounterTotal(
         long known,
--- a/healthreports/src/main/java/frostrelay/counters/GrowOnlyCounters.java
+++ b/healthreports/src/main/java/frostrelay/counters/GrowOnlyCounters.java
@@ -4,26 +4,28 @@
 import java.util.Arrays;
 
 /**
- * One balancer's counts in one life of it: each only ever grows. A state-based CRDT, a map of
- * grow-only counters by writer (Shapiro et al. 2011): {@link #merge} takes the larger of each
- * count, and the later life as a whole, so it is commutative, associative and idempotent, and loss,
- * order and doubles do not matter. Immutable.
+ * One balancer's counters in one incarnation; each only ever grows. A state-based CRDT, the
+ * G-Counter of Shapiro et al. 2011: {@link #merge} takes the larger of each counter, and the later
+ * incarnation as a whole, so it is commutative, associative and idempotent, and loss, reordering
+ * and duplication do not matter. Immutable.
  *
- * @param startedAtUnixMillis when the writer's life began, as its incarnation without objections
- *     has it
- * @param values by {@link ClusterCounter}
+ * @param startedAtUnixMillis the balancer's start, which is its incarnation without refutations
+ * @param values by ordinal of {@link ClusterCounter}
  */
 record GrowOnlyCounters(long startedAtUnixMillis, long[] values) {
-    /** Of each count on the wire: ten years at three thousand a second. */
+    /** Size of a counter on the wire: lasts ten years at three thousand a second. */
     private static final int COUNTER_BYTES = 5;
 
     private static final int U8_MASK = 0xff;
     static final int COUNTER_COUNT = ClusterCounter.values().length;
 
-    /** Either may be null. */
+    /** The least upper bound of both; either may be null. */
     static GrowOnlyCounters merge(GrowOnlyCounters a, GrowOnlyCounters b) {
-        if (a == null || b == null || a.startedAtUnixMillis != b.startedAtUnixMillis) {
-            return a == null || b != null && b.startedAtUnixMillis > a.startedAtUnixMillis ? b : a;
+        if (a == null || b == null) {
+            return a == null ? b : a;
+        }
+        if (a.startedAtUnixMillis != b.startedAtUnixMillis) {
+            return b.startedAtUnixMillis > a.startedAtUnixMillis ? b : a;
         }
         long[] larger = new long[COUNTER_COUNT];
         for (int i = 0; i < COUNTER_COUNT; i++) {
@@ -46,13 +48,14 @@
         }
     }
 
-    /** Whether it holds counts and nothing torn. */
+    /** Whether the section holds at least one counter and no truncated one. */
     static boolean isComplete(ByteBuffer in) {
         return in.hasRemaining() && in.remaining() % COUNTER_BYTES == 0;
     }
 
     /**
-     * What a build that knows fewer left out is 0; what one that knows more added is passed over.
+     * Reads counters of any build: those that an older one does not have are 0, those that a newer
+     * one has added are ignored.
      */
     static GrowOnlyCounters read(long startedAtUnixMillis, ByteBuffer in) {
         long[] values = new long[COUNTER_COUNT];
--- a/healthreports/src/main/java/frostrelay/healthreports/AttemptObservation.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/AttemptObservation.java
@@ -1,25 +1,27 @@
 package frostrelay.healthreports;
 
-/** What an attempt at a cache told its balancer of the cache. */
+/**
+ * What the outcome of an attempt says about its cache. The ordinals are part of the wire format.
+ */
 public enum AttemptObservation {
-    /** It answered. */
+    /** The cache answered. */
     ANSWERED,
-    /** It said that it failed: its own fault, or that of what is behind it. */
+    /** The cache answered with an error, its own or one of its origin. */
     FAILED,
-    /** It turned work away though it had time to spare. */
+    /** The cache rejected the request although its deadline was not near. */
     TURNED_AWAY,
-    /** No answer came in time, or a copy sent later was answered first. */
+    /** No answer in time, or a hedged request sent later was answered first. */
     SILENT,
-    /** The connection was reset under the request. */
+    /** The connection was reset during the request. */
     RESET,
-    /** No connection came up. */
+    /** No connection could be established. */
     UNREACHABLE;
 
-    /** Its place in a set of them. */
+    /** Its bit in a set of observations. */
     public int bit() {
         return 1 << ordinal();
     }
 
-    /** The cause lies at the cache or on the way to it, not behind it. */
+    /** Observations whose cause is the cache or the network, not what is behind the cache. */
     static final int UNREACHABLE_BITS = RESET.bit() | UNREACHABLE.bit();
 }
--- a/healthreports/src/main/java/frostrelay/healthreports/HealthReport.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/HealthReport.java
@@ -5,20 +5,20 @@
 import java.nio.ByteBuffer;
 
 /**
- * What one balancer says that it saw of one cache lately. One writer for each balancer and cache,
- * so evidence is ordered by the writer's life and its own count, and {@link #newerOf} keeps the
- * later: a register of a last-writer-wins map, whose join is commutative, associative and
- * idempotent. Order, loss and doubles do not matter, and nobody's evidence counts twice: each
- * speaks for itself alone. Immutable.
+ * What one balancer, the reporter, observed of one cache recently. Each reporter and cache have a
+ * single writer, so reports are ordered by the reporter's incarnation and sequence number, and
+ * {@link #newerOf} keeps the later: a register of a last-writer-wins map, whose merge is
+ * commutative, associative and idempotent. Reordering, loss and duplication do not matter.
+ * Immutable.
  *
- * @param rank whose it is, by its number
- * @param incarnation the writer's incarnation
- * @param sequenceNumber how many it wrote of this cache in that life, 16 bits that go round
- * @param serverStart the cache's own start as the writer's list has it, milliseconds, the lower 32
- *     bits
- * @param successes answers lately, at most 255; 0 where its writer finds the cache bad
- * @param failures attempts that were none, likewise; 0 where it does not
- * @param observationBits what those were, a set of {@link AttemptObservation#bit}
+ * @param rank the reporter's
+ * @param incarnation the reporter's
+ * @param sequenceNumber reports written about this cache in that incarnation, modulo 2^16
+ * @param serverStart the cache's start time as the reporter's endpoint list has it, the lower 32
+ *     bits of Unix milliseconds
+ * @param successes recent answers, at most 255; 0 if the reporter finds the cache unhealthy
+ * @param failures recent failed or unanswered attempts, at most 255; 0 if it finds it healthy
+ * @param observationBits kinds of those failures, a set of {@link AttemptObservation#bit}
  */
 public record HealthReport(
         int rank,
@@ -28,25 +28,27 @@
         int successes,
         int failures,
         int observationBits) {
-    /**
-     * On the wire, from its writer; and with the writer's number and life before that, from another
-     * who brings it.
-     */
+    /** Size of a report that its reporter sends itself. */
     static final int BYTES = 18;
 
+    /** Size of a relayed report, which begins with the reporter's rank and incarnation. */
     static final int RELAYED_BYTES = BYTES + 8;
 
-    /** A step of age on the wire, nanoseconds, and the most that fits. */
+    /** Unit of the age on the wire. */
     static final long AGE_UNIT_NANOS = 100_000_000L;
 
     private static final int MAX_AGE_UNITS = 255;
-    private static final int U16_MASK = 0xffff;
+
+    /** The largest count of successes or failures. */
+    static final int MAX_COUNT = 255;
+
+    static final int U16_MASK = 0xffff;
     private static final int U8_MASK = 0xff;
 
-    /** What a piece of the wire holds. */
+    /** A report as received: its cache, and its age when the datagram was sent. */
     record DecodedReport(long cache, HealthReport report, long ageNanos) {}
 
-    /** Reads one, of that writer and life unless it is {@code relayed}. */
+    /** Reads one report; the sender is the reporter unless it is {@code relayed}. */
     static DecodedReport read(ByteBuffer in, int from, long senderIncarnation, boolean relayed) {
         int rank = relayed ? in.getShort() & U16_MASK : from;
         long reporterIncarnation =
@@ -70,6 +72,7 @@
                 ageNanos);
     }
 
+    /** Writes {@link #BYTES}, or {@link #RELAYED_BYTES} if {@code relayed}. */
     void write(ByteBuffer out, long cache, long ageNanos, boolean relayed) {
         if (relayed) {
             out.putShort((short) rank)
@@ -79,26 +82,26 @@
         out.putLong(cache)
                 .putShort((short) sequenceNumber)
                 .putInt(serverStart)
-                .put(
-                        (byte)
-                                Math.min(
-                                        MAX_AGE_UNITS,
-                                        Math.max(
-                                                0,
-                                                (ageNanos + AGE_UNIT_NANOS - 1) / AGE_UNIT_NANOS)))
+                .put((byte) toAgeUnits(ageNanos))
                 .put((byte) successes)
                 .put((byte) failures)
                 .put((byte) observationBits);
     }
 
-    /** Whether its writer finds the cache bad. */
+    /** Rounds up, so that a report never seems younger than it is. */
+    private static long toAgeUnits(long ageNanos) {
+        long units = (ageNanos + AGE_UNIT_NANOS - 1) / AGE_UNIT_NANOS;
+        return Math.min(MAX_AGE_UNITS, Math.max(0, units));
+    }
+
+    /** Whether the reporter finds the cache unhealthy. */
     public boolean isUnhealthy() {
         return failures > successes;
     }
 
     /**
-     * Whether this is later than another of the same writer; where a liar wrote both under one
-     * number, the larger.
+     * Whether this is later than another report of the same reporter. Of two different reports
+     * under one sequence number, which only a faulty peer sends, the larger content wins.
      */
     boolean isNewerThan(HealthReport other) {
         if (Incarnation.toUnixMillis(incarnation) != Incarnation.toUnixMillis(other.incarnation)) {
@@ -117,8 +120,11 @@
                 | observationBits;
     }
 
-    /** The later of two of one writer; either may be null. */
+    /** The later of two reports of one reporter; either may be null. */
     static HealthReport newerOf(HealthReport a, HealthReport b) {
-        return a == null ? b : b == null ? a : b.isNewerThan(a) ? b : a;
+        if (a == null || b == null) {
+            return a == null ? b : a;
+        }
+        return b.isNewerThan(a) ? b : a;
     }
 }
--- a/healthreports/src/main/java/frostrelay/healthreports/HealthReportAggregator.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/HealthReportAggregator.java
@@ -4,77 +4,63 @@
 import frostrelay.gossip.PayloadProvider;
 
 import java.nio.ByteBuffer;
-import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 
 /**
- * What this balancer makes of its caches, by its own attempts and by what others say that they saw.
- * Others' word is advice: it lowers a cache, never ends its traffic, and own fresh answers outweigh
- * it. Decides by events alone; for one thread; moments are nanoseconds of one clock that never
- * falls. {@code docs/design/shared-state.md} has the ways weighed.
+ * Takes in health reports of this balancer and its peers, spreads them, and keeps the set of
+ * outliers. Peers' reports are advisory: they eject a cache from ordinary selection, never close
+ * its connections, and fresh answers to this balancer outweigh them.
+ *
+ * <p>Driven by events alone and not thread-safe; moments are nanoseconds of one monotonic clock.
+ * {@code docs/design/shared-state.md} has the alternatives considered.
  */
 public final class HealthReportAggregator implements PayloadProvider {
-    /** What comes of it. */
+    /** Effects of health reports on the balancer. */
     public interface Actions {
-        /** Exactly these caches are lowered from now on. */
+        /** Exactly these caches are outliers from now on. */
         void setOutliers(Set<Long> outliers);
 
-        /** Something is to be told soon, to whomever. */
+        /** Reports are queued that any peer may be sent soon. */
         void onReportsPending();
 
-        /**
-         * Sends one section to one balancer now; false where the bounds on talk do not let it
-         * through.
-         */
+        /** Sends one section to one peer now; false if the gossip bandwidth limit rejects it. */
         boolean sendSection(int to, int type, ByteBuffer section);
 
-        /** By its own attempts this balancer finds a cache bad, and did not before. */
+        /** By its own attempts this balancer now finds a cache unhealthy, and did not before. */
         void onLocallyUnhealthy(long cache);
     }
 
-    /**
-     * Whether another's word counts at a moment: it is heard, and acts on a list that is not old.
-     */
+    /** Decides whose reports count. */
     public interface Trust {
+        /** Whether a peer is alive at this moment and acts on a current endpoint list. */
         boolean isTrusted(long now, int rank);
     }
 
-    /** What its writer says itself, and what another brings of it. */
+    /** Gossip section with the sender's own reports. */
     private static final int DIRECT_SECTION = 32;
 
+    /** Gossip section with reports that the sender relays. */
     private static final int RELAYED_SECTION = 33;
 
-    /** So much of a datagram is filled with one section. */
+    /** The longest section that is written. */
     private static final int MAX_SECTION_BYTES = 180;
 
     private static final int MAX_CACHES = 4_096;
 
-    /** Fewer others than this: all but one of them are the witnesses that it takes. */
-    private static final int FULL_QUORUM_PEERS = 4;
-
-    /**
-     * Contradicted by the others about so large a part of the caches that both know, one's word
-     * counts for nothing.
-     */
-    private static final double MAX_CONTRADICTED_FRACTION = 0.5;
-
     private static final long NEVER = Long.MAX_VALUE;
 
     private final HealthReportSettings settings;
     private final int localRank;
     private final int clusterSize;
     private final ReportQueue reportQueue;
-    private final Trust trust;
+    private final OutlierEvaluator evaluator;
     private final Actions actions;
     private long incarnation;
 
-    /** The caches that the own list names as ready, and their starts. */
+    /** The ready caches of this balancer's endpoint list, and their start times. */
     private Map<Long, Integer> readyCaches = Map.of();
 
     private final Map<Long, LocalHealthStats> localStats = new HashMap<>();
@@ -83,7 +69,7 @@
     private boolean isolated;
     private long evaluateAtNanos;
 
-    /** When all others are told straight, in a small tier. */
+    /** When pending reports are next sent to all peers directly; small clusters only. */
     private long sendAtNanos = NEVER;
 
     private long writtenCount;
@@ -91,8 +77,11 @@
     private long rejectedCount;
 
     /**
-     * {@code localRank}: this balancer's number among {@code clusterSize}; {@code incarnation}: its
-     * incarnation.
+     * Creates an aggregator that knows no caches yet.
+     *
+     * @param localRank this balancer's number, from 0 to {@code clusterSize} - 1
+     * @param incarnation this balancer's incarnation
+     * @param trust whose reports count
      */
     public HealthReportAggregator(
             HealthReportSettings settings,
@@ -105,58 +94,46 @@
         this.localRank = localRank;
         this.clusterSize = clusterSize;
         this.incarnation = incarnation;
-        this.trust = trust;
         this.actions = actions;
-        int fanout =
-                (int)
-                        Math.ceil(
-                                settings.fanoutFactor()
-                                        * Math.log(clusterSize + 1.0)
-                                        / Math.log(2));
-        reportQueue =
-                new ReportQueue(
-                        localRank,
-                        clusterSize,
-                        fanout,
-                        settings.relayFanout(),
-                        settings.expiryNanos());
+        reportQueue = new ReportQueue(settings, localRank, clusterSize);
+        evaluator =
+                new OutlierEvaluator(settings, clusterSize, reportQueue.isSmallCluster(), trust);
     }
 
-    // What comes in.
-
     /**
-     * The caches that the own list names as ready, with their own starts in milliseconds. What is
-     * known of another start is over.
+     * A new endpoint list was applied. Local statistics of caches that were removed or restarted
+     * are dropped.
+     *
+     * @param caches the ready ones, with their start times in Unix milliseconds
      */
     public void onEndpointList(long now, Map<Long, Long> caches) {
         Map<Long, Integer> updated = new HashMap<>();
         caches.forEach((cache, serverStart) -> updated.put(cache, (int) (long) serverStart));
-        localStats
-                .keySet()
-                .removeIf(
-                        cache ->
-                                !updated.containsKey(cache)
-                                        || readyCaches.containsKey(cache)
-                                                && !readyCaches
-                                                        .get(cache)
-                                                        .equals(updated.get(cache)));
+        localStats.keySet().removeIf(cache -> wasRemovedOrRestarted(cache, updated));
         readyCaches = updated;
         evaluate(now);
     }
 
-    /** This balancer goes by another incarnation from now on. */
+    private boolean wasRemovedOrRestarted(long cache, Map<Long, Integer> updated) {
+        Integer previousStart = readyCaches.get(cache);
+        Integer start = updated.get(cache);
+        return start == null || previousStart != null && !previousStart.equals(start);
+    }
+
+    /** This balancer has a new incarnation from now on. */
     public void onIncarnationChange(long newIncarnation) {
         incarnation = newIncarnation;
     }
 
-    /** Whether anybody is heard at all. */
+    /** Whether this balancer receives from no peer at all; if so it has no outliers. */
     public void onIsolation(long now, boolean isolatedNow) {
         isolated = isolatedNow;
         evaluate(now);
     }
 
     /**
-     * An attempt of this balancer at a cache, which began at {@code sentAtNanos}, told this of it.
+     * An attempt of this balancer at a cache, sent at {@code sentAtNanos}, ended with this
+     * observation; caches that are not ready are ignored.
      */
     public void onAttemptObserved(
             long now, long cache, AttemptObservation observation, long sentAtNanos) {
@@ -172,7 +149,10 @@
         }
     }
 
-    /** Writes what is news: bad after good, again while it is bad, and good after bad at once. */
+    /**
+     * Writes a report when the cache has become unhealthy, again while it stays so, and at once
+     * when it has recovered.
+     */
     private void reportIfChanged(long now, long cache, LocalHealthStats stats, int serverStart) {
         boolean isUnhealthy = stats.isUnhealthy(now, settings);
         boolean wasUnhealthy = stats.lastReport != null && stats.lastReport.isUnhealthy();
@@ -217,8 +197,12 @@
     }
 
     /**
-     * A section came from a peer in that life of it, held up for so long on its way; one of another
-     * module is passed over. What it brings of others is kept apart from what it says itself.
+     * A gossip section was received; sections of other modules are ignored. Relayed reports are
+     * kept apart from the sender's own.
+     *
+     * @param delayNanos time for which the datagram was delayed on its way
+     * @param sender rank of the sending peer
+     * @param type section type
      */
     public void onSection(
             long now,
@@ -235,42 +219,58 @@
         while (in.remaining() >= reportBytes) {
             HealthReport.DecodedReport decoded =
                     HealthReport.read(in, sender, senderIncarnation, relayed);
-            HealthReport report = decoded.report();
-            boolean invalid =
-                    report.rank() == localRank
-                            || relayed
-                                    && (report.rank() == sender
-                                            || report.rank() >= clusterSize
-                                            || !report.isUnhealthy());
-            if (invalid
-                    || decoded.ageNanos() + delayNanos >= settings.expiryNanos()
-                    || peerReports.size() >= MAX_CACHES
-                            && !peerReports.containsKey(decoded.cache())) {
+            if (isAcceptable(decoded, delayNanos, sender, relayed)) {
+                long writtenAtNanos = now - delayNanos - decoded.ageNanos();
+                merge(now, decoded.cache(), decoded.report(), writtenAtNanos, sender, relayed);
+            } else {
                 rejectedCount++;
-                continue;
-            }
-            PeerReports cacheReports =
-                    peerReports.computeIfAbsent(decoded.cache(), id -> new PeerReports());
-            long writtenAtNanos = now - delayNanos - decoded.ageNanos();
-            boolean accepted =
-                    relayed
-                            ? cacheReports.addRelayed(sender, report, writtenAtNanos)
-                            : cacheReports.addDirect(report, writtenAtNanos);
-            mergedCount += accepted ? 1 : 0;
-            if (accepted
-                    && !relayed
-                    && report.isUnhealthy()
-                    && Integer.valueOf(report.serverStart())
-                            .equals(readyCaches.get(decoded.cache()))) {
-                relay(now, decoded.cache(), report, writtenAtNanos);
             }
         }
         evaluate(now);
     }
 
+    private boolean isAcceptable(
+            HealthReport.DecodedReport decoded, long delayNanos, int sender, boolean relayed) {
+        HealthReport report = decoded.report();
+        if (report.rank() == localRank || relayed && !isRelayable(report, sender)) {
+            return false;
+        }
+        boolean expired = decoded.ageNanos() + delayNanos >= settings.expiryNanos();
+        boolean full =
+                peerReports.size() >= MAX_CACHES && !peerReports.containsKey(decoded.cache());
+        return !expired && !full;
+    }
+
+    /** Only unhealthy reports are relayed, and only those of a third balancer. */
+    private boolean isRelayable(HealthReport report, int sender) {
+        return report.rank() != sender && report.rank() < clusterSize && report.isUnhealthy();
+    }
+
+    private void merge(
+            long now,
+            long cache,
+            HealthReport report,
+            long writtenAtNanos,
+            int sender,
+            boolean relayed) {
+        PeerReports cacheReports = peerReports.computeIfAbsent(cache, id -> new PeerReports());
+        if (relayed) {
+            mergedCount += cacheReports.addRelayed(sender, report, writtenAtNanos) ? 1 : 0;
+            return;
+        }
+        if (!cacheReports.addDirect(report, writtenAtNanos)) {
+            return;
+        }
+        mergedCount++;
+        if (report.isUnhealthy()
+                && Integer.valueOf(report.serverStart()).equals(readyCaches.get(cache))) {
+            relay(now, cache, report, writtenAtNanos);
+        }
+    }
+
     /**
-     * What one has said itself is told on once, as its word, in tiers too large for it to tell
-     * everybody.
+     * Relays a direct report once under its reporter's name, in clusters too large for the reporter
+     * to send to everybody.
      */
     private void relay(long now, long cache, HealthReport report, long writtenAtNanos) {
         if (reportQueue.isSmallCluster()) {
@@ -285,23 +285,23 @@
     }
 
     @Override
-    public void writeSections(long now, int to, PayloadBuffer hold) {
-        addSection(now, to, hold, true);
-        addSection(now, to, hold, false);
+    public void writeSections(long now, int to, PayloadBuffer buffer) {
+        addSection(now, to, buffer, true);
+        addSection(now, to, buffer, false);
     }
 
-    private void addSection(long now, int to, PayloadBuffer hold, boolean local) {
+    private void addSection(long now, int to, PayloadBuffer buffer, boolean local) {
         ByteBuffer section =
                 reportQueue.nextBatch(
-                        now, to, Math.min(MAX_SECTION_BYTES, hold.availableBytes()), local);
+                        now, to, Math.min(MAX_SECTION_BYTES, buffer.availableBytes()), local);
         if (section.hasRemaining()) {
-            hold.add(local ? DIRECT_SECTION : RELAYED_SECTION, section);
+            buffer.add(local ? DIRECT_SECTION : RELAYED_SECTION, section);
         }
     }
 
     /**
-     * In a small tier all are told straight; what got lost comes with the second copy, or with a
-     * probe.
+     * In a small cluster every peer is sent pending reports directly; lost ones are made up for by
+     * the second send or by a section on a probe.
      */
     private void sendToAll(long now) {
         sendAtNanos = NEVER;
@@ -316,14 +316,12 @@
         sendAtNanos = reportQueue.isEmpty() ? NEVER : now + settings.minReportIntervalNanos();
     }
 
-    // Judging.
-
     /** When {@link #onTimer} is to be called next. */
     public long nextWakeupNanos() {
         return Math.min(evaluateAtNanos, sendAtNanos);
     }
 
-    /** To be called at {@link #nextWakeupNanos}, or a little later: what is old is forgotten. */
+    /** To be called at {@link #nextWakeupNanos} or a little later: expires old reports. */
     public void onTimer(long now) {
         if (now >= sendAtNanos) {
             sendToAll(now);
@@ -337,15 +335,9 @@
         }
     }
 
-    private int requiredReporters() {
-        return clusterSize - 1 >= FULL_QUORUM_PEERS
-                ? settings.requiredReporters()
-                : Math.max(1, clusterSize - 2);
-    }
-
     /**
-     * Others that say themselves that a cache is bad, whoever they are: enough of them need not be
-     * told of more.
+     * How many peers, trusted or not, report a cache as unhealthy themselves; with enough of them
+     * no further reports are spread.
      */
     private int directReporterCount(long now, long cache, int serverStart) {
         PeerReports cacheReports = peerReports.get(cache);
@@ -356,161 +348,46 @@
                         .size();
     }
 
-    /**
-     * Those whose word on most of the caches of which they speak, two at least, is contradicted by
-     * others and shared by none.
-     */
-    private Set<Integer> contradictedReporters(long now) {
-        Map<Integer, int[]> counts = new HashMap<>();
-        peerReports.forEach(
-                (cache, cacheReports) -> {
-                    Integer serverStart = readyCaches.get(cache);
-                    if (serverStart == null) {
-                        return;
-                    }
-                    LocalHealthStats local = localStats.get(cache);
-                    List<Integer> unhealthyReporters =
-                            cacheReports.directReporters(
-                                    now, settings.expiryNanos(), serverStart, true);
-                    boolean hasHealthyReport =
-                            local != null && local.hasFreshSuccess(now, settings.freshNanos())
-                                    || !cacheReports
-                                            .directReporters(
-                                                    now, settings.expiryNanos(), serverStart, false)
-                                            .isEmpty();
-                    for (int rank : unhealthyReporters) {
-                        int[] totalAndContradicted =
-                                counts.computeIfAbsent(rank, one -> new int[2]);
-                        totalAndContradicted[0]++;
-                        totalAndContradicted[1] +=
-                                hasHealthyReport && unhealthyReporters.size() <= 1 ? 1 : 0;
-                    }
-                });
-        Set<Integer> untrusted = new HashSet<>();
-        counts.forEach(
-                (rank, totalAndContradicted) -> {
-                    if (totalAndContradicted[1] >= 2
-                            && totalAndContradicted[1]
-                                    > MAX_CONTRADICTED_FRACTION * totalAndContradicted[0]) {
-                        untrusted.add(rank);
-                    }
-                });
-        return untrusted;
-    }
-
-    private record Suspect(long cache, int reporters, int observationBits) {
-        /** Whether it was there whenever it was seen: connections came up and stayed. */
-        boolean isReachable() {
-            return (observationBits & AttemptObservation.UNREACHABLE_BITS) == 0;
-        }
-    }
-
     private void evaluate(long now) {
         evaluateAtNanos = now + settings.halfLifeNanos() / 4;
-        List<Suspect> suspects = new ArrayList<>();
-        if (!isolated) {
-            Set<Integer> untrusted = peerReports.isEmpty() ? Set.of() : contradictedReporters(now);
-            peerReports.forEach(
-                    (cache, cacheReports) -> {
-                        Integer serverStart = readyCaches.get(cache);
-                        LocalHealthStats local = localStats.get(cache);
-                        if (serverStart == null
-                                || local != null
-                                        && local.hasFreshSuccess(now, settings.freshNanos())) {
-                            return;
-                        }
-                        PeerReports.Summary summary =
-                                cacheReports.summarize(
-                                        now,
-                                        settings.expiryNanos(),
-                                        serverStart,
-                                        local == null ? Long.MIN_VALUE : local.answeredAtNanos(),
-                                        rank ->
-                                                !untrusted.contains(rank)
-                                                        && trust.isTrusted(now, rank));
-                        if (summary.observationBits() == AttemptObservation.SILENT.bit()
-                                && local != null
-                                && local.hasFreshSuccess(now, settings.halfLifeNanos())) {
-                            // It is slow for some keys, and for what waits behind them on one
-                            // connection.
-                            return;
-                        }
-                        // Its own attempts are one more witness, who needs nobody's trust, but for
-                        // one whose last attempt was answered.
-                        int reporters =
-                                summary.unhealthyReporters()
-                                        + (local != null
-                                                        && local.isFailing()
-                                                        && local.isUnhealthy(now, settings)
-                                                ? 1
-                                                : 0);
-                        if (reporters > 2 * summary.healthyReporters()) {
-                            suspects.add(new Suspect(cache, reporters, summary.observationBits()));
-                        }
-                    });
-        }
-        // Where so many fail, or leave some unanswered, the cause is behind them all: no cache is
-        // worse than another.
-        int minReporters =
-                Math.max(
-                        1,
-                        reportQueue.isSmallCluster()
-                                ? requiredReporters() - 1
-                                : requiredReporters());
-        long commonCauseSuspects =
-                suspects.stream()
-                        .filter(
-                                suspect ->
-                                        suspect.reporters >= minReporters && suspect.isReachable())
-                        .count();
-        suspects.removeIf(
-                suspect ->
-                        suspect.reporters < requiredReporters()
-                                || commonCauseSuspects
-                                                > settings.commonCauseFraction()
-                                                        * readyCaches.size()
-                                        && suspect.isReachable());
-        suspects.sort(
-                Comparator.comparingInt((Suspect suspect) -> -suspect.reporters)
-                        .thenComparingLong(Suspect::cache));
-        int maxOutliers =
-                readyCaches.size() < 2
-                        ? 0
-                        : (int) Math.ceil(readyCaches.size() * settings.maxEjectedFraction());
-        Set<Long> newOutliers = new TreeSet<>();
-        suspects.stream().limit(maxOutliers).forEach(suspect -> newOutliers.add(suspect.cache));
+        Set<Long> newOutliers = isolated ? Set.of() : evaluator.evaluate(now, evidence());
         if (!newOutliers.equals(outliers)) {
             outliers = newOutliers;
             actions.setOutliers(Set.copyOf(newOutliers));
         }
     }
 
-    // What is known.
+    private OutlierEvaluator.Evidence evidence() {
+        return new OutlierEvaluator.Evidence(readyCaches, localStats, peerReports);
+    }
 
-    /** The caches that are lowered. */
+    /** The caches that are ejected at present. */
     public Set<Long> outliers() {
         return outliers;
     }
 
-    /**
-     * What others say of a cache, or are said to say, with the age of each in nanoseconds, by their
-     * numbers.
-     */
+    /** Peers' latest reports on a cache, direct or relayed, by rank, with their ages in ns. */
     public Map<HealthReport, Long> reportAges(long now, long cache) {
         PeerReports cacheReports = peerReports.get(cache);
         return cacheReports == null ? Map.of() : cacheReports.reportAges(now);
     }
 
-    /** Caches of which anybody says anything. */
+    /** The caches on which any peer reports. */
     public Set<Long> reportedCaches() {
         return new TreeSet<>(peerReports.keySet());
     }
 
     /**
-     * Evidence that was written here, that was taken from others, and that was passed over as old
-     * or impossible.
+     * Reports since the start.
+     *
+     * @param written of this balancer, queued for its peers
+     * @param merged received and newer than what was known
+     * @param rejected received, but expired or impossible
      */
-    public long[] counts() {
-        return new long[] {writtenCount, mergedCount, rejectedCount};
+    public record ReportCounts(long written, long merged, long rejected) {}
+
+    /** How many reports were written, merged and rejected since the start. */
+    public ReportCounts reportCounts() {
+        return new ReportCounts(writtenCount, mergedCount, rejectedCount);
     }
 }
--- a/healthreports/src/main/java/frostrelay/healthreports/HealthReportSettings.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/HealthReportSettings.java
@@ -1,25 +1,22 @@
 package frostrelay.healthreports;
 
 /**
- * Bounds, in nanoseconds and parts of 1, each with its reason.
+ * Limits and intervals of health reports.
  *
- * @param halfLifeNanos a balancer's own counts of a cache are halved in this time
- * @param freshNanos own answers so lately outweigh whatever others say
- * @param expiryNanos evidence older than this is passed over and dropped
- * @param minReportIntervalNanos one writes no sooner again of one cache, but for a change to the
- *     better
- * @param renewalIntervalNanos as long as a cache is bad here its evidence is written anew so often
- * @param batchDelayNanos what is news within this is told together, in a tier so small that all are
- *     told
- * @param fanoutFactor own evidence is told to this times the logarithm of the tier, to base 2, in
- *     one that is not
- * @param relayFanout and what one said itself is passed on to so many
- * @param requiredReporters so many others with bad evidence lower a cache
- * @param sufficientReporters with so many bad witnesses known, further ones are not told on
- * @param maxEjectedFraction part of the listed caches that others' word may lower, whoever says
- *     what
- * @param commonCauseFraction more than this part of the caches bad while they are there is one
- *     cause behind them all, not theirs
+ * @param halfLifeNanos half-life of a balancer's own counts of a cache
+ * @param freshNanos an answer to this balancer this recent outweighs all peers' reports
+ * @param expiryNanos reports older than this are rejected and dropped
+ * @param minReportIntervalNanos shortest time between two reports on one cache, unless it recovered
+ * @param renewalIntervalNanos how often the report is renewed while a cache stays unhealthy
+ * @param batchDelayNanos small clusters send reports together that come up within this time
+ * @param fanoutFactor in large clusters a balancer sends its own report to this factor times the
+ *     base-2 logarithm of the cluster size
+ * @param relayFanout peers that a received report is relayed to
+ * @param requiredReporters reporters that are needed to eject a cache
+ * @param sufficientReporters with this many known, further reports are not spread
+ * @param maxEjectedFraction largest fraction of the ready caches that may be ejected
+ * @param commonCauseFraction if more than this fraction of the caches is unhealthy and reachable,
+ *     the cause is taken to lie behind them all and none of those is ejected
  */
 public record HealthReportSettings(
         long halfLifeNanos,
@@ -37,18 +34,30 @@
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
 
     /**
-     * Half: a hundred balancers meet a cache once in six to nine seconds each, and two seconds are
-     * a third of that: what is told is what was just seen. Fresh: a second, so that a dead cache is
-     * lowered that soon also where it has just answered. Forget: five times half; a cache that was
-     * bad is tried again then, by an eighth of its reads even before. Again: three a second of one
-     * cache, at ten caches a third of the ceiling. Renew: below forget by more than a lost round.
-     * Gather: as talk does with its news. Sends: as talk's news, enough at 30% loss. Passes: three
-     * that say so, each to ten of a hundred, who pass it on to four, make 120 in a hundred.
-     * Witnesses: two are cut off, or one lies and one is cut off; a third makes chance of it. In a
-     * tier of fewer than four others, all but one. Enough: whoever knows of eight may leave it to
-     * them; each is heard by a fifth of a large tier, so that others hear three of them. Lowered:
-     * as for stragglers. Common: more than two in six caches that fail or are slow at once, while
-     * connections to them stand, have an origin behind them.
+     * The values in production, each with its reason:
+     *
+     * <ul>
+     *   <li>halfLife: of a hundred balancers each uses a given cache once in six to nine seconds;
+     *       two seconds, a third of that, keep a report to what was just observed.
+     *   <li>fresh: one second, so that a failed cache is ejected that soon even if it has just
+     *       answered.
+     *   <li>expiry: five half-lives; a cache that was unhealthy is used again then, and with an
+     *       eighth of its reads before.
+     *   <li>minReportInterval: three a second per cache, at ten caches a third of the bandwidth
+     *       limit.
+     *   <li>renewalInterval: below expiry by more than one lost round.
+     *   <li>batchDelay: as for gossip updates.
+     *   <li>fanoutFactor: as for gossip updates, enough at 30% loss.
+     *   <li>relayFanout: three reporters, each sending to ten of a hundred that relay to four, make
+     *       120 sends for a hundred balancers.
+     *   <li>requiredReporters: two may both be cut off from the cache, or one cut off and one
+     *       faulty; a third makes that improbable. With fewer than four peers, all but one.
+     *   <li>sufficientReporters: each report reaches a fifth of a large cluster, so that of eight a
+     *       balancer receives three.
+     *   <li>maxEjectedFraction: as for slow outliers.
+     *   <li>commonCauseFraction: more than two in six caches that fail or slow down at once, while
+     *       connections to them stand, have an origin behind them.
+     * </ul>
      */
     public static final HealthReportSettings STANDARD =
             new HealthReportSettings(
--- a/healthreports/src/main/java/frostrelay/healthreports/LocalHealthStats.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/LocalHealthStats.java
@@ -1,30 +1,30 @@
 package frostrelay.healthreports;
 
-/** What this balancer saw of one cache lately: counts that fade. */
+/** This balancer's own recent results with one cache: exponentially decaying counts. */
 final class LocalHealthStats {
-    /** Less than a third of one attempt is gone. */
+    /** Decayed failure counts below this fraction of an attempt are reset to 0. */
     private static final double MIN_FAILURES = 0.3;
 
     private static final double LN2 = Math.log(2);
     private double successes;
     private double failures;
 
-    /** Attempts in a row that were none. */
+    /** Failed or unanswered attempts since the last answer. */
     private int consecutiveFailures;
 
     private int observationBits;
     private long decayedAtNanos;
     private long lastSuccessNanos = Long.MIN_VALUE / 2;
 
-    /** What was last written of it, and when; null for nothing. */
+    /** The last report written about the cache; null if there is none. */
     HealthReport lastReport;
 
     long lastReportNanos = Long.MIN_VALUE / 2;
     int sequenceNumber;
 
     /**
-     * {@code sentAtNanos}: of the attempt. One unanswered while its cache answered others tells of
-     * its key, not of the cache.
+     * Counts an attempt that was sent at {@code sentAtNanos}. An unanswered one is ignored if the
+     * cache has answered another since it was sent: then its key is slow, not the cache.
      */
     void recordAttempt(
             long now, AttemptObservation observation, long sentAtNanos, long halfLifeNanos) {
@@ -55,24 +55,28 @@
         }
     }
 
-    /** Whether an answer came so lately that others' word counts for nothing. */
+    /** Whether the cache answered so recently that peers' reports are to be ignored. */
     boolean hasFreshSuccess(long now, long freshNanos) {
         return now - lastSuccessNanos < freshNanos && consecutiveFailures == 0;
     }
 
-    /** Whether the last attempt, if lately, was none. */
+    /** Whether the latest attempt failed and has not decayed yet. */
     boolean isFailing() {
         return consecutiveFailures > 0;
     }
 
-    /** When it last answered, if nothing has failed since: word older than that is overtaken. */
+    /**
+     * When the cache last answered, if nothing has failed since: it supersedes older reports.
+     * Otherwise {@link Long#MIN_VALUE}.
+     */
     long answeredAtNanos() {
         return consecutiveFailures == 0 ? lastSuccessNanos : Long.MIN_VALUE;
     }
 
     /**
-     * Two in a row, one behind a long while without an answer, or most of what was seen lately;
-     * silence alone not where it answered others lately, as it is slow for some keys then.
+     * Whether two attempts in a row failed, one failed after a half-life without an answer, or most
+     * recent ones failed. Unanswered attempts alone do not count while the cache has answered
+     * others within a half-life: it is slow for some keys then.
      */
     boolean isUnhealthy(long now, HealthReportSettings settings) {
         decay(now, settings.halfLifeNanos());
@@ -85,6 +89,7 @@
                 || consecutiveFailures == 1 && now - lastSuccessNanos >= settings.halfLifeNanos();
     }
 
+    /** Writes the next report about the cache and keeps it as {@link #lastReport}. */
     HealthReport writeReport(
             long now,
             int rank,
@@ -97,12 +102,16 @@
                 new HealthReport(
                         rank,
                         incarnation,
-                        ++sequenceNumber & 0xffff,
+                        ++sequenceNumber & HealthReport.U16_MASK,
                         serverStart,
-                        unhealthy ? 0 : (int) Math.min(255, Math.ceil(successes)),
-                        unhealthy ? (int) Math.min(255, Math.ceil(Math.max(1, failures))) : 0,
+                        unhealthy ? 0 : toReportCount(successes),
+                        unhealthy ? toReportCount(Math.max(1, failures)) : 0,
                         unhealthy ? observationBits : 0);
         lastReportNanos = now;
         return lastReport;
     }
+
+    private static int toReportCount(double count) {
+        return (int) Math.min(HealthReport.MAX_COUNT, Math.ceil(count));
+    }
 }
--- a/healthreports/src/main/java/frostrelay/healthreports/PeerReports.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/PeerReports.java
@@ -11,25 +11,21 @@
 import java.util.function.IntPredicate;
 
 /**
- * What others say of one cache. Each writer's own word is a register of its own; what a third
- * brings of it stands beside it, by who brought it, and is passed over where the writer itself has
- * spoken since. For one thread.
+ * Peers' reports on one cache. A reporter's direct report and the copies that other peers relay are
+ * kept apart; a relayed copy does not count where a newer direct report is known. Not thread-safe.
  */
 final class PeerReports {
-    /**
-     * So many writers that only others bring are kept, and so many who bring each: more voices than
-     * anybody needs.
-     */
+    /** Bounds on memory, above the number of reporters that any decision needs. */
     private static final int MAX_RELAYED_REPORTERS = 24;
 
     private static final int MAX_RELAYS_PER_REPORTER = 3;
 
-    /** Evidence, and when its writer wrote it, on this balancer's clock. */
+    /** A report, and when its reporter wrote it on this balancer's clock. */
     static final class LatestReport {
         HealthReport report;
         long writtenAtNanos;
 
-        /** Takes the later; whether that changed anything. */
+        /** Keeps the newer report; returns whether that changed anything. */
         boolean merge(HealthReport other, long otherWrittenAtNanos) {
             HealthReport joined = HealthReport.newerOf(report, other);
             if (joined.equals(report)) {
@@ -47,16 +43,16 @@
 
     private final Map<Integer, LatestReport> direct = new HashMap<>();
 
-    /** By writer and by who brought it. */
+    /** By reporter, then by the peer that relayed it. */
     private final Map<Integer, Map<Integer, LatestReport>> relayed = new TreeMap<>();
 
-    /** A balancer's own word came from itself. */
+    /** A peer sent its own report; returns whether it is newer than what was known. */
     boolean addDirect(HealthReport report, long writtenAtNanos) {
         return direct.computeIfAbsent(report.rank(), rank -> new LatestReport())
                 .merge(report, writtenAtNanos);
     }
 
-    /** A balancer brings what another said to it; whether it was taken. */
+    /** A peer relayed a report of another; returns whether it is newer than what was known. */
     boolean addRelayed(int relay, HealthReport report, long writtenAtNanos) {
         Map<Integer, LatestReport> byRelay = relayed.get(report.rank());
         if (byRelay == null) {
@@ -90,16 +86,21 @@
     }
 
     /**
-     * What all of it comes to: voices that find the cache bad, those that find it well, and of what
-     * kind.
+     * All reports on the cache taken together.
+     *
+     * @param unhealthyReporters independent reporters that find it unhealthy
+     * @param healthyReporters direct reporters that find it healthy
+     * @param observationBits what the unhealthy ones observed, see {@link AttemptObservation#bit}
      */
     record Summary(int unhealthyReporters, int healthyReporters, int observationBits) {}
 
     /**
-     * A voice is a writer that spoke itself, or one with somebody who brings it; nobody takes part
-     * in two voices, as writer or as bringer, so that one liar is one voice whatever it writes in
-     * whose name. Word that is older than {@code supersededBeforeNanos} does not count, nor does
-     * that of those who do not {@code isTrusted}.
+     * Counts independent reporters. One counts by its direct report, or by a relayed one together
+     * with its relay; no peer is used twice, as reporter or relay, so a peer that sends false
+     * reports counts once in whatever names it writes.
+     *
+     * @param supersededBeforeNanos unhealthy reports written by then do not count
+     * @param isTrusted by rank; reports from and through others do not count
      */
     Summary summarize(
             long now,
@@ -133,7 +134,7 @@
             }
             for (Map.Entry<Integer, LatestReport> relayEntry : entry.getValue().entrySet()) {
                 LatestReport latest = relayEntry.getValue();
-                boolean counts =
+                boolean isIndependent =
                         latest.isCurrent(now, expiryNanos, serverStart)
                                 && latest.writtenAtNanos > supersededBeforeNanos
                                 && latest.report.isUnhealthy()
@@ -141,7 +142,7 @@
                                         || !directReport.report.isNewerThan(latest.report))
                                 && !usedReporters.contains(relayEntry.getKey())
                                 && isTrusted.test(relayEntry.getKey());
-                if (counts) {
+                if (isIndependent) {
                     usedReporters.add(reporter);
                     usedReporters.add(relayEntry.getKey());
                     unhealthyReporters++;
@@ -153,7 +154,7 @@
         return new Summary(unhealthyReporters, healthyReporters, observationBits);
     }
 
-    /** Those that themselves say that it is bad, or that it is well. */
+    /** Ranks of the peers whose own current report finds the cache unhealthy, or healthy. */
     List<Integer> directReporters(long now, long expiryNanos, int serverStart, boolean unhealthy) {
         List<Integer> found = new ArrayList<>();
         direct.forEach(
@@ -166,9 +167,7 @@
         return found;
     }
 
-    /**
-     * Each one's latest word, first-hand or brought, with its age in nanoseconds, by their numbers.
-     */
+    /** Each reporter's latest report, direct or relayed, with its age in ns; ordered by rank. */
     Map<HealthReport, Long> reportAges(long now) {
         Map<Integer, LatestReport> latest = new TreeMap<>(direct);
         relayed.forEach(
--- a/healthreports/src/main/java/frostrelay/healthreports/ReportQueue.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/ReportQueue.java
@@ -8,21 +8,21 @@
 import java.util.Map;
 
 /**
- * Evidence that others are to hear, and whom it was told: each one once in large tiers, so that
- * none is wasted on who knows it, and twice in small ones. The newest goes first; what is too old
- * goes nowhere. For one thread.
+ * Reports that are to be sent to peers, and how often each peer was sent them: once in large
+ * clusters, where a report reaches a limited number of peers, and twice in small ones, where it
+ * goes to all. The newest goes first; expired reports are dropped. Not thread-safe.
  */
 final class ReportQueue {
     /**
-     * In tiers of so few others everybody is told straight, twice: at 30% loss nine of a hundred
-     * miss both, and probes follow.
+     * With this many peers or fewer, every peer is sent each report directly, twice: at 30% loss
+     * nine of a hundred miss both, and probes carry it later.
      */
     static final int SMALL_CLUSTER_PEERS = 16;
 
     private static final int SENDS_PER_PEER = 2;
     private static final int MAX_ITEMS = 256;
 
-    /** What is told: evidence of a writer on a cache. */
+    /** A reporter has at most one queued report on a cache. */
     private record Key(long cache, int reporter) {}
 
     private static final class Item {
@@ -40,27 +40,31 @@
     private final long expiryNanos;
     private final Map<Key, Item> items = new LinkedHashMap<>();
 
-    /** What was handed out last. */
+    /** The reports of the latest {@link #nextBatch}, for {@link #onSendFailed}. */
     private final Map<Key, Item> lastBatch = new LinkedHashMap<>();
 
-    /**
-     * {@code fanout}: of own evidence; {@code relayFanout}: of what another said, in tiers that are
-     * not small.
-     */
-    ReportQueue(int localRank, int clusterSize, int fanout, int relayFanout, long expiryNanos) {
+    ReportQueue(HealthReportSettings settings, int localRank, int clusterSize) {
         this.localRank = localRank;
         peerCount = clusterSize - 1;
         smallCluster = peerCount <= SMALL_CLUSTER_PEERS;
-        this.fanout = fanout;
-        this.relayFanout = relayFanout;
-        this.expiryNanos = expiryNanos;
+        fanout =
+                (int)
+                        Math.ceil(
+                                settings.fanoutFactor()
+                                        * Math.log(clusterSize + 1.0)
+                                        / Math.log(2));
+        relayFanout = settings.relayFanout();
+        expiryNanos = settings.expiryNanos();
     }
 
     boolean isSmallCluster() {
         return smallCluster;
     }
 
-    /** Own evidence, or another's in its own words, is news. */
+    /**
+     * Queues a report of this balancer, or one that a peer sent about its own attempts, in place of
+     * that reporter's previous one. Small clusters relay nothing.
+     */
     void add(long cache, HealthReport report, long writtenAtNanos) {
         boolean local = report.rank() == localRank;
         if (smallCluster && !local) {
@@ -79,7 +83,7 @@
         items.put(key, item);
     }
 
-    /** What another said of a cache need not be passed on any more: enough say so. */
+    /** Drops relayed reports on a cache that has enough reporters already. */
     void dropRelayed(long cache) {
         items.keySet().removeIf(key -> key.cache == cache && key.reporter != localRank);
     }
@@ -88,7 +92,7 @@
         return items.isEmpty();
     }
 
-    /** Whether anything is left that this one was not told as often as it should be. */
+    /** Whether any report is still to be sent to this peer. */
     boolean hasPending(int to) {
         return items.values().stream().anyMatch(item -> isDue(item, to));
     }
@@ -99,7 +103,7 @@
                 && item.sendsByPeer.getOrDefault(to, 0) < (smallCluster ? SENDS_PER_PEER : 1);
     }
 
-    /** What was handed out last for that one did not go out: it is to be told yet. */
+    /** The latest batch was not sent to this peer: its reports become due again. */
     void onSendFailed(int to) {
         lastBatch.forEach(
                 (key, item) -> {
@@ -110,7 +114,10 @@
         lastBatch.clear();
     }
 
-    /** The newest that fits, own ones or what others said, marked as told to that one. */
+    /**
+     * Writes the newest due reports that fit, this balancer's own or relayed ones, and counts them
+     * as sent to that peer.
+     */
     ByteBuffer nextBatch(long now, int to, int capacityBytes, boolean local) {
         lastBatch.clear();
         int reportBytes = local ? HealthReport.BYTES : HealthReport.RELAYED_BYTES;
--- a/healthreports/src/test/java/frostrelay/counters/CountsTest.java
+++ b/healthreports/src/test/java/frostrelay/counters/ClusterCountersTest.java
@@ -23,10 +23,10 @@
 import java.util.Random;
 
 /**
- * What the tier does together lies within what is said of it, whatever is lost, late, doubled or
- * cut off.
+ * Cluster totals stay within their bounds whatever sections are lost, delayed, duplicated or
+ * truncated.
  */
-class CountsTest {
+class ClusterCountersTest {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
     private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLISECOND;
     private static final long START_UNIX_MILLIS = 1_790_000_000_000L;
@@ -72,7 +72,7 @@
                 (to, type, section) -> {});
     }
 
-    /** What one would tell another now; empty for nothing. */
+    /** The section that a balancer would send to a peer now; empty if there is none. */
     private static ByteBuffer encodedFor(ClusterCounters source, long now, int to) {
         ByteBuffer loaded = Datagrams.loaded(source, now, to);
         return loaded.hasRemaining() ? loaded.slice(2, loaded.remaining() - 2) : loaded;
@@ -86,103 +86,124 @@
             ByteBuffer section) {}
 
     /**
-     * Four balancers, of whom some send much: at each moment the truth lies between what is known
-     * and what is taken for the most, for words that are lost, doubled, late by two seconds and out
-     * of order, and lives that end.
+     * Four balancers with uneven traffic; sections to the first are lost, duplicated, late by up to
+     * two seconds and reordered.
      */
-    @Property(tries = 150)
-    void theTruthLiesWithinTheBounds(
-            @ForAll long seed, @ForAll @IntRange(min = 0, max = 60) int lost) {
-        Random random = new Random(seed);
-        int count = 4;
-        ClusterCounters[] all = new ClusterCounters[count];
-        long[] startTimes = new long[count];
-        long[] truth = new long[count];
+    private static final class SimulatedCluster {
+        static final int SIZE = 4;
+        final Random random;
+        final int lossPercent;
+        final ClusterCounters[] all = new ClusterCounters[SIZE];
+        final long[] startTimes = new long[SIZE];
+        final long[] truth = new long[SIZE];
+        final List<DelayedSection> inTransit = new ArrayList<>();
         long now = NANOS_PER_SECOND;
-        for (int i = 0; i < count; i++) {
-            startTimes[i] = START_UNIX_MILLIS + i;
-            all[i] = newCounters(i, count, now, startTimes[i]);
+
+        SimulatedCluster(long seed, int lossPercent) {
+            random = new Random(seed);
+            this.lossPercent = lossPercent;
+            for (int i = 0; i < SIZE; i++) {
+                startTimes[i] = START_UNIX_MILLIS + i;
+                all[i] = newCounters(i, SIZE, now, startTimes[i]);
+            }
         }
-        List<DelayedSection> inTransit = new ArrayList<>();
-        // Each is heard once: of one that never was nobody knows what it has done.
-        for (int i = 1; i < count; i++) {
-            all[0].onSection(
-                    now,
-                    0,
-                    i,
-                    Incarnation.fromUnixMillis(startTimes[i]),
-                    SECTION,
-                    encodedFor(all[i], now, 0));
+
+        /** One section of each arrives: the total of a peer never heard from is unbounded. */
+        void deliverFirstSections() {
+            for (int i = 1; i < SIZE; i++) {
+                all[0].onSection(
+                        now,
+                        0,
+                        i,
+                        Incarnation.fromUnixMillis(startTimes[i]),
+                        SECTION,
+                        encodedFor(all[i], now, 0));
+            }
         }
-        for (int step = 0; step < 400; step++) {
+
+        void step() {
             now += 20 * NANOS_PER_MILLISECOND;
-            for (int i = 0; i < count; i++) {
+            for (int i = 0; i < SIZE; i++) {
                 if (random.nextInt(i + 1) == 0) {
                     all[i].increment(ClusterCounter.SENDS);
                     truth[i]++;
                 }
             }
-            int i = 1 + random.nextInt(count - 1);
+            int i = 1 + random.nextInt(SIZE - 1);
             ByteBuffer section = encodedFor(all[i], now, 0);
-            if (section.hasRemaining() && random.nextInt(100) >= lost) {
-                inTransit.add(
-                        new DelayedSection(
-                                now,
-                                now + random.nextInt(2_000) * NANOS_PER_MILLISECOND,
-                                i,
-                                startTimes[i],
-                                section));
+            if (section.hasRemaining() && random.nextInt(100) >= lossPercent) {
+                inTransit.add(delayed(i, section));
                 if (random.nextBoolean()) {
-                    inTransit.add(
-                            new DelayedSection(
-                                    now,
-                                    now + random.nextInt(2_000) * NANOS_PER_MILLISECOND,
-                                    i,
-                                    startTimes[i],
-                                    section.duplicate()));
+                    inTransit.add(delayed(i, section.duplicate()));
                 }
             }
-            long moment = now;
-            inTransit.removeIf(
-                    one -> {
-                        if (one.deliverAtNanos <= moment) {
-                            all[0].onSection(
-                                    moment,
-                                    moment - one.sentAtNanos,
-                                    one.from,
-                                    Incarnation.fromUnixMillis(one.startedAtUnixMillis),
-                                    SECTION,
-                                    one.section);
-                        }
-                        return one.deliverAtNanos <= moment;
-                    });
+            inTransit.removeIf(this::deliverIfDue);
+        }
+
+        private DelayedSection delayed(int from, ByteBuffer section) {
+            return new DelayedSection(
+                    now,
+                    now + random.nextInt(2_000) * NANOS_PER_MILLISECOND,
+                    from,
+                    startTimes[from],
+                    section);
+        }
+
+        private boolean deliverIfDue(DelayedSection one) {
+            if (one.deliverAtNanos > now) {
+                return false;
+            }
+            all[0].onSection(
+                    now,
+                    now - one.sentAtNanos,
+                    one.from,
+                    Incarnation.fromUnixMillis(one.startedAtUnixMillis),
+                    SECTION,
+                    one.section);
+            return true;
+        }
+    }
+
+    /** At each moment the true total lies between the known one and the upper bound. */
+    @Property(tries = 150)
+    void theTruthLiesWithinTheBounds(
+            @ForAll long seed, @ForAll @IntRange(min = 0, max = 60) int lost) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, lost);
+        ClusterCounters first = cluster.all[0];
+        cluster.deliverFirstSections();
+        for (int step = 0; step < 400; step++) {
+            cluster.step();
             if (step % 50 == 0) {
-                all[0].tick(now);
+                first.tick(cluster.now);
             }
-            CounterTotal sum = all[0].total(now, ClusterCounter.SENDS);
-            long sent = Arrays.stream(truth).sum();
+            CounterTotal sum = first.total(cluster.now, ClusterCounter.SENDS);
+            long sent = Arrays.stream(cluster.truth).sum();
             assertTrue(
                     sum.known() <= sent && sent <= sum.upperBound(),
                     step + ": " + sum + " and " + sent);
             assertEquals(
-                    truth[0],
-                    all[0].total(now, ClusterCounter.SENDS).known()
-                            - all[0].peerCounters(now).stream()
+                    cluster.truth[0],
+                    first.total(cluster.now, ClusterCounter.SENDS).known()
+                            - first.peerCounters(cluster.now).stream()
                                     .filter(row -> isFresh(row))
                                     .mapToLong(row -> row.values()[ClusterCounter.SENDS.ordinal()])
                                     .sum());
         }
-        all[0].onSection(
-                now,
+        long restartedAt = START_UNIX_MILLIS + 99_000;
+        first.onSection(
+                cluster.now,
                 0,
                 1,
-                Incarnation.fromUnixMillis(START_UNIX_MILLIS + 99_000),
+                Incarnation.fromUnixMillis(restartedAt),
                 SECTION,
-                encodedFor(newCounters(1, count, now, START_UNIX_MILLIS + 99_000), now, 0));
+                encodedFor(
+                        newCounters(1, SimulatedCluster.SIZE, cluster.now, restartedAt),
+                        cluster.now,
+                        0));
         assertEquals(
                 0,
-                all[0].peerCounters(now).get(0).values()[ClusterCounter.SENDS.ordinal()],
-                "a later life begins with nothing");
+                first.peerCounters(cluster.now).get(0).values()[ClusterCounter.SENDS.ordinal()],
+                "a later incarnation begins with nothing");
     }
 
     private static boolean isFresh(ClusterCounters.PeerCounters row) {
--- a/healthreports/src/test/java/frostrelay/healthreports/HealthReportAggregatorTest.java
+++ b/healthreports/src/test/java/frostrelay/healthreports/HealthReportAggregatorTest.java
@@ -1,5 +1,8 @@
 package frostrelay.healthreports;
 
+import static frostrelay.healthreports.ReportSections.sendDirect;
+import static frostrelay.healthreports.ReportSections.sendRelayed;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -24,7 +27,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** What a balancer makes of others' word on caches, whoever lies and in whatever order it comes. */
+/** Outliers by peers' reports, with faulty reporters and in any order of arrival. */
 class HealthReportAggregatorTest implements HealthReportAggregator.Actions {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
     private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLISECOND;
@@ -79,29 +82,6 @@
         return new HealthReport(rank, INCARNATION, sequenceNumber, SERVER_START, 3, 0, 0);
     }
 
-    /** As the wire form in docs/design/shared-state.md has it. */
-    private static void sendDirect(
-            HealthReportAggregator to, long now, long cache, HealthReport report, int age) {
-        ByteBuffer out =
-                ByteBuffer.allocate(18)
-                        .putLong(cache)
-                        .putShort((short) report.sequenceNumber())
-                        .putInt(report.serverStart())
-                        .put((byte) age)
-                        .put((byte) report.successes())
-                        .put((byte) report.failures())
-                        .put((byte) report.observationBits());
-        to.onSection(now, 0, report.rank(), report.incarnation(), 32, out.flip());
-    }
-
-    /** Another says that one said so to it. */
-    private static void sendRelayed(
-            HealthReportAggregator to, long now, long cache, int relay, HealthReport report) {
-        ByteBuffer out = ByteBuffer.allocate(HealthReport.RELAYED_BYTES);
-        report.write(out, cache, 0, true);
-        to.onSection(now, 0, relay, INCARNATION, 33, out.flip());
-    }
-
     @Provide
     Arbitrary<HealthReport> evidence() {
         return Combinators.combine(
@@ -342,10 +322,10 @@
                     AttemptObservation.SILENT,
                     i * NANOS_PER_SECOND);
         }
-        assertEquals(0, one.counts()[0], "nothing was written");
+        assertEquals(0, one.reportCounts().written(), "nothing was written");
         one.onAttemptObserved(
                 9 * NANOS_PER_SECOND, 1, AttemptObservation.SILENT, 8 * NANOS_PER_SECOND);
-        assertEquals(1, one.counts()[0]);
+        assertEquals(1, one.reportCounts().written());
     }
 
     @Test
--- a/healthreports/src/test/java/frostrelay/healthreports/LoadedSections.java
+++ b/healthreports/src/test/java/frostrelay/healthreports/LoadedSections.java
@@ -6,13 +6,13 @@
 import java.nio.ByteBuffer;
 import java.util.function.BiConsumer;
 
-/** What one would tell another now. */
+/** The sections that a payload provider would send to a peer. */
 final class LoadedSections {
     private LoadedSections() {}
 
     /** All sections; empty for nothing. */
-    static byte[] loadedFor(PayloadProvider cargo, long now, int to) {
-        ByteBuffer loaded = Datagrams.loaded(cargo, now, to);
+    static byte[] loadedFor(PayloadProvider provider, long now, int to) {
+        ByteBuffer loaded = Datagrams.loaded(provider, now, to);
         byte[] all = new byte[loaded.remaining()];
         loaded.get(all);
         return all;
