--- a/audit/src/main/java/frostrelay/audit/AuditLog.java
+++ b/audit/src/main/java/frostrelay/audit/AuditLog.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 
 /**
- * Keeps account of what one life of a balancer acts on, and writes it down. A send costs two
- * additions and no allocation unless sends are wanted one by one. For one thread; moments are
- * nanoseconds of the balancer's monotonic clock.
+ * Records what one incarnation of a balancer acts on. A send costs two additions and no allocation
+ * unless sends are recorded one by one. Not thread-safe; moments are nanoseconds of the balancer's
+ * monotonic clock.
  */
 public final class AuditLog implements GossipNode.Listener {
-    /** A wall clock that moved by less against the monotonic one is being slewed, not set. */
+    /** A wall clock that moved by less against the monotonic one was slewed, not set. */
     private static final long CLOCK_JUMP_MILLIS = 250;
 
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
@@ -34,8 +34,12 @@
     private Cause cause = Cause.START;
 
     /**
-     * {@code recordsEachSend}: whether every send is entered by itself; {@code incarnation}: of
-     * this life among its peers.
+     * Records the start.
+     *
+     * @param recordsEachSend whether every send gets an entry of its own
+     * @param wallMillis Unix milliseconds
+     * @param rank this balancer's number among its peers, -1 if it has none
+     * @param incarnation this balancer's incarnation
      */
     public AuditLog(
             Recorder recorder,
@@ -58,7 +62,7 @@
         recorder.append(new Entry.VersionsApplied(0, 0, Cause.START, wallMillis, initialVersions));
     }
 
-    /** The number that a cache goes by here. */
+    /** The number that stands for a cache in this record; records the name on first use. */
     public int cacheNumber(long now, String uid) {
         Integer known = cacheNumbers.get(uid);
         if (known != null) {
@@ -73,13 +77,13 @@
         return number;
     }
 
-    /** The list says this of a cache; to be told before {@link #recordVersionsApplied}. */
+    /** Records an endpoint of a new list; to be called before {@link #recordVersionsApplied}. */
     public void recordEndpoint(long now, int cache, boolean ready, long serverStartMillis) {
         recorder.append(
                 new Entry.EndpointListed(now - startNanos, cache, ready, serverStartMillis));
     }
 
-    /** From now on decisions are made under this. */
+    /** Records that decisions are made under these versions from now on; ignores equal ones. */
     public void recordVersionsApplied(
             long now, long wallMillis, AppliedVersions newVersions, Cause newCause) {
         if (newVersions.equals(appliedVersions)) {
@@ -95,30 +99,33 @@
                         now - startNanos, sequence, newCause, wallMillis, newVersions));
     }
 
-    /** The number of the stamp that holds now. */
+    /** How often the applied versions have changed. */
     public int sequence() {
         return sequence;
     }
 
-    /** What holds now. */
+    /** The versions in force. */
     public AppliedVersions appliedVersions() {
         return appliedVersions;
     }
 
-    /** Since when, on this log's clock. */
+    /** Since when they have been in force, in nanoseconds of the monotonic clock. */
     public long appliedAtNanos() {
         return appliedAtNanos;
     }
 
-    /** Why it began to. */
+    /** Why they came into force. */
     public Cause cause() {
         return cause;
     }
 
     /**
-     * An attempt that was decided on under the stamp {@code decidedSequence} was written to a
-     * cache. {@code attempt}: its place among the request's; {@code hedged}: another is still out;
-     * {@code requestId}: the request's.
+     * An attempt was written to a cache.
+     *
+     * @param decidedSequence {@link #sequence} when it was decided on
+     * @param cache {@link #cacheNumber} of the cache
+     * @param attempt 0 for the request's first attempt
+     * @param hedged whether another attempt of the request is in flight
      */
     public void recordSend(
             long now,
@@ -133,7 +140,7 @@
                             now - startNanos, decidedSequence, cache, attempt, requestId));
         }
         if (decidedSequence != sequence) {
-            // Decided on before the change, on its way while it came: under the old stamp.
+            // Decided on before the latest change: counts under the versions then in force.
             recorder.append(
                     new Entry.SendCounts(
                             now - startNanos,
@@ -149,24 +156,24 @@
         hedgedRequests += hedged ? 1 : 0;
     }
 
-    /** A request was refused by decision. */
+    /** A request was rejected. */
     public void recordRejection() {
         rejectedRequests++;
     }
 
-    /** A request was given up as failed by decision. */
+    /** A request failed by a decision of this balancer. */
     public void recordFailure() {
         failedRequests++;
     }
 
-    /** Something could not be taken. */
+    /** A configuration or another update was rejected. */
     public void recordRejection(long now, String reason) {
         recorder.append(new Entry.UpdateRejected(now - startNanos, reason));
     }
 
     /**
-     * To be called about once a second: counts so far go into the record, also where there are
-     * none, as a sign that it lives; a wall clock that was set is noticed.
+     * To be called about once a second: records the counts so far, even if all are 0, as a sign
+     * that the balancer runs, and a wall clock that was set.
      */
     public void tick(long now, long wallMillis) {
         flush(now);
@@ -206,7 +213,7 @@
         failedRequests = 0;
     }
 
-    /** The life ends in order. */
+    /** Records a shutdown. */
     public void recordStop(long now) {
         flush(now);
         recorder.append(new Entry.Stopped(now - startNanos));
--- a/audit/src/main/java/frostrelay/audit/AuditRecord.java
+++ b/audit/src/main/java/frostrelay/audit/AuditRecord.java
@@ -5,11 +5,17 @@
 import java.util.List;
 
 /**
- * What could be read of one life's record. {@code unreadBytes}: bytes behind the last whole entry,
- * torn or damaged; {@code unknownEntries}: whole entries of types that this build does not know.
+ * The readable part of a record.
+ *
+ * @param unreadBytes truncated or damaged bytes after the last complete entry
+ * @param unknownEntries complete entries of types or forms that this build does not know
  */
 public record AuditRecord(List<Entry> entries, int unreadBytes, int unknownEntries) {
-    /** Reads as much as is whole. Throws IllegalArgumentException for what is no record at all. */
+    /**
+     * Reads all complete entries.
+     *
+     * @throws IllegalArgumentException if the bytes do not begin like a record
+     */
     public static AuditRecord read(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if (bytes.length < Long.BYTES || in.getLong() != Codec.MAGIC) {
--- a/audit/src/main/java/frostrelay/audit/Cause.java
+++ b/audit/src/main/java/frostrelay/audit/Cause.java
@@ -1,10 +1,15 @@
 package frostrelay.audit;
 
-/** Why a balancer began to act on something else. */
+/** Why the applied versions changed. The ordinals are part of the record format. */
 public enum Cause {
+    /** The balancer started. */
     START,
+    /** Discovery returned another endpoint list. */
     DISCOVERY,
+    /** The configuration file changed. */
     FILE,
+    /** An operator acted through the admin server. */
     OPERATORS,
+    /** A peer supplied it. */
     PEER
 }
--- a/audit/src/main/java/frostrelay/audit/Entry.java
+++ b/audit/src/main/java/frostrelay/audit/Entry.java
@@ -4,40 +4,40 @@
 import frostrelay.gossip.MemberState;
 
 /**
- * One entry of a balancer's record. {@code atNanos}: nanoseconds since this life of it began, on
- * its monotonic clock, which does not jump; wall clocks are in Unix milliseconds and may.
- * Immutable.
+ * One entry of a balancer's record. {@code atNanos} counts from the start of its incarnation on its
+ * monotonic clock; wall clocks are in Unix milliseconds and may jump. Immutable, if the arrays of
+ * {@link SendCounts} are left alone.
  */
 public sealed interface Entry {
-    /** When it was entered. */
+    /** When it was recorded. */
     long atNanos();
 
-    /** A life begins. {@code rank}: its number among its peers, -1 where it has none. */
+    /** The incarnation starts. {@code rank}: its number among its peers, -1 if it has none. */
     record Started(
             long atNanos, String name, int rank, long incarnation, int build, long wallMillis)
             implements Entry {}
 
     /**
-     * From now on it acts on this. {@code sequence}: how often that had changed before in this
-     * life.
+     * From now on it acts on these versions. {@code sequence}: how often they had changed before in
+     * this incarnation.
      */
     record VersionsApplied(
             long atNanos, int sequence, Cause cause, long wallMillis, AppliedVersions versions)
             implements Entry {}
 
-    /** A cache goes by a number from now on, for the entries behind this one. */
+    /** A number stands for a cache in the entries after this one. */
     record CacheNamed(long atNanos, int cache, String uid) implements Entry {}
 
     /**
-     * What its list says of a cache from now on: {@code ready}, or not to be used. Entered before
-     * the {@link VersionsApplied}.
+     * State of a cache in a new endpoint list: {@code ready}, or not to be used. Recorded before
+     * the {@link VersionsApplied} of that list.
      */
     record EndpointListed(long atNanos, int cache, boolean ready, long serverStartMillis)
             implements Entry {}
 
     /**
-     * Sends that were written since the last such entry, under one stamp; {@code caches} and {@code
-     * sends} go together.
+     * Sends since the last such entry under the versions of {@code sequence}: {@code sends[i]} to
+     * {@code caches[i]}.
      */
     record SendCounts(
             long atNanos,
@@ -50,28 +50,28 @@
             implements Entry {}
 
     /**
-     * One send, where operators want them one by one. {@code requestId}: the request's, as its
-     * client gave it.
+     * One send, if operators have them recorded one by one. {@code requestId}: as the client gave
+     * it.
      */
     record AttemptSent(long atNanos, int sequence, int cache, int attempt, String requestId)
             implements Entry {}
 
     /**
-     * It knows from now on that another acts on something else; {@code ageNanos}: nanoseconds since
-     * that one said so.
+     * It has learned that a peer acts on other versions; {@code ageNanos}: time since that peer
+     * wrote so.
      */
     record PeerVersionsHeard(
             long atNanos, int rank, long incarnation, int sequence, int versionsRef, long ageNanos)
             implements Entry {}
 
-    /** What it believes of another has changed. */
+    /** The state of a peer, as this balancer sees it, has changed. */
     record PeerStateChanged(
             long atNanos, int rank, long incarnation, MemberState state, int reportedBy)
             implements Entry {}
 
     /**
-     * Another's life was {@code peerUnixMillis} old at some moment between {@code sentAtNanos} and
-     * {@code atNanos}.
+     * A peer's incarnation was {@code peerUnixMillis} milliseconds old at some moment between
+     * {@code sentAtNanos} and {@code atNanos}.
      */
     record PeerClockSampled(
             long atNanos, int rank, long incarnation, long sentAtNanos, long peerUnixMillis)
@@ -84,25 +84,22 @@
     record WallClockJumped(long atNanos, long jumpMillis) implements Entry {}
 
     /**
-     * Its own incarnation has changed: it was called dead, or another life of its name is known.
+     * Its own incarnation has changed: it was reported dead, or a later one of its name is known.
      */
     record IncarnationChanged(long atNanos, long incarnation) implements Entry {}
 
-    /** Something that could not be taken, in words: a configuration, mostly. */
+    /** A rejected update, mostly a configuration; {@code reason}: in words. */
     record UpdateRejected(long atNanos, String reason) implements Entry {}
 
     /**
-     * Entries that are missing here, and from when on they are: room had run out, or a disk refused
+     * Entries missing here, from {@code fromNanos} on: the buffer was full, or the disk rejected
      * them.
      */
     record Gap(long atNanos, long fromNanos, long lostEntries, String reason) implements Entry {}
 
-    /**
-     * What stands before this repeats older entries, so that those behind it can be understood by
-     * themselves.
-     */
+    /** Ends a {@link Preamble}: the entries before this one repeat older ones. */
     record Resumed(long atNanos) implements Entry {}
 
-    /** It ended in order. What comes behind is another life's. */
+    /** A shutdown: the last entry of an incarnation. */
     record Stopped(long atNanos) implements Entry {}
 }
--- a/audit/src/main/java/frostrelay/audit/EntryRingBuffer.java
+++ b/audit/src/main/java/frostrelay/audit/EntryRingBuffer.java
@@ -6,11 +6,13 @@
 import java.util.Deque;
 
 /**
- * The last entries of a life, in bounded memory: where no disk lasts this is the record. What a
- * reader needs for what is left outlasts the rest: the start, the caches' names, what the list last
- * said of each and the last stamp; what went is named as a gap. For one thread.
+ * The latest entries of an incarnation in bounded memory, for balancers without a disk. A {@link
+ * Preamble} of what the remaining entries refer to is kept when older ones are dropped, and the
+ * dropped ones are named as a gap. Not thread-safe.
  */
 public final class EntryRingBuffer implements Recorder {
+    private static final String GAP_REASON = "no room";
+
     private final int maxBytes;
     private final ByteBuffer scratch = Codec.newBuffer();
     private final Deque<byte[]> entries = new ArrayDeque<>();
@@ -19,7 +21,7 @@
     private long droppedEntries;
     private long droppedUntilNanos;
 
-    /** Holds so many bytes of entries at most. */
+    /** Creates a buffer that holds at most so many bytes of entries, or a single larger one. */
     public EntryRingBuffer(int maxBytes) {
         this.maxBytes = maxBytes;
     }
@@ -43,7 +45,7 @@
         preamble.observe(entry);
     }
 
-    /** The record as it stands, in the form of {@link Codec}. */
+    /** The record as of now, in the format of {@link Codec}. */
     public byte[] record() {
         ByteArrayOutputStream out = new ByteArrayOutputStream(usedBytes + Codec.MAX_ENTRY_BYTES);
         out.writeBytes(ByteBuffer.allocate(Long.BYTES).putLong(Codec.MAGIC).array());
@@ -51,7 +53,7 @@
             preamble.entries().forEach(entry -> out.writeBytes(FramedEntries.encode(entry)));
             out.writeBytes(
                     FramedEntries.encode(
-                            new Entry.Gap(droppedUntilNanos, 0, droppedEntries, "no room")));
+                            new Entry.Gap(droppedUntilNanos, 0, droppedEntries, GAP_REASON)));
         }
         entries.forEach(out::writeBytes);
         return out.toByteArray();
--- a/audit/src/main/java/frostrelay/audit/FramedEntries.java
+++ b/audit/src/main/java/frostrelay/audit/FramedEntries.java
@@ -4,16 +4,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Entries as the bytes that a record holds. */
+/** Encodes entries to, and decodes them from, the frames of a record. */
 public final class FramedEntries {
     private FramedEntries() {}
 
-    /** One entry with its frame. */
+    /** The frame of an entry. */
     public static byte[] encode(Entry entry) {
         return encode(entry, Codec.newBuffer());
     }
 
-    /** Likewise, with room to work in that is used again and again. */
+    /** The frame of an entry, encoded in a buffer that the caller reuses. */
     static byte[] encode(Entry entry, ByteBuffer out) {
         out.clear();
         Codec.write(entry, out);
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Where the entries from a place on that fit into {@code capacityBytes} end: behind one entry
-     * at least.
+     * End of the frames from {@code from} on that fit into {@code capacityBytes}, one frame at
+     * least.
      */
     public static int endOfFittingEntries(byte[] bytes, int from, long capacityBytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
@@ -40,7 +40,7 @@
         return end == from ? bytes.length : end;
     }
 
-    /** The whole entries that these bytes begin with. */
+    /** The entries of the complete frames at the start of these bytes. */
     public static List<Entry> entries(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         List<Entry> entries = new ArrayList<>();
--- a/audit/src/main/java/frostrelay/audit/Preamble.java
+++ b/audit/src/main/java/frostrelay/audit/Preamble.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a reader needs to make sense of entries when those before them are gone. For one thread. */
+/**
+ * Repeats the entries that later ones refer to, for records whose beginning was dropped: the start,
+ * the caches' names and latest states, and the versions last applied. Not thread-safe.
+ */
 public final class Preamble {
     private Entry.Started start;
     private final Map<Integer, Entry.CacheNamed> cacheNames = new LinkedHashMap<>();
@@ -13,26 +16,26 @@
     private Entry.VersionsApplied lastApplied;
     private long lastEntryNanos;
 
-    /** This entry comes before those that the preamble is for. */
+    /** Takes in an entry that the record will no longer hold before those to come. */
     public void observe(Entry entry) {
         lastEntryNanos = entry.atNanos();
-        if (entry instanceof Entry.Started one) {
-            start = one;
-        } else if (entry instanceof Entry.CacheNamed one) {
-            cacheNames.put(one.cache(), one);
-        } else if (entry instanceof Entry.EndpointListed one) {
-            endpoints.put(one.cache(), one);
-        } else if (entry instanceof Entry.VersionsApplied one) {
-            lastApplied = one;
+        if (entry instanceof Entry.Started started) {
+            start = started;
+        } else if (entry instanceof Entry.CacheNamed named) {
+            cacheNames.put(named.cache(), named);
+        } else if (entry instanceof Entry.EndpointListed listed) {
+            endpoints.put(listed.cache(), listed);
+        } else if (entry instanceof Entry.VersionsApplied applied) {
+            lastApplied = applied;
         }
     }
 
-    /** Whether nothing came before. */
+    /** Whether the start was not observed yet. */
     public boolean isEmpty() {
         return start == null;
     }
 
-    /** The entries, ended by {@link Entry.Resumes}. */
+    /** The entries, {@link Entry.Resumed} last. */
     public List<Entry> entries() {
         List<Entry> entries = new ArrayList<>();
         if (start != null) {
--- a/audit/src/main/java/frostrelay/audit/Recorder.java
+++ b/audit/src/main/java/frostrelay/audit/Recorder.java
@@ -1,10 +1,10 @@
 package frostrelay.audit;
 
-/** Takes entries in the order of their moments. */
+/** Stores entries, in order of time. */
 public interface Recorder {
     /**
-     * Enters it. Does not wait and does not fail: what cannot be kept is named as a {@link
-     * Entry.Gap} later.
+     * Adds an entry. Does not block and does not fail: entries that cannot be stored are named by a
+     * {@link Entry.Gap} later.
      */
     void append(Entry entry);
 }
--- a/audit/src/main/java/frostrelay/audit/fleet/AuditedVersionKind.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/AuditedVersionKind.java
@@ -4,14 +4,14 @@
 
 import java.util.Locale;
 
-/** The kinds of versions that a stamp holds. */
+/** The kinds of versions that {@link AppliedVersions} hold. */
 public enum AuditedVersionKind {
     CONFIG,
     LIST,
     HOLDS,
     BUILD;
 
-    /** Of which version a stamp is: a number where there is one, and the digest of the content. */
+    /** The version of this kind: its number if there is one, and the digest of its content. */
     public Version versionIn(AppliedVersions versions) {
         return switch (this) {
             case CONFIG -> new Version(versions.configNumber(), versions.configDigest());
@@ -26,7 +26,7 @@
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** A version: {@code number} is {@link AppliedVersions#NO_NUMBER} where nobody numbers it. */
+    /** A version: {@code number} is {@link AppliedVersions#NO_NUMBER} if it has none. */
     public record Version(long number, long digest) {
         /** {@code 41:0000beef...}, or the digest alone. */
         public String text() {
@@ -35,8 +35,8 @@
         }
 
         /**
-         * Whether a person's word means this one: its number, its digest or the beginning of that,
-         * or both with ':'.
+         * Whether a query of an operator selects this version: by its number, by its digest or at
+         * least four leading digits of that, or by both with ':'.
          */
         public boolean matches(String query) {
             String content = String.format(Locale.ROOT, "%016x", digest);
--- a/audit/src/main/java/frostrelay/audit/fleet/ClockAlignment.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/ClockAlignment.java
@@ -7,23 +7,20 @@
 import java.util.Map;
 
 /**
- * Puts the moments of all lives on one line. Wall clocks are not believed where peers heard each
- * other: an answered probe says that a moment of one life lies between two of another, and such
- * intervals add up along the way to the reference. A life that nobody heard is placed by its wall
- * clock, and that is said.
+ * Places the clocks of all incarnations on one time line. Wall clocks are not trusted where peers
+ * probed each other: an answered probe bounds a moment of one clock by two of another, and such
+ * intervals add up along the path to the reference. An incarnation that no peer heard from is
+ * placed by its wall clock, and marked so.
  */
 public final class ClockAlignment {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
 
-    /**
-     * A wall clock is believed to this where there is nothing better: what a badly kept one is off
-     * by.
-     */
+    /** Error assumed of a wall clock, about that of one that is not synchronized. */
     private static final long WALL_CLOCK_TOLERANCE_NANOS = 60_000 * NANOS_PER_MILLISECOND;
 
     /**
-     * What to add to a life's moments: between {@code minNanos} and {@code maxNanos}. {@code
-     * fromPeerSamples}: peers' word, not a wall clock's.
+     * What to add to an incarnation's times: between {@code minNanos} and {@code maxNanos}. {@code
+     * fromPeerSamples}: derived from probes, not from a wall clock.
      */
     public record Offset(long minNanos, long maxNanos, boolean fromPeerSamples) {
         long widthNanos() {
@@ -31,7 +28,7 @@
         }
     }
 
-    /** A moment on the common line, which lies between two. */
+    /** A moment on the common time line, known to lie between two. */
     public record TimeInterval(long earliestNanos, long latestNanos) {
         /** Whether this is certainly before another. */
         public boolean isBefore(TimeInterval other) {
@@ -41,7 +38,7 @@
 
     private final Map<IncarnationHistory, Offset> offsets = new HashMap<>();
 
-    /** The first life is the reference: its start is 0. */
+    /** Aligns incarnations; the start of the first is 0. */
     public ClockAlignment(List<IncarnationHistory> histories) {
         if (histories.isEmpty()) {
             return;
@@ -49,7 +46,7 @@
         Map<IncarnationHistory, Map<IncarnationHistory, Offset>> edges = edges(histories);
         IncarnationHistory reference = histories.get(0);
         offsets.put(reference, new Offset(0, 0, true));
-        // Widening from the best known: the narrowest sum of intervals reaches each life first.
+        // Dijkstra's algorithm: each incarnation is reached by the narrowest sum of intervals.
         Map<IncarnationHistory, Offset> candidates = new HashMap<>(offsets);
         offsets.clear();
         while (!candidates.isEmpty()) {
@@ -94,8 +91,8 @@
     }
 
     /**
-     * For each pair of lives that probed each other: what to add to the second's moments to get the
-     * first's.
+     * For each pair of incarnations that probed each other: what to add to the second's times to
+     * get the first's.
      */
     private static Map<IncarnationHistory, Map<IncarnationHistory, Offset>> edges(
             List<IncarnationHistory> histories) {
@@ -146,21 +143,21 @@
                         (a, b) -> {
                             long minNanos = Math.max(a.minNanos, b.minNanos);
                             long maxNanos = Math.min(a.maxNanos, b.maxNanos);
-                            // Clocks that drift make two true intervals miss each other: the
-                            // narrower one stands.
+                            // With drifting clocks two correct intervals may be disjoint: the
+                            // narrower one is kept.
                             return minNanos <= maxNanos
                                     ? new Offset(minNanos, maxNanos, true)
                                     : a.widthNanos() <= b.widthNanos() ? a : b;
                         });
     }
 
-    /** Where a moment of a life lies on the common line. */
+    /** Where a time of an incarnation lies on the common time line. */
     public TimeInterval intervalOf(IncarnationHistory history, long atNanos) {
         Offset offset = offsets.get(history);
         return new TimeInterval(atNanos + offset.minNanos, atNanos + offset.maxNanos);
     }
 
-    /** How a life was placed. */
+    /** How an incarnation was placed. */
     public Offset offset(IncarnationHistory history) {
         return offsets.get(history);
     }
--- a/audit/src/main/java/frostrelay/audit/fleet/IncarnationHistory.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/IncarnationHistory.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * One life of a balancer, put together from the parts of its record. Entries are in their order;
- * what a part repeats for its reader is left out where the part before it is there.
+ * One incarnation of a balancer, joined from the parts of its record. Entries are in recorded
+ * order; preambles are left out if the part before them is present.
  */
 public final class IncarnationHistory {
     private final String source;
@@ -61,10 +61,7 @@
         beginningLost = !hasFirstPart || entries.stream().anyMatch(Entry.Resumed.class::isInstance);
     }
 
-    /**
-     * Of what a part repeats, that counts which the parts before it do not have: it was lost on its
-     * way to them.
-     */
+    /** Adds those entries of a preamble that were lost from the parts before it. */
     private void addMissingFromPreamble(List<Entry> preamble) {
         int lastSequence = -1;
         for (Entry entry : entries) {
@@ -81,8 +78,11 @@
     }
 
     /**
-     * {@code source}: where the parts came from, for messages; {@code hasFirstPart}: the first of
-     * them is the life's first. Null where not even the start could be read.
+     * Joins parts, in their order.
+     *
+     * @param source where the parts came from, for messages
+     * @param hasFirstPart whether the first of them is the first of the incarnation
+     * @return null if no start entry could be read
      */
     public static IncarnationHistory of(
             String source, List<AuditRecord> parts, boolean hasFirstPart) {
@@ -100,7 +100,7 @@
         return start.name();
     }
 
-    /** Name and start, which tell the lives of one balancer apart. */
+    /** Name and start time, which identify an incarnation. */
     public String label() {
         return start.name() + "/" + Incarnation.toUnixMillis(start.incarnation());
     }
@@ -113,17 +113,17 @@
         return entries;
     }
 
-    /** The stamps that it acted on, in their order. */
+    /** The versions that it acted on, in order. */
     public List<Entry.VersionsApplied> appliedVersions() {
         return appliedVersions;
     }
 
-    /** What a cache's number stands for; the number itself where that was lost. */
+    /** The name of a cache; its number, after a {@code #}, if that entry was lost. */
     public String cacheName(int number) {
         return cacheNames.getOrDefault(number, "#" + number);
     }
 
-    /** Whether this is the life of a balancer that others knew by this number and incarnation. */
+    /** Whether peers know this incarnation by this rank and number. */
     public boolean isIncarnation(int rank, long incarnation) {
         return start.rank() == rank
                 && (incarnations.contains(incarnation)
@@ -131,12 +131,12 @@
                                 == Incarnation.toUnixMillis(start.incarnation()));
     }
 
-    /** Whether its last entry says that it ended in order. */
+    /** Whether its last entry is a shutdown. */
     public boolean hasStopped() {
         return !entries.isEmpty() && entries.get(entries.size() - 1) instanceof Entry.Stopped;
     }
 
-    /** The moment of its last entry. */
+    /** The time of its last entry. */
     public long lastEntryNanos() {
         return entries.get(entries.size() - 1).atNanos();
     }
@@ -151,7 +151,7 @@
         return beginningLost;
     }
 
-    /** What it says is missing. */
+    /** Gaps that the record names. */
     public List<Entry.Gap> gaps() {
         List<Entry.Gap> gaps = new ArrayList<>();
         for (Entry entry : entries) {
@@ -163,8 +163,8 @@
     }
 
     /**
-     * Until when it acted on the stamp at a place of {@link #appliedVersions}: the next one's
-     * beginning, or the last it said.
+     * Until when it acted on the versions at an index of {@link #appliedVersions}: when the next
+     * ones were applied, or its last entry.
      */
     public long appliedUntilNanos(int index) {
         return index + 1 < appliedVersions.size()
--- a/audit/src/main/java/frostrelay/audit/store/CollectedRecords.java
+++ b/audit/src/main/java/frostrelay/audit/store/CollectedRecords.java
@@ -12,13 +12,16 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** Reads the records that lie in folders, of balancers that live or are dead. */
+/** Reads records from files, of balancers that run or have ended. */
 public final class CollectedRecords {
+    private static final String FIRST_PART_SUFFIX = "-000000" + RecordFolder.SUFFIX;
+
     private CollectedRecords() {}
 
     /**
-     * All lives found in a folder and below it. {@code complaints}: hears of files that hold
-     * nothing readable, which are passed over.
+     * All incarnations found in a folder and below it.
+     *
+     * @param complaints gets a line for each file that cannot be read, which is skipped
      */
     public static List<IncarnationHistory> histories(Path folder, List<String> complaints)
             throws IOException {
@@ -55,15 +58,15 @@
                         : IncarnationHistory.of(
                                 parts.get(0).toString(),
                                 records,
-                                parts.get(0).toString().endsWith("-000000.rec"));
+                                parts.get(0).toString().endsWith(FIRST_PART_SUFFIX));
         if (history != null) {
             histories.add(history);
         } else if (!records.isEmpty()) {
-            complaints.add(parts.get(0) + ": not even its start can be read");
+            complaints.add(parts.get(0) + ": its start cannot be read");
         }
     }
 
-    /** A record as a console gave it; null where not even its start can be read. */
+    /** A record as an admin server returned it; null if its start cannot be read. */
     public static IncarnationHistory history(String source, byte[] record) {
         return IncarnationHistory.of(source, List.of(AuditRecord.read(record)), true);
     }
--- a/audit/src/main/java/frostrelay/audit/store/RecordFolder.java
+++ b/audit/src/main/java/frostrelay/audit/store/RecordFolder.java
@@ -24,20 +24,20 @@
 import java.util.function.Consumer;
 
 /**
- * A life's record in files that are only appended to, written by a thread of its own: an event loop
- * must not wait for a disk. What SIGKILL can take is what came within the last {@link
- * #WRITE_INTERVAL_MILLIS}; what was written the system keeps, as no machine dies. Names of the
- * files: life, then part; parts of one life belong together, the oldest go first where the folder's
- * bound is met. {@link #append} may come from one thread; it only adds to a buffer.
+ * An incarnation's record in append-only files, written by a thread of its own: an event loop must
+ * not wait for a disk. SIGKILL loses the entries of the last {@link #WRITE_INTERVAL_MILLIS}; what
+ * was written survives in the page cache, and files are not synced against a crash of the machine.
+ * File names are incarnation, then part; the oldest files of the folder are deleted at its bound.
+ * {@link #append} only adds to a buffer; it is to be called from one thread.
  */
 public final class RecordFolder implements Recorder, AutoCloseable {
-    /** The stated tail: what is not on its way to the disk yet is not older than this. */
+    /** Pending entries are written this often. */
     public static final long WRITE_INTERVAL_MILLIS = 100;
 
-    private static final String SUFFIX = ".rec";
+    static final String SUFFIX = ".rec";
 
     /**
-     * Waiting entries beyond this are dropped and named as a gap: a disk that hangs must not eat
+     * Pending entries beyond this are dropped and named as a gap: a disk that hangs must not fill
      * the heap.
      */
     private static final int MAX_PENDING_BYTES = 512 * 1024;
@@ -51,23 +51,21 @@
     private final ScheduledExecutorService writer =
             Executors.newSingleThreadScheduledExecutor(
                     task -> {
-                        Thread fresh = new Thread(task, "audit");
-                        fresh.setDaemon(true);
-                        return fresh;
+                        Thread thread = new Thread(task, "audit");
+                        thread.setDaemon(true);
+                        return thread;
                     });
     private final Object lock = new Object();
 
-    /**
-     * Of all entries that came before those that wait, also of those that were lost. Under the
-     * lock.
-     */
+    /** Of all entries before the pending ones, lost ones included. Guarded by {@link #lock}. */
     private final Preamble preamble = new Preamble();
 
     private ByteBuffer pending = ByteBuffer.allocate(64 * 1024);
     private long lostEntries;
     private long lostFromNanos;
     private String lostReason = "";
-    // Of the thread.
+
+    // Below: used by the writer thread alone, and by close() after it has ended.
     private FileChannel partChannel;
     private Path partFile;
     private int partCount;
@@ -76,9 +74,11 @@
     private boolean failing;
 
     /**
-     * {@code incarnation}: names this life's files, later lives sort behind earlier ones; {@code
-     * maxBytes}: bytes that all files of the folder may take; {@code onFailure}: hears on the
-     * writer's thread, once a spell, why nothing can be written.
+     * Starts the writer thread.
+     *
+     * @param incarnation prefix of the file names; has to sort after those of earlier incarnations
+     * @param maxBytes bound on the size of all files in the folder
+     * @param onFailure called on the writer thread with the reason, once when writes begin to fail
      */
     public RecordFolder(
             Path folder, String incarnation, long maxBytes, Consumer<String> onFailure) {
@@ -97,8 +97,7 @@
     public void append(Entry entry) {
         synchronized (lock) {
             if (lostEntries > 0 && pending.position() == 0) {
-                // What waited has been written, or was refused: the disk is tried again, with the
-                // gap named first.
+                // All pending entries were written or rejected: try the disk again, gap first.
                 long previouslyLost = lostEntries;
                 lostEntries = 0;
                 enqueue(new Entry.Gap(entry.atNanos(), lostFromNanos, previouslyLost, lostReason));
@@ -132,7 +131,7 @@
         lostEntries += entries;
     }
 
-    /** Writes what waits. A write that fails leaves the file cut back to its last whole entry. */
+    /** Writes pending entries. A failed write truncates the file to its last complete entry. */
     private void writePending() {
         byte[] bytes;
         synchronized (lock) {
@@ -175,8 +174,8 @@
     private void onWriteFailed(byte[] bytes, Exception e) {
         try {
             if (partChannel != null) {
-                // What the disk refused may stand there in part. Another file may be taken where
-                // this one is not.
+                // The rejected write may have been done in part. The next one gets another file, as
+                // the fault may lie with this one.
                 partChannel.truncate(partBytesWritten);
                 partChannel.close();
                 if (partBytesWritten == headBytes) {
@@ -184,12 +183,12 @@
                 }
             }
         } catch (IOException ignored) {
-            // The reader stops at the torn entry all the same.
+            // A reader stops at the truncated entry anyway.
         }
         partChannel = null;
         synchronized (lock) {
             for (Entry entry : FramedEntries.entries(bytes)) {
-                // A gap that could not be named is part of the next one.
+                // A gap that could not be written becomes part of the next one.
                 boolean gap = entry instanceof Entry.Gap;
                 preamble.observe(entry);
                 recordLoss(
@@ -204,10 +203,7 @@
         }
     }
 
-    /**
-     * Begins another part. One that cannot even take its head is taken away again, and no older one
-     * goes for it.
-     */
+    /** Opens the next part; deletes it again if its preamble cannot be written. */
     private void openNextPart() throws IOException {
         if (partChannel != null) {
             partChannel.close();
@@ -217,8 +213,7 @@
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         head.writeBytes(ByteBuffer.allocate(Long.BYTES).putLong(Codec.MAGIC).array());
         synchronized (lock) {
-            // Where nothing came before, not even what a disk refused, the record begins with its
-            // own start.
+            // Without earlier entries, written or lost, the record begins with its own start.
             if (!preamble.isEmpty()) {
                 preamble.entries().forEach(entry -> head.writeBytes(FramedEntries.encode(entry)));
             }
@@ -251,7 +246,7 @@
         }
     }
 
-    /** The files of all lives in a folder, the oldest first. */
+    /** The files of all incarnations in a folder, the oldest first. */
     public static List<Path> files(Path folder) throws IOException {
         List<Path> files = new ArrayList<>();
         if (Files.isDirectory(folder)) {
@@ -263,7 +258,7 @@
         return files;
     }
 
-    /** Which life a file belongs to. */
+    /** The incarnation that a file name begins with. */
     public static String incarnationOf(Path file) {
         String name = file.getFileName().toString();
         return name.substring(0, Math.max(0, name.lastIndexOf('-')));
--- a/audit/src/test/java/frostrelay/audit/CostTest.java
+++ b/audit/src/test/java/frostrelay/audit/AuditLogAllocationTest.java
@@ -7,13 +7,14 @@
 
 import java.lang.management.ManagementFactory;
 
-/** Keeping account costs a request no memory. */
-class CostTest {
+/** Recording a send or a rejection allocates nothing. */
+class AuditLogAllocationTest {
     @Test
     void aSendAllocatesNothing() {
         int[] entries = new int[1];
         AuditLog log =
-                new AuditLog(entry -> entries[0]++, false, 0, 0, "b", 0, 1, RecordTest.stamp(1));
+                new AuditLog(
+                        entry -> entries[0]++, false, 0, 0, "b", 0, 1, AuditRecordTest.stamp(1));
         int cache = log.cacheNumber(1, "cache-1");
         long[] bytes = new long[2];
         com.sun.management.ThreadMXBean threads =
--- a/audit/src/test/java/frostrelay/audit/RecordTest.java
+++ b/audit/src/test/java/frostrelay/audit/AuditRecordTest.java
@@ -21,15 +21,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+import java.io.ByteArrayOutputStream;
+import java.nio.ByteBuffer;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.zip.CRC32C;
 
-/** A record keeps what it was given, through cuts, damage, rotation and a disk that refuses. */
-class RecordTest {
+/** Records survive truncation, damage, rotation and a disk that rejects writes. */
+class AuditRecordTest {
     private static final long INCARNATION = Incarnation.fromUnixMillis(1_790_000_000_000L);
 
     @TempDir private Path folder;
@@ -55,8 +58,8 @@
     }
 
     private static byte[] bytes(List<Entry> entries) {
-        java.io.ByteArrayOutputStream out = new java.io.ByteArrayOutputStream();
-        out.writeBytes(java.nio.ByteBuffer.allocate(8).putLong(Codec.MAGIC).array());
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        out.writeBytes(ByteBuffer.allocate(8).putLong(Codec.MAGIC).array());
         entries.forEach(entry -> out.writeBytes(FramedEntries.encode(entry)));
         return out.toByteArray();
     }
@@ -75,10 +78,10 @@
     }
 
     private static List<String> texts(List<Entry> entries) {
-        return entries.stream().map(RecordTest::text).toList();
+        return entries.stream().map(AuditRecordTest::text).toList();
     }
 
-    /** SIGKILL may cut a file anywhere: what is whole is read, and what is not is named. */
+    /** SIGKILL may truncate a file anywhere: complete entries are read, the rest is counted. */
     @Test
     void aTruncatedRecordIsReadUpToTheLastCompleteEntry() {
         List<Entry> entries = sampleEntries();
@@ -157,15 +160,15 @@
                 texts(AuditRecord.read(bytes(List.of(one, other))).entries()));
     }
 
-    /** A type of a later build does not hide what stands behind it. */
+    /** An entry type of a later build does not hide the entries after it. */
     @Test
     void anUnknownEntryIsPassedOver() {
         byte[] alien = FramedEntries.encode(new Entry.Stopped(9));
         alien[2] = 77;
-        java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
+        CRC32C crc = new CRC32C();
         crc.update(alien, 0, alien.length - 4);
-        java.nio.ByteBuffer.wrap(alien).putInt(alien.length - 4, (int) crc.getValue());
-        java.io.ByteArrayOutputStream out = new java.io.ByteArrayOutputStream();
+        ByteBuffer.wrap(alien).putInt(alien.length - 4, (int) crc.getValue());
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(bytes(List.of(new Entry.WallClockJumped(1, 2))));
         out.writeBytes(alien);
         out.writeBytes(FramedEntries.encode(new Entry.Stopped(10)));
@@ -192,7 +195,7 @@
         assertTrue(history.beginningLost());
     }
 
-    /** Parts follow each other, the oldest go, and what is left can be understood. */
+    /** The oldest parts are deleted, and the remaining ones can be read by themselves. */
     @Test
     void theFolderIsBoundedAndItsPartsStandByThemselves() throws Exception {
         try (RecordFolder files =
@@ -227,10 +230,7 @@
                                                 && sent.requestId().equals("request-3999")));
     }
 
-    /**
-     * A name and a stamp that no part has but the head of the next one: they were lost on their
-     * way.
-     */
+    /** Entries that only the preamble of the next part repeats, as the disk rejected them. */
     @Test
     void whatOnlyTheNextPartsHeadHasIsNotLost() {
         List<Entry> first = sampleEntries().subList(0, 4);
@@ -253,7 +253,7 @@
         assertEquals(1, history.gaps().size());
     }
 
-    /** A disk that refuses: said once, and when it takes again the gap comes first. */
+    /** A rejected write is reported once; once the disk accepts again the gap is written first. */
     @Test
     void entriesThatTheDiskRejectedAreRecordedAsAGap() throws Exception {
         List<String> failures = new CopyOnWriteArrayList<>();
--- a/audit/src/test/java/frostrelay/audit/StatementTest.java
+++ b/audit/src/test/java/frostrelay/audit/FleetAuditTest.java
@@ -16,8 +16,8 @@
 import java.util.List;
 import java.util.Map;
 
-/** What several records say together, when clocks lie and a record ends early. */
-class StatementTest {
+/** Queries over several records, with wrong clocks and records that end early. */
+class FleetAuditTest {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
     private static final long START_UNIX_MILLIS = 1_790_000_000_000L;
 
@@ -35,7 +35,7 @@
         return Incarnation.fromUnixMillis(START_UNIX_MILLIS + rank * 1_000L);
     }
 
-    /** A life whose wall clock is off by {@code wallOffsetMillis}. */
+    /** An incarnation whose wall clock is off by {@code wallOffsetMillis}. */
     private static IncarnationHistory history(int rank, long wallOffsetMillis, Entry... entries) {
         List<Entry> all = new ArrayList<>();
         all.add(
@@ -52,7 +52,7 @@
     }
 
     /**
-     * b1 began one second after b0 and its wall clock is ten seconds back; they probed each other.
+     * b1 started one second after b0, its wall clock is ten seconds slow; they probed each other.
      */
     private static Entry clockSample(int rank, long atMs, long sentMs, long theirMs) {
         return new Entry.PeerClockSampled(
