--- a/audit/src/main/java/frostrelay/audit/fleet/RecordVerification.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/RecordVerification.java
@@ -108,7 +108,9 @@
         }
     }
 
-    /** Compares what it heard of peers with the peers' own records, as far as those go. */
+    /**
+     * Compares what it recorded of peers' versions with the peers' own records, as far as those go.
+     */
     private void verifyAgainstPeers(IncarnationHistory history) {
         for (Entry entry : history.entries()) {
             if (!(entry instanceof Entry.PeerVersionsHeard heard)) {
--- a/audit/src/main/java/frostrelay/audit/package-info.java
+++ b/audit/src/main/java/frostrelay/audit/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The audit record: what one incarnation of a balancer acted on, from when to when, what it sent
- * under it, and what it heard of its peers.
+ * under it, and what it received from its peers.
  *
  * <p>{@link frostrelay.audit.AuditLog} turns events of a balancer into {@link
  * frostrelay.audit.Entry}s and passes them to a {@link frostrelay.audit.Recorder}: in memory {@link
--- a/audit/src/test/java/frostrelay/audit/AuditLogAllocationTest.java
+++ b/audit/src/test/java/frostrelay/audit/AuditLogAllocationTest.java
@@ -14,7 +14,7 @@
         int[] entries = new int[1];
         AuditLog log =
                 new AuditLog(
-                        entry -> entries[0]++, false, 0, 0, "b", 0, 1, AuditRecordTest.stamp(1));
+                        entry -> entries[0]++, false, 0, 0, "b", 0, 1, AuditRecordTest.versions(1));
         int cache = log.cacheNumber(1, "cache-1");
         long[] bytes = new long[2];
         com.sun.management.ThreadMXBean threads =
@@ -29,6 +29,6 @@
         }
         assertTrue(bytes[1] < 1_000, "bytes for a million sends: " + bytes[1]);
         log.tick(2_000_000, 2);
-        assertEquals(4, entries[0], "start, stamp, name and counts");
+        assertEquals(4, entries[0], "start, versions, name and counts");
     }
 }
--- a/audit/src/test/java/frostrelay/audit/AuditRecordTest.java
+++ b/audit/src/test/java/frostrelay/audit/AuditRecordTest.java
@@ -37,7 +37,7 @@
 
     @TempDir private Path folder;
 
-    static AppliedVersions stamp(long list) {
+    static AppliedVersions versions(long list) {
         return new AppliedVersions(5, 1, 2, list, list * 7, 0, 0);
     }
 
@@ -46,7 +46,7 @@
                 new ArrayList<>(
                         List.of(
                                 new Entry.Started(0, "b", 1, INCARNATION, 5, 99),
-                                new Entry.VersionsApplied(1, 0, Cause.START, 99, stamp(1)),
+                                new Entry.VersionsApplied(1, 0, Cause.START, 99, versions(1)),
                                 new Entry.CacheNamed(2, 0, "cache-1"),
                                 new Entry.EndpointListed(2, 0, true, 3)));
         for (int i = 0; i < 20; i++) {
@@ -123,7 +123,7 @@
                         .as(
                                 (at, sequence, wall, list) ->
                                         new Entry.VersionsApplied(
-                                                at, sequence, Cause.FILE, wall, stamp(list))),
+                                                at, sequence, Cause.FILE, wall, versions(list))),
                 Combinators.combine(any, small, text).as(Entry.CacheNamed::new),
                 Combinators.combine(any, small, any)
                         .as((at, cache, boot) -> new Entry.EndpointListed(at, cache, true, boot)),
@@ -240,7 +240,7 @@
                                 first.get(0),
                                 first.get(2),
                                 new Entry.CacheNamed(40, 1, "cache-2"),
-                                new Entry.VersionsApplied(41, 1, Cause.DISCOVERY, 99, stamp(2)),
+                                new Entry.VersionsApplied(41, 1, Cause.DISCOVERY, 99, versions(2)),
                                 new Entry.Resumed(45),
                                 new Entry.Gap(60, 40, 2, "the disk refused it"),
                                 new Entry.AttemptSent(61, 1, 1, 0, "x")),
--- a/audit/src/test/java/frostrelay/audit/FleetAuditTest.java
+++ b/audit/src/test/java/frostrelay/audit/FleetAuditTest.java
@@ -192,6 +192,6 @@
                                         0,
                                         versionsApplied(0, 0, 1, 1, 1),
                                         versionsApplied(5, 2, 1, 1, 2))));
-        assertFalse(skipped.verify().isEmpty(), "a stamp is missing and no gap is named");
+        assertFalse(skipped.verify().isEmpty(), "applied versions are missing and no gap is named");
     }
 }
--- a/healthreports/src/test/java/frostrelay/counters/ClusterCountersTest.java
+++ b/healthreports/src/test/java/frostrelay/counters/ClusterCountersTest.java
@@ -259,12 +259,12 @@
         assertEquals(5, alone.aliveMembers());
         assertTrue(
                 alone.upperBound() >= 4 * 500 + alone.known(),
-                "who is not heard is not taken as nothing: " + alone);
+                "a peer that is not heard from does not count as 0: " + alone);
         ClusterCounters fresh = newCounters(0, 5, now, START_UNIX_MILLIS);
         assertEquals(
                 Double.POSITIVE_INFINITY,
                 fresh.total(now, ClusterCounter.SENDS).upperBound(),
-                "nor is who was never heard");
+                "nor does one that never was");
     }
 
     @Test
--- a/healthreports/src/test/java/frostrelay/healthreports/ExploredCluster.java
+++ b/healthreports/src/test/java/frostrelay/healthreports/ExploredCluster.java
@@ -140,29 +140,14 @@
                 nodes[b].onAttemptObserved(now, step.other, AttemptObservation.ANSWERED, now);
             }
             case TELL -> {
-                byte[] told = LoadedSections.loadedFor(nodes[b], now, step.other);
-                if (told.length > 0) {
-                    inTransit.add(new Message(b, step.other, incarnations[b], told));
+                byte[] sections = LoadedSections.loadedFor(nodes[b], now, step.other);
+                if (sections.length > 0) {
+                    inTransit.add(new Message(b, step.other, incarnations[b], sections));
                 }
             }
             case DELIVER -> deliver(inTransit.remove(step.other));
             case DOUBLE -> deliver(inTransit.get(step.other));
-            case LIE -> {
-                lied = true;
-                long life = Incarnation.fromUnixMillis(1_790_000_000_000L);
-                ByteBuffer out =
-                        ByteBuffer.allocate(
-                                4 + HealthReport.BYTES + 3 * HealthReport.RELAYED_BYTES);
-                out.put((byte) 32).put((byte) HealthReport.BYTES);
-                new HealthReport(LIAR, life, 1, (int) serverStarts[1], 0, 9, 8)
-                        .write(out, 1, 0, false);
-                out.put((byte) 33).put((byte) (3 * HealthReport.RELAYED_BYTES));
-                for (int other = 0; other < ACTORS; other++) {
-                    new HealthReport(LIAR + 1 + other, life, 1, (int) serverStarts[1], 0, 9, 8)
-                            .write(out, 1, 0, true);
-                }
-                deliver(new Message(LIAR, b, life, out.array()));
-            }
+            case LIE -> sendFalseReports(b);
             case LOSE -> inTransit.remove(step.other);
             case ANEW -> {
                 Arrays.fill(consecutiveFailures[b], 0);
@@ -187,6 +172,23 @@
         }
     }
 
+    /** The liar reports cache 1 in its own name and relays reports in those of three others. */
+    private void sendFalseReports(int to) {
+        lied = true;
+        long incarnation = Incarnation.fromUnixMillis(1_790_000_000_000L);
+        ByteBuffer out =
+                ByteBuffer.allocate(4 + HealthReport.BYTES + 3 * HealthReport.RELAYED_BYTES);
+        out.put((byte) 32).put((byte) HealthReport.BYTES);
+        new HealthReport(LIAR, incarnation, 1, (int) serverStarts[1], 0, 9, 8)
+                .write(out, 1, 0, false);
+        out.put((byte) 33).put((byte) (3 * HealthReport.RELAYED_BYTES));
+        for (int other = 0; other < ACTORS; other++) {
+            new HealthReport(LIAR + 1 + other, incarnation, 1, (int) serverStarts[1], 0, 9, 8)
+                    .write(out, 1, 0, true);
+        }
+        deliver(new Message(LIAR, to, incarnation, out.array()));
+    }
+
     private void deliver(Message message) {
         HealthReportAggregator to = nodes[message.to];
         LoadedSections.sections(
--- a/healthreports/src/test/java/frostrelay/healthreports/HealthReportAggregatorTest.java
+++ b/healthreports/src/test/java/frostrelay/healthreports/HealthReportAggregatorTest.java
@@ -56,7 +56,7 @@
 
     @Override
     public void onReportsPending() {
-        // Nobody is told here.
+        // Sections are collected by the tests themselves.
     }
 
     private HealthReportAggregator newAggregator(
@@ -260,8 +260,8 @@
     }
 
     /**
-     * In a small tier each is told twice; what the ceiling held back counts as told to nobody and
-     * comes later.
+     * In a small cluster each peer is sent a report twice; what the bandwidth limit rejects counts
+     * as not sent.
      */
     @Test
     void reportsHeldBackByTheBandwidthLimitAreSentLater() {
--- a/healthreports/src/test/java/frostrelay/healthreports/HealthReportExplorationTest.java
+++ b/healthreports/src/test/java/frostrelay/healthreports/HealthReportExplorationTest.java
@@ -76,10 +76,10 @@
 
     @Test
     void noReachableStateEjectsACacheThatThreeDidNotSeeFail() {
-        for (int tier : new int[] {ExploredCluster.SMALL, ExploredCluster.LARGE}) {
-            Exploration fromStart = explore(SeededDefect.NONE, tier, List.of());
+        for (int clusterSize : new int[] {ExploredCluster.SMALL, ExploredCluster.LARGE}) {
+            Exploration fromStart = explore(SeededDefect.NONE, clusterSize, List.of());
             assertEquals(null, fromStart.violation());
-            Exploration fromPrefix = explore(SeededDefect.NONE, tier, TWO_REPORTS_PREFIX);
+            Exploration fromPrefix = explore(SeededDefect.NONE, clusterSize, TWO_REPORTS_PREFIX);
             assertEquals(null, fromPrefix.violation());
             assertTrue(
                     fromStart.states() > 30_000 && fromPrefix.states() > 30_000,
