--- a/node/src/main/java/frostrelay/node/cluster/AppliedVersionTracker.java
+++ b/node/src/main/java/frostrelay/node/cluster/AppliedVersionTracker.java
@@ -24,35 +24,33 @@
 import java.util.function.LongSupplier;
 
 /**
- * Puts the stamp together that this balancer acts under, has every change of it entered, and counts
- * what is done.
+ * Derives the versions that this balancer acts on from its endpoint list, configuration and
+ * administrative drains, and has each change recorded. Also passes decisions to the audit log and
+ * the cluster counters.
  */
 final class AppliedVersionTracker implements DecisionObserver {
     private record ListedCache(int number, boolean ready, long serverStartMillis, long digest) {}
 
-    /** Hears of changes. */
+    /** Is notified of changes. */
     interface Listener {
-        /** It acts on this from now on. */
+        /** The balancer acts on these versions from now on. */
         void onVersionsApplied(AppliedVersions versions);
 
-        /**
-         * Operators hold these caches here, by their numbers, and the stamp has this digest for it.
-         */
+        /** Operators drain these caches, by ID; {@code digest}: as in the applied versions. */
         void onAdminDrains(long digest, Set<Long> caches);
 
         /**
-         * The list has changed: the caches that it names as ready, with their starts in
-         * milliseconds, and their names.
+         * The endpoint list has changed: start times in ms, and names, of its ready caches by ID.
          */
         void onReadyCaches(Map<Long, Long> ready, Map<Long, String> names);
 
-        /** An attempt at a cache told this of it. */
+        /** An attempt at a cache, sent at {@code sentAtNanos}, ended with this observation. */
         void onAttemptObserved(long cache, AttemptObservation observation, long sentAtNanos);
 
-        /** What is done, for whoever counts. */
+        /** Counts requests and attempts. */
         DecisionObserver trafficObserver();
 
-        /** By the list of that version a cache, by its number, may be used or may not. */
+        /** By this revision of the list a cache, by ID, has become ready or stopped being so. */
         void onCacheReadiness(long revision, long cache, boolean ready);
     }
 
@@ -62,14 +60,16 @@
     private final Map<String, ListedCache> listedCaches = new HashMap<>();
     private long listDigest;
 
-    /** {@code audit}: has the first stamp; {@code listener}: hears of each later one. */
+    /**
+     * {@code audit}: was created with the initial versions; the listener is notified of later ones.
+     */
     AppliedVersionTracker(AuditLog audit, LongSupplier wallClock, Listener listener) {
         this.audit = audit;
         this.wallClock = wallClock;
         this.listener = listener;
     }
 
-    /** What a balancer acts on before it has taken any list. */
+    /** The versions that a balancer acts on before it has applied any list. */
     static AppliedVersions initialVersions(Config config, int build) {
         return new AppliedVersions(build, config.version(), config.settingsDigest(), 0, 0, 0, 0);
     }
@@ -121,7 +121,7 @@
                 mode == EndpointUpdateMode.CACHED ? Cause.START : Cause.DISCOVERY);
     }
 
-    /** The list's digest is a sum, so that it is the same in whatever order entries come and go. */
+    /** The list's digest is a sum, so that it does not depend on the order of changes. */
     private void applyEntry(
             long revision, String uid, EndpointState state, long serverStartMillis) {
         ListedCache previous = listedCaches.get(uid);
@@ -150,7 +150,7 @@
         }
     }
 
-    /** The caches that the list names as ready, by their numbers. */
+    /** IDs of the caches that are ready by the current list. */
     Set<Long> readyCaches() {
         Set<Long> ready = new HashSet<>();
         listedCaches.forEach(
--- a/node/src/main/java/frostrelay/node/cluster/ClusterCounterService.java
+++ b/node/src/main/java/frostrelay/node/cluster/ClusterCounterService.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.function.UnaryOperator;
 
-/** What this balancer does, counted, and what the tier does together as far as it is known here. */
+/** Counts this balancer's decisions in {@link ClusterCounters}, and shows the cluster's totals. */
 final class ClusterCounterService implements DecisionObserver {
     private final ClusterCounters counters;
     private final TestHooks.CounterTotals totals;
@@ -93,7 +93,7 @@
         counters.tick(now);
     }
 
-    /** Each sum with what it covers, and what each other said last. */
+    /** Adds each total with its coverage, and each peer's latest counters. */
     void describe(Map<String, Object> target) {
         long now = Clock.now();
         Map<String, Object> totalsByCounter = new LinkedHashMap<>();
--- a/node/src/main/java/frostrelay/node/cluster/ClusterOptions.java
+++ b/node/src/main/java/frostrelay/node/cluster/ClusterOptions.java
@@ -6,25 +6,24 @@
 import java.util.function.Function;
 
 /**
- * What a balancer has to do with others of its tier; all of it off unless it is asked for.
+ * What a balancer does together with its peers; everything is off by default.
  *
- * @param gossipEnabled whether it talks with its peers, where the platform allows it
- * @param maxBytesPerSecond most bytes of such talk in any second
- * @param stalenessDetection whether it brings itself up, avoids caches on hearsay and steps aside
- *     where it lags behind; needs peers
- * @param sharesAdminDrains whether it tells its operators' holds and heeds those that several
- *     others' operators set; needs stragglers
- * @param transfersConfig whether it gives settings to those that lack them and takes them from
- *     others; needs stragglers
- * @param sharesHealthReports whether it tells what it sees of caches and lowers those that others
- *     find bad; needs peers
- * @param sharesCounters whether it tells what it does and sums up what the others say; needs peers
- * @param auditEnabled whether it keeps account of what it acts on
- * @param ringBytes bytes of that in memory
- * @param recordsEachSend whether every send is entered by itself
- * @param recordFolder where the record is kept besides, or null; below {@code $TMPDIR} if it is
- *     relative
- * @param maxFolderBytes bytes that the folder may take
+ * @param gossipEnabled whether it takes part in gossip, if the platform allows it
+ * @param maxBytesPerSecond bandwidth limit for gossip in any second
+ * @param stalenessDetection whether it refreshes itself when behind its peers, avoids caches that
+ *     their lists have dropped, and drains itself while stale; needs gossip
+ * @param sharesAdminDrains whether it shares its operators' drains and follows those that operators
+ *     of several peers have set; needs staleness detection
+ * @param transfersConfig whether it sends settings to peers that lack them and applies theirs;
+ *     needs staleness detection
+ * @param sharesHealthReports whether it shares health reports and ejects outliers; needs gossip
+ * @param sharesCounters whether it shares counters and computes cluster totals; needs gossip
+ * @param auditEnabled whether it records what it acts on
+ * @param ringBytes size of the record in memory
+ * @param recordsEachSend whether each send gets an entry of its own
+ * @param recordFolder where the record is stored on disk as well, or null; a relative path is below
+ *     {@code $TMPDIR}
+ * @param maxFolderBytes bound on the size of that folder
  */
 public record ClusterOptions(
         boolean gossipEnabled,
@@ -41,7 +40,10 @@
         long maxFolderBytes) {
     private static final String PREFIX = "frostrelay.";
 
-    /** Nothing of it. */
+    /** Lower limit of all options that are a number of bytes. */
+    private static final int MIN_BYTES = 256;
+
+    /** Everything off; the sizes are the defaults. */
     public static final ClusterOptions OFF =
             new ClusterOptions(
                     false,
@@ -58,8 +60,8 @@
                     8L << 20);
 
     /**
-     * From the JVM's own properties, where no file is read: {@code -Dfrostrelay.peers=on} and so
-     * on.
+     * Reads system properties such as {@code -Dfrostrelay.peers=on}, which apply where no settings
+     * file is read. Throws {@link ConfigException} for a value that is not valid.
      */
     public static ClusterOptions of(Function<String, String> properties) {
         String recordFolder = properties.apply(PREFIX + "audit.folder");
@@ -91,11 +93,11 @@
         String value = properties.apply(PREFIX + name);
         try {
             long bytes = value == null ? defaultValue : Long.parseLong(value);
-            if (bytes >= 256) {
+            if (bytes >= MIN_BYTES) {
                 return bytes;
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
         throw new ConfigException(
                 "-D" + PREFIX + name + " is a number of bytes, 256 or more, not " + value);
--- a/node/src/main/java/frostrelay/node/cluster/GossipTransport.java
+++ b/node/src/main/java/frostrelay/node/cluster/GossipTransport.java
@@ -15,26 +15,22 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DatagramPacket;
 import io.netty.channel.socket.nio.NioDatagramChannel;
-import io.netty.util.concurrent.Future;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/**
- * The datagrams of one balancer: hands them to {@link GossipNode} and keeps its time. On the event
- * loop.
- */
+/** The UDP socket and the timer of a {@link GossipNode}. On the event loop. */
 final class GossipTransport extends SimpleChannelInboundHandler<DatagramPacket>
         implements GossipNode.Actions {
-    /** One byte more than is ever valid, so that what is longer shows as such. */
+    /** One byte more than the longest valid datagram, so that longer ones are recognized. */
     private static final int RECEIVE_BUFFER_BYTES = 257;
 
     private final EventLoop loop;
+    private final WakeupTimer timer;
     private final InetSocketAddress listenAddress;
     private final List<InetSocketAddress> addresses;
     private final Map<InetSocketAddress, Integer> rankByAddress = new HashMap<>();
@@ -42,13 +38,11 @@
     private final Function<GossipNode.Actions, GossipNode> nodeFactory;
     private Channel channel;
     private GossipNode node;
-    private Future<?> wakeTimer;
-    private long wakeAtNanos = Long.MAX_VALUE;
     private long foreignDatagrams;
 
     /**
-     * {@code addresses}: of all balancers of the tier in their order; {@code nodeFactory}: of a
-     * talk from its begin on.
+     * {@code addresses}: of all balancers of the cluster, by rank; {@code nodeFactory}: creates a
+     * node each time that gossip is started.
      */
     GossipTransport(
             EventLoop loop,
@@ -56,6 +50,7 @@
             List<InetSocketAddress> addresses,
             Function<GossipNode.Actions, GossipNode> nodeFactory) {
         this.loop = loop;
+        timer = new WakeupTimer(loop, this::onTimer);
         this.listenAddress = listenAddress;
         this.addresses = addresses;
         this.nodeFactory = nodeFactory;
@@ -64,7 +59,7 @@
         }
     }
 
-    /** Begins to talk, unless it does; {@code node} hears of it as an incarnation of its own. */
+    /** Binds the socket and starts a new gossip node, unless one runs. */
     void open() {
         if (channel != null) {
             return;
@@ -95,7 +90,7 @@
         schedule();
     }
 
-    /** Ends the talk: {@code announce} says so to some first. */
+    /** Stops gossip; {@code announce}: notifies some peers first. */
     void close(boolean announce) {
         if (node != null && announce) {
             node.leave(Clock.now());
@@ -105,11 +100,7 @@
 
     private void close() {
         node = null;
-        if (wakeTimer != null) {
-            wakeTimer.cancel(false);
-            wakeTimer = null;
-        }
-        wakeAtNanos = Long.MAX_VALUE;
+        timer.cancel();
         if (channel != null) {
             channel.flush();
             channel.close();
@@ -117,14 +108,12 @@
         }
     }
 
-    /** The talk that goes on, or null. */
+    /** The running gossip node, or null. */
     GossipNode node() {
         return node;
     }
 
-    /**
-     * A module's cargo holds news: it goes out when it is due, not when the next datagram comes.
-     */
+    /** A payload provider has something new, which is sent when due, not on the next datagram. */
     void onPayloadChanged() {
         if (node != null) {
             node.announcePayloadChange(Clock.now());
@@ -132,41 +121,29 @@
         }
     }
 
-    /**
-     * Sends one section of a module to a balancer now; false where the bounds on talk do not let it
-     * through.
-     */
+    /** Sends one section to a peer now; false if stopped or over the bandwidth limit. */
     boolean sendSection(int to, int type, ByteBuffer section) {
         return node != null && node.send(Clock.now(), to, type, section);
     }
 
-    /** Datagrams from addresses that are no peer's. */
+    /** Datagrams received from addresses that are no peer's, or while stopped. */
     long foreignDatagrams() {
         return foreignDatagrams;
     }
 
-    /** Something is to be told: it goes out when it is due, not when the next datagram comes. */
+    /** Sets the timer by the node; to be called after anything that may change its next time. */
     void schedule() {
         if (node == null) {
             return;
         }
         long nextNanos = node.nextTimerAtNanos();
-        if (nextNanos < wakeAtNanos) {
-            if (wakeTimer != null) {
-                wakeTimer.cancel(false);
-            }
-            wakeAtNanos = nextNanos;
-            wakeTimer =
-                    loop.schedule(
-                            this::onTimer,
-                            Math.max(0, nextNanos - Clock.now()),
-                            TimeUnit.NANOSECONDS);
+        if (timer.isEarlier(nextNanos)) {
+            timer.cancel();
+            timer.schedule(nextNanos);
         }
     }
 
     private void onTimer() {
-        wakeAtNanos = Long.MAX_VALUE;
-        wakeTimer = null;
         if (node != null) {
             node.onTimer(Clock.now());
             schedule();
@@ -200,6 +177,6 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // A refused datagram comes back as an error on some systems; it is lost, as any may be.
+        // Some systems report an undeliverable datagram as an error; gossip tolerates lost ones.
     }
 }
--- a/node/src/main/java/frostrelay/node/cluster/HealthReportService.java
+++ b/node/src/main/java/frostrelay/node/cluster/HealthReportService.java
@@ -19,25 +19,22 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 
 /**
- * What this balancer and the others see of their caches: attempts go to {@link
- * HealthReportAggregator}, what comes of that to the module.
+ * Connects {@link HealthReportAggregator} with attempts, gossip and the selection of caches. On the
+ * event loop.
  */
 final class HealthReportService implements HealthReportAggregator.Actions {
-    private final EventLoop loop;
+    private final WakeupTimer timer;
     private final ClusterMembership.Actions actions;
     private final GossipTransport transport;
     private final HealthReportAggregator aggregator;
     private final Counters counters;
 
-    /** The names of caches, for operators, by their numbers. */
+    /** Names of the ready caches by ID, for operators. */
     private final Map<Long, String> cacheNames = new LinkedHashMap<>();
 
-    private long wakeAtNanos = Long.MAX_VALUE;
-
     HealthReportService(
             EventLoop loop,
             ClusterMembership.Actions actions,
@@ -48,7 +45,7 @@
             int clusterSize,
             long incarnation,
             UnaryOperator<HealthReportAggregator.Actions> testHook) {
-        this.loop = loop;
+        timer = new WakeupTimer(loop, this::onTimer);
         this.actions = actions;
         this.counters = counters;
         this.transport = transport;
@@ -66,7 +63,7 @@
         return aggregator;
     }
 
-    /** The caches that the list names as ready, with their starts, and their names. */
+    /** The ready caches of a new endpoint list: start times in ms, and names, by ID. */
     void onReadyCaches(Map<Long, Long> caches, Map<Long, String> names) {
         cacheNames.clear();
         cacheNames.putAll(names);
@@ -100,18 +97,12 @@
     }
 
     private void schedule() {
-        long nextNanos = aggregator.nextWakeupNanos();
-        if (nextNanos < wakeAtNanos) {
-            wakeAtNanos = nextNanos;
-            loop.schedule(
-                    () -> {
-                        wakeAtNanos = Long.MAX_VALUE;
-                        aggregator.onTimer(Clock.now());
-                        schedule();
-                    },
-                    Math.max(0, nextNanos - Clock.now()),
-                    TimeUnit.NANOSECONDS);
-        }
+        timer.schedule(aggregator.nextWakeupNanos());
+    }
+
+    private void onTimer() {
+        aggregator.onTimer(Clock.now());
+        schedule();
     }
 
     @Override
@@ -144,9 +135,7 @@
         return transport.sendSection(to, type, section);
     }
 
-    /**
-     * Each cache of which anybody says something: who, what, how old, and what is made of it here.
-     */
+    /** Each cache that peers report on: the reports with their ages, and whether it is ejected. */
     List<Object> describe() {
         long now = Clock.now();
         List<Object> caches = new ArrayList<>();
@@ -155,26 +144,28 @@
             fields.put("cache", cacheNames.getOrDefault(cache, "unlisted"));
             fields.put("lowered", aggregator.outliers().contains(cache));
             List<Object> reports = new ArrayList<>();
-            for (Map.Entry<HealthReport, Long> entry :
-                    aggregator.reportAges(now, cache).entrySet()) {
-                HealthReport report = entry.getKey();
-                Map<String, Object> reportFields = new LinkedHashMap<>();
-                reportFields.put("by", report.rank());
-                reportFields.put("answered", report.successes());
-                reportFields.put("not", report.failures());
-                List<String> kinds = new ArrayList<>();
-                for (AttemptObservation observation : AttemptObservation.values()) {
-                    if ((report.observationBits() & observation.bit()) != 0) {
-                        kinds.add(observation.name().toLowerCase(Locale.ROOT).replace('_', '-'));
-                    }
-                }
-                reportFields.put("kinds", kinds);
-                reportFields.put("ageMs", entry.getValue() / Clock.NANOS_PER_MILLISECOND);
-                reports.add(reportFields);
-            }
+            aggregator
+                    .reportAges(now, cache)
+                    .forEach((report, ageNanos) -> reports.add(describe(report, ageNanos)));
             fields.put("said", reports);
             caches.add(fields);
         }
         return caches;
     }
+
+    private static Map<String, Object> describe(HealthReport report, long ageNanos) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("by", report.rank());
+        fields.put("answered", report.successes());
+        fields.put("not", report.failures());
+        List<String> kinds = new ArrayList<>();
+        for (AttemptObservation observation : AttemptObservation.values()) {
+            if ((report.observationBits() & observation.bit()) != 0) {
+                kinds.add(observation.name().toLowerCase(Locale.ROOT).replace('_', '-'));
+            }
+        }
+        fields.put("kinds", kinds);
+        fields.put("ageMs", ageNanos / Clock.NANOS_PER_MILLISECOND);
+        return fields;
+    }
 }
--- a/node/src/main/java/frostrelay/node/cluster/StaleInstanceService.java
+++ b/node/src/main/java/frostrelay/node/cluster/StaleInstanceService.java
@@ -26,38 +26,33 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 
 /**
- * Where this balancer stands to the others of its tier: what it hears goes to {@link
- * StalenessDetector}, and what comes of that is carried out. On the event loop.
+ * Connects {@link StalenessDetector} and {@link ConfigTransfer} with gossip and the balancer, and
+ * carries out what they decide. On the event loop.
  */
 final class StaleInstanceService
         implements StalenessDetector.Actions, StalenessCodec.Listener, ConfigTransfer.Actions {
     private final ClusterOptions options;
-    private final EventLoop loop;
+    private final WakeupTimer timer;
     private final ClusterMembership.Actions actions;
     private final AuditLog auditLog;
     private final Counters counters;
 
-    /** The talk that goes on, or null. */
     private final GossipTransport transport;
 
     private final StalenessDetector detector;
     private final StalenessCodec codec;
     private final ConfigTransfer configTransfer;
 
-    /**
-     * It is said for so long that it serves well again: probes of most others come by in that time.
-     */
+    /** How long recovery is announced: within it most peers send a probe. */
     private static final long RECOVERY_NOTICE_NANOS = 10 * Clock.NANOS_PER_SECOND;
 
     private final Set<VersionKind> reportedFailing = EnumSet.noneOf(VersionKind.class);
     private long recoveryNoticeUntilNanos;
-    private long wakeAtNanos = Long.MAX_VALUE;
 
-    /** The configuration that was packed last, and as what. */
+    /** The configuration digest that {@link #encodedSettings} belongs to. */
     private long encodedDigest;
 
     private byte[] encodedSettings;
@@ -74,7 +69,7 @@
             long seed,
             UnaryOperator<StalenessDetector.Actions> testHook) {
         this.options = options;
-        this.loop = loop;
+        timer = new WakeupTimer(loop, this::onTimer);
         this.actions = actions;
         this.auditLog = auditLog;
         this.counters = counters;
@@ -99,9 +94,7 @@
         return versions != null && versions.adminDrainsDigest() == digest;
     }
 
-    // What comes in.
-
-    /** What rides along in talk. */
+    /** Its sections on gossip datagrams. */
     PayloadProvider payloadProvider() {
         return codec;
     }
@@ -111,7 +104,7 @@
         schedule();
     }
 
-    /** Operators hold these here, and this is in the stamp for it. */
+    /** Operators drain these caches here; {@code digest}: as in the applied versions. */
     void onAdminDrains(long digest, Set<Long> caches) {
         detector.onLocalAdminDrains(Clock.now(), caches);
         schedule();
@@ -204,24 +197,16 @@
     }
 
     private void schedule() {
-        long now = Clock.now();
-        long nextNanos =
-                Math.min(detector.nextTimerAtNanos(now), configTransfer.nextTimerAtNanos());
-        if (nextNanos < wakeAtNanos) {
-            wakeAtNanos = nextNanos;
-            loop.schedule(
-                    () -> {
-                        wakeAtNanos = Long.MAX_VALUE;
-                        detector.onTimer(Clock.now());
-                        configTransfer.onTimer(Clock.now());
-                        schedule();
-                    },
-                    Math.max(0, nextNanos - now),
-                    TimeUnit.NANOSECONDS);
-        }
+        timer.schedule(
+                Math.min(
+                        detector.nextTimerAtNanos(Clock.now()), configTransfer.nextTimerAtNanos()));
     }
 
-    // What comes of it.
+    private void onTimer() {
+        detector.onTimer(Clock.now());
+        configTransfer.onTimer(Clock.now());
+        schedule();
+    }
 
     @Override
     public void pollEndpointList() {
@@ -312,8 +297,6 @@
         Log.write(Event.STALE_INSTANCE, what);
     }
 
-    // What is known.
-
     void describe(Map<String, Object> target) {
         target.put("standing", label(detector.listStanding()));
         target.put(
@@ -344,7 +327,7 @@
         return detector.freshnessOf(Clock.now(), peer) == PeerFreshness.CURRENT;
     }
 
-    /** Whether what that one says of shared state is to be gone by. */
+    /** Whether a peer is current, for operators. */
     String freshnessLabel(int peer) {
         return detector.freshnessOf(Clock.now(), peer)
                 .name()
--- a/node/src/main/java/frostrelay/node/cluster/TestHooks.java
+++ b/node/src/main/java/frostrelay/node/cluster/TestHooks.java
@@ -11,13 +11,15 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Where a test build steps between the balancer and what it writes and reads: the project's own
- * checkers are proved by defects put in here. {@code recorder}: wraps what takes the audit's
- * entries; {@code stalenessActions}: what carries out what lagging behind leads to; {@code
- * healthReportActions}: likewise what judgements on caches lead to; {@code counterTotals}: where
- * sums over the tier are read; {@code wallClock}: the wall clock, Unix milliseconds; {@code
- * buildNumber}: the build's number, 0 to take it from the program's own bytes; {@code
- * datagramFormat}: of the datagrams that it writes to its peers.
+ * Hooks by which tests put defects into a balancer, to prove that the project's checkers find them.
+ *
+ * @param recorder wraps the storage of audit entries
+ * @param stalenessActions wraps the effects of staleness detection
+ * @param healthReportActions wraps the effects of health reports
+ * @param counterTotals wraps the reading of cluster totals
+ * @param wallClock Unix milliseconds
+ * @param buildNumber identifies the build; 0 to compute it from the jar
+ * @param datagramFormat wire version of the gossip datagrams that are written
  */
 public record TestHooks(
         UnaryOperator<Recorder> recorder,
@@ -27,12 +29,13 @@
         LongSupplier wallClock,
         int buildNumber,
         int datagramFormat) {
-    /** Where sums over the tier are read. */
+    /** Reads cluster totals. */
     public interface CounterTotals {
+        /** The total of a counter at this moment. */
         CounterTotal total(long now, ClusterCounter counter);
     }
 
-    /** What is run: nothing in between. */
+    /** No hooks, as in production. */
     public static final TestHooks NONE =
             new TestHooks(
                     UnaryOperator.identity(),
