--- a/testbed/src/main/java/frostrelay/testbed/campaign/CampaignRun.java
+++ b/testbed/src/main/java/frostrelay/testbed/campaign/CampaignRun.java
@@ -62,6 +62,12 @@
             Map<String, Object> figures,
             Path folder) {}
 
+    /** Log events of a balancer that checks read. */
+    private static final String STALE_DRAIN_STARTED = "stale-drain-started";
+
+    private static final String STALE_DRAIN_ENDED = "stale-drain-ended";
+    private static final String OUTLIER_REPORTED = "outlier-reported";
+    private static final String OUTLIERS_DOWNWEIGHTED = "outliers-downweighted";
     private static final long MILLISECOND_NANOS = 1_000_000L;
     private static final Duration HTTP_TIMEOUT = Duration.ofSeconds(2);
     private static final long PENDING_TIMEOUT_NANOS = 20_000 * MILLISECOND_NANOS;
@@ -522,25 +528,25 @@
 
     /** When balancers stepped aside and came back, by what they logged. */
     private List<long[]> lookAsideSteps() throws IOException {
-        return logged("steps-aside", "comes-back").stream()
+        return logged(STALE_DRAIN_STARTED, STALE_DRAIN_ENDED).stream()
                 .map(
                         one ->
                                 new long[] {
                                     one.atNanos,
                                     one.balancer,
-                                    one.event.equals("steps-aside") ? 1 : -1
+                                    one.event.equals(STALE_DRAIN_STARTED) ? 1 : -1
                                 })
                 .toList();
     }
 
     private List<HealthReportCheck.ReportEvent> reportEvents() throws IOException {
         List<HealthReportCheck.ReportEvent> all = new ArrayList<>();
-        for (Logged one : logged("finds-bad", "lowers")) {
+        for (Logged one : logged(OUTLIER_REPORTED, OUTLIERS_DOWNWEIGHTED)) {
             Set<String> downweighted = new HashSet<>();
             if (one.fields.get("caches") instanceof List<?> caches) {
                 caches.forEach(cache -> downweighted.add(String.valueOf(cache)));
             }
-            boolean found = one.event.equals("finds-bad");
+            boolean found = one.event.equals(OUTLIER_REPORTED);
             all.add(
                     new HealthReportCheck.ReportEvent(
                             one.atNanos,
