--- a/policy/src/main/java/frostrelay/policy/AdmissionControl.java
+++ b/policy/src/main/java/frostrelay/policy/AdmissionControl.java
@@ -7,18 +7,20 @@
 import java.util.List;
 
 /**
- * Sheds load before any work is done: by each tenant's quota, and by an admitted fraction that
- * follows load signals from the fleet.
+ * Sheds load before any attempt is sent, based on each tenant's quota and an admitted fraction that
+ * is adjusted by load signals from the fleet.
  */
 final class AdmissionControl {
     /**
-     * Requests of a tenant's quota that may be saved up; with fewer, random bursts would exceed it.
+     * Capacity of a tenant's token bucket, in requests. With a smaller one, random bursts would
+     * exceed the quota.
      */
-    private static final double BURST = 20;
+    private static final double BUCKET_CAPACITY = 20;
 
     /**
-     * Limits of the logarithmic change of the admitted fraction by a signal of strength 1. It grows
-     * with the time since the last signal: a balancer that sees few signals weighs each one more.
+     * Limits of the change in the logarithm of the admitted fraction for a signal of strength 1.
+     * The step grows with the time since the last signal, so that a balancer that receives few
+     * signals weights each one more.
      */
     private static final double MIN_STEP = 0.02;
 
@@ -27,15 +29,15 @@
     /** Time since the last signal that gives a step of 1, before the limits. */
     private static final long STEP_NANOS = 1_000_000_000L;
 
-    /** Fraction of the latency objective after which a missing answer is a sign of overload. */
+    /** Fraction of the latency objective after which a missing answer indicates overload. */
     private static final double SLOW_OBJECTIVE_FRACTION = 0.45;
 
-    /** Load signals of a rejection and of a slow request, where a fast answer gives 1. */
+    /** Load signals for a rejection and for a slow request; a fast answer is 1. */
     static final double REJECTION_SIGNAL = -2.5;
 
     static final double SLOWNESS_SIGNAL = -1;
 
-    /** Signal without effect on the admitted fraction. */
+    /** Load signal that leaves the admitted fraction unchanged. */
     static final double NEUTRAL_SIGNAL = 0;
 
     private static final double MIN_ADMITTED = 0.05;
@@ -44,7 +46,7 @@
     private static final double MIN_WAIT_FRACTION = 0.25;
 
     /** Attempts over which the mean write duration is averaged. */
-    private static final int WRITE_SMOOTHING = 8;
+    private static final int WRITE_AVERAGE_ATTEMPTS = 8;
 
     private static final double SECONDS_PER_NANO = 1e-9;
 
@@ -64,7 +66,7 @@
         refilledAtNanos = new long[tokens.length];
     }
 
-    /** Tenants keep their indexes, and what they have saved up. */
+    /** Applies new settings. Tenants keep their indexes and the tokens in their buckets. */
     void onSettings(PolicySettings newSettings) {
         settings = newSettings;
         tokens = Arrays.copyOf(tokens, newSettings.tenants().size());
@@ -72,8 +74,8 @@
     }
 
     /**
-     * Returns whether to shed a request. Guards against full, slow caches under lasting overload:
-     * traffic over its quota is shed first, writes last.
+     * Returns whether to shed a request. Prevents caches from staying full and slow under lasting
+     * overload. Traffic over its quota is shed first, writes last.
      */
     boolean shouldShed(boolean isOverQuota, boolean isWrite, double randomUnit) {
         double passProbability = Math.max(0, isOverQuota ? 2 * admitted - 1 : 2 * admitted);
@@ -81,10 +83,10 @@
     }
 
     /**
-     * Returns the Retry-After of a shed request: 0 while little is shed, spread over most of the
-     * time to its deadline while nearly everything is. Guards against retries that multiply as more
-     * of them are rejected, which costs a balancer the time that it needs to serve. Cost: a request
-     * that would have been admitted at its next attempt misses its latency objective.
+     * Returns the Retry-After of a shed request: 0 while little load is shed, and spread over most
+     * of the time to the deadline while nearly all of it is. Without it, rejected clients retry
+     * ever more often, and handling the retries takes up the balancer's time. The cost is that a
+     * request misses its latency objective even if an immediate retry would be admitted.
      */
     long retryAfterNanos(RequestClass requestClass, double random) {
         double shedFraction = Math.max(0, 1 - 2 * admitted);
@@ -96,10 +98,10 @@
     }
 
     /**
-     * Records that a cache answered fast, rejected a request or was slow. Equal numbers of fast and
-     * slow answers balance, so that lost answers alone shed nothing. Guards against overload that
-     * outlasts its cause, as at servers that slow down under load. Cost: requests that are slow by
-     * nature are shed.
+     * Adjusts the admitted fraction after a cache answered fast, rejected a request or was slow.
+     * Equal numbers of fast and slow answers cancel out, so that lost answers alone shed nothing.
+     * Prevents overload that outlasts its cause, as with servers that slow down under load. The
+     * cost is that inherently slow requests are shed.
      */
     void recordLoadSignal(long now, double signal) {
         double step =
@@ -110,22 +112,22 @@
         admitted = Math.max(MIN_ADMITTED, Math.min(1, admitted * Math.exp(signal * step)));
     }
 
-    /** Returns the time after which a missing answer is a sign of overload. */
+    /** Returns the time after which a missing answer indicates overload. */
     long slowAfterNanos(RequestClass requestClass) {
         return (long) (requestClass.latencyObjectiveNanos() * SLOW_OBJECTIVE_FRACTION);
     }
 
-    /** Returns the shortest of these times over the classes, 0 without classes. */
+    /** Returns the minimum of {@link #slowAfterNanos} over the classes, 0 without classes. */
     long minSlowAfterNanos(List<RequestClass> classes) {
         return classes.stream().mapToLong(this::slowAfterNanos).min().orElse(0);
     }
 
-    /** Returns whether so much is shed that needless further attempts must not be sent. */
+    /** Returns whether the admitted fraction is too low for optional further attempts. */
     boolean isOverloaded() {
         return admitted < 0.5;
     }
 
-    /** Returns whether the tenant's quota is used up; a tenant without settings has none. */
+    /** Returns whether the tenant's quota is used up; an unconfigured tenant has no quota. */
     boolean isOverQuota(long now, int tenant) {
         if (tenant >= tokens.length) {
             return false;
@@ -133,15 +135,15 @@
         double rate = settings.tenants().get(tenant).quotaPerSecond() / settings.instanceCount();
         tokens[tenant] =
                 Math.min(
-                        BURST,
+                        BUCKET_CAPACITY,
                         tokens[tenant] + (now - refilledAtNanos[tenant]) * SECONDS_PER_NANO * rate);
         refilledAtNanos[tenant] = now;
         return tokens[tenant] < 1;
     }
 
     /**
-     * Counts an admitted request. Rejected ones do not count: their retries must not use up the
-     * tenant's quota.
+     * Counts an admitted request. Rejected requests do not count, as their retries would otherwise
+     * use up the tenant's quota.
      */
     void consumeQuota(int tenant) {
         if (tenant < tokens.length) {
@@ -149,8 +151,8 @@
         }
     }
 
-    /** An attempt of a serialized request ended. */
+    /** Records the duration of an attempt of a serialized request. */
     void recordWriteDuration(long durationNanos) {
-        meanWriteNanos += (durationNanos - meanWriteNanos) / WRITE_SMOOTHING;
+        meanWriteNanos += (durationNanos - meanWriteNanos) / WRITE_AVERAGE_ATTEMPTS;
     }
 }
--- a/policy/src/main/java/frostrelay/policy/CircuitBreaker.java
+++ b/policy/src/main/java/frostrelay/policy/CircuitBreaker.java
@@ -1,8 +1,8 @@
 package frostrelay.policy;
 
 /**
- * The circuit breaker of one server. It opens when enough evidence of failure has accumulated, lets
- * one trial attempt pass after a delay, and closes at any success.
+ * The circuit breaker of one server. It opens when enough evidence of failure has accumulated,
+ * admits one trial attempt after a delay, and closes on any success.
  */
 final class CircuitBreaker {
     /**
@@ -11,27 +11,27 @@
      */
     static final double OPEN_EVIDENCE = 14;
 
-    /** Mean time from opening to the next trial, spread by a fifth to both sides. */
+    /** Mean time from opening to the next trial, with a jitter of 20% in either direction. */
     private static final long TRIAL_DELAY_NANOS = 1_000_000_000L;
 
     private double evidence;
 
-    /** When a trial may be sent, 0 while the breaker is closed. */
+    /** Time from which a trial may be sent, 0 while the breaker is closed. */
     private long openUntilNanos;
 
     private boolean inTrial;
 
-    /** Returns whether the breaker keeps new attempts away. */
+    /** Returns whether the breaker blocks new attempts. */
     boolean isBlocking(long now) {
         return openUntilNanos != 0 && (now < openUntilNanos || inTrial);
     }
 
-    /** An attempt is sent; it is a trial if the breaker is open. */
+    /** Records that an attempt was sent, which is a trial if the breaker is open. */
     void onAttemptStarted() {
         inTrial |= openUntilNanos != 0;
     }
 
-    /** An attempt ended, after its success or failure has been recorded. */
+    /** Ends a trial. Must be called after the attempt's success or failure has been recorded. */
     void onAttemptCompleted() {
         inTrial = false;
     }
--- a/policy/src/main/java/frostrelay/policy/HedgingPolicy.java
+++ b/policy/src/main/java/frostrelay/policy/HedgingPolicy.java
@@ -9,24 +9,25 @@
 import java.util.Deque;
 
 /**
- * When a slow read is hedged, after a quantile of recent latencies, and the budget of retries and
- * hedged requests.
+ * The delay after which a slow read is hedged, a quantile of recent latencies, and the budget that
+ * limits retries and hedged requests.
  */
 final class HedgingPolicy {
     private static final double HEDGE_QUANTILE = 0.95;
 
-    /** Accuracy of the digest: about this many centroids. */
+    /** Compression parameter of the t-digest, which has about as many centroids. */
     private static final double COMPRESSION = 50;
 
     /**
-     * The digest restarts after so many samples, or after so long once it has the minimum of them.
+     * The digest is replaced after {@code MAX_SAMPLES}, or at {@code MAX_AGE_NANOS} if it has at
+     * least {@code MIN_SAMPLES}, so that the quantile follows recent latencies.
      */
     private static final int MAX_SAMPLES = 512;
 
     private static final long MAX_AGE_NANOS = 10_000_000_000L;
     private static final int MIN_SAMPLES = 32;
 
-    /** Samples between two readings of the quantile. */
+    /** Samples between two updates of the hedging delay. */
     private static final int REFRESH_SAMPLES = 16;
 
     /** The retry budget where none is configured. */
@@ -65,9 +66,9 @@
     }
 
     /**
-     * Takes a retry or hedged request from the budget of a sliding window; returns false if the
-     * budget is used up. Guards against hedged requests that pile up when every cache slows down at
-     * once, and retries that keep a full fleet full.
+     * Takes one retry or hedged request from the budget of the sliding window; returns false if the
+     * budget is used up. Prevents an excess of hedged requests when all caches slow down at once,
+     * and retries that keep an overloaded fleet overloaded.
      */
     boolean trySpendRetry(long now) {
         expire(requestTimes, now - budget.windowNanos());
@@ -81,7 +82,7 @@
         return allowed;
     }
 
-    /** A read was answered after {@code latencyNanos}, counted from its first send. */
+    /** Records the latency of an answered read, counted from its first send. */
     void recordLatency(long now, long latencyNanos) {
         digest.add(latencyNanos);
         samples++;
@@ -96,7 +97,7 @@
         }
     }
 
-    /** Returns the delay before a hedged request, -1 for none while there are too few samples. */
+    /** Returns the delay before a hedged request; -1 until there are enough samples. */
     long hedgeDelayNanos() {
         return hedgeDelayNanos > 0 ? hedgeDelayNanos : -1;
     }
--- a/policy/src/main/java/frostrelay/policy/OriginFetchLimiter.java
+++ b/policy/src/main/java/frostrelay/policy/OriginFetchLimiter.java
@@ -3,15 +3,15 @@
 import frostrelay.policy.api.ResponseSource;
 
 /**
- * Limits the requests that reach the origin behind the caches, and remembers which keys need it.
- * Guards against an origin that stays overloaded after a fault is over (metastable failure: Bronson
- * et al. 2021, Huang et al. 2022). Cost: a request for a key that some cache holds, but that this
- * balancer has not served recently, may be rejected.
+ * Limits the requests that need the origin, and tracks which keys are probably cached. Prevents an
+ * origin from staying overloaded after a fault is over (metastable failure: Bronson et al. 2021,
+ * Huang et al. 2022). The cost is that a request for a cached key may be rejected if this balancer
+ * has not served the key recently.
  */
 final class OriginFetchLimiter {
     /**
-     * Factors of the admitted fraction for a failed, late or successful origin fetch: one in eight
-     * failed, or half of them late, balance the successful ones.
+     * Factors applied to the admitted fraction for a failed, late or successful origin fetch. The
+     * fraction is stable when about one fetch in eight fails, or when half of them are late.
      */
     static final double FAILURE_FACTOR = 0.5;
 
@@ -20,7 +20,7 @@
     private static final double MIN_ADMITTED = 0.1;
 
     /**
-     * Recently served keys that are remembered, a power of two, and how long a key then counts as
+     * Size of the table of recently served keys, a power of two, and how long a key in it counts as
      * cached.
      */
     private static final int KEY_SLOTS = 4096;
@@ -28,19 +28,20 @@
     private static final long CACHED_NANOS = 30_000_000_000L;
 
     /**
-     * A server's failures count once in this time, and only beside another server's: guards against
-     * a server that fails for a cause of its own. The origin's failures show at many servers.
+     * Interval in which a server's failures count once, and only if another server failed within it
+     * too. A server may fail for a cause of its own, whereas an origin failure affects many.
      */
     private static final long FAILURE_INTERVAL_NANOS = 1_000_000_000L;
 
     /**
-     * Reads before the remembered keys are used: a new process knows none, and caches hold most.
+     * Reads before the table of keys is used: it is empty in a new process, while the caches hold
+     * most keys.
      */
     private static final int MIN_READS = 1_000;
 
     /**
-     * Weight of a hit in the moving average of slow hits, and the average above which a server's
-     * late origin fetches say nothing about the origin.
+     * Weight of a hit in the moving average of slow hits, and also the average from which a server
+     * counts as slow itself, so that its late origin fetches are not attributed to the origin.
      */
     private static final double SLOW_HIT_FRACTION = 0.1;
 
@@ -50,19 +51,22 @@
     private final long[] keys = new long[KEY_SLOTS];
     private final long[] servedAtNanos = new long[KEY_SLOTS];
 
-    /** Returns whether a request that needs the origin is admitted; writes are rejected last. */
+    /**
+     * Returns whether to admit a request that needs the origin. Reads are rejected before writes.
+     */
     boolean admits(boolean isWrite, double randomUnit) {
         return randomUnit < (isWrite ? Math.sqrt(admittedFraction) : admittedFraction);
     }
 
-    /** Returns whether origin fetches fail, and not a single one by chance. */
+    /** Returns whether origin fetches fail persistently, rather than a single one by chance. */
     boolean isFailing() {
         return admittedFraction < 0.5;
     }
 
     /**
-     * Scales the admitted fraction after a request that needed the origin, by one of the factors
-     * above or 1.
+     * Scales the admitted fraction after a request that needed the origin.
+     *
+     * @param factor {@link #FAILURE_FACTOR}, {@link #LATE_FACTOR}, {@link #SUCCESS_FACTOR} or 1
      */
     void scaleAdmittedFraction(double factor) {
         admittedFraction = Math.max(MIN_ADMITTED, Math.min(1, admittedFraction * factor));
@@ -76,9 +80,9 @@
     }
 
     /**
-     * A read ended. Cache hits say nothing about the origin. Late fetches indicate a queue there if
-     * caches report which reads were fetches and their hits are fast: guards against a queue in
-     * which nothing fails.
+     * Records the result of a read. Cache hits do not change the admitted fraction. Late fetches
+     * lower it if the cache reports which reads were fetches and its hits are fast: this detects a
+     * queue at the origin in which nothing fails.
      */
     void onReadCompleted(
             long now,
@@ -106,7 +110,7 @@
         servedAtNanos[slot(key)] = now;
     }
 
-    /** A write ended, and invalidated cached values. */
+    /** Records the result of a write, which invalidates cached values. */
     void onWriteCompleted(long key, boolean failed) {
         scaleAdmittedFraction(failed ? FAILURE_FACTOR : SUCCESS_FACTOR);
         keys[slot(key)] = 0;
--- a/policy/src/main/java/frostrelay/policy/OutcomeFeedback.java
+++ b/policy/src/main/java/frostrelay/policy/OutcomeFeedback.java
@@ -8,10 +8,10 @@
 
 /**
  * Derives load signals from the outcomes of attempts: for {@link AdmissionControl} from the caches'
- * answers, for {@link OriginFetchLimiter} from what reached the origin.
+ * answers, for {@link OriginFetchLimiter} from the requests that reached the origin.
  */
 final class OutcomeFeedback {
-    /** A server less utilized than this that rejects does so for another reason than load. */
+    /** Utilization below which a rejection by the server has another reason than load. */
     private static final double IDLE_UTILIZATION = 0.5;
 
     /** Load signal of an answer within its latency objective. */
@@ -23,7 +23,7 @@
     private final AdmissionControl admission;
     private final OriginFetchLimiter originFetches;
 
-    /** Some answer carried a load report. */
+    /** Set once an answer has carried a load report. */
     private boolean hasSeenLoadReports;
 
     OutcomeFeedback(
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Returns whether the server rejected the attempt although it reports spare capacity. Guards
-     * against a few servers that reject for reasons of their own: taken for a sign of load, that
-     * would shed most requests while other servers are idle.
+     * Returns whether the server rejected the attempt although it reports spare capacity. If such
+     * rejections counted as load, a few misbehaving servers would cause most requests to be shed
+     * while other servers are idle.
      */
     boolean isIdleRejection(AttemptOutcome outcome) {
         if (outcome.result() != AttemptResult.REJECTED) {
@@ -57,7 +57,7 @@
         return index >= 0 && index < loadReport.length && loadReport[index] < IDLE_UTILIZATION;
     }
 
-    /** Records an outcome; {@code idleRejection} as from {@link #isIdleRejection}. */
+    /** Records an outcome; {@code idleRejection} is the result of {@link #isIdleRejection}. */
     void record(
             long now,
             RequestState state,
@@ -89,10 +89,10 @@
     }
 
     /**
-     * Returns whether an answer lacks the load report that others carry: a rejection then has
-     * another cause than a full queue. Guards against a balancer that is late itself, whose clients
-     * have given up meanwhile, and that would shed nearly all requests. Cost: where servers report
-     * only while they have spare time, overload shows in slow answers alone.
+     * Returns whether an answer lacks the load report that other answers carry, in which case a
+     * rejection has another cause than a full queue. Otherwise a balancer that is late itself, and
+     * whose clients have given up in the meantime, would shed nearly all requests. The cost is that
+     * overload is detected only by slow answers if servers omit reports while they are busy.
      */
     private boolean lacksExpectedLoadReport(float[] loadReport) {
         hasSeenLoadReports |= loadReport.length > 0;
@@ -109,7 +109,7 @@
     }
 
     private void recordOriginAnswer(AttemptResult result, boolean isLate) {
-        // A late answer counts as failed: guards against a queue that makes every fetch late.
+        // A late answer counts as failed, as a queue at the origin makes every fetch late.
         boolean failed = result != AttemptResult.OK || isLate;
         originFetches.scaleAdmittedFraction(
                 failed ? OriginFetchLimiter.FAILURE_FACTOR : OriginFetchLimiter.SUCCESS_FACTOR);
@@ -119,7 +119,7 @@
             long now, RequestState state, Attempt attempt, AttemptOutcome outcome, boolean isLate) {
         boolean failed = outcome.result() == AttemptResult.ERROR;
         if (!failed && outcome.result() != AttemptResult.OK) {
-            return; // Other results, such as timeouts, say nothing about the origin.
+            return; // Other results, such as timeouts, may have causes other than the origin.
         }
         long key = state.request.key();
         if (state.request.write()) {
--- a/policy/src/main/java/frostrelay/policy/PerKeyQueue.java
+++ b/policy/src/main/java/frostrelay/policy/PerKeyQueue.java
@@ -5,14 +5,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Serializes requests by key: those with one key run one at a time, in the order of arrival. */
+/** Serializes requests by key: requests with the same key run one at a time, in arrival order. */
 final class PerKeyQueue<T> {
-    /** Requests between two sweeps for keys without requests. */
+    /** Enqueued requests between two removals of empty queues. */
     private static final int SWEEP_INTERVAL = 256;
 
     /**
-     * The incomplete requests of one key, the running one first, and when the key's quarantine
-     * ends.
+     * The incomplete requests of one key, the running one first, and the end of the key's
+     * quarantine.
      */
     private static final class KeyQueue<T> {
         final Deque<T> requests = new ArrayDeque<>();
@@ -53,7 +53,7 @@
         return queue.requests.peek() == request ? queue.quarantinedUntilNanos : Long.MAX_VALUE;
     }
 
-    /** An attempt ended that may still be running at its server: blocks the key for a while. */
+    /** Blocks the key for the quarantine time after an attempt that may still run at its server. */
     void quarantine(long now, long key) {
         queues.get(key).quarantinedUntilNanos = now + quarantineNanos;
     }
--- a/policy/src/main/java/frostrelay/policy/RendezvousCandidates.java
+++ b/policy/src/main/java/frostrelay/policy/RendezvousCandidates.java
@@ -3,28 +3,25 @@
 import frostrelay.policy.hotkeys.HotKeys;
 
 /**
- * Weighted rendezvous hashing: finds the few servers that hold a key. The result of the last search
- * stays in {@link #ranked} until the next one.
+ * Weighted rendezvous hashing, which finds the few servers that hold a key. {@link #ranked} has the
+ * result of the last search until the next one.
  */
 final class RendezvousCandidates {
     /** Candidates of a key that is not hot. */
     private static final int DEFAULT_CANDIDATES = 2;
 
-    /** Most candidates of a hot key, and further servers for when all candidates were tried. */
+    /** Upper limit for a hot key's candidates, and servers for retries after all were tried. */
     private static final int MAX_CANDIDATES = 32;
 
     private static final int SPARE_SERVERS = 2;
 
-    /** Servers given to a hot key for each average server's traffic that it draws. */
+    /** Candidates of a hot key for each multiple of a server's mean traffic that it receives. */
     private static final double CAPACITY_FACTOR = 3;
 
-    /** Latency ratio from which on a server counts as slower than another one. */
+    /** Latency ratio above which a server counts as slower than another one. */
     private static final double SLOWER_RATIO = 2;
 
-    /**
-     * One in this many reads of an outlier goes to it all the same, so that its recovery is
-     * noticed.
-     */
+    /** One in this many reads is still sent to an outlier, so that its recovery is detected. */
     private static final int OUTLIER_READ_INTERVAL = 8;
 
     private static final double HASH_TO_UNIT = 1.0 / (1L << 53);
@@ -61,7 +58,7 @@
             double uniform = (hash >>> 11) * HASH_TO_UNIT;
             double inverseWeight =
                     inLocalZone[i] ? inverseWeights[i] / localZoneBoost : inverseWeights[i];
-            // x <= -ln(1 - x): most servers are excluded here, without a logarithm.
+            // As x <= -ln(1 - x), this excludes most servers without computing a logarithm.
             if (uniform * inverseWeight >= maxDistance) {
                 continue;
             }
@@ -95,8 +92,8 @@
     }
 
     /**
-     * Returns a number of candidates that grows with the key's fraction of this balancer's traffic:
-     * guards against a hot key overloading two servers.
+     * Returns the number of candidates, which grows with the key's fraction of this balancer's
+     * traffic, so that a hot key does not overload two servers.
      */
     private int candidateCountFor(long key) {
         double traffic = hotKeys.trafficFraction(key, SeededRandom.mix(key));
@@ -110,11 +107,11 @@
 
     /**
      * Returns the candidate with the fewest of this balancer's attempts in flight, or null without
-     * candidates; among equals the nearest one unless it is slower. An outlier counts as the
-     * busiest, but for one in {@link #OUTLIER_READ_INTERVAL} of the reads it is a candidate of.
+     * candidates. Among equals it is the first by rank unless that is slower. An outlier is chosen
+     * last, except for one in {@link #OUTLIER_READ_INTERVAL} of the reads it is a candidate for.
      */
     TrackedServer selectLeastLoaded() {
-        // With many balancers most counts are 0, so that latency must decide.
+        // With many balancers most counts are 0, and latency breaks the tie.
         TrackedServer best = null;
         boolean isBestSkipped = false;
         for (int i = 0; i < rankedCount && i < candidateCount; i++) {
--- a/policy/src/main/java/frostrelay/policy/RequestAdmission.java
+++ b/policy/src/main/java/frostrelay/policy/RequestAdmission.java
@@ -3,7 +3,7 @@
 import frostrelay.policy.api.PolicySettings;
 import frostrelay.policy.api.Request;
 
-/** Whether an arriving request is admitted, and the Retry-After of one that is not. */
+/** Decides whether to admit an arriving request, and the Retry-After of a rejected one. */
 final class RequestAdmission {
     private PolicySettings settings;
     private final AdmissionControl admission;
--- a/policy/src/main/java/frostrelay/policy/RequestAlarms.java
+++ b/policy/src/main/java/frostrelay/policy/RequestAlarms.java
@@ -6,14 +6,14 @@
 import java.util.PriorityQueue;
 
 /**
- * The times at which requests need attention, multiplexed onto one timer of the caller. A request
- * has one alarm at a time: setting another one supersedes it.
+ * Alarms of requests, multiplexed onto one timer of the caller. A request has one alarm at a time:
+ * setting another one supersedes it.
  */
 final class RequestAlarms {
     /** Token of the timer that these alarms use. */
     static final int TIMER_TOKEN = 1;
 
-    /** Fraction of the shortest time to a slow answer by which timers may be late. */
+    /** Tolerated lateness of timers, as a fraction of the shortest time to a slow answer. */
     private static final double LATENESS_FRACTION = 0.125;
 
     private record Alarm(long atNanos, RequestState state) {
@@ -29,17 +29,17 @@
                             .thenComparingLong(alarm -> alarm.state.request.id()));
     private long timerAtNanos;
 
-    /** Before this a missing answer says nothing: it may have arrived and be still unread. */
+    /** End of the grace period, in which a missing answer may have arrived but be unread. */
     private long graceUntilNanos;
 
-    /** A timer that is later than this shows that this balancer itself was late. */
+    /** Lateness of a timer above which this balancer itself counts as late. */
     private long maxLatenessNanos;
 
     RequestAlarms(PolicyActions actions) {
         this.actions = actions;
     }
 
-    /** Sets the shortest time after which a missing answer is a sign of overload. */
+    /** Sets the shortest time after which a missing answer indicates overload. */
     void setMinSlowAfterNanos(long minSlowAfterNanos) {
         maxLatenessNanos = (long) (LATENESS_FRACTION * minSlowAfterNanos);
     }
@@ -80,11 +80,11 @@
     }
 
     /**
-     * Begins a grace period if the timer is late. A late timer shows that nothing else was handled
-     * meanwhile either: answers may be waiting unread, so requests get as much more time as the
-     * timer is late. Guards against mistaking this balancer's own lateness (a cold start, a long
-     * garbage collection, an exhausted CPU quota) for slow servers and hedging every request. Cost:
-     * while this balancer is late all the time, a slow fleet shows in rejections alone.
+     * Begins a grace period if the timer is late. A late timer indicates that this balancer handled
+     * nothing else either and that answers may be unread, so the grace period is as long as the
+     * timer is late. Otherwise a delay of this balancer (a cold start, a long garbage collection,
+     * an exhausted CPU quota) would look like slow servers, and every request would be hedged. The
+     * cost is that a slow fleet is detected only by rejections while this balancer is always late.
      */
     void recordTimerLateness(long now) {
         long latenessNanos = alarms.isEmpty() ? 0 : now - alarms.peek().atNanos;
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Postpones what is due during a grace period to its end. */
+    /** Postpones the request's hedging and slowness checks to the end of a grace period. */
     void postponeDuringGrace(long now, RequestState state) {
         if (now < graceUntilNanos) {
             state.slowAtNanos = postponed(state.slowAtNanos);
--- a/policy/src/main/java/frostrelay/policy/RequestState.java
+++ b/policy/src/main/java/frostrelay/policy/RequestState.java
@@ -5,7 +5,7 @@
 
 /** A request from its arrival until the outcome of its last attempt has been reported. */
 final class RequestState {
-    /** A time that is never reached. */
+    /** A time later than any other, for events that are not due. */
     static final long NEVER = Long.MAX_VALUE;
 
     /** One attempt of the request at a server. */
@@ -14,10 +14,10 @@
         final long sentAtNanos;
         boolean isPending = true;
 
-        /** Known from the outcome: the server never executed the attempt. */
+        /** Set if the outcome proves that the server never executed the attempt. */
         boolean neverRan;
 
-        /** An attempt sent later was answered first. */
+        /** Set if an attempt sent later was answered first. */
         boolean wasOvertaken;
 
         Attempt(TrackedServer server, long sentAtNanos) {
@@ -28,10 +28,10 @@
 
     final Request request;
 
-    /** The request's class as it was configured at the request's arrival. */
+    /** The request's class as configured at its arrival. */
     final RequestClass requestClass;
 
-    /** After this an answer has no value. */
+    /** Time after which an answer has no value. */
     final long usefulUntilNanos;
 
     /** Attempts in the order of sending; the first {@link #attemptCount} are set. */
@@ -40,25 +40,25 @@
     int attemptCount;
     int pendingCount;
 
-    /** The request has its final answer. */
+    /** Set once the request has its final answer. */
     boolean isCompleted;
 
-    /** Sent to the origin, or a cache missed: no hedged request runs beside that. */
+    /** Set once the request was sent to the origin or a cache missed; it is not hedged then. */
     boolean needsOrigin;
 
-    /** The answer is being streamed to the client. */
+    /** Set once the answer is being streamed to the client. */
     boolean isStreaming;
 
-    /** Waits until earlier requests with its key are complete. */
+    /** Set while the request waits for earlier requests with its key. */
     boolean isQueued;
 
-    /** When the hedged request is due, {@link #NEVER} if none is. */
+    /** Time at which the hedged request is due, {@link #NEVER} if there is none. */
     long hedgeAtNanos = NEVER;
 
-    /** When the missing answer becomes a sign of overload, {@link #NEVER} if it already did. */
+    /** Time at which a missing answer counts as slow, {@link #NEVER} if it already did. */
     long slowAtNanos = NEVER;
 
-    /** When the request needs attention next; alarms for any other time are superseded. */
+    /** Time of the request's current alarm; alarms for any other time are superseded. */
     long alarmAtNanos;
 
     RequestState(Request request, RequestClass requestClass, long now, int maxAttempts) {
@@ -84,7 +84,7 @@
         pendingCount++;
     }
 
-    /** Returns whether another attempt is within both the given limit and that of its arrival. */
+    /** Returns whether both the given limit and the one at arrival allow another attempt. */
     boolean hasAttemptsLeft(int maxAttempts) {
         return attemptCount < Math.min(maxAttempts, attempts.length);
     }
@@ -109,7 +109,7 @@
         return false;
     }
 
-    /** Marks the pending ones of the attempts sent before this one as overtaken. */
+    /** Marks the pending attempts that were sent before this one as overtaken. */
     void markOvertakenBefore(int attempt) {
         for (int i = 0; i < attempt; i++) {
             attempts[i].wasOvertaken = attempts[i].isPending;
--- a/policy/src/main/java/frostrelay/policy/RetrySafety.java
+++ b/policy/src/main/java/frostrelay/policy/RetrySafety.java
@@ -7,12 +7,12 @@
 import frostrelay.policy.api.RequestClass;
 
 /**
- * Whether a further attempt, or a client's retry, can cause no second execution. A request must be
- * safe both under the class it arrived with and under that class's current settings: servers and
- * clients may already go by either.
+ * Decides whether a further attempt or a client's retry is safe, that is, cannot execute a request
+ * twice. It must be safe under both the class settings at the request's arrival and the current
+ * ones, as servers and clients may use either.
  */
 final class RetrySafety {
-    /** Fraction of the deduplication window that is used; the rest is for network delays. */
+    /** Usable fraction of the deduplication window; the rest allows for network delays. */
     private static final double WINDOW_SAFETY = 0.9;
 
     private PolicySettings settings;
@@ -62,9 +62,7 @@
         };
     }
 
-    /**
-     * Returns whether the request may be rejected, which promises that a client's retry is safe.
-     */
+    /** Returns whether the request may be rejected, which tells the client that a retry is safe. */
     boolean mayReject(RequestState state) {
         return state.firstPossiblyExecuted() == null
                 || isSafeForClientRetry(state.requestClass)
--- a/policy/src/main/java/frostrelay/policy/Router.java
+++ b/policy/src/main/java/frostrelay/policy/Router.java
@@ -17,8 +17,8 @@
 import java.util.Set;
 
 /**
- * The decision module's entry point: follows each request from its arrival to its final answer, and
- * decides when an attempt is started, hedged, retried or cancelled. For one thread.
+ * The decision module's entry point. Tracks each request from its arrival to its final answer, and
+ * decides when to start, hedge, retry or cancel an attempt. Not thread-safe.
  */
 public final class Router implements PolicyEvents {
     /** Upper limit for the attempts of one request, the first included. */
@@ -44,11 +44,11 @@
     private final PerKeyQueue<RequestState> perKeyQueue;
     private final Map<Long, RequestState> requestsById = new HashMap<>();
 
-    /** Further processes of this balancer. */
+    /** Number of other processes of this balancer. */
     private int siblingCount;
 
     /**
-     * Starts a decision module without servers; its first endpoint list follows as an event.
+     * Creates a decision module without servers; the first endpoint list arrives as an event.
      *
      * @param settings the balancer's settings
      * @param seed seed of all random decisions
@@ -141,8 +141,8 @@
     }
 
     /**
-     * Lets a serialized request wait for those before it with its key. One that would wait until it
-     * is useless is rejected immediately: guards against queues that grow without bound.
+     * Queues a serialized request after earlier ones with its key. It is rejected immediately if
+     * its expected wait exceeds its useful time, so that queues do not grow without bound.
      */
     private void enqueue(long now, RequestState state) {
         state.isQueued = true;
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Starts a queued request if its turn has come, and ends it if it has waited too long. */
+    /** Starts a queued request if it is first, and ends it if it has waited too long. */
     private void startOrKeepWaiting(long now, RequestState state) {
         long startAtNanos = perKeyQueue.earliestStartNanos(state.request.key(), state);
         if (now >= state.usefulUntilNanos) {
@@ -212,8 +212,8 @@
     }
 
     /**
-     * A request is still in flight: its hedged request may be due, and its lateness may be a sign
-     * of overload.
+     * Checks a request that is still in flight: sends its hedged request if that is due, and
+     * records a load signal if the request has become slow.
      */
     private void checkOverdue(long now, RequestState state) {
         alarms.postponeDuringGrace(now, state);
@@ -309,7 +309,7 @@
                 idleRejection || wasOvertaken);
         feedback.record(now, state, attempt, outcome, idleRejection);
         if (health.connectFailureRate > ServerHealth.MAX_CONNECT_FAILURE_RATE) {
-            // Guards against idle connections that fill connection tables.
+            // Idle connections may be filling the servers' connection tables.
             actions.closeIdleConnections(attempt.server.id);
         }
     }
@@ -325,7 +325,7 @@
         complete(now, state);
     }
 
-    /** An attempt ended without an answer: waits for a pending one, retries, or gives up. */
+    /** Handles an attempt without an answer: waits, retries, or ends the request. */
     private void retryOrFinish(
             long now, RequestState state, AttemptResult result, boolean idleRejection) {
         state.needsOrigin |= result == AttemptResult.MISS;
@@ -347,7 +347,7 @@
         rejectOrFail(now, state);
     }
 
-    /** Returns whether a retry adds no load, so that the retry budget need not cover it. */
+    /** Returns whether a retry adds no load and is therefore not taken from the retry budget. */
     private boolean isExemptFromBudget(
             RequestState state, AttemptResult result, boolean idleRejection) {
         if (result == AttemptResult.MISS) {
@@ -383,7 +383,7 @@
         }
     }
 
-    /** Forgets a request once the outcome of its last attempt has been reported. */
+    /** Marks a request as complete, and removes it once no attempt is pending. */
     private void complete(long now, RequestState state) {
         state.isCompleted = true;
         if (state.pendingCount > 0) {
--- a/policy/src/main/java/frostrelay/policy/SeededRandom.java
+++ b/policy/src/main/java/frostrelay/policy/SeededRandom.java
@@ -19,7 +19,7 @@
         return (mix(state) >>> 11) * UNIT_OF_53_BITS;
     }
 
-    /** The 64-bit finalizer of SplitMix64: spreads every bit of the input over the output. */
+    /** Applies the 64-bit finalizer of SplitMix64; every input bit affects the whole output. */
     static long mix(long z) {
         z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
         z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
--- a/policy/src/main/java/frostrelay/policy/ServerHealth.java
+++ b/policy/src/main/java/frostrelay/policy/ServerHealth.java
@@ -14,14 +14,14 @@
 import java.util.Set;
 
 /**
- * What this balancer knows of the servers: the endpoint list, administrative drains, attempts in
- * flight, and failures and latencies observed. {@link CircuitBreaker} and {@link SlowStart} decide
- * whether a server gets a key.
+ * The state of all servers: the endpoint list, administrative drains, attempts in flight, and the
+ * failures and latencies that this balancer has observed. {@link CircuitBreaker} and {@link
+ * SlowStart} decide whether a server is eligible for a key.
  */
 final class ServerHealth {
     /**
-     * Fraction of attempts without a connection above which idle connections are closed. Dead
-     * servers alone cause fewer.
+     * Fraction of attempts that fail to connect above which idle connections are closed. Dead
+     * servers alone cause a smaller fraction.
      */
     static final double MAX_CONNECT_FAILURE_RATE = 0.1;
 
@@ -31,7 +31,7 @@
     /** Weight of an attempt in the moving average of a server's latency. */
     private static final double LATENCY_SMOOTHING = 0.1;
 
-    /** Lower bound of the fleet's failure rate as evidence against a single server. */
+    /** Lower bound of the fleet's failure rate, which limits the evidence of a single failure. */
     private static final double MIN_FAILURE_RATE = 0.2;
 
     private static final double MAX_BALANCERS_PER_SERVER = 8;
@@ -42,27 +42,27 @@
     int cacheCount;
 
     /**
-     * Columns of {@link #caches} that {@link RendezvousCandidates} scans for each request, kept
-     * side by side: of thousands of servers it touches a few.
+     * Fields of {@link #caches} in arrays of their own. {@link RendezvousCandidates} scans them for
+     * each request, so that of thousands of servers it accesses only a few objects.
      */
     long[] salts = {};
 
     double[] inverseWeights = {};
     boolean[] inLocalZone = {};
 
-    /** The usable origins, in look-aside mode. */
+    /** The usable origins; empty unless in look-aside mode. */
     final List<TrackedServer> origins = new ArrayList<>();
 
     /**
-     * Balancers per server, at least 1: guards against keys that are hot over many balancers, none
-     * of which sees enough of their requests.
+     * Balancers per server, at least 1. Used for keys that are hot over many balancers, none of
+     * which receives enough of their requests to detect it.
      */
     double balancersPerServer = 1;
 
-    /** Ignores circuit breakers: set for a search after one that found no server. */
+    /** Disables circuit breakers; set when a search is repeated after finding no server. */
     boolean ignoresBreakers;
 
-    /** Moving average of the fraction of attempts that got no connection. */
+    /** Moving average of the fraction of attempts that failed to connect. */
     double connectFailureRate;
 
     /** Moving average of the fraction of attempts that failed, over all servers. */
@@ -70,7 +70,7 @@
 
     private final Map<Long, TrackedServer> serversById = new LinkedHashMap<>();
 
-    /** Servers that operators drain, listed or not, and since when. */
+    /** Servers under administrative drain, listed or not, and when it began. */
     private final Map<Long, Long> drainedSinceNanos = new HashMap<>();
 
     private PolicySettings settings;
@@ -83,7 +83,7 @@
         this.slowStart = new SlowStart(settings);
     }
 
-    /** Applies an endpoint list. A draining or removed server gets nothing new from now on. */
+    /** Applies an endpoint list. Draining and removed servers get no new attempts. */
     void onEndpointUpdate(long now, EndpointUpdateMode mode, List<Server> servers) {
         if (mode == EndpointUpdateMode.FAILED) {
             return;
@@ -120,7 +120,9 @@
         server.breaker.close();
     }
 
-    /** A drained server counts as draining until its drain ends, whatever the list says. */
+    /**
+     * Sets the drained servers; their state in the endpoint list is ignored until the drain ends.
+     */
     void onAdminDrains(long now, Set<Long> drainedServers) {
         for (TrackedServer server : serversById.values()) {
             Long sinceNanos = drainedSinceNanos.get(server.id);
@@ -134,9 +136,10 @@
     }
 
     /**
-     * Operators restart servers that they drain, and the list reports restarts late: a server
-     * without a known start since counts as started now. Guards against full load on a cold server.
-     * Cost: one that was not restarted goes through slow start needlessly.
+     * Ends a server's drain. Operators restart servers that they drain, and the endpoint list
+     * reports restarts late: a server without a reported start during the drain counts as started
+     * now, so that a cold server does not get full load. The cost is an unnecessary slow start of a
+     * server that was not restarted.
      */
     private void endAdminDrain(long now, TrackedServer server, long sinceNanos) {
         if (server.startedAtNanos < sinceNanos) {
@@ -145,10 +148,11 @@
         resetObservations(now, server);
     }
 
-    /** Exactly these servers are outliers according to peers. */
+    /** Sets the servers that peers report as outliers. */
     void onPeerHealthReports(Set<Long> outliers) {
         for (TrackedServer server : serversById.values()) {
-            // The first read after a report goes to the server: the report may be wrong here.
+            // The first read after a report still goes to the server, as the report may not hold
+            // for this balancer.
             server.skippedReads = server.isOutlier ? server.skippedReads : -1;
             server.isOutlier = outliers.contains(server.id);
         }
@@ -216,7 +220,7 @@
         return best;
     }
 
-    /** Returns whether the server takes the key with this hash now. */
+    /** Returns whether the server currently accepts the key with this hash. */
     boolean admits(long now, TrackedServer server, long hash) {
         if (!ignoresBreakers && server.breaker.isBlocking(now)) {
             return false;
@@ -224,7 +228,7 @@
         return slowStart.admits(now, server, hash, ignoresBreakers);
     }
 
-    /** A cache is wanted for a request's first attempt. */
+    /** Counts a request whose first attempt needs a cache. */
     void recordFirstSend(long now) {
         slowStart.recordFirstSend(now);
     }
@@ -236,12 +240,11 @@
     }
 
     /**
-     * An attempt ended.
+     * Records the end of an attempt.
      *
-     * @param suspect whether it counts as failed regardless of its result: a hedged request was
-     *     answered first, or an idle server rejected it. Guards against an unresponsive server
-     *     whose reads are all saved by hedged requests: none of them times out, so that it would be
-     *     tried again with every read.
+     * @param suspect whether it counts as failed regardless of its result, because a hedged request
+     *     was answered first or an idle server rejected it. Otherwise an unresponsive server would
+     *     be tried with every read, as hedged requests answer its reads before they time out.
      */
     void onAttemptCompleted(
             long now,
@@ -291,8 +294,8 @@
         } else if (result == AttemptResult.CONNECT_FAILED) {
             server.breaker.recordFailure(now, CircuitBreaker.OPEN_EVIDENCE / 2, random);
         } else if (failed) {
-            // Failures that most servers share are no evidence: guards against moving keys when all
-            // servers fail for one cause.
+            // Failures that most servers share are weak evidence against a single one: keys must
+            // not move when all servers fail for the same cause.
             double evidence = -Math.log(Math.max(MIN_FAILURE_RATE, failureRate));
             server.breaker.recordFailure(now, evidence, random);
         }
--- a/policy/src/main/java/frostrelay/policy/ServerSelector.java
+++ b/policy/src/main/java/frostrelay/policy/ServerSelector.java
@@ -3,9 +3,9 @@
 import frostrelay.policy.api.AttemptResult;
 import frostrelay.policy.api.PolicySettings;
 
-/** Chooses the server of an attempt: among the candidates of its key, or the origin. */
+/** Selects the server of an attempt: a candidate of its key, or the origin. */
 final class ServerSelector {
-    /** Fraction of the latency objective within which the origin answers while not loaded. */
+    /** Fraction of the latency objective below which the origin's latency counts as fast. */
     private static final double FAST_FRACTION = 0.5;
 
     private PolicySettings settings;
@@ -30,7 +30,7 @@
         settings = newSettings;
     }
 
-    /** Counts an arrival for the key, which decides how many candidates it has. */
+    /** Counts an arrival for the key; frequent keys get more candidates. */
     void recordArrival(long now, long key) {
         candidates.recordArrival(now, key);
     }
@@ -46,7 +46,7 @@
         return orOrigin(server);
     }
 
-    /** Returns a candidate that the request has not tried, or null. */
+    /** Returns a candidate that the request has not tried yet, or null. */
     TrackedServer selectForHedge(long now, RequestState state) {
         findCandidates(now, state);
         return firstUntried(state, candidates.candidateCount);
@@ -64,7 +64,8 @@
     }
 
     private boolean mustRetryAtOrigin(RequestState state, AttemptResult result) {
-        // Guards against a hot key's full servers passing it around while the origin has capacity.
+        // Otherwise a hot key's reads would circulate among its full servers while the origin has
+        // capacity.
         boolean isFull = result == AttemptResult.REJECTED && isOriginFast(state);
         return state.needsOrigin || state.request.write() || isFull;
     }
@@ -73,7 +74,7 @@
         return server == null && settings.lookAside() ? health.leastLoadedOrigin() : server;
     }
 
-    /** Returns whether an origin answers well within the request's latency objective. */
+    /** Returns whether the least loaded origin is fast compared to the latency objective. */
     boolean isOriginFast(RequestState state) {
         TrackedServer origin = settings.lookAside() ? health.leastLoadedOrigin() : null;
         return origin != null
@@ -81,7 +82,7 @@
     }
 
     private void findCandidates(long now, RequestState state) {
-        // Requests without a key spread over all servers.
+        // Requests without a key are spread over all servers.
         long key =
                 state.request.key() != 0
                         ? state.request.key()
--- a/policy/src/main/java/frostrelay/policy/SlowStart.java
+++ b/policy/src/main/java/frostrelay/policy/SlowStart.java
@@ -3,35 +3,36 @@
 import frostrelay.policy.api.PolicySettings;
 
 /**
- * Limits what a server that has recently started gets. Its admitted fraction grows from the
- * configured initial one to all: first by key, so that all balancers pick the same keys, then by a
- * token bucket, so that all balancers together stay within what the server can take.
+ * Limits the traffic to a server that has recently started. Its admitted fraction grows from the
+ * configured initial value to 1. A limit on keys makes all balancers pick the same ones, and a
+ * token bucket keeps the sum over all balancers within the server's capacity.
  */
 final class SlowStart {
     /** Fraction of the configured overload multiple that is used. */
     private static final double OVERLOAD_MARGIN = 0.5;
 
     /**
-     * The same for a load estimated from what warm servers serve: that is at most their capacity.
+     * Like {@link #OVERLOAD_MARGIN}, for a load estimated from the answers of warm servers, which
+     * never exceed their capacity.
      */
     private static final double SERVED_MARGIN = 0.4;
 
     /** Overload windows over which rates are averaged. */
     private static final double RATE_WINDOWS = 4;
 
-    /** Fraction of an overload window's attempts that may be sent at once. */
+    /** Capacity of the token bucket as a fraction of an overload window's attempts. */
     private static final double BURST_FRACTION = 0.25;
 
     /**
-     * Keys given to a cold server for each key that it could take at full load: servers are seldom
-     * at full load.
+     * Factor on the fraction of keys that a cold server is given. It is above 1 because servers are
+     * seldom at full load.
      */
     private static final double KEY_CAPACITY = 2;
 
-    /** Keys are admitted by the low bits of their hash: so many steps from none to all. */
+    /** Resolution of the admitted fraction of keys, which compares the low bits of a key's hash. */
     private static final int KEY_STEPS = 2048;
 
-    /** Lower bound for the fleet's weight as a divisor. */
+    /** Lower bound of the fleet's weight, to avoid a division by zero. */
     private static final double MIN_TOTAL_WEIGHT = 1e-9;
 
     private PolicySettings settings;
@@ -64,9 +65,10 @@
     }
 
     /**
-     * Returns whether the server takes the key with this hash now.
+     * Returns whether the server currently accepts the key with this hash.
      *
-     * @param mustChoose whether nothing else is left to choose from: keys and pace count for less
+     * @param mustChoose whether no other server is left, in which case all keys are admitted and
+     *     any token level from 0 suffices
      */
     boolean admits(long now, TrackedServer server, long hash, boolean mustChoose) {
         if (server.warmingSinceNanos == 0) {
@@ -77,7 +79,7 @@
             server.warmingSinceNanos = 0;
             return true;
         }
-        // All balancers choose the same keys, so that together they stay within the fraction.
+        // All balancers admit the same keys, so that their sum stays within the fraction.
         boolean isKeyAdmitted =
                 (hash & (KEY_STEPS - 1)) < fraction * KEY_CAPACITY * KEY_STEPS || mustChoose;
         return isKeyAdmitted && hasTokens(now, server, fraction, mustChoose);
@@ -92,9 +94,9 @@
     }
 
     /**
-     * Refills the server's token bucket and returns whether an attempt may be sent. The bucket is
-     * filled with the server's part of this balancer's own sends, so that all balancers together
-     * stay within what the cold server can take, however hot its keys are.
+     * Refills the server's token bucket and returns whether an attempt may be sent. The refill rate
+     * follows the server's share of this balancer's own sends, so that all balancers together stay
+     * within the cold server's capacity even for hot keys.
      */
     private boolean hasTokens(long now, TrackedServer server, double fraction, boolean mustChoose) {
         double allowed = fraction * settings.overloadMultiple() * fullLoad(now, server);
@@ -107,12 +109,12 @@
 
     /**
      * Estimates a safe number of attempts per overload window for the server when warm. While much
-     * load is shed this balancer's own sends are few, and what warm servers serve is the better
-     * estimate: otherwise cold servers would be idle beside full ones.
+     * load is shed, this balancer sends little itself, and the answers of warm servers give a
+     * better estimate; without it, cold servers would be idle while warm ones are full.
      */
     private double fullLoad(long now, TrackedServer server) {
-        // A reported weight may make an idle new server look many times its size: it counts as the
-        // average at most.
+        // The weight reported for an idle new server may be many times too high, so it is limited
+        // to the average.
         double fleetFraction =
                 Math.min(
                         server.weight / Math.max(fleetWeight, MIN_TOTAL_WEIGHT),
@@ -123,8 +125,8 @@
 
     /**
      * Returns the fraction of a rate's averaging time that this balancer has observed so far.
-     * Guards against a balancer that takes over from another process and leaves cold servers idle
-     * until its own rates have grown.
+     * Without this correction, a balancer that takes over from another process would leave cold
+     * servers idle until its own rates have grown.
      */
     private double observedFraction(long now) {
         double windows =
@@ -132,7 +134,7 @@
         return 1 - Math.exp(-windows / RATE_WINDOWS);
     }
 
-    /** Starts the token bucket at a random level, so that balancers do not all send at once. */
+    /** Resets the token bucket to a random level, so that balancers do not all send at once. */
     void resetTokens(long now, TrackedServer server, SeededRandom random) {
         server.tokens = random.nextUniform();
         server.refilledAtNanos = now;
@@ -142,14 +144,14 @@
         server.tokens -= server.warmingSinceNanos != 0 ? 1 : 0;
     }
 
-    /** Counts a request's first attempt; retries, which multiply during faults, do not count. */
+    /** Counts a request's first attempt. Retries are excluded, as they multiply during faults. */
     void recordFirstSend(long now) {
         firstSendAtNanos = firstSendAtNanos == 0 ? now : firstSendAtNanos;
         recentSends = 1 + recentSends * decay(recentSendsAtNanos, now);
         recentSendsAtNanos = now;
     }
 
-    /** Counts an answer, if the server is warm. */
+    /** Counts an answer if the server is warm. */
     void recordAnswer(long now, TrackedServer server) {
         if (server.warmingSinceNanos != 0) {
             return;
--- a/policy/src/main/java/frostrelay/policy/SubscriptionSchedule.java
+++ b/policy/src/main/java/frostrelay/policy/SubscriptionSchedule.java
@@ -4,19 +4,21 @@
 import frostrelay.policy.api.PolicySettings;
 
 /**
- * When this balancer subscribes to the endpoint list. Balancers that start together, or lose
- * discovery together, take turns by their instance index.
+ * Schedules subscriptions to the endpoint list. Balancers that start together, or lose discovery
+ * together, are staggered by their instance index.
  */
 final class SubscriptionSchedule {
     /** Token of the timer at which to subscribe. */
     static final int TIMER_TOKEN = 2;
 
-    /** Time between the subscriptions of two balancers, and the most that one waits in all. */
+    /**
+     * Time between the subscriptions of two balancers, and the upper limit of a balancer's delay.
+     */
     private static final long STAGGER_NANOS = 250_000_000L;
 
     private static final long MAX_STAGGER_NANOS = 4_000_000_000L;
 
-    /** Further wait after a failed call. */
+    /** Additional delay after a failed call. */
     private static final long FAILURE_PAUSE_NANOS = 200_000_000L;
 
     private final PolicyActions actions;
@@ -29,8 +31,8 @@
 
     /**
      * Schedules the timer for the next subscription. A process that takes over from another one of
-     * the same balancer starts alone, and must follow changes of the list at once: it does not wait
-     * for its turn unless the call failed.
+     * the same balancer is not staggered unless the call failed: it starts alone, and must receive
+     * changes of the list immediately.
      */
     void scheduleNext(long now, PolicySettings settings, boolean isTakeover, boolean hasFailed) {
         if (isTakeover && !hasFailed) {
--- a/policy/src/main/java/frostrelay/policy/TrackedServer.java
+++ b/policy/src/main/java/frostrelay/policy/TrackedServer.java
@@ -2,9 +2,9 @@
 
 import frostrelay.policy.api.EndpointState;
 
-/** One server as this balancer sees it: its entry in the endpoint list and what was observed. */
+/** The state of one server: its entry in the endpoint list and this balancer's observations. */
 final class TrackedServer {
-    /** Long past, without overflow when subtracted from a time. */
+    /** A time in the distant past that does not overflow when subtracted from another time. */
     private static final long LONG_AGO_NANOS = Long.MIN_VALUE / 2;
 
     final long id;
@@ -24,15 +24,15 @@
     /** This balancer's attempts in flight at the server. */
     int inFlight;
 
-    /** Moving average of the duration of its answers and timeouts. */
+    /** Moving average of the duration of the server's answers and timeouts. */
     double latencyNanos;
 
     final CircuitBreaker breaker = new CircuitBreaker();
 
-    /** Start of the slow start, 0 if the server is warm. */
+    /** Time at which slow start began, 0 if the server is warm. */
     long warmingSinceNanos;
 
-    /** Attempts that slow start allows now, as of {@link #refilledAtNanos}. */
+    /** Level of the slow start's token bucket, as of {@link #refilledAtNanos}. */
     double tokens;
 
     long refilledAtNanos;
@@ -42,13 +42,13 @@
 
     long recentAnswersAtNanos;
 
-    /** Moving average of the fraction of its cache hits that are slow. */
+    /** Moving average of the fraction of the server's cache hits that are slow. */
     double slowHitFraction;
 
-    /** When a failed read here was last counted as a failed origin fetch. */
+    /** Time at which a failed read at the server last counted as a failed origin fetch. */
     long fetchFailedAtNanos = LONG_AGO_NANOS;
 
-    /** Peers consider the server an outlier. */
+    /** Set while peers report the server as an outlier. */
     boolean isOutlier;
 
     /**
--- a/policy/src/main/java/frostrelay/policy/api/AttemptResult.java
+++ b/policy/src/main/java/frostrelay/policy/api/AttemptResult.java
@@ -1,6 +1,6 @@
 package frostrelay.policy.api;
 
-/** How an attempt ended; the flag of each constant says whether the attempt provably never ran. */
+/** The result of an attempt; each constant's flag is true if the server provably never ran it. */
 public enum AttemptResult {
     /** The server answered. */
     OK(false),
@@ -8,7 +8,7 @@
     ERROR(false),
     /** The server rejected the attempt without executing it. */
     REJECTED(true),
-    /** No answer came in time. */
+    /** No answer arrived in time. */
     TIMEOUT(false),
     /** No connection to the server was established. */
     CONNECT_FAILED(true),
@@ -16,12 +16,12 @@
     RESET(false),
     /** The balancer cancelled the attempt. */
     CANCELLED(false),
-    /** Never sent: the request had completed, expired or used up its attempts before. */
+    /** Never sent, as the request had already completed, expired or used up its attempts. */
     SUPERSEDED(true),
-    /** A look-aside cache does not hold the key; the origin must be read. */
+    /** A look-aside cache missed; the value must be read from the origin. */
     MISS(true);
 
-    /** Whether the attempt provably never ran, so that another one cannot be a second execution. */
+    /** True if the attempt provably never ran, so that a retry cannot execute the request twice. */
     public final boolean neverRan;
 
     AttemptResult(boolean neverRan) {
@@ -33,7 +33,7 @@
         return this == TIMEOUT || this == RESET || this == CANCELLED;
     }
 
-    /** Returns whether the server processed the attempt as it should: a cache miss counts. */
+    /** Returns whether the server processed the attempt correctly, cache misses included. */
     public boolean answered() {
         return this == OK || this == MISS;
     }
--- a/policy/src/main/java/frostrelay/policy/api/Idempotency.java
+++ b/policy/src/main/java/frostrelay/policy/api/Idempotency.java
@@ -6,6 +6,6 @@
     IDEMPOTENT,
     /** Servers of one {@link DeduplicationScope} drop repeats within the deduplication window. */
     IDEMPOTENCY_KEY,
-    /** Must never be executed twice. */
+    /** Requests must never be executed twice. */
     NOT_IDEMPOTENT
 }
--- a/policy/src/main/java/frostrelay/policy/api/PolicyActions.java
+++ b/policy/src/main/java/frostrelay/policy/api/PolicyActions.java
@@ -1,17 +1,19 @@
 package frostrelay.policy.api;
 
-/** What the decision module asks its caller to do. Calls are made from within an event's method. */
+/** Actions that the caller performs for the decision module; called from within an event method. */
 public interface PolicyActions {
-    /** Starts the next attempt of a request; the caller abandons it at {@code abandonAtNanos}. */
+    /**
+     * Starts the next attempt of a request, which the caller abandons at {@code abandonAtNanos}.
+     */
     void send(long request, long server, long abandonAtNanos);
 
-    /** Cancels one attempt. Its outcome is still to be reported. */
+    /** Cancels one attempt. The caller must still report its outcome. */
     void cancel(long request, int attempt);
 
     /**
-     * Gives the client the final answer "rejected": its retry is safe.
+     * Gives the client the final answer "rejected", which means that a retry is safe.
      *
-     * @param retryAfterNanos the Retry-After to give, in nanoseconds; 0 for an immediate retry
+     * @param retryAfterNanos Retry-After for the client, in nanoseconds; 0 for an immediate retry
      */
     void reject(long request, long retryAfterNanos);
 
--- a/policy/src/main/java/frostrelay/policy/api/PolicyEvents.java
+++ b/policy/src/main/java/frostrelay/policy/api/PolicyEvents.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /**
- * What the decision module is notified of. All times are nanoseconds of the caller's clock. All
+ * Notifications to the decision module. All times are nanoseconds of the caller's clock. All
  * methods are called on one thread.
  */
 public interface PolicyEvents {
@@ -20,33 +20,34 @@
     /** The first byte of a streamed answer arrived. */
     void onFirstByte(long now, long request, int attempt);
 
-    /** The client disconnected; its request needs no answer any more. */
+    /** The client disconnected; its request no longer needs an answer. */
     void onClientDisconnect(long now, long request);
 
     /** A timer set by {@link PolicyActions#scheduleTimer} is due. */
     void onTimer(long now, int token);
 
     /**
-     * Operators drain exactly these servers, whatever the endpoint list says. A server whose drain
-     * ends may have been restarted meanwhile.
+     * The set of servers under administrative drain changed to exactly these, regardless of their
+     * state in the endpoint list. A server whose drain ends may have been restarted in the
+     * meantime.
      */
     void onAdminDrains(long now, Set<Long> drainedServers);
 
     /**
-     * Peers consider exactly these servers to be outliers, according to a quorum that the caller
-     * has checked. The report is advice: traffic to outliers is reduced, not stopped.
+     * The set of outliers changed to exactly these servers, as reported by a quorum of peers that
+     * the caller has checked. Reports are advisory: traffic to outliers is reduced, not stopped.
      */
     void onPeerHealthReports(long now, Set<Long> outliers);
 
     /**
-     * New settings apply from now on. A class or tenant keeps its index for the lifetime of the
-     * module, also when it is no longer configured: its open requests continue.
+     * The settings changed. A class or tenant keeps its index for the lifetime of the module, even
+     * when it is no longer configured, because its open requests continue.
      */
     void onSettings(long now, PolicySettings settings);
 
     /**
-     * This many further processes of the same balancer serve beside this one: an upgrade is in
-     * progress.
+     * The number of other processes of the same balancer that are serving changed. It is above 0
+     * while an upgrade is in progress.
      */
     void onSiblingProcesses(long now, int siblingCount);
 }
--- a/policy/src/main/java/frostrelay/policy/api/PolicySettings.java
+++ b/policy/src/main/java/frostrelay/policy/api/PolicySettings.java
@@ -12,10 +12,10 @@
  * @param instanceCount number of balancers, at least 1
  * @param lookAside whether the balancer reads the origin itself after a cache miss; otherwise the
  *     caches fetch from the origin
- * @param originKind {@link Server#kind} of origin servers in look-aside mode, -1 for none
- * @param subscribe whether changes of the endpoint list must be subscribed to
+ * @param originKind value of {@link Server#kind} for origins in look-aside mode, -1 for none
+ * @param subscribe whether the module must subscribe to changes of the endpoint list
  * @param maxAttempts attempts of one request, the first included
- * @param hedgingAllowed whether a second attempt may run beside a pending one
+ * @param hedgingAllowed whether a second attempt may run concurrently with a pending one
  * @param cancellationAllowed whether pending attempts may be cancelled
  * @param connectTimeoutNanos longest time to establish a connection
  * @param retryAfterSupported whether clients obey a Retry-After
@@ -24,9 +24,9 @@
  * @param pollIntervalNanos time within which changes of the endpoint list must be known
  * @param slowStartInitialFraction fraction of its capacity that a cold server has at first
  * @param slowStartNanos length of the slow start
- * @param overloadMultiple load beyond which a cold server fails, as a multiple of its current
+ * @param overloadMultiple load above which a cold server fails, as a multiple of its current
  *     capacity
- * @param overloadWindowNanos how long such an overload must last for that, at least 1
+ * @param overloadWindowNanos how long that load must last for the server to fail, at least 1
  * @param overQuotaWeight priority weight of requests over their tenant's quota, as a fraction of
  *     their class's weight
  * @param keyQuarantineNanos how long a serialized key is blocked after an attempt that may still be
--- a/policy/src/main/java/frostrelay/policy/api/Request.java
+++ b/policy/src/main/java/frostrelay/policy/api/Request.java
@@ -9,7 +9,7 @@
  * @param key cache key, 0 for none
  * @param deadlineNanos when the client stops waiting
  * @param work hint of the amount of work, 0 for none
- * @param clientRetry whether the client repeats an earlier request
+ * @param clientRetry whether this is a client's retry of an earlier request
  * @param write whether the request writes
  */
 public record Request(
--- a/policy/src/main/java/frostrelay/policy/api/ResponseSource.java
+++ b/policy/src/main/java/frostrelay/policy/api/ResponseSource.java
@@ -1,6 +1,6 @@
 package frostrelay.policy.api;
 
-/** Where a read's answer came from. */
+/** The source of a read's answer. */
 public enum ResponseSource {
     /** The cache did not report it. */
     UNKNOWN,
--- a/policy/src/main/java/frostrelay/policy/hotkeys/HotKeys.java
+++ b/policy/src/main/java/frostrelay/policy/hotkeys/HotKeys.java
@@ -2,20 +2,21 @@
 
 /**
  * Counts arrivals by key in a small table in which a frequent key displaces a rarer one. Counts are
- * halved regularly, so that recent arrivals weigh more. For one thread.
+ * halved regularly, so that recent arrivals weigh more. Not thread-safe.
  */
 public final class HotKeys {
     private static final int SLOTS = 256;
 
-    /**
-     * Arrivals, or time, after which all counts are halved, and the fewest that give a fraction.
-     */
-    private static final int MAX_COUNTED = 256;
+    /** Arrivals after which all counts are halved. */
+    private static final int HALVING_ARRIVALS = 256;
+
+    /** Time after which all counts are halved if there were more than the minimum of arrivals. */
+    private static final long HALVING_INTERVAL_NANOS = 5_000_000_000L;
 
-    private static final long WINDOW_NANOS = 5_000_000_000L;
-    private static final int MIN_COUNTED = 16;
+    /** Arrivals below which no traffic fraction is estimated. */
+    private static final int MIN_ARRIVALS = 16;
 
-    /** Arrivals that a key may have by chance. */
+    /** Arrivals subtracted from a key's count, as a rare key may have them by chance. */
     private static final double CHANCE_ARRIVALS = 2.0;
 
     private final long[] keys = new long[SLOTS];
@@ -38,8 +39,8 @@
             keys[slot] = key;
             counts[slot] = 1;
         }
-        if (++arrivalCount >= MAX_COUNTED
-                || now - halvedAtNanos > WINDOW_NANOS && arrivalCount > MIN_COUNTED) {
+        if (++arrivalCount >= HALVING_ARRIVALS
+                || now - halvedAtNanos > HALVING_INTERVAL_NANOS && arrivalCount > MIN_ARRIVALS) {
             halvedAtNanos = now;
             arrivalCount /= 2;
             for (int i = 0; i < SLOTS; i++) {
@@ -49,15 +50,15 @@
     }
 
     /**
-     * Returns the key's fraction of recent arrivals, reduced a little against chance; 0 if there
-     * are too few arrivals, or another key occupies its slot.
+     * Returns the key's fraction of recent arrivals, less the arrivals that may occur by chance. It
+     * is 0 if there are too few arrivals, or another key occupies the slot.
      *
      * @param key the key
      * @param hash hash of the key, uniform in all bits
      */
     public double trafficFraction(long key, long hash) {
         int slot = slot(hash);
-        return keys[slot] != key || arrivalCount < MIN_COUNTED
+        return keys[slot] != key || arrivalCount < MIN_ARRIVALS
                 ? 0
                 : (counts[slot] - CHANCE_ARRIVALS) / arrivalCount;
     }
--- a/policy/src/main/java/frostrelay/policy/package-info.java
+++ b/policy/src/main/java/frostrelay/policy/package-info.java
@@ -1,25 +1,24 @@
 /**
- * The decision module of the load balancer: which server a request goes to, when it is hedged,
- * retried, rejected or failed.
+ * The decision module of the load balancer, which selects the server of each request and decides
+ * when the request is hedged, retried, rejected or failed.
  *
  * <p>{@link frostrelay.policy.Router} is the entry point. It receives {@link
  * frostrelay.policy.api.PolicyEvents events} and calls {@link frostrelay.policy.api.PolicyActions
- * actions}; the node, the simulator adapter and embedding programs perform them. The classes behind
- * it each have one concern:
+ * actions}; the node, the simulator adapter and embedding programs perform them. Each of the other
+ * classes has one concern:
  *
  * <ul>
  *   <li>{@link frostrelay.policy.RequestState} and {@link frostrelay.policy.RequestAlarms}: the
- *       requests in flight and the times at which they need attention;
+ *       requests in flight and their alarms;
  *   <li>{@link frostrelay.policy.ServerSelector} with {@link
  *       frostrelay.policy.RendezvousCandidates}: the choice of a server;
  *   <li>{@link frostrelay.policy.ServerHealth} with {@link frostrelay.policy.CircuitBreaker} and
- *       {@link frostrelay.policy.SlowStart}: what is known of each server;
+ *       {@link frostrelay.policy.SlowStart}: the state of each server;
  *   <li>{@link frostrelay.policy.RequestAdmission} with {@link frostrelay.policy.AdmissionControl}
  *       and {@link frostrelay.policy.OriginFetchLimiter}: shedding load; {@link
- *       frostrelay.policy.OutcomeFeedback}: the signals that it is based on;
+ *       frostrelay.policy.OutcomeFeedback}: the load signals for it;
  *   <li>{@link frostrelay.policy.HedgingPolicy}, {@link frostrelay.policy.RetrySafety} and {@link
- *       frostrelay.policy.PerKeyQueue}: whether a further attempt is worthwhile, affordable and
- *       safe;
+ *       frostrelay.policy.PerKeyQueue}: the delay, budget, safety and order of attempts;
  *   <li>{@link frostrelay.policy.SubscriptionSchedule}: when to subscribe to the endpoint list.
  * </ul>
  *
@@ -28,7 +27,7 @@
  * draining or removed server gets no new attempt.
  *
  * <p>The module does no I/O, reads no clock and draws random numbers only from its seed, so that
- * the same events always give the same actions. Each router is confined to one thread. Per-request
- * code allocates little, since it runs on every request.
+ * the same events always produce the same actions. Each router is confined to one thread. Code on
+ * the request path allocates little.
  */
 package frostrelay.policy;
--- a/policy/src/main/java/frostrelay/settings/SettingsParser.java
+++ b/policy/src/main/java/frostrelay/settings/SettingsParser.java
@@ -43,7 +43,7 @@
     /**
      * Parses settings lines of the form {@code key=value}.
      *
-     * @throws SettingsException if a value is not a number, or a list's size is impossible
+     * @throws SettingsException if a value is not a number, or a list's size is out of range
      */
     public static PolicySettings parse(String text) {
         return new SettingsParser(new SettingsText(text)).parseSettings();
@@ -164,8 +164,8 @@
     }
 
     /**
-     * Returns null unless one of the budget's settings is present; one that is then missing allows
-     * nothing.
+     * Returns the configured retry budget, or null if none of its settings is present. If only some
+     * are present, a missing minimum or ratio counts as 0.
      */
     private RetryBudget parseRetryBudget() {
         boolean isConfigured =
--- a/policy/src/main/java/frostrelay/settings/SettingsText.java
+++ b/policy/src/main/java/frostrelay/settings/SettingsText.java
@@ -5,7 +5,7 @@
 
 /** Settings text split into keys and values, with typed access and defaults for missing keys. */
 final class SettingsText {
-    /** Larger lists indicate a damaged message. */
+    /** Largest list size that is accepted; a larger one indicates a corrupt message. */
     private static final int MAX_LIST_ITEMS = 10_000;
 
     private final Map<String, String> values = new HashMap<>();
@@ -36,17 +36,23 @@
     /**
      * Returns the number of items of a list, 0 by default.
      *
-     * @throws SettingsException if the value is not a number or not a possible size
+     * @throws SettingsException if the value is not a number, or negative or too large for a list
      */
     int readCount(String key) {
         long count = readLong(key, 0);
         if (count < 0 || count > MAX_LIST_ITEMS) {
-            throw new SettingsException("setting " + key + " has an impossible value: " + count);
+            throw new SettingsException(
+                    "setting "
+                            + key
+                            + " is out of range: found "
+                            + count
+                            + ", allowed 0 to "
+                            + MAX_LIST_ITEMS);
         }
         return (int) count;
     }
 
-    /** Returns an integer, cut to 32 bits. */
+    /** Returns the low 32 bits of an integer. */
     int readInt(String key, int defaultValue) {
         return (int) readLong(key, defaultValue);
     }
@@ -96,6 +102,6 @@
     }
 
     private static String notANumber(String key, String value) {
-        return "setting " + key + " is no number: " + value;
+        return "setting " + key + " is not a finite number: found " + value;
     }
 }
--- a/policy/src/test/java/frostrelay/policy/AdminDrainTest.java
+++ b/policy/src/test/java/frostrelay/policy/AdminDrainTest.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** Servers that operators drain get nothing new, and slow start afterwards. */
+/** Servers under administrative drain get no new attempts, and go through slow start afterwards. */
 class AdminDrainTest {
-    /** A server that operators drain counts as draining, whatever the endpoint list says. */
+    /** An administrative drain takes precedence over the server's state in the endpoint list. */
     @Test
-    void aDrainedServerGetsNothingNew() {
+    void drainedServerGetsNoNewAttempts() {
         PolicyTestFixture fixture =
                 new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder()).servers(3);
         fixture.router.onAdminDrains(fixture.now, Set.of(1L, 77L));
@@ -43,10 +43,11 @@
     }
 
     /**
-     * Operators restart servers that they drain, and the endpoint list reports that late or never.
+     * Operators restart servers that they drain, and the endpoint list may not report the restart:
+     * the server must go through slow start after the drain anyway.
      */
     @Test
-    void aServerWhoseDrainEndsCountsAsWarmingUp() {
+    void serverEntersSlowStartWhenItsDrainEnds() {
         PolicyTestFixture fixture =
                 new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder()).servers(3);
         fixture.router.onAdminDrains(fixture.now, Set.of(1L));
@@ -59,6 +60,6 @@
         long sendsInSlowStart = fixture.sends.stream().filter(sent -> sent.server() == 1).count();
         assertTrue(
                 sendsInSlowStart > 0 && sendsInSlowStart < 40,
-                "a third of 200 would be a warm server's part: " + sendsInSlowStart);
+                "sends of 200 to a cold server, a third for a warm one: " + sendsInSlowStart);
     }
 }
--- a/policy/src/test/java/frostrelay/policy/CandidateSelectionTest.java
+++ b/policy/src/test/java/frostrelay/policy/CandidateSelectionTest.java
@@ -15,18 +15,19 @@
 import java.util.List;
 import java.util.Set;
 
-/** Which of its candidates a key goes to: outliers, hot keys, slow servers and zones. */
+/** Selection among a key's candidates: outliers, hot keys, slow servers and zones. */
 class CandidateSelectionTest {
     private static PolicyTestFixture fixture() {
         return new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder());
     }
 
     /**
-     * A hundred balancers each meet a faulty cache once in some seconds: peers' reports reduce its
-     * traffic, and some reads still go there.
+     * With a hundred balancers, each one reads from a faulty cache only once in several seconds and
+     * cannot detect it alone. Peers' reports must reduce the cache's traffic, but not to zero, so
+     * that its recovery is detected.
      */
     @Test
-    void anOutlierGetsOneReadInEightUntilThatIsOver() {
+    void outlierGetsOneReadInEightUntilItIsCleared() {
         PolicyTestFixture fixture =
                 new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder()).servers(4);
         long outlier = fixture.request(1, PolicyTestFixture.READ, 5).server();
@@ -39,13 +40,13 @@
             }
             fixture.outcome(id, 0, AttemptResult.OK);
         }
-        assertEquals(List.of(2L, 10L, 18L, 26L), probes, "the first behind the word is a look");
+        assertEquals(List.of(2L, 10L, 18L, 26L), probes, "first read after the report is sent");
         fixture.router.onPeerHealthReports(fixture.now, Set.of());
         assertEquals(outlier, fixture.request(40, PolicyTestFixture.READ, 5).server());
     }
 
     /**
-     * A key with a large fraction of the traffic must not fill two servers while the rest is idle.
+     * A key with a large fraction of the traffic must not overload two servers while others idle.
      */
     @Test
     void aHotKeySpreadsOverMoreThanTwoServers() {
@@ -94,8 +95,8 @@
     }
 
     /**
-     * Of 200 keys, how many a balancer in zone 0 sends to its own zone, which has a quarter of 12
-     * servers.
+     * Returns how many of 200 keys a balancer in zone 0 sends to its own zone, which has a quarter
+     * of 12 servers.
      */
     private static int countSameZoneSends(int instances, boolean slowOrigin) {
         PolicyTestFixture.SettingsBuilder builder = new PolicyTestFixture.SettingsBuilder();
--- a/policy/src/test/java/frostrelay/policy/CircuitBreakerTest.java
+++ b/policy/src/test/java/frostrelay/policy/CircuitBreakerTest.java
@@ -13,38 +13,39 @@
 import java.util.List;
 import java.util.Map;
 
-/** Circuit breakers: when servers are left alone and when they are tried again. */
+/** Circuit breakers: when they open, send a trial, and close. */
 class CircuitBreakerTest {
     private static PolicyTestFixture fixture() {
         return new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder());
     }
 
     /**
-     * All reads of a disconnected server are saved by hedged requests, so that none times out: the
-     * breaker must open all the same, and a trial without an answer must not close it.
+     * Hedged requests answer all reads of a disconnected server, so that none times out. The
+     * breaker must still open, and a trial without an answer must not close it.
      */
     @Test
-    void aServerWhoseReadsAreAllOvertakenIsLeftAlone() {
+    void breakerOpensWhenAllReadsAreOvertakenByHedgedRequests() {
         PolicyTestFixture fixture =
                 new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder()).servers(4);
         fixture.fillLatencyDigest(64);
         fixture.advanceMillis(
-                6_000); // until the hedged requests of these have left the retry budget
+                6_000); // until their hedged requests have left the retry budget's window
         long failedServer = fixture.request(1, PolicyTestFixture.READ, 5).server();
         fixture.outcome(1, 0, AttemptResult.OK);
         long id = 2;
         while (id < 20 && requestOvertakenByHedge(fixture, id) == failedServer) {
             id++;
         }
-        assertTrue(id < 12, "opened after nine failures");
+        assertTrue(id < 12, "the breaker opens after nine failures");
         fixture.advanceMillis(6_000);
-        assertEquals(failedServer, requestOvertakenByHedge(fixture, ++id), "a trial");
-        assertNotEquals(failedServer, requestOvertakenByHedge(fixture, ++id), "that failed");
+        assertEquals(failedServer, requestOvertakenByHedge(fixture, ++id), "trial");
+        assertNotEquals(
+                failedServer, requestOvertakenByHedge(fixture, ++id), "after the failed trial");
     }
 
     /**
-     * A read whose first attempt gets no answer and whose hedged request does; returns the server
-     * of the first one.
+     * Sends a read whose first attempt gets no answer and whose hedged request does; returns the
+     * server of the first attempt.
      */
     private static long requestOvertakenByHedge(PolicyTestFixture fixture, long id) {
         PolicyTestFixture.Sent first = fixture.request(id, PolicyTestFixture.READ, 5);
@@ -56,11 +57,11 @@
     }
 
     /**
-     * A slow origin fails every miss: breakers must not open everywhere and move keys to servers
-     * that do not hold them.
+     * While the origin is slow, misses fail at every server: breakers must not open everywhere,
+     * which would move keys to servers that do not hold them.
      */
     @Test
-    void breakersStayClosedWhenServersFailAlike() {
+    void breakersStayClosedWhenAllServersFailEqually() {
         PolicyTestFixture fixture = fixture().servers(6);
         Map<Long, Integer> sent = new HashMap<>();
         for (int i = 0; i < 3000; i++) {
@@ -77,10 +78,10 @@
         }
         assertTrue(
                 sent.get(7L) > 40,
-                "the last server failed like all others and got " + sent.get(7L));
+                "attempts at the last server, which failed like all others: " + sent.get(7L));
     }
 
-    /** A cancelled trial must not leave the breaker waiting for it forever. */
+    /** A breaker must not stay open because its trial was cancelled. */
     @Test
     void aCancelledTrialDoesNotKeepABreakerOpen() {
         PolicyTestFixture fixture = fixture().servers(2);
@@ -93,14 +94,14 @@
         assertEquals(failedServer, fixture.request(4, PolicyTestFixture.READ, 5).server());
     }
 
-    /** Idle connections of many balancers can fill every cache's connection table. */
+    /** Idle connections of many balancers can fill every cache's connection table: closes them. */
     @Test
-    void idleConnectionsAreGivenUpWhileManyAttemptsGetNone() {
+    void idleConnectionsAreClosedWhileManyAttemptsFailToConnect() {
         PolicyTestFixture fixture = fixture().servers(20);
         fixture.request(1, PolicyTestFixture.READ, 1);
         fixture.outcome(1, 0, AttemptResult.CONNECT_FAILED);
         fixture.outcome(1, 1, AttemptResult.OK);
-        assertTrue(fixture.closedIdleServers.isEmpty(), "one dead server is no reason");
+        assertTrue(fixture.closedIdleServers.isEmpty(), "not closed for one dead server");
         for (int i = 10; i < 30; i++) {
             fixture.request(i, PolicyTestFixture.READ, i);
             fixture.outcome(i, 0, AttemptResult.CONNECT_FAILED);
@@ -116,11 +117,11 @@
         fixture.closedIdleServers.clear();
         fixture.request(400, PolicyTestFixture.READ, 5);
         fixture.outcome(400, 0, AttemptResult.OK);
-        assertTrue(fixture.closedIdleServers.isEmpty(), "they are kept again");
+        assertTrue(fixture.closedIdleServers.isEmpty(), "kept open after recovery");
     }
 
     @Test
-    void aFailedServerIsLeftAloneAndTriedAgain() {
+    void failedServerIsAvoidedUntilItsTrial() {
         PolicyTestFixture fixture = fixture().servers(2);
         long failedServer = fixture.openBreaker();
         for (int i = 10; i < 20; i++) {
@@ -133,7 +134,7 @@
     }
 
     @Test
-    void whenAllServersFailTheSetIsNotEmptied() {
+    void requestsAreStillSentWhenAllServersFail() {
         PolicyTestFixture fixture = fixture().servers(3);
         for (int i = 0; i < 20; i++) {
             fixture.request(i, PolicyTestFixture.READ, i);
--- a/policy/src/test/java/frostrelay/policy/DecisionModuleFilesTest.java
+++ b/policy/src/test/java/frostrelay/policy/DecisionModuleFilesTest.java
@@ -13,7 +13,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The deploy file lists every file of the decision module, and their lines stay short. */
+/** Checks that the deploy file lists all files of the decision module, and limits line lengths. */
 class DecisionModuleFilesTest {
     private static final int MAX_COLUMNS = 110;
     private static final Path SOURCES = Path.of("src/main/java/frostrelay/policy");
--- a/policy/src/test/java/frostrelay/policy/EmbeddingExample.java
+++ b/policy/src/test/java/frostrelay/policy/EmbeddingExample.java
@@ -51,12 +51,12 @@
         return sentTo.remove();
     }
 
-    /** Actions that record the servers of attempts and do nothing else. */
+    /** Returns actions that only record the servers of attempts. */
     private static PolicyActions recordSends(Queue<Long> sentTo) {
         return new PolicyActions() {
             @Override
             public void send(long request, long server, long abandonAtNanos) {
-                sentTo.add(server); // start the attempt on your own connections
+                sentTo.add(server); // a real embedding starts the attempt on its own connections
             }
 
             @Override
--- a/policy/src/test/java/frostrelay/policy/LoadSheddingTest.java
+++ b/policy/src/test/java/frostrelay/policy/LoadSheddingTest.java
@@ -13,13 +13,13 @@
 
 import java.util.List;
 
-/** Which signals shed load, and which requests are shed first. */
+/** Load shedding: the signals that cause it, and the order in which requests are shed. */
 class LoadSheddingTest {
     private static PolicyTestFixture fixture() {
         return new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder());
     }
 
-    /** Rejections by servers that report spare capacity say nothing about the fleet's load. */
+    /** Rejections by servers that report spare capacity must not count as load on the fleet. */
     @Test
     void rejectionsByIdleServersShedNothing() {
         for (float utilization : new float[] {0.2f, 0.9f}) {
@@ -43,7 +43,10 @@
                                     new float[] {utilization}));
                 }
             }
-            assertEquals(utilization < 0.5f, sent == 400, "busy " + utilization + " sent " + sent);
+            assertEquals(
+                    utilization < 0.5f,
+                    sent == 400,
+                    "utilization " + utilization + ", sent " + sent);
         }
     }
 
@@ -78,10 +81,11 @@
     }
 
     /**
-     * Among many balancers a part of a quota is one request a second: random bursts are no excess.
+     * With many balancers, the quota of each is one request a second: random bursts must not count
+     * as traffic over quota.
      */
     @Test
-    void aFewRequestsAtOnceAreNotTakenForTrafficOverQuota() {
+    void smallBurstsDoNotCountAsTrafficOverQuota() {
         PolicyTestFixture.SettingsBuilder builder = new PolicyTestFixture.SettingsBuilder();
         builder.instanceCount = 200;
         builder.tenants = List.of(new Tenant(200, 1));
@@ -113,12 +117,12 @@
         for (int i = 1000; i < 1400; i++) {
             served += fixture.request(i, PolicyTestFixture.READ, i, 0, false) != null ? 1 : 0;
         }
-        assertTrue(served > 10 && served <= 20, "of a share of 20 " + served);
+        assertTrue(served > 10 && served <= 20, "served of a quota of 20: " + served);
     }
 
-    /** Timeouts show an overload only after seconds: slow answers must show it earlier. */
+    /** Timeouts indicate overload only after seconds: slow answers must indicate it earlier. */
     @Test
-    void requestsThatStayOutAreShedBeforeTheyTimeOut() {
+    void unansweredRequestsCauseSheddingBeforeTheyTimeOut() {
         PolicyTestFixture fixture = fixture().servers(8);
         for (int i = 0; i < 150; i++) {
             fixture.request(i, PolicyTestFixture.READ, i);
@@ -129,7 +133,7 @@
                 "rejected within 1.5 s: " + fixture.rejections.size());
     }
 
-    /** A third of the answers lost must not look like overload. */
+    /** The loss of a third of the answers must not count as overload. */
     @Test
     void lostAnswersAloneShedNothing() {
         PolicyTestFixture fixture = fixture().servers(8);
@@ -144,10 +148,11 @@
     }
 
     /**
-     * A few full caches of hot keys must not make balancers shed reads that idle caches can serve.
+     * A few caches that are full because of hot keys must not make balancers shed reads that idle
+     * caches can serve.
      */
     @Test
-    void fullCachesAreNoOverloadWhileTheOriginIsFast() {
+    void fullCachesDoNotCountAsOverloadWhileTheOriginIsFast() {
         PolicyTestFixture fastOriginFixture = PolicyTestFixture.lookAside(8);
         PolicyTestFixture slowOriginFixture = PolicyTestFixture.lookAside(8);
         slowOriginFixture.slowOrigin();
@@ -166,8 +171,8 @@
     }
 
     /**
-     * Counts requests rejected before any attempt: every other request is rejected by a cache
-     * instead.
+     * Returns how many requests are rejected before any attempt while caches reject every other
+     * request.
      */
     private static long countShedImmediately(PolicyTestFixture fixture) {
         return fixture.rejections.stream().filter(r -> r.request() % 2 != 0).count();
@@ -196,6 +201,6 @@
         long withinQuota = fixture.rejections.size() - overQuota;
         assertTrue(
                 overQuota >= 10 && withinQuota < overQuota / 2,
-                overQuota + " over, " + withinQuota + " within");
+                "sent: " + overQuota + " over quota, " + withinQuota + " within");
     }
 }
--- a/policy/src/test/java/frostrelay/policy/OriginFetchLimiterTest.java
+++ b/policy/src/test/java/frostrelay/policy/OriginFetchLimiterTest.java
@@ -9,7 +9,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a failing origin lets through. */
+/** Limits on requests to an origin that fails or is late. */
 class OriginFetchLimiterTest {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
@@ -25,7 +25,7 @@
         return new TrackedServer(number);
     }
 
-    /** As a process that has read for a while: a new one lets reads through whatever it knows. */
+    /** Returns a limiter with enough reads to use its table of keys, which a new one ignores. */
     private static OriginFetchLimiter limiterWithHistory() {
         OriginFetchLimiter limiter = new OriginFetchLimiter();
         for (int key = 1; key <= 1_000; key++) {
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void failuresAtManyServersCloseItToAMinimumAndSuccessesReopenIt() {
+    void failuresAtManyServersLowerTheFractionToAMinimumAndSuccessesRaiseIt() {
         OriginFetchLimiter limiter = limiterWithHistory();
         assertFalse(limiter.isFailing());
         for (int i = 1; i <= 50; i++) {
@@ -47,8 +47,8 @@
                 0.1,
                 admittedFraction(limiter),
                 0.002,
-                "never closed: recovery could not be observed");
-        assertTrue(limiter.admits(true, 0.3), "writes go last");
+                "some fetches stay admitted, so that recovery is detected");
+        assertTrue(limiter.admits(true, 0.3), "writes are rejected last");
         for (int key = 100; key < 125; key++) {
             limiter.onReadCompleted(key, key, server(key), false, ResponseSource.UNKNOWN, false);
         }
@@ -57,16 +57,16 @@
 
     /** Failed reads at one server must not lead to rejected writes. */
     @Test
-    void oneServersFailureRejectsNothing() {
+    void failureAtOneServerRejectsNothing() {
         OriginFetchLimiter limiter = limiterWithHistory();
         limiter.onReadCompleted(1, 1, server(1), true, ResponseSource.UNKNOWN, false);
         assertTrue(limiter.admits(true, 0.999));
         limiter.onReadCompleted(2, 2, server(2), true, ResponseSource.UNKNOWN, false);
-        assertFalse(limiter.admits(true, 0.999), "a second server's failure does");
+        assertFalse(limiter.admits(true, 0.999), "failures at two servers");
     }
 
     @Test
-    void oneServerThatAlwaysFailsClosesNothing() {
+    void oneServerThatAlwaysFailsDoesNotLowerTheFraction() {
         OriginFetchLimiter limiter = limiterWithHistory();
         TrackedServer failingServer = server(1);
         for (int i = 0; i < 2_000; i++) {
@@ -84,12 +84,12 @@
                     false,
                     ResponseSource.UNKNOWN,
                     false);
-            assertTrue(limiter.admits(false, 0.999), "at " + i);
+            assertTrue(limiter.admits(false, 0.999), "after fetch " + i);
         }
     }
 
     @Test
-    void cachedKeysTellNothingOfTheOrigin() {
+    void readsOfCachedKeysDoNotChangeTheFraction() {
         OriginFetchLimiter limiter = limiterWithHistory();
         for (int i = 0; i < 3; i++) {
             limiter.onReadCompleted(i, 50_001, server(i), true, ResponseSource.UNKNOWN, false);
@@ -100,12 +100,12 @@
             limiter.onReadCompleted(
                     1_000 + i, 50_001, server(0), false, ResponseSource.UNKNOWN, false);
         }
-        assertEquals(before, admittedFraction(limiter), "one key, held since its last answer");
+        assertEquals(before, admittedFraction(limiter), "reads of a cached key");
         assertTrue(limiter.mayBeCached(2_000, 50_001));
         assertFalse(limiter.mayBeCached(60 * NANOS_PER_SECOND, 50_001), "cached values expire");
         limiter.onWriteCompleted(50_001, false);
         assertFalse(limiter.mayBeCached(2_000, 50_001), "a write invalidates cached values");
-        assertFalse(limiter.mayBeCached(2_000, 0), "no key is not a cached key");
+        assertFalse(limiter.mayBeCached(2_000, 0), "a request without a key is not cached");
     }
 
     private static OriginFetchLimiter limiterAfterReads(ResponseSource source, boolean slowHits) {
@@ -122,34 +122,34 @@
     }
 
     /**
-     * With 200 caches nothing failed, and every fetch came too late: the queue at the origin never
-     * went.
+     * A queue at the origin can make every fetch late without any failure, and it persists unless
+     * late fetches lower the admitted fraction. Seen with 200 caches.
      */
     @Test
-    void lateFetchesTellOfTheOriginWhereHitsAreInTimeAndCachesReportTheSource() {
+    void lateFetchesLowerTheFractionIfHitsAreTimelyAndTheSourceIsReported() {
         OriginFetchLimiter limiter = limiterAfterReads(ResponseSource.ORIGIN, false);
         assertEquals(0.1, admittedFraction(limiter), 0.002);
         for (int key = 1; key <= 25; key++) {
             limiter.onReadCompleted(
                     2_000 + key, 60_000 + key, server(1), false, ResponseSource.ORIGIN, false);
         }
-        assertEquals(1, admittedFraction(limiter), "fetches in time open it");
+        assertEquals(1, admittedFraction(limiter), "timely fetches raise the fraction");
         assertEquals(
                 1,
                 admittedFraction(limiterAfterReads(ResponseSource.ORIGIN, true)),
-                "a cache that is slow with hits as well");
+                "hits at the cache are slow too");
         assertEquals(
                 1,
                 admittedFraction(limiterAfterReads(ResponseSource.CACHE, false)),
-                "late hits are no fetches");
+                "late hits are not origin fetches");
         assertEquals(
                 1,
                 admittedFraction(limiterAfterReads(ResponseSource.UNKNOWN, false)),
-                "caches that do not report the source");
+                "the cache does not report the source");
     }
 
     /**
-     * With the complete module: while fetches fail, a read of a cached key is forwarded and most
+     * Tests the complete module: while fetches fail, reads of cached keys are forwarded and most
      * others are rejected.
      */
     @Test
@@ -179,8 +179,8 @@
         }
         assertTrue(
                 cachedSends >= 38,
-                "keys that some cache holds, but for a place in the table taken by another: "
+                "sends of 40 for cached keys, less collisions in the table of keys: "
                         + cachedSends);
-        assertTrue(uncachedSends < 20, "sent " + uncachedSends + " of 40");
+        assertTrue(uncachedSends < 20, "sends of 40 for uncached keys: " + uncachedSends);
     }
 }
--- a/policy/src/test/java/frostrelay/policy/OriginProtectionTest.java
+++ b/policy/src/test/java/frostrelay/policy/OriginProtectionTest.java
@@ -11,14 +11,15 @@
 
 import java.util.List;
 
-/** What reaches the origin while it is slow or failing, and what does while it is fast. */
+/** Requests that reach the origin while it is slow, failing or fast. */
 class OriginProtectionTest {
     private static PolicyTestFixture fixture() {
         return new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder());
     }
 
     /**
-     * Reads that missed must not hold all connections of a full origin: writes have more weight.
+     * Reads that missed must not occupy all connections of a full origin, as writes have more
+     * weight.
      */
     @Test
     void aFullOriginIsReservedForWrites() {
@@ -33,12 +34,12 @@
                 }
             }
         }
-        assertTrue(originFetches < 30, "misses sent on to the full origin: " + originFetches);
+        assertTrue(originFetches < 30, "misses forwarded to the full origin: " + originFetches);
         int writes = 0;
         for (int i = 500; i < 540; i++) {
             writes += fixture.request(i, PolicyTestFixture.KEYED_WRITE, i) != null ? 1 : 0;
         }
-        assertTrue(writes > 6, "writes sent on to it: " + writes + " of 40");
+        assertTrue(writes > 6, "writes of 40 forwarded to the full origin: " + writes);
         for (int i = 600; i < 800; i++) {
             fixture.request(i, PolicyTestFixture.KEYED_WRITE, i);
             fixture.outcome(i, 0, AttemptResult.OK);
@@ -49,7 +50,7 @@
 
     /** Writes, and clients' retries of them, must not keep a failing origin's queue full. */
     @Test
-    void writesToAFailingOriginAreThinnedButLast() {
+    void writesToAFailingOriginAreReducedAfterReads() {
         PolicyTestFixture fixture = PolicyTestFixture.lookAside(4);
         for (int i = 0; i < 60; i++) {
             fixture.request(i, PolicyTestFixture.KEYED_WRITE, i);
@@ -74,7 +75,7 @@
      * capacity.
      */
     @Test
-    void aRejectedReadGoesToTheOriginWhileThatIsFast() {
+    void rejectedReadGoesToTheOriginWhileItIsFast() {
         PolicyTestFixture fixture = PolicyTestFixture.lookAside(8);
         fixture.request(1, PolicyTestFixture.READ, 5);
         assertEquals(99, fixture.outcome(1, 0, AttemptResult.REJECTED).server());
@@ -84,12 +85,12 @@
         assertNotEquals(
                 99,
                 fixture.outcome(2, 0, AttemptResult.REJECTED).server(),
-                "the origin is slow now");
+                "not sent to a slow origin");
     }
 
     /** While the origin is being read, no cache gets a hedged request for the same read. */
     @Test
-    void noHedgedRequestRunsBesideTheOrigin() {
+    void requestsAtTheOriginAreNotHedged() {
         PolicyTestFixture fixture = PolicyTestFixture.lookAside(8);
         fixture.fillLatencyDigest(40);
         fixture.request(1, PolicyTestFixture.READ, 5);
@@ -98,7 +99,7 @@
         assertEquals(2, fixture.sends.size());
     }
 
-    /** A queue at the origin makes every fetch late: that is no success. */
+    /** A queue at the origin makes every fetch late: late fetches must not count as successes. */
     @Test
     void fetchesLaterThanTheLatencyObjectiveCountAsFailed() {
         PolicyTestFixture.SettingsBuilder builder = new PolicyTestFixture.SettingsBuilder();
@@ -121,15 +122,15 @@
                 fetched += i >= 20 ? 1 : 0;
             }
         }
-        assertTrue(fetched > 0 && fetched < 30, "of 40 misses fetched: " + fetched);
+        assertTrue(fetched > 0 && fetched < 30, "fetches for 40 misses: " + fetched);
     }
 
     /**
-     * With fifty balancers each has few fetches: the admitted fraction must recover quickly all the
-     * same.
+     * With fifty balancers, each one has few fetches: its admitted fraction must still recover
+     * quickly.
      */
     @Test
-    void theOriginFetchFractionGrowsBackOnFewFetches() {
+    void theFractionRecoversWithFewFetches() {
         PolicyTestFixture fixture = fixture().servers(6);
         for (int i = 0; i < 60; i++) {
             fixture.request(i, PolicyTestFixture.KEYED_WRITE, i);
@@ -144,6 +145,8 @@
         for (int i = 3000; i < 3050; i++) {
             fixture.request(i, PolicyTestFixture.READ, i);
         }
-        assertTrue(fixture.rejections.isEmpty(), "still shed: " + fixture.rejections.size());
+        assertTrue(
+                fixture.rejections.isEmpty(),
+                "rejected after recovery: " + fixture.rejections.size());
     }
 }
--- a/policy/src/test/java/frostrelay/policy/PolicyInvariantsTest.java
+++ b/policy/src/test/java/frostrelay/policy/PolicyInvariantsTest.java
@@ -23,7 +23,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Random event sequences, checked against the rules of the module by an independent ledger. */
+/** Checks the module's invariants for random event sequences, with an independent ledger. */
 class PolicyInvariantsTest {
     private static final AttemptResult[] OUTCOMES = {
         AttemptResult.ERROR,
@@ -37,7 +37,7 @@
         AttemptResult.OK
     };
 
-    /** What the ledger knows of a request. */
+    /** The ledger's record of one request. */
     private static final class Entry {
         final int requestClass;
         final long key;
@@ -58,7 +58,7 @@
 
     private final Map<Long, Entry> ledger = new HashMap<>();
 
-    /** Incomplete requests by serialized key, oldest first, and when the key's quarantine ends. */
+    /** Incomplete requests by serialized key, oldest first, and the end of the key's quarantine. */
     private final Map<Long, List<Long>> queuesByKey = new HashMap<>();
 
     private final Map<Long, Long> quarantinedUntil = new HashMap<>();
@@ -83,7 +83,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void theInvariantsHold(long seed) {
+    void invariantsHold(long seed) {
         Random random = new Random(seed);
         PolicyTestFixture.SettingsBuilder builder = new PolicyTestFixture.SettingsBuilder();
         builder.lookAside = seed % 2 == 0;
@@ -131,10 +131,10 @@
         }
         assertTrue(
                 sendsToWarmingUp <= allSends / 4 + 4,
-                "servers in slow start got " + sendsToWarmingUp + " of " + allSends);
+                "sends to servers in slow start: " + sendsToWarmingUp + " of " + allSends);
     }
 
-    /** A new full list: some servers drain, some are missing, some have just started. */
+    /** Applies a full list in which some servers drain, are missing or have just started. */
     private void updateEndpoints(PolicyTestFixture fixture, Random random) {
         List<Server> list = new ArrayList<>();
         listed.clear();
@@ -162,7 +162,7 @@
         fixture.updateEndpoints(list);
     }
 
-    /** Completes what is due, and some more at random if there is a random source. */
+    /** Completes the attempts that are due, and random other ones if there is a random source. */
     private void completeSome(PolicyTestFixture fixture, Random random) {
         for (long id : new ArrayList<>(ledger.keySet())) {
             Entry entry = ledger.get(id);
@@ -241,10 +241,15 @@
     private void checkOrderAndRetryBudget(
             PolicyTestFixture fixture, PolicyTestFixture.Sent sent, Entry entry) {
         if (fixture.settings.classes().get(entry.requestClass).serializedByKey()) {
-            assertEquals(sent.request(), queuesByKey.get(entry.key).get(0), "out of turn: " + sent);
+            assertEquals(
+                    sent.request(),
+                    queuesByKey.get(entry.key).get(0),
+                    "sent out of order: " + sent);
             boolean isQuarantineOver =
                     sent.sentAtNanos() >= quarantinedUntil.getOrDefault(entry.key, 0L);
-            assertTrue(isQuarantineOver || sent.attempt() > 0, "the key rests: " + sent);
+            assertTrue(
+                    isQuarantineOver || sent.attempt() > 0,
+                    "sent during the key's quarantine: " + sent);
         }
         RetryBudget budget = fixture.settings.retryBudget();
         if (entry.sendCount++ == 0 || budget == null) {
@@ -262,7 +267,7 @@
             long retries = retryTimes.stream().filter(t -> t >= from).count();
             assertTrue(
                     retries <= allowed,
-                    "beyond the budget: " + sent + ", " + retries + " of " + allowed);
+                    "over the retry budget: " + sent + ", " + retries + " of " + allowed);
         }
     }
 
@@ -273,7 +278,7 @@
             assertTrue(
                     entry.requestClass != PolicyTestFixture.UNSAFE_WRITE
                             || entry.firstMayHaveRunAtNanos < 0,
-                    "an unsafe refusal");
+                    "rejected although a retry is unsafe");
             recordFinalAnswer(fixture, entry);
             removeFromQueue(fixture.rejections.get(rejectionsSeen).request(), entry);
         }
@@ -286,26 +291,26 @@
         for (; sendsSeen < fixture.sends.size(); sendsSeen++) {
             PolicyTestFixture.Sent sent = fixture.sends.get(sendsSeen);
             Entry entry = ledger.get(sent.request());
-            assertTrue(entry != null && !entry.isAnswered, "sent after the end: " + sent);
+            assertTrue(entry != null && !entry.isAnswered, "sent after the final answer: " + sent);
             assertTrue(
                     listed.contains(sent.server()),
                     "sent to a draining or removed server: " + sent);
             assertTrue(
                     fixture.settings.hedgingAllowed() || entry.pendingAttempts.isEmpty(),
-                    "two at once: " + sent);
+                    "concurrent attempts: " + sent);
             assertTrue(
                     sent.abandonAtNanos() <= entry.deadlineNanos,
-                    "runs past the deadline: " + sent);
+                    "may run after the deadline: " + sent);
             assertTrue(
                     sent.attempt() < fixture.settings.maxAttempts(), "too many attempts: " + sent);
             if (entry.firstMayHaveRunAtNanos >= 0 && entry.requestClass != PolicyTestFixture.READ) {
                 assertFalse(
                         entry.requestClass == PolicyTestFixture.UNSAFE_WRITE,
-                        "an unsafe repeat: " + sent);
+                        "unsafe second execution: " + sent);
                 assertTrue(
                         fixture.now - entry.firstMayHaveRunAtNanos
                                 <= 500 * PolicyTestFixture.NANOS_PER_MILLI,
-                        "past the window: " + sent);
+                        "sent after the deduplication window: " + sent);
             }
             entry.firstMayHaveRunAtNanos =
                     entry.firstMayHaveRunAtNanos < 0 ? fixture.now : entry.firstMayHaveRunAtNanos;
@@ -320,14 +325,14 @@
         assertFalse(entry.isAnswered, "two final answers");
         assertTrue(
                 fixture.now <= entry.deadlineNanos + 20 * PolicyTestFixture.NANOS_PER_MILLI,
-                "answered too late");
+                "final answer too late");
         entry.isAnswered = true;
     }
 
-    /** Equal events and seed give equal actions. */
+    /** The same events and seed must produce the same actions. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22})
-    void equalEventsGiveEqualActions(long seed) {
+    void equalEventsProduceEqualActions(long seed) {
         assertEquals(run(seed).toString(), run(seed).toString());
     }
 
--- a/policy/src/test/java/frostrelay/policy/PolicyTestFixture.java
+++ b/policy/src/test/java/frostrelay/policy/PolicyTestFixture.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import java.util.Objects;
 
-/** A router with a clock set by hand, recorded actions, and shorthands for events. */
+/** A router with a manual clock, recorded actions, and helper methods for events. */
 final class PolicyTestFixture implements PolicyActions {
     static final long NANOS_PER_MILLI = 1_000_000L;
     static final int READ = 0;
@@ -106,7 +106,7 @@
         return new Server(id, 0, 2, 0, EndpointState.READY, 1, 0);
     }
 
-    /** Returns a fixture in look-aside mode with some caches and origin 99. */
+    /** Returns a fixture in look-aside mode with the given number of caches, and origin 99. */
     static PolicyTestFixture lookAside(int caches) {
         SettingsBuilder builder = new SettingsBuilder();
         builder.lookAside = true;
@@ -157,7 +157,7 @@
         return sends.size() > before ? sends.get(before) : null;
     }
 
-    /** Reports an outcome; returns the attempt that it caused, or null. */
+    /** Reports an outcome; returns the attempt sent in response, or null. */
     Sent outcome(long id, int attempt, AttemptResult reason) {
         int before = sends.size();
         router.onAttemptOutcome(
@@ -173,14 +173,14 @@
         return sends.size() > before ? sends.get(before) : null;
     }
 
-    /** Ends every attempt of a request with the same result, including those that follow. */
+    /** Ends every attempt of a request, retries included, with the same result. */
     void completeAll(long id, AttemptResult reason) {
         for (int attempt = 0; attempt < settings.maxAttempts(); attempt++) {
             outcome(id, attempt, reason);
         }
     }
 
-    /** Slows the origin by writes that take nearly their latency objective. */
+    /** Makes the origin count as slow, by writes that take nearly their latency objective. */
     void slowOrigin() {
         for (long id = 2_000_000; id < 2_000_040; id++) {
             request(id, KEYED_WRITE, id);
@@ -200,7 +200,7 @@
         return failedServer;
     }
 
-    /** Advances the clock, firing the timers that become due. */
+    /** Advances the clock and fires the timers that become due. */
     void advanceMillis(long millis) {
         long untilNanos = now + millis * NANOS_PER_MILLI;
         while (true) {
@@ -220,7 +220,7 @@
         }
     }
 
-    /** Serves reads of 10 ms so that the latency digest has enough samples. */
+    /** Adds samples to the latency digest, by reads that take 10 ms each. */
     void fillLatencyDigest(int count) {
         for (int i = 0; i < count; i++) {
             long id = 1_000_000 + i;
@@ -232,9 +232,7 @@
         cancels.clear();
     }
 
-    /**
-     * Settings for tests: three classes (read, keyed write, unsafe write), changed field by field.
-     */
+    /** A builder of settings with three classes: read, keyed write and unsafe write. */
     static final class SettingsBuilder {
         boolean lookAside;
         boolean subscribe;
--- a/policy/src/test/java/frostrelay/policy/RetryBudgetTest.java
+++ b/policy/src/test/java/frostrelay/policy/RetryBudgetTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The retry budget without configuration, and the retries it does not cover. */
+/** The default retry budget, and the retries that are exempt from it. */
 class RetryBudgetTest {
     private static PolicyTestFixture fixture() {
         return new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder());
@@ -14,7 +14,7 @@
 
     /** Rejections must not send each request to all servers in turn. */
     @Test
-    void retriesKeepToTheirBudget() {
+    void retriesStayWithinTheBudget() {
         PolicyTestFixture fixture = fixture().servers(10);
         for (int i = 0; i < 300; i++) {
             fixture.request(i, PolicyTestFixture.READ, i);
@@ -25,12 +25,12 @@
     }
 
     /**
-     * With many servers dead and the endpoint list late by seconds the budget is used up. An
-     * attempt that reached no server caused no load: it is repeated once without the budget, and
-     * not more often.
+     * With many dead servers and an endpoint list that is seconds late, the budget is used up. An
+     * attempt that reached no server caused no load, so its first retry is exempt from the budget;
+     * further ones are not.
      */
     @Test
-    void aSendThatReachedNoServerIsRetriedOnceWithoutBudget() {
+    void attemptThatReachedNoServerIsRetriedOnceWithoutBudget() {
         PolicyTestFixture fixture = fixture().servers(10);
         for (int i = 0; i < 300; i++) {
             fixture.request(i, PolicyTestFixture.READ, i);
--- a/policy/src/test/java/frostrelay/policy/RouterTest.java
+++ b/policy/src/test/java/frostrelay/policy/RouterTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aKeyStaysOnItsServerAndGoesToTheOtherCandidateWhenThatIsBusy() {
+    void keyStaysOnItsServerUnlessThatIsBusierThanTheOtherCandidate() {
         PolicyTestFixture fixture = fixture().servers(8);
         long first = fixture.request(1, PolicyTestFixture.READ, 5).server();
         fixture.outcome(1, 0, AttemptResult.OK);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aHandfulOfSamplesHedgesNothing() {
+    void tooFewSamplesHedgeNothing() {
         PolicyTestFixture fixture = fixture().servers(4);
         fixture.fillLatencyDigest(20);
         fixture.request(1, PolicyTestFixture.READ, 5);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void hedgedRequestsKeepToTheirBudget() {
+    void hedgedRequestsStayWithinTheRetryBudget() {
         PolicyTestFixture fixture = fixture().servers(8);
         fixture.fillLatencyDigest(40);
         for (int i = 0; i < 100; i++) {
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void aMissGoesToTheOriginAndWritesGoStraightThere() {
+    void missesAndWritesGoToTheOrigin() {
         PolicyTestFixture fixture = PolicyTestFixture.lookAside(4);
         assertNotEquals(99, fixture.request(1, PolicyTestFixture.READ, 5).server());
         assertEquals(99, fixture.outcome(1, 0, AttemptResult.MISS).server());
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void anEmptyListIsAnsweredAtOnce() {
+    void requestsAreRejectedImmediatelyWithoutServers() {
         PolicyTestFixture fixture = fixture();
         assertNull(fixture.request(1, PolicyTestFixture.READ, 5));
         assertTrue(fixture.isRejected(1));
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void theLastTimeOutAtTheDeadlineIsAnswered() {
+    void timeoutsAtTheDeadlineGetAFinalAnswer() {
         PolicyTestFixture fixture = fixture().servers(4);
         fixture.request(1, PolicyTestFixture.READ, 5);
         fixture.request(2, PolicyTestFixture.UNSAFE_WRITE, 6);
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void worthlessLateWorkIsAbandonedAtTheLatencyObjective() {
+    void attemptsAreAbandonedAtTheLatencyObjectiveIfLateAnswersAreWorthless() {
         PolicyTestFixture fixture = fixture().servers(4);
         assertEquals(
                 fixture.now + 1000 * PolicyTestFixture.NANOS_PER_MILLI,
@@ -224,7 +224,7 @@
     }
 
     @Test
-    void nothingNewGoesToADrainingOrAbsentServer() {
+    void drainingAndRemovedServersGetNoNewAttempts() {
         PolicyTestFixture fixture = fixture().servers(3);
         fixture.updateEndpointsByDelta(
                 PolicyTestFixture.server(1, EndpointState.DRAINING, 0),
@@ -237,7 +237,7 @@
     }
 
     @Test
-    void instancesSubscribeOutOfStepAndAgainAfterAFailure() {
+    void subscriptionsAreStaggeredAndRetriedAfterAFailure() {
         long previousWaitNanos = 0;
         for (int rank = 0; rank < 4; rank++) {
             PolicyTestFixture.SettingsBuilder builder = new PolicyTestFixture.SettingsBuilder();
@@ -252,7 +252,7 @@
             assertTrue(
                     waitNanos > previousWaitNanos
                             && waitNanos < 10_000 * PolicyTestFixture.NANOS_PER_MILLI,
-                    "wait " + waitNanos);
+                    "delay in ns: " + waitNanos);
             previousWaitNanos = waitNanos;
             fixture.advanceMillis(10_000);
             assertEquals(1, fixture.subscriptions);
@@ -264,8 +264,8 @@
     }
 
     /**
-     * Updates of the endpoint list must be known within 6 s of discovery, whatever calls failed:
-     * the backoff must not grow beyond that.
+     * Updates of the endpoint list must be known within 6 s of discovery even after failed calls:
+     * the backoff must not exceed that limit.
      */
     @Test
     void theBackoffAfterFailedCallsStaysWithinTheUpdateLimit() {
@@ -286,7 +286,7 @@
                         backoffNanos >= 200 * PolicyTestFixture.NANOS_PER_MILLI
                                 && backoffNanos
                                         <= maxBackoffMillis * PolicyTestFixture.NANOS_PER_MILLI,
-                        instances + ": " + backoffNanos);
+                        instances + " instances, backoff in ns: " + backoffNanos);
                 fixture.advanceMillis(5_000);
             }
             assertEquals(13, fixture.subscriptions);
@@ -294,11 +294,11 @@
     }
 
     /**
-     * A process that takes over must follow the endpoint list immediately: waiting for its turn
-     * would send to draining servers.
+     * A process that takes over must subscribe to the endpoint list immediately: after a staggered
+     * delay it would have sent requests to draining servers.
      */
     @Test
-    void oneThatTakesOverSubscribesAtOnce() {
+    void processThatTakesOverSubscribesImmediately() {
         PolicyTestFixture.SettingsBuilder builder = new PolicyTestFixture.SettingsBuilder();
         builder.subscribe = true;
         builder.instanceCount = 4;
@@ -312,23 +312,22 @@
         fixture.router.onEndpointUpdate(fixture.now, EndpointUpdateMode.FAILED, List.of());
         assertTrue(
                 fixture.timers.get(1).atNanos() - fixture.now > PolicyTestFixture.NANOS_PER_MILLI,
-                "a failed call is not repeated at once");
+                "a failed call is retried after a delay");
     }
 
     /**
-     * A retry may begin as late as its connection is established: servers must still remember the
-     * first attempt then.
+     * A retry may be delayed until its connection is established: servers must still remember the
+     * first attempt at that time.
      */
     @Test
-    void aRetryWithAnIdempotencyKeyBeginsWithinTheWindowAlsoOnANewConnection() {
+    void retryOnANewConnectionArrivesWithinTheDeduplicationWindow() {
         for (int delayMillis : new int[] {190, 210}) {
             PolicyTestFixture.SettingsBuilder builder = new PolicyTestFixture.SettingsBuilder();
             builder.connectTimeoutNanos = 250 * PolicyTestFixture.NANOS_PER_MILLI;
             PolicyTestFixture fixture = new PolicyTestFixture(builder).servers(4);
             fixture.request(1, PolicyTestFixture.KEYED_WRITE, 5);
             fixture.advanceMillis(delayMillis);
-            // Of the window of 500 ms 450 are used, and 250 of these may pass before the repeat
-            // begins.
+            // 450 ms of the 500 ms window are usable, of which connecting may take 250 ms.
             assertEquals(
                     delayMillis < 200,
                     fixture.outcome(1, 0, AttemptResult.RESET) != null,
@@ -337,7 +336,7 @@
     }
 
     @Test
-    void aStartedStreamBelongsToTheClient() {
+    void streamedRequestIsNeitherHedgedNorRejected() {
         PolicyTestFixture fixture = fixture().servers(4);
         fixture.fillLatencyDigest(40);
         fixture.request(1, PolicyTestFixture.READ, 5);
--- a/policy/src/test/java/frostrelay/policy/SerializationAndRetryBudgetTest.java
+++ b/policy/src/test/java/frostrelay/policy/SerializationAndRetryBudgetTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The rules that hold only where settings state them: order for each key, and a budget of further
- * attempts.
+ * Rules that apply only if they are configured: serialization by key, and a budget of retries and
+ * hedged requests.
  */
 class SerializationAndRetryBudgetTest {
     private static PolicyTestFixture serializedFixture() {
@@ -29,14 +29,15 @@
     }
 
     @Test
-    void requestsOfOneKeyRunOneAtATimeInTheOrderAccepted() {
+    void requestsOfOneKeyRunOneAtATimeInArrivalOrder() {
         PolicyTestFixture fixture = serializedFixture();
         assertNotNull(fixture.request(1, PolicyTestFixture.KEYED_WRITE, 5));
         assertNull(fixture.request(2, PolicyTestFixture.KEYED_WRITE, 5));
         assertNull(fixture.request(3, PolicyTestFixture.KEYED_WRITE, 5));
-        assertNotNull(fixture.request(4, PolicyTestFixture.KEYED_WRITE, 6), "another key is free");
         assertNotNull(
-                fixture.request(5, PolicyTestFixture.READ, 5), "a class without order is free");
+                fixture.request(4, PolicyTestFixture.KEYED_WRITE, 6), "other keys do not wait");
+        assertNotNull(
+                fixture.request(5, PolicyTestFixture.READ, 5), "unserialized classes do not wait");
         assertEquals(2, fixture.outcome(1, 0, AttemptResult.OK).request());
         assertEquals(3, fixture.outcome(2, 0, AttemptResult.OK).request());
     }
@@ -51,9 +52,9 @@
             fixture.advanceMillis(900);
             assertNull(fixture.outcome(1, 0, reason));
             fixture.advanceMillis(49);
-            assertEquals(1, fixture.sends.size(), reason + ": the key rests");
+            assertEquals(1, fixture.sends.size(), reason + ": the key is quarantined");
             fixture.advanceMillis(1);
-            assertEquals(2, fixture.sends.size(), reason + ": and goes on by itself");
+            assertEquals(2, fixture.sends.size(), reason + ": the timer sends the next request");
         }
     }
 
@@ -71,7 +72,7 @@
     }
 
     @Test
-    void aQuarantineOutlivesTheEndOfTheQueue() {
+    void quarantineContinuesWhenTheQueueIsEmpty() {
         PolicyTestFixture fixture = serializedFixture();
         fixture.request(1, PolicyTestFixture.KEYED_WRITE, 5);
         fixture.advanceMillis(900);
@@ -83,7 +84,7 @@
     }
 
     @Test
-    void aQueuedRequestIsRejectedInTimeAndOnce() {
+    void queuedRequestIsRejectedOnceAtItsLatencyObjective() {
         PolicyTestFixture fixture = serializedFixture();
         fixture.request(1, PolicyTestFixture.KEYED_WRITE, 5);
         fixture.request(2, PolicyTestFixture.KEYED_WRITE, 5);
@@ -97,7 +98,7 @@
     }
 
     @Test
-    void aQueueThatCannotBeServedInTimeIsRejectedEarly() {
+    void requestsThatCannotBeServedInTimeAreNotQueued() {
         PolicyTestFixture fixture = serializedFixture();
         for (long id = 1; id <= 40; id++) {
             fixture.request(id, PolicyTestFixture.KEYED_WRITE, 100 + id);
@@ -112,7 +113,7 @@
                 "rejected immediately: " + fixture.rejections.size());
         assertTrue(
                 fixture.rejections.size() <= 16,
-                "those with hope wait: " + fixture.rejections.size());
+                "servable requests wait; rejected: " + fixture.rejections.size());
     }
 
     @Test
@@ -129,26 +130,26 @@
         fixture.request(50, PolicyTestFixture.READ, 5);
         assertNull(
                 fixture.outcome(50, 0, AttemptResult.CONNECT_FAILED),
-                "the attempts of 2 s ago still count, the requests do not");
+                "at the end of the window its retries still count, but its requests do not");
         fixture.advanceMillis(1);
         fixture.request(51, PolicyTestFixture.READ, 5);
         assertNotNull(fixture.outcome(51, 0, AttemptResult.CONNECT_FAILED));
     }
 
     @Test
-    void aHedgedRequestTakesFromTheBudgetToo() {
+    void hedgedRequestsCountAgainstTheRetryBudget() {
         PolicyTestFixture fixture = fixtureWithRetryBudget(1, 0);
         fixture.fillLatencyDigest(40);
         fixture.advanceMillis(2001);
         fixture.request(1, PolicyTestFixture.READ, 5);
         fixture.advanceMillis(100);
-        assertEquals(2, fixture.sends.size(), "the hedged request");
+        assertEquals(2, fixture.sends.size(), "one hedged request");
         fixture.request(2, PolicyTestFixture.READ, 6);
         assertNull(fixture.outcome(2, 0, AttemptResult.REJECTED));
     }
 
     @Test
-    void aMissGoesToTheOriginBesideTheBudget() {
+    void missesGoToTheOriginOutsideTheRetryBudget() {
         PolicyTestFixture.SettingsBuilder builder = new PolicyTestFixture.SettingsBuilder();
         builder.lookAside = true;
         builder.retryBudget = new RetryBudget(0, 0, 2000 * PolicyTestFixture.NANOS_PER_MILLI);
--- a/policy/src/test/java/frostrelay/policy/SettingsChangeTest.java
+++ b/policy/src/test/java/frostrelay/policy/SettingsChangeTest.java
@@ -9,11 +9,11 @@
 
 import java.util.List;
 
-/** Open and later requests under settings that change. */
+/** Effects of changed settings on open and on later requests. */
 class SettingsChangeTest {
-    /** Open requests are retried and rejected only as both the old and the new settings allow. */
+    /** Open requests are retried or rejected only if both the old and the new settings allow it. */
     @Test
-    void anOpenRequestGoesByTheStricterOfItsClasses() {
+    void openRequestFollowsTheStricterOfOldAndNewSettings() {
         PolicyTestFixture fixture =
                 new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder()).servers(3);
         fixture.request(1, PolicyTestFixture.READ, 5);
@@ -24,15 +24,15 @@
         fixture.router.onSettings(fixture.now, swapped.build());
         fixture.outcome(1, 0, AttemptResult.RESET);
         fixture.outcome(2, 0, AttemptResult.RESET);
-        assertEquals(2, fixture.sends.size(), "neither is sent again");
-        assertEquals(List.of(1L, 2L), fixture.failures, "nor rejected");
+        assertEquals(2, fixture.sends.size(), "no request is retried");
+        assertEquals(List.of(1L, 2L), fixture.failures, "both requests fail");
         fixture.request(3, PolicyTestFixture.UNSAFE_WRITE, 6);
         fixture.outcome(3, 0, AttemptResult.RESET);
-        assertEquals(4, fixture.sends.size(), "what comes now goes by the new ones alone");
+        assertEquals(4, fixture.sends.size(), "later requests use the new settings only");
     }
 
     @Test
-    void fewerAttemptsHoldForWhatIsOpenAndMoreForWhatComes() {
+    void lowerAttemptLimitAppliesToOpenRequestsAndHigherOneToNewRequests() {
         PolicyTestFixture fixture =
                 new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder()).servers(6);
         PolicyTestFixture.SettingsBuilder fewer = new PolicyTestFixture.SettingsBuilder();
@@ -44,7 +44,7 @@
         fixture.request(2, PolicyTestFixture.READ, 5);
         fixture.router.onSettings(fixture.now, new PolicyTestFixture.SettingsBuilder().build());
         fixture.outcome(2, 0, AttemptResult.ERROR);
-        assertEquals(2, fixture.sends.size(), "it came with one");
+        assertEquals(2, fixture.sends.size(), "the limit at arrival was one attempt");
         fixture.request(3, PolicyTestFixture.READ, 5);
         fixture.outcome(3, 0, AttemptResult.ERROR);
         assertEquals(4, fixture.sends.size());
--- a/policy/src/test/java/frostrelay/policy/SlowStartSumTest.java
+++ b/policy/src/test/java/frostrelay/policy/SlowStartSumTest.java
@@ -17,15 +17,14 @@
 import java.util.Random;
 
 /**
- * A server in slow start can take only so much from all balancers together, and they share no
- * state: checks the sum over many balancers with little traffic each, with bursts, and with some
- * that restart without knowledge of their earlier sends.
+ * Checks the limit of a server in slow start for the sum over many balancers, which share no state.
+ * Each has little traffic with bursts, and some restart and lose the record of their earlier sends.
  */
 class SlowStartSumTest {
     private static final int SERVERS = 16;
     private static final long COLD_SERVER = 99;
 
-    /** Requests a second that one warm server can serve. */
+    /** Requests per second that one warm server can serve. */
     private static final double FULL_RATE_PER_SECOND = 14;
 
     private static final double SLOW_START_INITIAL_FRACTION = 0.2;
@@ -57,7 +56,9 @@
         return fixture.updateEndpoints(list);
     }
 
-    /** Returns the largest number of attempts in any second, as a fraction of the allowed one. */
+    /**
+     * Returns the largest number of attempts in any second, as a fraction of the allowed number.
+     */
     private static double worstOverrun(
             double overloadMultiple, int instanceCount, double load, boolean restarts, long seed) {
         Random random = new Random(seed);
@@ -142,7 +143,7 @@
         }
     }
 
-    /** Chooses unevenly: some balancers see several times the mean traffic. */
+    /** Chooses a balancer unevenly: some get several times the mean traffic. */
     private static PolicyTestFixture randomBalancer(
             List<PolicyTestFixture> fixtures, Random random) {
         int index = (int) (fixtures.size() * Math.pow(random.nextDouble(), 1.5));
@@ -161,7 +162,7 @@
         return overloadMultiple * slowStartFraction * FULL_RATE_PER_SECOND;
     }
 
-    /** Popularity is uneven: some keys are requested hundreds of times as often as others. */
+    /** Chooses a key unevenly: some are requested hundreds of times as often as others. */
     private static long key(Random random) {
         return (long) Math.pow(3_000, random.nextDouble());
     }
@@ -181,11 +182,11 @@
             double overloadMultiple, int instanceCount, boolean restarts) {
         for (long seed = 1; seed <= 5; seed++) {
             double worst = worstOverrun(overloadMultiple, instanceCount, 0.8, restarts, seed);
-            assertTrue(worst > 0, "it gets its part");
+            assertTrue(worst > 0, "the cold server gets some attempts");
             assertTrue(
                     worst <= 1,
                     overloadMultiple
-                            + " times, "
+                            + " overload multiple, "
                             + instanceCount
                             + " balancers, restarts "
                             + restarts
--- a/policy/src/test/java/frostrelay/policy/SlowStartTest.java
+++ b/policy/src/test/java/frostrelay/policy/SlowStartTest.java
@@ -16,14 +16,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Slow start: which keys, and how many attempts, servers get after a start. */
+/** Slow start: the keys and the number of attempts that servers get after a start. */
 class SlowStartTest {
     private static PolicyTestFixture fixture() {
         return new PolicyTestFixture(new PolicyTestFixture.SettingsBuilder());
     }
 
     @Test
-    void aClusterOfServersInSlowStartIsStillUsed() {
+    void requestsAreSentWhenAllServersAreInSlowStart() {
         PolicyTestFixture fixture = fixture();
         List<Server> list = new ArrayList<>();
         for (int i = 1; i <= 8; i++) {
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aServerInSlowStartGetsAGrowingPartOfKeys() {
+    void serverInSlowStartGetsAGrowingFractionOfKeys() {
         PolicyTestFixture fixture = fixture().servers(3);
         fixture.updateEndpointsByDelta(
                 PolicyTestFixture.server(4, EndpointState.READY, fixture.now));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aBurstDoesNotSpendTheBudgetOfAServerInSlowStart() {
+    void burstsStayWithinTheLimitOfAServerInSlowStart() {
         PolicyTestFixture warmedUpFixture = fixture().servers(10);
         PolicyTestFixture fixture = fixture().servers(9);
         fixture.updateEndpointsByDelta(
@@ -77,9 +77,12 @@
                 slowStartSends + " of " + keys);
     }
 
-    /** A thousand balancers must not each send a hot key's one request to the same cold server. */
+    /**
+     * A thousand balancers must not each send their first request for a hot key to the same cold
+     * server.
+     */
     @Test
-    void firstSendsOfManyBalancersToAServerInSlowStartAreThinned() {
+    void manyBalancersLimitFirstSendsToAServerInSlowStart() {
         int maxSends = 0;
         for (int key = 0; key < 10; key++) {
             int slowStartSends = 0;
@@ -101,12 +104,12 @@
             }
             maxSends = Math.max(maxSends, slowStartSends);
         }
-        assertTrue(maxSends > 10 && maxSends < 60, "of 100 balancers " + maxSends);
+        assertTrue(maxSends > 10 && maxSends < 60, "sends by 100 balancers: " + maxSends);
     }
 
-    /** While links are cut, retries must not multiply what slow start allows for cold servers. */
+    /** During network failures, retries must not raise the limit that slow start allows. */
     @Test
-    void retriesDoNotFeedTheSlowStart() {
+    void retriesDoNotRaiseTheSlowStartLimit() {
         assertEquals(sendsInSlowStart(AttemptResult.OK), sendsInSlowStart(AttemptResult.RESET), 12);
     }
 
@@ -139,11 +142,11 @@
     }
 
     /**
-     * Other servers are seldom so full that a half warm one could not take every key: only its rate
-     * is limited.
+     * A server halfway through slow start can take every key, as servers are seldom full: only its
+     * rate is limited.
      */
     @Test
-    void aHalfWarmedUpServerTakesEveryKeyAndANewOneFew() {
+    void serverHalfwayThroughSlowStartTakesEveryKeyAndANewOneFew() {
         PolicySettings settings = new PolicyTestFixture.SettingsBuilder().build();
         long now = 1_000_000 * PolicyTestFixture.NANOS_PER_MILLI;
         for (long ageMillis : new long[] {0, 5_000}) {
@@ -173,11 +176,11 @@
     }
 
     /**
-     * While most load is shed a balancer's own sends are few; what warm servers serve shows what a
-     * cold one can take.
+     * While most load is shed, a balancer sends little itself; the answers of warm servers indicate
+     * the capacity of a cold one.
      */
     @Test
-    void aServerInSlowStartIsPacedByWhatWarmedUpOnesServe() {
+    void slowStartLimitFollowsTheAnswersOfWarmServers() {
         PolicySettings settings = new PolicyTestFixture.SettingsBuilder().build();
         ServerHealth health = new ServerHealth(settings, new SeededRandom(7));
         long now = 1_000_000 * PolicyTestFixture.NANOS_PER_MILLI;
@@ -199,14 +202,14 @@
                 sent++;
             }
         }
-        // 100 a second are served, the cold one can do a fifth at first: 4 s at 20 or somewhat
-        // more.
+        // The warm server serves 100 requests/s and the cold one can take a fifth at first: at
+        // least about 20 requests/s for 4 s.
         assertTrue(sent > 60 && sent < 4 * 100, "sent " + sent);
     }
 
-    /** The first, small counts of a new balancer must not keep cold servers idle. */
+    /** A new balancer's counts are small at first, which must not keep cold servers idle. */
     @Test
-    void aNewBalancersFirstCountsStandForAWholeMean() {
+    void newBalancerScalesItsFirstCountsToTheAveragingTime() {
         ServerHealth health =
                 new ServerHealth(
                         new PolicyTestFixture.SettingsBuilder().build(), new SeededRandom(7));
@@ -231,6 +234,6 @@
         }
         assertTrue(
                 sent > 20 && sent < 100,
-                "of 100, half of which are the half warm one's part: " + sent);
+                "sends of 100 to a server halfway through slow start, whose share is 50: " + sent);
     }
 }
--- a/policy/src/test/java/frostrelay/settings/SettingsParserTest.java
+++ b/policy/src/test/java/frostrelay/settings/SettingsParserTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void settingsThatAreNoNumbersAreErrors() {
+    void unusableNumbersAreErrors() {
         for (String line :
                 new String[] {
                     "categories.count=x",
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void anEmptyBudgetAllowsNothingAndAnAbsentOneIsNone() {
+    void emptyRetryBudgetAllowsNothingAndMissingOneIsNull() {
         assertEquals(null, SettingsParser.parse("categories.count=1\n").retryBudget());
         RetryBudget emptyBudget =
                 SettingsParser.parse("categories.count=1\nguarantees.repeat-ratio=\n")
