--- a/gossip/src/main/java/frostrelay/gossip/AppliedVersionStore.java
+++ b/gossip/src/main/java/frostrelay/gossip/AppliedVersionStore.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The known contents of {@link AppliedVersions}, by fingerprint. Bounded. */
+/** A bounded store of known {@link AppliedVersions}, by fingerprint. */
 final class AppliedVersionStore {
     private static final int MAX_ENTRIES = 256;
 
@@ -16,7 +16,7 @@
         this.listener = listener;
     }
 
-    /** Adds a content and notifies the listener. */
+    /** Adds applied versions and notifies the listener. */
     void add(long now, int fingerprint, AppliedVersions versions) {
         if (versionsByFingerprint.size() >= MAX_ENTRIES) {
             evict();
@@ -29,12 +29,15 @@
         return versionsByFingerprint.containsKey(fingerprint);
     }
 
-    /** The content of a fingerprint; null where it is not known. */
+    /** Returns the applied versions with a fingerprint; null if they are not known. */
     AppliedVersions get(int fingerprint) {
         return versionsByFingerprint.get(fingerprint);
     }
 
-    /** Removes the oldest that no member applies; it can be requested from a peer again. */
+    /**
+     * Evicts the oldest versions that no member applies, or the oldest of all if every one is
+     * applied. Evicted versions can be requested from a peer again.
+     */
     private void evict() {
         int evicted = versionsByFingerprint.keySet().iterator().next();
         for (int candidate : versionsByFingerprint.keySet()) {
--- a/gossip/src/main/java/frostrelay/gossip/AppliedVersions.java
+++ b/gossip/src/main/java/frostrelay/gossip/AppliedVersions.java
@@ -4,18 +4,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * The versions that a balancer applies at a moment. Every decision is made under exactly one of
- * these. Immutable.
+ * The set of versions that a balancer applies at one time. Every decision is made under exactly one
+ * such set. Immutable.
  *
  * @param buildDigest the program's build, a digest of its classes
- * @param configNumber the operators' version number of the configuration, {@link #NO_NUMBER} where
- *     they give none
+ * @param configNumber version number that operators gave the configuration, or {@link #NO_NUMBER}
  * @param configDigest digest of the configuration's bytes
- * @param listRevision revision of the endpoint list, as one discovery service counts it
- * @param listDigest digest of the list: equal for equal caches, states and start times, in whatever
- *     order they were received
- * @param adminDrainsDigest digest of operators' admin drains, 0 without any
- * @param termsDigest digest of the terms of service that apply to this balancer, 0 without any
+ * @param listRevision revision of the endpoint list, as counted by the discovery service
+ * @param listDigest digest of the list, independent of the order in which entries were received:
+ *     equal for equal caches, states and start times
+ * @param adminDrainsDigest digest of the administrative drains set by operators, 0 if there are
+ *     none
+ * @param termsDigest digest of the terms of service that apply to this balancer, 0 if there are
+ *     none
  */
 public record AppliedVersions(
         int buildDigest,
@@ -28,13 +29,16 @@
     /** The configuration has no version number. */
     public static final long NO_NUMBER = -1;
 
-    /** Bytes on the wire and in records. Later builds may append more, which readers ignore. */
+    /**
+     * Encoded length on the wire and in records. Later builds may append bytes, which readers
+     * ignore.
+     */
     public static final int BYTES = 2 * Integer.BYTES + 5 * Long.BYTES;
 
-    /** The fingerprint of no versions. */
+    /** Fingerprint value that means that no versions are known. */
     public static final int NO_FINGERPRINT = 0;
 
-    /** Appends {@link #BYTES} bytes. */
+    /** Appends the encoded form of {@link #BYTES} bytes. */
     public void write(ByteBuffer out) {
         out.putInt(buildDigest)
                 .putLong(configNumber)
@@ -58,7 +62,8 @@
     }
 
     /**
-     * A short digest, equal at every balancer; never {@link #NO_FINGERPRINT}. Not cryptographic.
+     * Returns a short digest that is equal at every balancer for equal versions; never {@link
+     * #NO_FINGERPRINT}. Not cryptographic.
      */
     public int fingerprint() {
         ByteBuffer bytes = ByteBuffer.allocate(BYTES);
--- a/gossip/src/main/java/frostrelay/gossip/BandwidthLimiter.java
+++ b/gossip/src/main/java/frostrelay/gossip/BandwidthLimiter.java
@@ -1,9 +1,9 @@
 package frostrelay.gossip;
 
 /**
- * Limits the bytes sent per second by a sliding window. Exact: no second, wherever it begins, holds
- * more than the limit; a token bucket would let twice as much through in the second after a pause.
- * Not thread-safe.
+ * A limiter of the bytes sent per second, with an exact sliding window: no interval of one second
+ * exceeds the limit. A token bucket would allow twice the limit in the second after a pause. Not
+ * thread-safe.
  */
 final class BandwidthLimiter {
     private static final long WINDOW_NANOS = 1_000_000_000L;
@@ -24,7 +24,7 @@
         this.maxBytesPerSecond = maxBytesPerSecond;
     }
 
-    /** Whether so many bytes may be sent now; if so they are counted. */
+    /** Counts {@code bytes} as sent if the limit allows them now; returns whether it does. */
     boolean tryConsume(long now, int bytes) {
         if (availableBytes(now) < bytes) {
             return false;
@@ -39,12 +39,11 @@
         return true;
     }
 
-    /** The limit. */
     int maxBytesPerSecond() {
         return maxBytesPerSecond;
     }
 
-    /** Bytes that may be sent now. */
+    /** Returns the number of bytes that may be sent now. */
     int availableBytes(long now) {
         while (count > 0 && now - sentAtNanos[first] >= WINDOW_NANOS) {
             windowBytes -= sentBytes[first];
--- a/gossip/src/main/java/frostrelay/gossip/CacheAvailability.java
+++ b/gossip/src/main/java/frostrelay/gossip/CacheAvailability.java
@@ -4,13 +4,14 @@
 import java.util.Map;
 
 /**
- * Caches that the local endpoint list ruled out lately, and by which revision: a peer on an older
- * revision is notified of them. Bounded; the oldest change is dropped first.
+ * Recent availability changes of caches in the local endpoint list, with the revisions that made
+ * them. Peers on an older revision are notified of them. Bounded; the oldest change is dropped
+ * first.
  */
 final class CacheAvailability {
     private static final int MAX_ENTRIES = 256;
 
-    /** What a revision of the local endpoint list says of a cache. */
+    /** A cache's availability according to a revision of the local endpoint list. */
     record CacheState(long listRevision, boolean isAvailable) {}
 
     private final Map<Long, CacheState> statesByCache = new LinkedHashMap<>();
@@ -18,7 +19,8 @@
     /**
      * Records a change.
      *
-     * @return false where it is no news: the cache is available and was not ruled out lately
+     * @return false if there is nothing to announce: the cache is available and has no recorded
+     *     change
      */
     boolean record(long listRevision, long cache, boolean isAvailable) {
         if (isAvailable && !statesByCache.containsKey(cache)) {
@@ -32,7 +34,7 @@
         return true;
     }
 
-    /** The last change of a cache; null where there was none lately. */
+    /** Returns the last change of a cache; null if none is recorded. */
     CacheState get(long cache) {
         return statesByCache.get(cache);
     }
@@ -41,7 +43,7 @@
         return statesByCache.isEmpty();
     }
 
-    /** Writes the changes that a peer on an older revision of the list may have missed. */
+    /** Writes the changes made by revisions newer than {@code listRevision}, as far as they fit. */
     void writeNewerThan(long listRevision, DatagramWriter writer) {
         for (Map.Entry<Long, CacheState> entry : statesByCache.entrySet()) {
             if (entry.getValue().listRevision > listRevision
--- a/gossip/src/main/java/frostrelay/gossip/DatagramWriter.java
+++ b/gossip/src/main/java/frostrelay/gossip/DatagramWriter.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Writes one datagram at a time into a buffer that is reused, section by section, and sends it
- * within the limit of bytes per second. Nothing checks for space but where a method says so.
+ * A writer of datagrams. Writes one datagram at a time into a reused buffer, section by section,
+ * and sends it within the bandwidth limit. Methods check the available space only where documented.
  */
 final class DatagramWriter {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -51,19 +51,19 @@
         return ++lastNonce;
     }
 
-    /** Bytes that may be sent now. */
+    /** Returns the number of bytes that may be sent now. */
     int sendableBytes(long now) {
         return bandwidthLimiter.availableBytes(now);
     }
 
-    /** Bytes that the content of one more section may have in a datagram of so many bytes. */
+    /** Returns the maximum content of one more section in a datagram of {@code maxBytes}. */
     int availableBytes(int maxBytes) {
         return GossipDatagram.availableBytes(out, maxBytes);
     }
 
     /**
-     * Begins a datagram. Each starts with the uptime at which it was written, so that a receiver
-     * can tell for how long it was queued on its way.
+     * Begins a datagram. Its first section is the uptime at which it was written, from which the
+     * receiver calculates how long it was queued in transit.
      */
     void begin(long now, GossipDatagram.Kind kind, int nonce, int subject) {
         GossipDatagram.begin(
@@ -82,12 +82,12 @@
         return out.put((byte) type.code()).put((byte) length);
     }
 
-    /** Adds the content behind a fingerprint. */
+    /** Adds applied versions; their fingerprint is calculated by the receiver. */
     void putAppliedVersions(AppliedVersions versions) {
         versions.write(putHeader(SectionType.APPLIED_VERSIONS, AppliedVersions.BYTES));
     }
 
-    /** Adds a request for the content behind a fingerprint. */
+    /** Adds a request for the applied versions with a fingerprint. */
     void putVersionsRequest(int fingerprint) {
         putHeader(SectionType.VERSIONS_REQUEST, Integer.BYTES).putInt(fingerprint);
     }
@@ -103,7 +103,7 @@
                 .putLong(cache);
     }
 
-    /** Adds a claim about a member where it fits. */
+    /** Adds a claim about a member if it fits. */
     void putClaim(SectionType type, int rank, long incarnation, int reportedBy) {
         if (availableBytes(GossipDatagram.MAX_BYTES) < GossipDatagram.CLAIM_BYTES) {
             return;
@@ -113,7 +113,7 @@
         out.putShort((short) reportedBy);
     }
 
-    /** Adds the entry of one member where it fits. */
+    /** Adds the entry of one member if it fits. */
     void putMemberEntry(long now, int rank, int maxBytes) {
         if (entryCapacity(maxBytes) >= 1) {
             putEntriesHeader(members.fingerprints[rank], 1);
@@ -122,8 +122,8 @@
     }
 
     /**
-     * Adds members' entries, one section for each run of ranks with equal fingerprints; those that
-     * do not fit are left out.
+     * Adds members' entries, one section for each run of ranks with equal fingerprints. Entries
+     * that do not fit are omitted.
      */
     void putMemberEntries(long now, List<Integer> ranks, int maxBytes) {
         int start = 0;
@@ -174,12 +174,12 @@
         payloadProvider.writeSections(now, destination, payload.withMaxBytes(maxBytes));
     }
 
-    /** Adds one section of another module; false where it does not fit. */
+    /** Adds one section of another module; returns false if it does not fit. */
     boolean putPayloadSection(int type, ByteBuffer content) {
         return payload.withMaxBytes(GossipDatagram.MAX_BYTES).add(type, content);
     }
 
-    /** Ends and sends the datagram; false where the limit of bytes per second forbids it. */
+    /** Completes and sends the datagram; returns false if the bandwidth limit is reached. */
     boolean send(long now, int destination) {
         int length = GossipDatagram.finish(out);
         if (!bandwidthLimiter.tryConsume(now, length)) {
@@ -192,7 +192,7 @@
         return true;
     }
 
-    /** Bytes of the datagram so far; after {@link #send} its length. */
+    /** Returns the bytes written so far; after {@link #send}, the datagram's length. */
     int length() {
         return out.position();
     }
--- a/gossip/src/main/java/frostrelay/gossip/FailureDetector.java
+++ b/gossip/src/main/java/frostrelay/gossip/FailureDetector.java
@@ -1,19 +1,20 @@
 package frostrelay.gossip;
 
 /**
- * Probes one member in each period as SWIM does: pings it, retries, then requests other members to
- * ping it. A member that misses several periods in a row is suspected.
+ * A SWIM failure detector. Probes one member per period: pings it, retries, then requests indirect
+ * probes from other members. A member that does not answer in several consecutive periods is
+ * suspected.
  */
 final class FailureDetector {
     private static final int INDIRECT_PROBE_PEERS = 3;
 
-    /** Pings of one period; at 30% loss all of them fail in 15 of 1,000 periods. */
+    /** Pings per period; at 30% loss, all of them fail in 15 of 1,000 periods. */
     private static final int MAX_PROBE_ATTEMPTS = 5;
 
-    /** The attempt, from 0, along with which the indirect probes are requested. */
+    /** Zero-based index of the attempt at which indirect probes are requested. */
     private static final int INDIRECT_PROBE_ATTEMPT = 2;
 
-    /** In every so many periods a dead member may be probed: so a healed partition is found. */
+    /** Interval, in periods, of probes of dead members, which detect a healed partition. */
     private static final int DEAD_MEMBER_PROBE_INTERVAL = 5;
 
     private final GossipSettings settings;
@@ -53,12 +54,12 @@
         nextPeriodAtNanos = firstPeriodAtNanos;
     }
 
-    /** When {@link #onTimer} is to be called next. */
+    /** Returns the time at which {@link #onTimer} is to be called next. */
     long nextTimerAtNanos() {
         return Math.min(nextPeriodAtNanos, nextAttemptAtNanos);
     }
 
-    /** Gives up the current probe: this process paused, so a missing answer proves nothing. */
+    /** Cancels the current probe, whose missing answer may be due to the pause of this process. */
     void onPause(long now) {
         localHealth.degrade();
         clearTarget();
@@ -84,12 +85,12 @@
         probes.sendAck(now, ping);
     }
 
-    /** Pings a member on request of a peer. */
+    /** Handles a request of a peer to ping a member. */
     void onPingRequest(long now, GossipDatagram request) {
         relay.onRequest(now, request);
     }
 
-    /** Completes the current probe, or passes the ack on to the peer that requested the ping. */
+    /** Completes the current probe, or forwards the ack to the peer that requested the ping. */
     void onAck(long now, GossipDatagram ack) {
         if (relay.onAck(now, ack, nonce)) {
             return;
@@ -104,7 +105,7 @@
         }
     }
 
-    /** Whether a datagram is the target's own ack of the current probe. */
+    /** Returns whether a datagram is an ack of the current probe from the target itself. */
     boolean isDirectAck(GossipDatagram in) {
         return in.kind == GossipDatagram.Kind.ACK && in.nonce == nonce && isDirectAnswer(in);
     }
@@ -113,7 +114,7 @@
         return in.sender == target && in.subject == GossipDatagram.NO_RANK;
     }
 
-    /** When the current probe began. */
+    /** Returns the time at which the current probe began. */
     long probeSentAtNanos() {
         return sentAtNanos;
     }
@@ -130,11 +131,11 @@
         int unanswered = target;
         clearTarget();
         if (!members.state(unanswered).isParticipating()
-                || members.heardAtNanos[unanswered] >= sentAtNanos) {
+                || members.lastDatagramAtNanos[unanswered] >= sentAtNanos) {
             return;
         }
         if (membership.isIsolated(now)) {
-            // A member that receives nothing has no evidence against any other.
+            // An isolated member has no evidence against any other member.
             localHealth.degrade();
         } else if (++members.missedProbes[unanswered] >= settings.missedProbesToSuspect()) {
             members.missedProbes[unanswered] = 0;
@@ -157,7 +158,9 @@
         sendAttempt(now);
     }
 
-    /** A member that missed a probe goes first; the others follow in a random order, as in SWIM. */
+    /**
+     * Returns a member that missed a probe, if any, else the next one in random order as in SWIM.
+     */
     private int chooseTarget() {
         for (int i = 0; i < peers.count(); i++) {
             int rank = peers.rankAt(i);
@@ -178,7 +181,11 @@
         return GossipDatagram.NO_RANK;
     }
 
-    /** Members that never came or that ended are probed now and then, the others in each turn. */
+    /**
+     * Returns whether a member may be probed in this period. Participating members always may; all
+     * others only every {@link #DEAD_MEMBER_PROBE_INTERVAL} periods, except that unknown members
+     * also may in the first {@code 2 * peers.count()} periods.
+     */
     private boolean isDue(MemberState state) {
         return state.isParticipating()
                 || periodCount % DEAD_MEMBER_PROBE_INTERVAL == 0
--- a/gossip/src/main/java/frostrelay/gossip/GossipDatagram.java
+++ b/gossip/src/main/java/frostrelay/gossip/GossipDatagram.java
@@ -4,21 +4,21 @@
 import java.util.zip.CRC32C;
 
 /**
- * The wire form, big-endian, 256 bytes at most:
+ * The wire format, big-endian, at most 256 bytes:
  *
  * <pre>
  * 0  u16 magic      2  u8 version of the writer   3  u8 minimum version that can read it
  * 4  u8 kind        5  u8 0                       6  u16 sender      8  u48 its incarnation
  * 14 u32 nonce      18 u16 subject                20 sections: u8 type, u8 length, bytes
- * last 4: u32 CRC-32C of all before
+ * last 4: u32 CRC-32C of all preceding bytes
  * </pre>
  *
- * Sections of unknown types are ignored, and so are bytes behind what a known type holds: builds of
- * different versions read each other's datagrams as long as the minimum version allows it. The
- * length bounds the time to read one.
+ * Sections of unknown types are ignored, and so are additional bytes at the end of known ones:
+ * builds of different versions can read each other's datagrams if the minimum version allows it.
+ * The time to read a datagram is bounded by its length.
  */
 final class GossipDatagram {
-    /** The platform allows no longer datagrams. */
+    /** Maximum datagram length that the platform allows. */
     static final int MAX_BYTES = 256;
 
     static final int HEADER_BYTES = 20;
@@ -28,7 +28,7 @@
     private static final short MAGIC = (short) 0xF05E;
     private static final int U16_MASK = 0xffff;
 
-    /** What a datagram is for; the ordinal is its code on the wire. */
+    /** The purpose of a datagram; the ordinal is its code on the wire. */
     enum Kind {
         UNKNOWN,
         PING,
@@ -37,19 +37,19 @@
         UPDATE
     }
 
-    /** Stands in rank fields for no member. */
+    /** Value of a rank field that refers to no member. */
     static final int NO_RANK = 0xffff;
 
-    /** An uptime section with its header. */
+    /** Length of an uptime section with its header. */
     static final int UPTIME_SECTION_BYTES = SECTION_HEADER_BYTES + Integer.BYTES;
 
     static final int MEMBER_ENTRY_BYTES = 11;
     static final int CLAIM_BYTES = 10;
 
-    /** A revision of the endpoint list and a cache. */
+    /** Length of a revision of the endpoint list and a cache. */
     static final int CACHE_STATE_BYTES = 2 * Long.BYTES;
 
-    /** Why a datagram is rejected. */
+    /** The reason for which a datagram is rejected. */
     enum RejectionReason {
         CORRUPT,
         FOREIGN,
@@ -63,7 +63,7 @@
     final int nonce;
     final int subject;
 
-    /** From the first section to the end of the last. */
+    /** The bytes from the first section to the end of the last. */
     final ByteBuffer sections;
 
     private GossipDatagram(
@@ -76,7 +76,7 @@
         this.sections = sections;
     }
 
-    /** Why a datagram cannot be read; null if it can. */
+    /** Returns the reason why a datagram cannot be read; null if it can. */
     static RejectionReason validate(byte[] data, int length) {
         if (length > MAX_BYTES) {
             return RejectionReason.OVERSIZED;
@@ -98,7 +98,7 @@
 
     /**
      * Reads the header of a datagram that {@link #validate} did not reject. A kind that this build
-     * does not know reads as {@link Kind#UNKNOWN}.
+     * does not know is read as {@link Kind#UNKNOWN}.
      */
     static GossipDatagram read(byte[] data, int length) {
         ByteBuffer in = ByteBuffer.wrap(data, 0, length - CHECKSUM_BYTES);
@@ -127,8 +127,8 @@
     }
 
     /**
-     * Writes the header of a datagram that readers of {@link #WIRE_VERSION} understand: sections
-     * follow, then {@link #finish}.
+     * Writes the header of a datagram that readers of {@link #WIRE_VERSION} can read. The caller
+     * then writes the sections and calls {@link #finish}.
      */
     static void begin(
             ByteBuffer out,
@@ -149,7 +149,7 @@
         out.putInt(nonce).putShort((short) subject);
     }
 
-    /** Bytes that the content of one more section may have. */
+    /** Returns the maximum content length of one more section. */
     static int availableBytes(ByteBuffer out, int maxBytes) {
         return maxBytes - CHECKSUM_BYTES - SECTION_HEADER_BYTES - out.position();
     }
--- a/gossip/src/main/java/frostrelay/gossip/GossipNode.java
+++ b/gossip/src/main/java/frostrelay/gossip/GossipNode.java
@@ -4,14 +4,14 @@
 import java.util.SplittableRandom;
 
 /**
- * One member of a cluster of balancers: which members are alive, and which versions each applies.
- * Detects failures as SWIM does, with Lifeguard's local health multiplier, and disseminates updates
- * by gossip. Driven by events alone: it starts no thread, reads no clock and sends through {@link
- * Actions}. Not thread-safe; times are nanoseconds of one monotonic clock.
+ * One member of a cluster of balancers, which tracks the members that are alive and the versions
+ * that each applies. Detects failures by the SWIM protocol with Lifeguard's local health
+ * multiplier, and disseminates updates by gossip. Event-driven: it starts no thread, reads no clock
+ * and sends through {@link Actions}. Not thread-safe. Times are nanoseconds of one monotonic clock.
  *
- * <p>A member is believed about itself, by its incarnation and the sequence number of its applied
- * versions; claims about others are passed on, and the member concerned may refute them. {@code
- * docs/design/peers.md} compares the alternatives.
+ * <p>Each member is authoritative for its own entry, which is ordered by its incarnation and the
+ * sequence number of its applied versions. Claims about other members are forwarded, and the member
+ * concerned may refute them. {@code docs/design/peers.md} compares the alternatives.
  */
 public final class GossipNode {
     /** Sends datagrams. */
@@ -26,13 +26,13 @@
         void send(int destination, byte[] data, int length);
     }
 
-    /** Receives what changed in the knowledge about the members. */
+    /** Receives changes of the known state of members and caches. */
     public interface Listener {
         /**
          * A member's state has changed.
          *
-         * @param reportedBy the rank of the member that reported it; the member itself where its
-         *     own datagram shows it
+         * @param reportedBy the rank of the member that reported it; the member itself if its own
+         *     datagram caused the change
          */
         default void onMemberState(
                 long now, int rank, long incarnation, MemberState state, int reportedBy) {}
@@ -47,8 +47,8 @@
          * A member applies other versions.
          *
          * @param sequence how often its versions had changed in this incarnation
-         * @param fingerprint of the versions, whose content may follow later
-         * @param ageNanos time since the member said so
+         * @param fingerprint of the versions; the versions themselves may be received later
+         * @param ageNanos time since the member confirmed this itself
          */
         default void onMemberEntry(
                 long now,
@@ -58,23 +58,23 @@
                 int fingerprint,
                 long ageNanos) {}
 
-        /** The content behind a fingerprint is known now. */
+        /** The applied versions with a fingerprint have become known. */
         default void onAppliedVersions(
                 long now, int fingerprint, AppliedVersions appliedVersions) {}
 
-        /** A peer's revision of the endpoint list rules a cache out. */
+        /** A cache is unavailable according to a peer's revision of the endpoint list. */
         default void onCacheUnavailable(long now, int from, long listRevision, long cache) {}
 
-        /** A peer's revision of the endpoint list allows a cache that was ruled out lately. */
+        /** A recently unavailable cache is available by a peer's revision of the endpoint list. */
         default void onCacheRestored(long now, int from, long listRevision, long cache) {}
 
         /**
          * A section of another module was received.
          *
-         * @param queueingDelayNanos for how long it was delayed on its way, compared with the
-         *     fastest datagram lately
+         * @param queueingDelayNanos how much longer it was delayed in transit than the fastest
+         *     recent datagram
          * @param type from {@link PayloadProvider#FIRST_SECTION_TYPE} on
-         * @param content unchecked
+         * @param content not validated
          */
         default void onPayload(
                 long now,
@@ -85,7 +85,7 @@
                 ByteBuffer content) {}
 
         /**
-         * A peer answered a probe: its uptime was {@code peerUptimeMillis} at some moment between
+         * A peer answered a probe: its uptime was {@code peerUptimeMillis} at some time between
          * {@code sentAtNanos} and now.
          */
         default void onClockSample(
@@ -109,10 +109,10 @@
         public long pauses;
     }
 
-    /** The time of a timer that is not set. */
+    /** Expiry time of a timer that is not set. */
     static final long NEVER_NANOS = Long.MAX_VALUE;
 
-    /** A timer as late as this shows a pause of this process, not that its peers are silent. */
+    /** Timer delay beyond which missing answers are attributed to a pause of this process. */
     private static final long PAUSE_THRESHOLD_NANOS = 500_000_000L;
 
     private final int localRank;
@@ -129,16 +129,16 @@
     private boolean hasLeft;
 
     /**
-     * Starts as a member that knows no other yet.
+     * Creates a member that has no information about its peers yet.
      *
      * @param localRank rank of this member, below {@code count}
      * @param count number of members
      * @param incarnation of this process, by {@link Incarnation#fromUnixMillis}
      * @param seed of the random choice of peers
-     * @param appliedVersions what this member applies at first
-     * @param sequence how often that had changed before in this incarnation
-     * @throws IllegalArgumentException where the rank is not one of the cluster's, or there are too
-     *     many members
+     * @param appliedVersions the versions that this member initially applies
+     * @param sequence number of earlier changes of the applied versions in this incarnation
+     * @throws IllegalArgumentException if the rank is not in the cluster, or there are too many
+     *     members
      */
     public GossipNode(
             GossipSettings settings,
@@ -151,9 +151,7 @@
             int sequence,
             Actions actions,
             Listener listener) {
-        if (localRank < 0 || localRank >= count || count > GossipDatagram.NO_RANK) {
-            throw new IllegalArgumentException("balancer " + localRank + " of " + count);
-        }
+        checkRank(localRank, count);
         this.localRank = localRank;
         SplittableRandom random = new SplittableRandom(seed);
         members = new MembershipTable(count);
@@ -189,7 +187,8 @@
                         peers,
                         new ProbeWriter(settings, members, localRank, versions, caches, writer),
                         localHealth,
-                        // Spread, so that members that start together do not probe together.
+                        // Random offset, so that members that start together do not probe at the
+                        // same time.
                         now + random.nextLong(settings.probePeriodNanos()));
         sections =
                 new SectionReader(
@@ -203,10 +202,25 @@
         updateAppliedVersions(now, appliedVersions, sequence);
     }
 
+    private static void checkRank(int localRank, int count) {
+        if (localRank < 0 || localRank >= count || count > GossipDatagram.NO_RANK) {
+            throw new IllegalArgumentException(
+                    "rank "
+                            + localRank
+                            + " in a cluster of "
+                            + count
+                            + ": allowed are ranks 0 to "
+                            + (count - 1)
+                            + " and at most "
+                            + GossipDatagram.NO_RANK
+                            + " members");
+        }
+    }
+
     /**
-     * Applies other versions from now on.
+     * Records and announces a change of the versions that this member applies.
      *
-     * @param sequence how often they have changed in this incarnation
+     * @param sequence number of changes in this incarnation
      */
     public void updateAppliedVersions(long now, AppliedVersions appliedVersions, int sequence) {
         int fingerprint = appliedVersions.fingerprint();
@@ -216,22 +230,22 @@
         membership.announceLocalState(now);
     }
 
-    /** Sets who adds other modules' sections to datagrams. */
+    /** Sets the provider of other modules' sections. */
     public void setPayloadProvider(PayloadProvider provider) {
         writer.setPayloadProvider(provider);
     }
 
     /**
-     * Spreads a change of other modules' sections like an update; their content is written anew for
-     * each datagram.
+     * Disseminates a change of other modules' sections like an update. The sections are rewritten
+     * for each datagram.
      */
     public void announcePayloadChange(long now) {
         updates.enqueuePayload(now);
     }
 
     /**
-     * Spreads what the local endpoint list says of a cache, for peers on an older revision: it is
-     * ruled out, or available again. A cache that was not ruled out lately is no news.
+     * Disseminates the availability of a cache in the local endpoint list, for peers on an older
+     * revision. Does nothing for an available cache that was not recently unavailable.
      */
     public void announceCacheState(long now, long listRevision, long cache, boolean isAvailable) {
         if (caches.record(listRevision, cache, isAvailable)) {
@@ -240,18 +254,18 @@
     }
 
     /**
-     * Sends one section to one peer at once.
+     * Sends one section to one peer immediately.
      *
      * @param type from {@link PayloadProvider#FIRST_SECTION_TYPE} on
-     * @return false where it was not sent, as the limit of bytes per second forbids it now: retry
-     *     later
+     * @return false if it was not sent: the bandwidth limit is reached and the caller should retry
+     *     later, this member has left, or it is the destination
      */
     public boolean send(long now, int to, int type, ByteBuffer content) {
         return !hasLeft && to != localRank && updates.sendSection(now, to, type, content);
     }
 
     /**
-     * Handles a datagram, in time that its length bounds. Invalid ones are counted and ignored.
+     * Handles a datagram, in time bounded by its length. Invalid datagrams are counted and ignored.
      *
      * @param from the rank of the member whose address it came from
      */
@@ -274,7 +288,7 @@
             return;
         }
         membership.recordContact(now, from, in.incarnation);
-        // Sections first: an answer should reflect what they contained.
+        // Reads the sections first, so that an answer reflects their contents.
         boolean hasRequestedVersions = sections.read(now, in);
         switch (in.kind) {
             case PING -> failureDetector.onPing(now, in);
@@ -297,7 +311,7 @@
         }
     }
 
-    /** When {@link #onTimer} is to be called next. */
+    /** Returns the time at which {@link #onTimer} is to be called next. */
     public long nextTimerAtNanos() {
         if (hasLeft) {
             return NEVER_NANOS;
@@ -307,7 +321,7 @@
                 suspicions.nextExpiryAtNanos());
     }
 
-    /** Does what is due; to be called at {@link #nextTimerAtNanos}, or a little later. */
+    /** Runs the timers that are due; to be called at {@link #nextTimerAtNanos} or shortly after. */
     public void onTimer(long now) {
         if (hasLeft) {
             return;
@@ -322,12 +336,12 @@
         updates.onTimer(now);
     }
 
-    /** Whether so long nothing was received that nothing is known of the peers. */
+    /** Returns whether nothing was received from any peer within the isolation timeout. */
     public boolean isIsolated(long now) {
         return membership.isIsolated(now);
     }
 
-    /** Notifies some peers that this member shuts down; nothing is sent from then on. */
+    /** Notifies some peers of the shutdown of this member and stops sending. */
     public void leave(long now) {
         if (hasLeft) {
             return;
@@ -336,7 +350,7 @@
         hasLeft = true;
     }
 
-    /** What is known of a member at a moment. */
+    /** Returns the known state of a member at time {@code now}. */
     public MemberSnapshot snapshot(long now, int rank) {
         boolean isLocal = rank == localRank;
         int fingerprint = members.fingerprints[rank];
@@ -350,22 +364,21 @@
                 isLocal ? 0 : members.ageNanos(now, rank));
     }
 
-    /** The number of members. */
+    /** Returns the number of members, including this one. */
     public int memberCount() {
         return members.count;
     }
 
-    /** The local member's rank. */
     public int rank() {
         return localRank;
     }
 
-    /** The local member's current incarnation. */
+    /** Returns the local member's current incarnation. */
     public long incarnation() {
         return members.incarnations[localRank];
     }
 
-    /** What was sent, received and rejected so far. */
+    /** Returns the counts of datagrams and events; the object is updated in place. */
     public Counters counters() {
         return counters;
     }
--- a/gossip/src/main/java/frostrelay/gossip/IndirectProbeRelay.java
+++ b/gossip/src/main/java/frostrelay/gossip/IndirectProbeRelay.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Pings members on request of peers that got no answer from them, and passes the acks on. */
+/** A relay that pings members on request of peers and forwards the acks to these peers. */
 final class IndirectProbeRelay {
     private static final int MAX_PENDING = 64;
 
@@ -23,7 +23,7 @@
         this.probes = probes;
     }
 
-    /** Pings the subject of a request; ignored where too many are pending. */
+    /** Pings the subject of a request; ignores the request if too many are pending. */
     void onRequest(long now, GossipDatagram request) {
         int target = request.subject;
         if (target >= members.count || target == localRank || target == request.sender) {
@@ -42,10 +42,10 @@
     }
 
     /**
-     * Passes an ack on if it answers a pending request, which is then complete.
+     * Forwards an ack if it answers a pending request, which is then complete.
      *
-     * @param localNonce of the local member's own probe, whose acks are never passed on
-     * @return whether the ack was passed on
+     * @param localNonce of the local member's own probe, whose acks are never forwarded
+     * @return whether the ack was forwarded
      */
     boolean onAck(long now, GossipDatagram ack, int localNonce) {
         PendingRequest pending = requestsByNonce.remove(ack.nonce);
--- a/gossip/src/main/java/frostrelay/gossip/MemberSnapshot.java
+++ b/gossip/src/main/java/frostrelay/gossip/MemberSnapshot.java
@@ -1,16 +1,16 @@
 package frostrelay.gossip;
 
 /**
- * What the local member knows of one member at a moment.
+ * A snapshot of the local member's knowledge of one member.
  *
- * @param rank the member
+ * @param rank the member's rank
  * @param state {@link MemberState#UNKNOWN} also while the local member is isolated
- * @param incarnation the highest known; 0 where none is
- * @param sequence how often the member's applied versions had changed in this incarnation
+ * @param incarnation the highest known incarnation; 0 if none is known
+ * @param sequence number of changes of the member's applied versions in this incarnation
  * @param fingerprint of the versions that the member last applied, or {@link
  *     AppliedVersions#NO_FINGERPRINT}
- * @param appliedVersions the content behind the fingerprint; null where it is not known
- * @param ageNanos time since the member confirmed this itself; negative where it never did
+ * @param appliedVersions the versions with this fingerprint; null if they are not known
+ * @param ageNanos time since the member itself confirmed this; negative if it never did
  */
 public record MemberSnapshot(
         int rank,
--- a/gossip/src/main/java/frostrelay/gossip/MemberState.java
+++ b/gossip/src/main/java/frostrelay/gossip/MemberState.java
@@ -1,26 +1,27 @@
 package frostrelay.gossip;
 
 /**
- * What is believed of a member. {@link #UNKNOWN} is a state of its own, neither healthy nor dead.
+ * The state of a member as known to the local member. {@link #UNKNOWN} is treated neither as
+ * healthy nor as dead.
  */
 public enum MemberState {
-    /** Nothing was received about it since this process started. */
+    /** No information about the member was received since this process started. */
     UNKNOWN,
-    /** It confirmed lately that it is alive, and nobody suspects it. */
+    /** The member recently confirmed that it is alive, and no member suspects it. */
     ALIVE,
-    /** A member got no answer from it, directly or indirectly; it may still refute that. */
+    /** Direct and indirect probes of the member got no answer; it may still refute that. */
     SUSPECTED,
-    /** It did not refute a suspicion in time. */
+    /** The member did not refute a suspicion in time. */
     GONE,
-    /** It notified its peers that it shuts down. */
+    /** The member notified its peers of its shutdown. */
     LEFT;
 
-    /** Whether it counts among the members that take part. */
+    /** Returns whether the member takes part in the cluster. */
     public boolean isParticipating() {
         return this == ALIVE || this == SUSPECTED;
     }
 
-    /** Whether it was declared dead or has left. */
+    /** Returns whether the member was declared dead or has left. */
     boolean hasEnded() {
         return this == GONE || this == LEFT;
     }
--- a/gossip/src/main/java/frostrelay/gossip/Membership.java
+++ b/gossip/src/main/java/frostrelay/gossip/Membership.java
@@ -1,9 +1,9 @@
 package frostrelay.gossip;
 
 /**
- * Changes of the members' states. A member is believed about itself, by its incarnation and the
- * sequence number of its applied versions; claims about others are passed on, and the member
- * concerned may refute them with a higher incarnation.
+ * State transitions of the members. Each member is authoritative for its own entry, which is
+ * ordered by its incarnation and the sequence number of its applied versions. Claims about other
+ * members are forwarded, and the member concerned may refute them with a higher incarnation.
  */
 final class Membership {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -18,7 +18,7 @@
     private final GossipNode.Counters counters;
     private final long startedAtNanos;
     private final long startIncarnation;
-    private long lastHeardAtNanos;
+    private long lastReceivedAtNanos;
 
     Membership(
             GossipSettings settings,
@@ -40,15 +40,15 @@
         this.counters = counters;
         startedAtNanos = now;
         startIncarnation = members.incarnations[localRank];
-        lastHeardAtNanos = now;
+        lastReceivedAtNanos = now;
     }
 
-    /** Whether so long nothing was received that nothing is known of the peers. */
+    /** Returns whether nothing was received from any peer within the isolation timeout. */
     boolean isIsolated(long now) {
-        return now - lastHeardAtNanos >= settings.isolationTimeoutNanos();
+        return now - lastReceivedAtNanos >= settings.isolationTimeoutNanos();
     }
 
-    /** Whether a member may have an incarnation; counted where it may not. */
+    /** Returns whether an incarnation is plausible, and counts implausible ones. */
     boolean checkPlausible(long now, long incarnation) {
         boolean isPlausible =
                 Incarnation.isPlausible(
@@ -61,8 +61,8 @@
 
     /** Records a datagram from a peer, which proves that it is alive. */
     void recordContact(long now, int from, long incarnation) {
-        lastHeardAtNanos = now;
-        members.heardAtNanos[from] = now;
+        lastReceivedAtNanos = now;
+        members.lastDatagramAtNanos[from] = now;
         if (incarnation > members.incarnations[from]
                 || members.state(from) == MemberState.UNKNOWN
                         && incarnation == members.incarnations[from]) {
@@ -82,7 +82,7 @@
         if (isNewIncarnation) {
             if (Incarnation.toUnixMillis(incarnation)
                     != Incarnation.toUnixMillis(members.incarnations[rank])) {
-                // Another process: nothing is known of what it applies.
+                // Another process, whose applied versions are not known yet.
                 members.fingerprints[rank] = AppliedVersions.NO_FINGERPRINT;
                 members.sequences[rank] = 0;
                 members.reportedAtNanos[rank] = MembershipTable.NEVER_NANOS;
@@ -99,7 +99,9 @@
         updates.enqueueMember(now, rank, incarnation, isNewMember);
     }
 
-    /** Applies an entry from a peer: the local member refutes it where it is wrong. */
+    /**
+     * Applies an entry from a peer; refutes an entry of the local rank with a later incarnation.
+     */
     void applyEntry(
             long now,
             int reportedBy,
@@ -134,7 +136,7 @@
         }
     }
 
-    /** Applies a claim from a peer: the local member refutes those about itself. */
+    /** Applies a claim from a peer; refutes a claim about the local member. */
     void applyClaim(long now, SectionType type, int rank, long incarnation, int reportedBy) {
         if (rank == localRank) {
             if (incarnation >= members.incarnations[localRank]) {
@@ -156,7 +158,7 @@
         }
     }
 
-    /** Takes an incarnation above one that a peer knows, and spreads it. */
+    /** Adopts an incarnation higher than the given one, and announces it. */
     private void refute(long now, long incarnation) {
         counters.refutations++;
         boolean isOfThisProcess =
@@ -166,13 +168,13 @@
                 isOfThisProcess
                         ? Incarnation.next(incarnation)
                         : Incarnation.nextStartAfter(incarnation);
-        // Being suspected is a sign that this process is slow.
+        // Lifeguard: being suspected indicates that this process is slow.
         localHealth.degrade();
         listener.onLocalIncarnation(now, members.incarnations[localRank]);
         announceLocalState(now);
     }
 
-    /** Spreads what the local member applies, and its incarnation. */
+    /** Announces the local member's applied versions and incarnation. */
     void announceLocalState(long now) {
         updates.enqueueVersions(now, members.fingerprints[localRank]);
         updates.enqueueMember(now, localRank, members.incarnations[localRank], false);
@@ -198,7 +200,7 @@
         }
     }
 
-    /** Declares the members dead that did not refute in time. */
+    /** Declares dead the members that did not refute their suspicion in time. */
     void endExpiredSuspicions(long now) {
         for (SuspicionTable.Suspicion suspicion : suspicions.snapshot()) {
             if (suspicions.hasExpired(now, suspicion)) {
--- a/gossip/src/main/java/frostrelay/gossip/MembershipTable.java
+++ b/gossip/src/main/java/frostrelay/gossip/MembershipTable.java
@@ -3,16 +3,16 @@
 import java.util.Arrays;
 
 /**
- * What is known of every member, by rank. One array per field rather than one object per member, as
- * an emulated cluster of 2,000 members holds four million rows.
+ * The known state of every member, by rank. Stored as one array per field rather than one object
+ * per member, because an emulated cluster of 2,000 members holds four million rows.
  */
 final class MembershipTable {
-    /** Earlier than any time; sums with it do not overflow. */
+    /** A time before any other; arithmetic with it does not overflow. */
     static final long NEVER_NANOS = Long.MIN_VALUE / 4;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** A hundred times the drift of a quartz clock. */
+    /** Maximum relative drift between two clocks; a hundred times that of a quartz clock. */
     private static final double MAX_CLOCK_DRIFT = 0.01;
 
     /** The uptime on the wire has 32 bits. */
@@ -28,21 +28,21 @@
 
     final int[] fingerprints;
 
-    /** When the member last confirmed its entry itself, whichever peer passed it on. */
+    /** When the member itself last confirmed its entry, received directly or through a peer. */
     final long[] reportedAtNanos;
 
-    /** When the last datagram of the member itself was received. */
-    final long[] heardAtNanos;
+    /** When the last datagram sent by the member was received. */
+    final long[] lastDatagramAtNanos;
 
-    /** Periods in a row in which the member answered no probe of the local member. */
+    /** Consecutive periods in which the member answered no probe of the local member. */
     final byte[] missedProbes;
 
     private final byte[] states;
 
-    /** The least difference seen between the local clock and the member's uptime. */
+    /** The smallest observed difference between the local clock and the member's uptime. */
     private final long[] clockOffsetMillis;
 
-    /** Start of the process to which the offset belongs. */
+    /** Start time of the process to which the offset applies. */
     private final long[] clockStartMillis;
 
     private final long[] clockSampledAtNanos;
@@ -54,18 +54,19 @@
         sequences = new int[count];
         fingerprints = new int[count];
         reportedAtNanos = new long[count];
-        heardAtNanos = new long[count];
+        lastDatagramAtNanos = new long[count];
         missedProbes = new byte[count];
         clockOffsetMillis = new long[count];
         clockStartMillis = new long[count];
         clockSampledAtNanos = new long[count];
         Arrays.fill(reportedAtNanos, NEVER_NANOS);
-        Arrays.fill(heardAtNanos, NEVER_NANOS);
+        Arrays.fill(lastDatagramAtNanos, NEVER_NANOS);
     }
 
     /**
-     * For how long a datagram was delayed, compared with the fastest one lately: what waited in the
-     * socket of a paused process is that old. Clocks may drift apart by {@link #MAX_CLOCK_DRIFT}.
+     * Returns how much longer a datagram was delayed than the fastest recent one from the same
+     * process. Detects datagrams that were queued in the socket while this process was paused.
+     * Clocks may drift apart by {@link #MAX_CLOCK_DRIFT}.
      *
      * @param startMillis when the sender's process started
      * @param uptimeMillis the sender's uptime at the time of writing, modulo 2^32
@@ -96,12 +97,12 @@
         states[rank] = (byte) state.ordinal();
     }
 
-    /** Time since the member confirmed its entry; negative where it never did. */
+    /** Returns the time since the member confirmed its entry; negative if it never did. */
     long ageNanos(long now, int rank) {
         return reportedAtNanos[rank] == NEVER_NANOS ? -1 : now - reportedAtNanos[rank];
     }
 
-    /** Whether one 16-bit sequence number follows another, modulo 2^16. */
+    /** Returns whether one 16-bit sequence number follows another, modulo 2^16. */
     static boolean isLater(int sequence, int other) {
         return (short) (sequence - other) > 0;
     }
--- a/gossip/src/main/java/frostrelay/gossip/PayloadBuffer.java
+++ b/gossip/src/main/java/frostrelay/gossip/PayloadBuffer.java
@@ -3,8 +3,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * The space that a datagram has left for a {@link PayloadProvider}. Valid only during the call that
- * passes it.
+ * The space remaining in a datagram for a {@link PayloadProvider}. Valid only during the call to
+ * which it is passed.
  */
 public final class PayloadBuffer {
     private static final int MAX_SECTION_TYPE = 255;
@@ -23,7 +23,8 @@
     }
 
     /**
-     * Bytes that one more section's content may have; negative where not even an empty one fits.
+     * Returns the maximum content length of one more section; negative if not even an empty section
+     * fits.
      */
     public int availableBytes() {
         return GossipDatagram.availableBytes(out, maxBytes);
@@ -33,7 +34,7 @@
      * Adds a section.
      *
      * @param type from {@link PayloadProvider#FIRST_SECTION_TYPE} to 255
-     * @return false where it does not fit
+     * @return false if it does not fit
      * @throws IllegalArgumentException for a type out of range or content of over 255 bytes
      */
     public boolean add(int type, ByteBuffer content) {
@@ -41,7 +42,17 @@
                 || type > MAX_SECTION_TYPE
                 || content.remaining() > MAX_CONTENT_BYTES) {
             throw new IllegalArgumentException(
-                    "section " + type + " of " + content.remaining() + " bytes");
+                    "section type "
+                            + type
+                            + " with "
+                            + content.remaining()
+                            + " bytes: allowed are types "
+                            + PayloadProvider.FIRST_SECTION_TYPE
+                            + " to "
+                            + MAX_SECTION_TYPE
+                            + " with at most "
+                            + MAX_CONTENT_BYTES
+                            + " bytes");
         }
         if (content.remaining() > availableBytes()) {
             return false;
--- a/gossip/src/main/java/frostrelay/gossip/PayloadProvider.java
+++ b/gossip/src/main/java/frostrelay/gossip/PayloadProvider.java
@@ -1,14 +1,14 @@
 package frostrelay.gossip;
 
 /**
- * Adds other modules' sections to the datagrams of the gossip protocol, in the space that they have
- * left. Called anew for each datagram, so that the sections may differ by receiver.
+ * A provider of other modules' sections, which use the space remaining in the datagrams of the
+ * gossip protocol. Called for each datagram, so that the sections may differ by receiver.
  */
 public interface PayloadProvider {
     /** The lowest section type of other modules; those below belong to the gossip protocol. */
     int FIRST_SECTION_TYPE = 16;
 
-    /** Adds nothing. */
+    /** A provider without sections. */
     PayloadProvider NONE = (now, destination, payload) -> {};
 
     /** Writes the sections for the member {@code destination}, the most urgent first. */
--- a/gossip/src/main/java/frostrelay/gossip/PeerSelector.java
+++ b/gossip/src/main/java/frostrelay/gossip/PeerSelector.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** All members but the local one in a random order: the order of probes, and random picks. */
+/** A random order of all peers, used for the order of probes and for random selection. */
 final class PeerSelector {
     private final MembershipTable members;
     private final SplittableRandom random;
@@ -20,7 +20,7 @@
         shuffle();
     }
 
-    /** Draws a new order. */
+    /** Replaces the order by a new random one. */
     void shuffle() {
         for (int i = order.length - 1; i > 0; i--) {
             int other = random.nextInt(i + 1);
@@ -30,12 +30,12 @@
         }
     }
 
-    /** The number of peers, in whatever state. */
+    /** Returns the number of peers, including those that are dead or have left. */
     int count() {
         return order.length;
     }
 
-    /** The rank of the peer at an index of the current order. */
+    /** Returns the rank of the peer at an index of the current order. */
     int rankAt(int index) {
         return order[index];
     }
--- a/gossip/src/main/java/frostrelay/gossip/ProbeWriter.java
+++ b/gossip/src/main/java/frostrelay/gossip/ProbeWriter.java
@@ -1,16 +1,16 @@
 package frostrelay.gossip;
 
 /**
- * Sends pings, acks and requests for indirect probes. Pings and acks also carry what the receiver
- * may lack: a claim about itself that it can refute, the sender's entry, requests for unknown
- * versions, changes of caches, other modules' sections, and members' entries in turn, by which
- * every member finally learns what updates failed to bring.
+ * Sends pings, acks and requests for indirect probes. Pings and acks also carry information that
+ * the receiver may lack: a claim about itself that it can refute, the sender's entry, requests for
+ * unknown versions, changes of caches and other modules' sections. They also carry the entries of
+ * all members in rotation, so that every member eventually receives what lost updates contained.
  */
 final class ProbeWriter {
-    /** Members' entries fill a datagram up to this length. */
+    /** Datagram length up to which members' entries are added. */
     private static final int ENTRY_FILL_BYTES = 102;
 
-    /** Other modules' sections fill a datagram up to this length. */
+    /** Datagram length up to which other modules' sections are added. */
     private static final int PAYLOAD_FILL_BYTES = 134;
 
     private final GossipSettings settings;
@@ -47,9 +47,9 @@
      */
     void sendPing(long now, int to, int nonce, boolean shouldFill) {
         writer.begin(now, GossipDatagram.Kind.PING, nonce, GossipDatagram.NO_RANK);
-        putSections(now, to, isInDoubt(to));
+        putSections(now, to, isSuspectedOrEnded(to));
         if (shouldFill) {
-            putEntriesInTurn(now);
+            putEntriesInRotation(now);
         }
         writer.send(now, to);
     }
@@ -58,32 +58,32 @@
     void sendAck(long now, GossipDatagram ping) {
         int to = ping.sender;
         writer.begin(now, GossipDatagram.Kind.ACK, ping.nonce, GossipDatagram.NO_RANK);
-        putSections(now, to, isInDoubt(to) || ping.incarnation < members.incarnations[to]);
-        putEntriesInTurn(now);
+        putSections(now, to, isSuspectedOrEnded(to) || ping.incarnation < members.incarnations[to]);
+        putEntriesInRotation(now);
         writer.send(now, to);
     }
 
-    /** Requests a peer to ping a member that did not answer. */
+    /** Requests that a peer ping a member that did not answer. */
     void sendPingRequest(long now, int helper, int nonce, int target) {
         writer.begin(now, GossipDatagram.Kind.PING_REQUEST, nonce, target);
         writer.send(now, helper);
     }
 
-    /** Tells the requester of an indirect probe that its target answered. */
+    /** Notifies the requester of an indirect probe that its target answered. */
     void sendIndirectAck(long now, int requester, int nonce, int target) {
         writer.begin(now, GossipDatagram.Kind.ACK, nonce, target);
         writer.putMemberEntry(now, target, GossipDatagram.MAX_BYTES);
         writer.send(now, requester);
     }
 
-    private boolean isInDoubt(int rank) {
+    private boolean isSuspectedOrEnded(int rank) {
         MemberState state = members.state(rank);
         return state == MemberState.SUSPECTED || state.hasEnded();
     }
 
     private void putSections(long now, int to, boolean shouldClaim) {
         if (shouldClaim) {
-            // The receiver can refute only what it knows of.
+            // The receiver can refute only claims that it has received.
             SectionType type =
                     members.state(to) == MemberState.SUSPECTED
                             ? SectionType.SUSPECT
@@ -115,8 +115,8 @@
         }
     }
 
-    /** Adds members' entries in turn, unless updates need the bytes. */
-    private void putEntriesInTurn(long now) {
+    /** Adds members' entries in rotation, unless half of the bandwidth limit is already used. */
+    private void putEntriesInRotation(long now) {
         if (writer.sendableBytes(now) < settings.maxBytesPerSecond() / 2) {
             return;
         }
--- a/gossip/src/main/java/frostrelay/gossip/SectionReader.java
+++ b/gossip/src/main/java/frostrelay/gossip/SectionReader.java
@@ -3,9 +3,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads the sections of a datagram in their order and applies each to the state that it concerns.
- * Sections of unknown types are ignored, and so are bytes behind what a known type holds: builds of
- * different versions read each other's datagrams.
+ * Reads the sections of a datagram in order and applies each to the corresponding state. Sections
+ * of unknown types are ignored, and so are additional bytes at the end of known ones, so that
+ * builds of different versions can read each other's datagrams.
  */
 final class SectionReader {
     private static final int U8_MASK = 0xff;
@@ -38,9 +38,10 @@
     }
 
     /**
-     * Reads all sections; one whose length exceeds the datagram ends the reading and is counted.
+     * Reads all sections. Stops at a section whose length exceeds the datagram, which is counted as
+     * damaged.
      *
-     * @return whether the sender requests versions that are known here
+     * @return whether the sender requests versions that the local member knows
      */
     boolean read(long now, GossipDatagram in) {
         boolean hasRequestedVersions = false;
@@ -87,7 +88,7 @@
                 }
             }
             default -> {
-                // An uptime that is too short; requests are read by the caller.
+                // UPTIME that is too short; VERSIONS_REQUEST is read by the caller.
             }
         }
     }
@@ -149,7 +150,7 @@
         return true;
     }
 
-    /** Returns for how long the datagram was queued on its way, in nanoseconds. */
+    /** Returns how long the datagram was queued in transit, in nanoseconds. */
     private long readUptime(long now, GossipDatagram in, ByteBuffer section) {
         long uptimeMillis = section.getInt() & U32_MASK;
         long delayNanos =
--- a/gossip/src/main/java/frostrelay/gossip/SuspicionTable.java
+++ b/gossip/src/main/java/frostrelay/gossip/SuspicionTable.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * The members under suspicion, each with the time at which it is declared dead unless it refutes.
- * Suspicions that several members report independently expire sooner, as Lifeguard does: it is
- * unlikely that all of the reporters are at fault.
+ * A table of the suspected members, each with the time at which it is declared dead unless it
+ * refutes. As in Lifeguard, suspicions that several members report independently expire sooner,
+ * because it is unlikely that all reporters are wrong.
  */
 final class SuspicionTable {
-    /** So many reporters shorten the time to refute to its minimum. */
+    /** Number of reporters at which the time to refute is reduced to its minimum. */
     private static final int MAX_REPORTERS = 3;
 
     /** The time to refute with one reporter, as a multiple of the minimum. */
     private static final int UNCONFIRMED_FACTOR = 3;
 
-    /** One member's suspicion. */
+    /** The suspicion of one member. */
     static final class Suspicion {
         final int rank;
         final long incarnation;
@@ -28,7 +28,7 @@
             this.sinceNanos = sinceNanos;
         }
 
-        /** Records a reporter; false where it is known or there are enough of them. */
+        /** Records a reporter; returns false if it is already known or the maximum is reached. */
         boolean addReporter(int reportedBy) {
             if (reporters.size() >= MAX_REPORTERS || reporters.contains(reportedBy)) {
                 return false;
@@ -47,7 +47,7 @@
         minNanos = settings.suspicionTimeoutNanos() * Math.max(1, Math.log10(memberCount));
     }
 
-    /** The suspicion of a member; null where it is not suspected. */
+    /** Returns the suspicion of a member; null if it is not suspected. */
     Suspicion find(int rank) {
         for (Suspicion suspicion : suspicions) {
             if (suspicion.rank == rank) {
@@ -67,14 +67,14 @@
         suspicions.removeIf(suspicion -> suspicion.rank == rank);
     }
 
-    /** Lets every suspicion last as long as if it began now. */
+    /** Restarts the time to refute of every suspicion at {@code now}. */
     void restart(long now) {
         for (Suspicion suspicion : suspicions) {
             suspicion.sinceNanos = now;
         }
     }
 
-    /** When the first suspicion expires; {@link GossipNode#NEVER_NANOS} without any. */
+    /** Returns the next expiry; {@link GossipNode#NEVER_NANOS} if no member is suspected. */
     long nextExpiryAtNanos() {
         long nextNanos = GossipNode.NEVER_NANOS;
         for (Suspicion suspicion : suspicions) {
@@ -83,7 +83,7 @@
         return nextNanos;
     }
 
-    /** A copy of the suspicions, which may be removed while it is iterated. */
+    /** Returns a copy of the suspicions, so that they may be removed during iteration. */
     List<Suspicion> snapshot() {
         return List.copyOf(suspicions);
     }
--- a/gossip/src/main/java/frostrelay/gossip/Update.java
+++ b/gossip/src/main/java/frostrelay/gossip/Update.java
@@ -1,33 +1,33 @@
 package frostrelay.gossip;
 
 /**
- * A change that {@link UpdateQueue} spreads among the members. An update refers to the state rather
- * than copying it where the current state at the time of sending is what matters.
+ * A change to be disseminated to the members, held in {@link UpdateQueue}. An update that must
+ * carry the state at the time of sending refers to that state rather than copying it.
  */
 abstract sealed class Update {
     private static final int KIND_SHIFT = 40;
     private static final long PAYLOAD_KEY = 10L << KIND_SHIFT;
 
-    /** How many more times it is to be sent. */
+    /** Number of sends still to be made. */
     int remainingSends;
 
-    /** Position in the order of insertion into the queue; later ones are more urgent. */
+    /** Position in the order of insertion into the queue; a later update is more urgent. */
     long order;
 
     private Update(int sends) {
         remainingSends = sends;
     }
 
-    /** Identity in the queue: an update replaces an earlier one with the same key. */
+    /** Returns the identity in the queue: an update replaces an earlier one with the same key. */
     abstract long key();
 
-    /** Bytes of the section's content, where it has a section of its own. */
+    /** Returns the content length of the update's own section; 0 if it has none. */
     abstract int contentBytes();
 
     /** Adds the update to a datagram that has space for it. */
     abstract void writeTo(UpdateDatagram datagram);
 
-    /** Whether it introduces a member: less urgent than a change of a known one. */
+    /** Returns whether this introduces a member, which is less urgent than other changes. */
     boolean isNewMember() {
         return false;
     }
@@ -36,7 +36,7 @@
         return (long) type.code() << KIND_SHIFT | subject;
     }
 
-    /** The content behind a fingerprint. */
+    /** The applied versions that have a given fingerprint. */
     static final class VersionsUpdate extends Update {
         private final int fingerprint;
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /** A member's incarnation and what it applies, as they are at the time of sending. */
+    /** A member's incarnation and applied versions, as known at the time of sending. */
     static final class MemberUpdate extends Update {
         final int rank;
         final long incarnation;
@@ -118,7 +118,7 @@
             this.reportedBy = reportedBy;
         }
 
-        /** Suspicions of several reporters stand side by side; the end of a member is one fact. */
+        /** Returns one key per reporter for suspicions; death and leaving share one per member. */
         static long key(SectionType type, int rank, int reportedBy) {
             return type == SectionType.SUSPECT
                     ? keyOf(SectionType.SUSPECT, (long) rank << Short.SIZE | reportedBy)
@@ -141,7 +141,7 @@
         }
     }
 
-    /** The state of a cache, as it is at the time of sending. */
+    /** The state of a cache, as known at the time of sending. */
     static final class CacheUpdate extends Update {
         private final long cache;
 
@@ -150,7 +150,7 @@
             this.cache = cache;
         }
 
-        /** Caches that share the lower half of their number share an update. */
+        /** Returns a key of the lower 32 bits of the cache's number, which caches may share. */
         @Override
         long key() {
             return keyOf(SectionType.CACHE_UNAVAILABLE, (int) cache & 0xffffffffL);
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Sections of other modules have changed; they are written anew for each datagram. */
+    /** A change of other modules' sections, which are rewritten for each datagram. */
     static final class PayloadUpdate extends Update {
         PayloadUpdate(int sends) {
             super(sends);
--- a/gossip/src/main/java/frostrelay/gossip/UpdateDatagram.java
+++ b/gossip/src/main/java/frostrelay/gossip/UpdateDatagram.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Collects updates into one datagram. Members' entries are written last, so that those with equal
- * fingerprints share a section, and other modules' sections fill what is left. Used again for each
- * datagram.
+ * A builder that collects updates into one datagram. Members' entries are written after other
+ * updates, so that those with equal fingerprints share a section; other modules' sections fill the
+ * remaining space. The object is reused for each datagram.
  */
 final class UpdateDatagram {
     private final MembershipTable members;
@@ -42,7 +42,7 @@
         hasPayload = false;
     }
 
-    /** Adds an update where there is space for it. */
+    /** Adds an update if it fits. */
     void add(Update update) {
         if (writer.availableBytes(maxBytes) - entryBytes < update.contentBytes()) {
             return;
@@ -61,7 +61,7 @@
     void addMember(int rank) {
         if (members.fingerprints[rank] != AppliedVersions.NO_FINGERPRINT) {
             entryRanks.add(rank);
-            // As if it had a section of its own: what sharing one saves is left for payload.
+            // Counts a section per entry; bytes saved by sharing sections are left for the payload.
             entryBytes +=
                     GossipDatagram.SECTION_HEADER_BYTES
                             + Integer.BYTES
@@ -84,7 +84,7 @@
         hasPayload = true;
     }
 
-    /** Writes what was collected and sends it; false where nothing was sent. */
+    /** Writes the collected updates and sends them; returns false if nothing was sent. */
     boolean send(long now, int destination) {
         entryRanks.sort(byFingerprint);
         writer.putMemberEntries(now, entryRanks, maxBytes);
@@ -94,7 +94,7 @@
         return !sent.isEmpty() && writer.send(now, destination);
     }
 
-    /** The updates in the datagram. */
+    /** Returns the updates in the datagram. */
     List<Update> sent() {
         return sent;
     }
--- a/gossip/src/main/java/frostrelay/gossip/UpdateDisseminator.java
+++ b/gossip/src/main/java/frostrelay/gossip/UpdateDisseminator.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Spreads updates in rounds: each round sends what is most urgent to a few random peers, in small
- * clusters to all of them. Updates may use only a part of the bytes per second, so that probes are
- * still answered while many updates spread.
+ * Disseminates updates in rounds: each round sends the most urgent updates to a few random peers,
+ * in small clusters to all peers. Updates may use only a part of the bandwidth limit, so that
+ * probes are still answered while many updates are disseminated.
  */
 final class UpdateDisseminator {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -17,18 +17,21 @@
     /** Targets of each later round. */
     private static final int NEXT_ROUND_FANOUT = 2;
 
-    /** Up to so many peers a round goes to all of them: random targets often miss one of a few. */
+    /**
+     * Largest number of peers to which every round is sent; in such small clusters, random targets
+     * often leave out a peer.
+     */
     private static final int SMALL_CLUSTER_PEERS = 8;
 
     private static final int SMALL_CLUSTER_SENDS_PER_PEER = 2;
 
     /**
-     * Five times the longest one-way delay: duplicates that the first round causes arrive before
-     * the second.
+     * Five times the longest one-way delay, so that duplicates caused by the first round arrive
+     * before the second round is sent.
      */
     private static final long ROUND_INTERVAL_NANOS = 150 * NANOS_PER_MILLI;
 
-    /** Updates within half a usual one-way delay share a datagram. */
+    /** Half a typical one-way delay; updates enqueued within it share a datagram. */
     private static final long BATCH_DELAY_NANOS = 10 * NANOS_PER_MILLI;
 
     /**
@@ -38,12 +41,15 @@
     private static final double SENDS_FACTOR = 1.5;
 
     /**
-     * Updates' part of the bytes per second; two probes and two answers in a second fit in the
-     * rest.
+     * Fraction of the bandwidth limit available to updates; the rest holds two probes and two acks
+     * per second.
      */
     private static final double UPDATE_BANDWIDTH_FRACTION = 5 / 8.0;
 
-    /** Header, checksum, one entry and one content: with less it is better to wait. */
+    /**
+     * Header, checksum, one member entry and one applied-versions section; with fewer bytes
+     * available, sending is deferred.
+     */
     private static final int MIN_UPDATE_BYTES = 106;
 
     private final GossipSettings settings;
@@ -100,7 +106,10 @@
         enqueue(now, new Update.PayloadUpdate(sends(false)));
     }
 
-    /** Records that a peer sent what is known here; see {@link UpdateQueue#recordDuplicate}. */
+    /**
+     * Records that a peer sent an update that is already known; see {@link
+     * UpdateQueue#recordDuplicate}.
+     */
     void recordDuplicate(long key) {
         updates.recordDuplicate(key);
     }
@@ -123,7 +132,7 @@
         return peers.count() <= SMALL_CLUSTER_PEERS;
     }
 
-    /** When {@link #onTimer} is to be called next. */
+    /** Returns the time at which {@link #onTimer} is to be called next. */
     long nextTimerAtNanos() {
         return nextRoundAtNanos;
     }
@@ -146,7 +155,7 @@
         if (updates.isEmpty()) {
             nextRoundAtNanos = GossipNode.NEVER_NANOS;
         } else if (targets.isEmpty()) {
-            // Updates wait for a peer, which a probe will find.
+            // No peer is known to be reachable; retry after the next probe period.
             nextRoundAtNanos = now + settings.probePeriodNanos();
         } else {
             nextRoundAtNanos = now + ROUND_INTERVAL_NANOS;
@@ -160,7 +169,7 @@
         return isFirstRound ? FIRST_ROUND_FANOUT : NEXT_ROUND_FANOUT;
     }
 
-    /** Sends the most urgent updates to one peer, if the limit of bytes per second allows it. */
+    /** Sends the most urgent updates to one peer, if the bandwidth limit allows it. */
     void sendTo(long now, int destination) {
         List<Update> candidates = updates.mostUrgent();
         int maxBytes = maxBytes(now, candidates);
@@ -182,7 +191,8 @@
     }
 
     /**
-     * Introductions of members leave half of the bytes to changes, which must not wait for them.
+     * Returns the largest datagram that may be sent now. Introductions of members leave half of the
+     * bandwidth to changes, which must not be delayed by them.
      */
     private int maxBytes(long now, List<Update> candidates) {
         int reservedBytes =
@@ -197,9 +207,9 @@
     }
 
     /**
-     * Sends one section of another module to one peer at once.
+     * Sends one section of another module to one peer immediately.
      *
-     * @return false where the limit of bytes per second forbids it now
+     * @return false if the bandwidth limit does not allow it now
      */
     boolean sendSection(long now, int destination, int type, ByteBuffer content) {
         if (Math.min(writer.sendableBytes(now), updateLimiter.availableBytes(now))
@@ -218,7 +228,7 @@
         return true;
     }
 
-    /** Notifies some peers that the local member shuts down. */
+    /** Notifies some peers that the local member is shutting down. */
     void sendLeave(long now) {
         List<Integer> targets =
                 peers.pick(FIRST_ROUND_FANOUT + NEXT_ROUND_FANOUT, GossipDatagram.NO_RANK);
--- a/gossip/src/main/java/frostrelay/gossip/UpdateQueue.java
+++ b/gossip/src/main/java/frostrelay/gossip/UpdateQueue.java
@@ -8,11 +8,12 @@
 import java.util.PriorityQueue;
 
 /**
- * Updates that are still to be sent. Each is sent a number of times, the newest first, so that a
- * change overtakes what is left of earlier ones. Receiving the introduction of a member again from
- * a peer counts as a send, as that peer spreads it too (Demers and others 1987: losing interest by
- * feedback and a counter). Bounded: the least urgent update is dropped, as the entries that fill
- * probes spread the same facts later.
+ * A bounded queue of updates that are still to be sent. Each update is sent a number of times, the
+ * newest first, so that a change takes precedence over the remaining sends of earlier ones.
+ * Receiving the introduction of a member again from a peer counts as a send, as that peer
+ * disseminates it too (rumor mongering with feedback and a counter, Demers et al. 1987). When the
+ * queue is full, the least urgent update is dropped; the member entries that fill probes later
+ * carry the same information.
  */
 final class UpdateQueue {
     private static final int MAX_UPDATES = 512;
@@ -77,10 +78,11 @@
     }
 
     /**
-     * Records that a peer sent an update that was known already. Only introductions of members lose
-     * a send by it: a change is always sent as often as the cluster's size demands.
+     * Records that a peer sent an update that was already known. This reduces the remaining sends
+     * only of introductions of members; a change is always sent as often as the cluster's size
+     * requires.
      *
-     * @param key of the update, by the static method of its class
+     * @param key the key of the update, from the static {@code key} method of its class
      */
     void recordDuplicate(long key) {
         if (updates.isEmpty()) {
@@ -93,8 +95,9 @@
     }
 
     /**
-     * The most urgent updates, as many as one datagram may hold, the most urgent first. Whoever
-     * sends them decrements {@link Update#remainingSends} and calls {@link #removeExhausted}.
+     * Returns as many updates as one datagram may hold, the most urgent first. The caller
+     * decrements {@link Update#remainingSends} of those it sends and then calls {@link
+     * #removeExhausted}.
      */
     List<Update> mostUrgent() {
         PriorityQueue<Update> best =
@@ -113,7 +116,7 @@
         return all;
     }
 
-    /** Removes the updates that were sent as often as they should be. */
+    /** Removes the updates that have no sends remaining. */
     void removeExhausted() {
         updates.values().removeIf(update -> update.remainingSends <= 0);
     }
--- a/gossip/src/test/java/frostrelay/gossip/BandwidthLimiterTest.java
+++ b/gossip/src/test/java/frostrelay/gossip/BandwidthLimiterTest.java
@@ -10,11 +10,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The limit of bytes per second. */
 class BandwidthLimiterTest {
-    /** In no second, wherever it begins, is more sent than the limit. */
+    /** Checks every one-second window that starts at a send. */
     @Property(tries = 300)
-    void theBandwidthLimitHoldsAtEveryMoment(
+    void noOneSecondWindowExceedsTheLimit(
             @ForAll @Size(max = 200) List<@IntRange(min = 1, max = 256) Integer> sizes,
             @ForAll @IntRange(min = 256, max = 4_096) int maxBytes,
             @ForAll long seed) {
--- a/gossip/src/test/java/frostrelay/gossip/FormerVersionDatagramsTest.java
+++ b/gossip/src/test/java/frostrelay/gossip/FormerVersionDatagramsTest.java
@@ -17,14 +17,15 @@
 import java.util.zip.CRC32C;
 
 /**
- * Datagrams that version 0.7.0 wrote: this version reads the same fields from them, and writes the
- * same bytes. The resource's README says how they were made.
+ * Wire compatibility with version 0.7.0: this version decodes the same fields from recorded
+ * datagrams and encodes the same bytes. The README of the resources describes the recording.
  */
 class FormerVersionDatagramsTest {
     private static final String RESOURCE = "datagrams-0.7.0.txt";
 
     /**
-     * Fields of a line ahead of the decoded ones: index, time, sender, receiver, revision, bytes.
+     * Number of fields that precede the decoded ones: index, time, sender, receiver, revision,
+     * bytes.
      */
     private static final int LEADING_FIELDS = 6;
 
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void everyFieldOfEveryKindAndSectionIsRead() throws IOException {
+    void decodesEveryFieldOfEveryKindAndSection() throws IOException {
         Set<GossipDatagram.Kind> kinds = EnumSet.noneOf(GossipDatagram.Kind.class);
         Set<SectionType> types = EnumSet.noneOf(SectionType.class);
         List<String> lines = lines();
@@ -72,9 +73,9 @@
         }
     }
 
-    /** The whole course of the cluster, by a checksum; and those datagrams byte by byte. */
+    /** Compares all datagrams of the scenario by a checksum, and the listed ones byte by byte. */
     @Test
-    void theSameInputIsWrittenAsTheSameBytes() throws IOException {
+    void encodesTheSameBytesForTheSameInput() throws IOException {
         RecordedCluster cluster = new RecordedCluster();
         cluster.run();
         List<String> lines = lines();
@@ -86,7 +87,7 @@
         assertEquals(lines.get(0), summary(cluster.sent));
     }
 
-    /** The number of datagrams, and a checksum of all of them as lines. */
+    /** Returns the number of datagrams, and a checksum of their text lines. */
     static String summary(List<RecordedCluster.Sent> sent) {
         CRC32C checksum = new CRC32C();
         for (RecordedCluster.Sent datagram : sent) {
--- a/gossip/src/test/java/frostrelay/gossip/GossipDatagramTest.java
+++ b/gossip/src/test/java/frostrelay/gossip/GossipDatagramTest.java
@@ -9,10 +9,9 @@
 
 import java.nio.ByteBuffer;
 
-/** The wire form of a datagram. */
 class GossipDatagramTest {
     @Property(tries = 500)
-    void oneFlippedBitIsSeen(@ForAll @IntRange(max = 26 * 8 - 1) int bit) {
+    void singleBitErrorIsDetected(@ForAll @IntRange(max = 26 * 8 - 1) int bit) {
         ByteBuffer datagram = ByteBuffer.allocate(GossipDatagram.MAX_BYTES);
         GossipDatagram.begin(
                 datagram, GossipDatagram.WIRE_VERSION, GossipDatagram.Kind.PING, 1, 77, 1, 0xffff);
--- a/gossip/src/test/java/frostrelay/gossip/GossipNodeTest.java
+++ b/gossip/src/test/java/frostrelay/gossip/GossipNodeTest.java
@@ -17,8 +17,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * What members know of each other's states and applied versions when datagrams are lost, forged and
- * late, and processes die, pause and restart.
+ * Tests of the known member states and applied versions when datagrams are lost, forged or delayed,
+ * and processes die, pause and restart.
  */
 class GossipNodeTest {
     private final GossipTestNetwork network = new GossipTestNetwork(5);
@@ -39,9 +39,9 @@
         }
     }
 
-    /** In a small cluster all peers are targets of a round, so that no change is late. */
+    /** Guards against random targets leaving out peers: small clusters send to all peers. */
     @Test
-    void aChangeIsKnownEverywhereWithinTwoSecondsAtThirtyPercentLoss() {
+    void changeReachesAllMembersWithinTwoSecondsAtThirtyPercentLoss() {
         int uninformedCount = 0;
         for (int trial = 0; trial < 10; trial++) {
             GossipTestNetwork lossyNetwork = new GossipTestNetwork(5);
@@ -59,9 +59,9 @@
                 uninformedCount += countUninformed(lossyNetwork, i % 5, 10 + i);
             }
             assertTrue(lossyNetwork.maxDatagramBytes <= 256);
-            assertTrue(lossyNetwork.clockSampleCount > 50, "clocks are compared in passing");
+            assertTrue(lossyNetwork.clockSampleCount > 50, "probes also provide clock samples");
         }
-        assertEquals(0, uninformedCount, "of 800 did not know it within two seconds");
+        assertEquals(0, uninformedCount, "of 800 deliveries took longer than two seconds");
     }
 
     private static int countUninformed(GossipTestNetwork network, int rank, long listRevision) {
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void deadMembersAreGoneAndNeverShownAsApplyingAnything() {
+    void deadMemberIsDeclaredGoneAndItsLastVersionsStayKnown() {
         network.run(5);
         network.nodes[3].isDead = true;
         network.run(20);
@@ -89,7 +89,7 @@
                 assertEquals(
                         1,
                         node.snapshotOf(3).appliedVersions().listRevision(),
-                        "what it last applied is still known");
+                        "the versions that it last applied are still known");
             }
         }
         network.nodes[3].start(1_790_000_100_000L, 8);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void anIncarnationWhoseWallClockWasSetBackOvertakesTheEarlierOne() {
+    void restartAfterWallClockWasSetBackGetsAHigherIncarnation() {
         network.run(5);
         long before = network.nodes[0].snapshotOf(2).incarnation();
         network.nodes[2].isDead = true;
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aNodeThatReceivesNothingKnowsNothingAndSuspectsNobody() {
+    void isolatedMemberReportsPeersAsUnknownAndDeclaresNoneDead() {
         network.run(5);
         network.isLinkUp = (from, to) -> to != 4;
         network.run(30);
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aHealedPartitionIsOneClusterAgain() {
+    void clusterMergesAfterPartitionHeals() {
         network.run(5);
         network.isLinkUp = (from, to) -> from < 2 == to < 2;
         network.run(30);
@@ -138,11 +138,11 @@
     }
 
     @Test
-    void aProcessThatStoodStillBlamesNobody() {
+    void pausedProcessSuspectsNoPeersOnResume() {
         network.run(5);
-        network.nodes[1].isFrozen = true;
+        network.nodes[1].isPaused = true;
         network.run(20);
-        network.nodes[1].isFrozen = false;
+        network.nodes[1].isPaused = false;
         network.nodes[1].stateEvents.clear();
         network.run(1);
         assertFalse(
@@ -153,9 +153,9 @@
         assertEverybodyKnows(1, 1);
     }
 
-    /** One peer declares all others dead, again and again; each of them refutes it. */
+    /** One peer repeatedly declares all others dead; each of them refutes the claim. */
     @Test
-    void aLiarRemovesNobody() {
+    void falseDeathClaimsAreRefuted() {
         network.run(5);
         for (int i = 0; i < 20; i++) {
             for (int to = 0; to < 4; to++) {
@@ -203,7 +203,7 @@
                 1,
                 0xffff);
         gossip.onDatagram(network.nowNanos, 1, datagram.array(), GossipDatagram.finish(datagram));
-        assertEquals(1, gossip.counters().implausible, "an incarnation of the far future");
+        assertEquals(1, gossip.counters().implausible, "incarnation too far in the future");
         GossipDatagram.begin(
                 datagram,
                 GossipDatagram.WIRE_VERSION,
@@ -213,7 +213,7 @@
                 1,
                 0xffff);
         gossip.onDatagram(network.nowNanos, 2, datagram.array(), GossipDatagram.finish(datagram));
-        assertEquals(1, gossip.counters().wrongSender, "from another's address");
+        assertEquals(1, gossip.counters().wrongSender, "datagram from another member's address");
         gossip.onDatagram(network.nowNanos, 1, new byte[257], 257);
         assertEquals(1, gossip.counters().oversized);
         gossip.onDatagram(network.nowNanos, 1, new byte[40], 40);
@@ -229,13 +229,15 @@
         datagram.put(3, (byte) (GossipDatagram.WIRE_VERSION + 1));
         gossip.onDatagram(network.nowNanos, 1, datagram.array(), GossipDatagram.finish(datagram));
         assertEquals(
-                1, gossip.counters().unsupportedVersion, "a build that this one is too old for");
+                1,
+                gossip.counters().unsupportedVersion,
+                "minimum version is newer than this build");
         assertEquals(MemberState.ALIVE, network.nodes[0].snapshotOf(1).state());
     }
 
-    /** Builds of other versions: a section of an unknown type, and more bytes in a known one. */
+    /** Sends a section of an unknown type, and additional bytes in a section of a known type. */
     @Test
-    void whatALaterBuildAddsIsIgnored() {
+    void additionsOfLaterBuildsAreIgnored() {
         network.run(5);
         ByteBuffer datagram = ByteBuffer.allocate(GossipDatagram.MAX_BYTES);
         GossipDatagram.begin(
@@ -262,9 +264,11 @@
         assertEquals(9, network.nodes[0].snapshotOf(1).sequence());
     }
 
-    /** Whatever bytes are received, also with a valid checksum, they do no more than count. */
+    /**
+     * Sends arbitrary sections with a valid checksum; the node must not throw and must stay alive.
+     */
     @Property(tries = 2_000)
-    void arbitraryBytesDoNoHarm(
+    void arbitrarySectionsNeitherThrowNorEndTheLocalMember(
             @ForAll @Size(max = 232) byte[] body, @ForAll @IntRange(max = 6) int kind) {
         ByteBuffer datagram = ByteBuffer.allocate(GossipDatagram.MAX_BYTES);
         GossipDatagram.begin(
@@ -299,11 +303,11 @@
     }
 
     /**
-     * What waited in the socket of a paused process is as old as its writer's clock says, not new
-     * when it is read.
+     * Payload queued in the socket of a paused process must be dated by its writer's uptime;
+     * otherwise old data would appear new when it is read.
      */
     @Test
-    void payloadThatWaitedInTheSocketOfAStoppedProcessIsDated() {
+    void payloadQueuedWhileProcessIsPausedHasItsQueueingDelayReported() {
         GossipTestNetwork network = new GossipTestNetwork(4);
         for (GossipTestNetwork.Node node : network.nodes) {
             node.gossip.setPayloadProvider(
@@ -313,22 +317,22 @@
                                     ByteBuffer.allocate(Long.BYTES).putLong(atNanos).flip()));
         }
         network.run(10);
-        GossipTestNetwork.Node frozenNode = network.nodes[0];
-        frozenNode.isFrozen = true;
+        GossipTestNetwork.Node pausedNode = network.nodes[0];
+        pausedNode.isPaused = true;
         network.run(20);
-        frozenNode.payloadDelays.clear();
-        frozenNode.isFrozen = false;
+        pausedNode.payloadDelays.clear();
+        pausedNode.isPaused = false;
         network.run(0.05);
         assertTrue(
-                frozenNode.payloadDelays.size() > 10
-                        && frozenNode.payloadDelays.stream()
+                pausedNode.payloadDelays.size() > 10
+                        && pausedNode.payloadDelays.stream()
                                 .anyMatch(
                                         payloadDelay ->
                                                 payloadDelay.ageNanos()
                                                         > 15 * GossipTestNetwork.NANOS_PER_SECOND),
-                "some waited long");
-        for (GossipTestNetwork.PayloadDelay payloadDelay : frozenNode.payloadDelays) {
-            // The clocks may drift apart by a hundredth, 0.2 s in all that time.
+                "some payloads were queued for more than 15 s");
+        for (GossipTestNetwork.PayloadDelay payloadDelay : pausedNode.payloadDelays) {
+            // The clocks may drift apart by 1%, which is 0.2 s in 20 s.
             assertEquals(
                     payloadDelay.ageNanos() - GossipTestNetwork.ONE_WAY_DELAY_NANOS,
                     payloadDelay.queueingNanos(),
--- a/gossip/src/test/java/frostrelay/gossip/GossipTestNetwork.java
+++ b/gossip/src/test/java/frostrelay/gossip/GossipTestNetwork.java
@@ -9,27 +9,26 @@
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
 
-/** Members on a simulated network, in simulated time. */
+/** A simulated network of members, in simulated time. */
 final class GossipTestNetwork {
     static final long NANOS_PER_SECOND = 1_000_000_000L;
     static final long ONE_WAY_DELAY_NANOS = 5_000_000L;
     static final int PAYLOAD_TYPE = 200;
     private static final long WALL_CLOCK_START_MILLIS = 1_790_000_000_000L;
 
-    /** How old a payload is, and for how long the receiver takes it to have been queued. */
+    /** The age of a payload at its receipt, and the queueing delay that was reported with it. */
     record PayloadDelay(long ageNanos, long queueingNanos) {}
 
     private record Event(long atNanos, long sequence, Runnable action) {}
 
-    /** One member, with the events that it received. */
+    /** One member, with the events that its listener received. */
     final class Node implements GossipNode.Actions, GossipNode.Listener {
         final int rank;
         GossipNode gossip;
-        boolean isFrozen;
+        boolean isPaused;
         boolean isDead;
         final List<String> stateEvents = new ArrayList<>();
 
-        /** Each payload's time since it was written, and the reported queueing delay. */
         final List<PayloadDelay> payloadDelays = new ArrayList<>();
 
         int startCount;
@@ -63,10 +62,10 @@
                         if (startNumber != startCount || isDead) {
                             return;
                         }
-                        if (!isFrozen && nowNanos >= gossip.nextTimerAtNanos()) {
+                        if (!isPaused && nowNanos >= gossip.nextTimerAtNanos()) {
                             gossip.onTimer(nowNanos);
                         }
-                        // A frozen process misses its timers and finds them due when it wakes.
+                        // A paused process misses its timers, which are overdue when it resumes.
                         schedule(
                                 nowNanos + 1_000_000,
                                 () -> {
@@ -96,7 +95,7 @@
 
         @Override
         public void onLocalIncarnation(long atNanos, long incarnation) {
-            stateEvents.add("me " + incarnation);
+            stateEvents.add("local " + incarnation);
         }
 
         @Override
@@ -155,8 +154,8 @@
         if (node.isDead) {
             return;
         }
-        if (node.isFrozen) {
-            // The datagram waits in the socket.
+        if (node.isPaused) {
+            // The datagram stays queued in the socket.
             schedule(nowNanos + 10_000_000, () -> deliver(to, from, data));
             return;
         }
--- a/gossip/src/test/java/frostrelay/gossip/RecordedCluster.java
+++ b/gossip/src/test/java/frostrelay/gossip/RecordedCluster.java
@@ -9,9 +9,9 @@
 import java.util.PriorityQueue;
 
 /**
- * A cluster in simulated time whose every datagram is recorded. Its course is fixed and brings
- * about every kind of datagram and every type of section: members that start, change what they
- * apply, rule caches out, fall silent, leave and come back.
+ * A cluster in simulated time that records every datagram. Its scenario is fixed and produces every
+ * kind of datagram and every type of section: members start, change their applied versions,
+ * announce unavailable caches, stop answering, leave and restart.
  */
 final class RecordedCluster {
     private static final int SIZE = 5;
@@ -21,9 +21,9 @@
     private static final long WALL_CLOCK_START_MILLIS = 1_790_000_000_000L;
     private static final int PAYLOAD_TYPE = 200;
 
-    /** A datagram as it was sent, and which revision of the list its receiver applied then. */
+    /** A sent datagram, with the revision of the list that its receiver applied at that time. */
     record Sent(long atNanos, int from, int to, int receiverRevision, byte[] data) {
-        /** One line: when, from whom, to whom, the receiver's revision, the bytes. */
+        /** Returns one line of text: time, sender, receiver, the receiver's revision, bytes. */
         String toLine() {
             return atNanos
                     + " "
@@ -53,7 +53,7 @@
         return new AppliedVersions(11, 12, 13, listRevision, 15, 16, 17);
     }
 
-    /** Runs the whole course. */
+    /** Runs the whole scenario. */
     void run() {
         for (int rank = 0; rank < SIZE; rank++) {
             start(rank, 1);
@@ -120,7 +120,7 @@
 
     private void send(int from, int to, byte[] data) {
         sent.add(new Sent(nowNanos, from, to, revisions[to], data));
-        // A tenth is lost, so that members have to request what they missed.
+        // A tenth is lost, so that members have to request missing versions.
         if (sent.size() % 10 != 3) {
             schedule(
                     nowNanos + ONE_WAY_DELAY_NANOS,
@@ -147,9 +147,9 @@
     }
 
     /**
-     * Reads a datagram as its receiver does right after its start.
+     * Decodes a datagram as its receiver does immediately after its start.
      *
-     * @return all decoded fields: those of the header, then what the sections bring about
+     * @return all decoded fields: those of the header, then the events caused by the sections
      */
     static String decode(Sent sent) {
         GossipDatagram header = GossipDatagram.read(sent.data, sent.data.length);
@@ -177,7 +177,7 @@
         return decoded.text.toString();
     }
 
-    /** Writes down what a node does with a datagram. */
+    /** A recorder of the actions and events that a datagram causes. */
     private static final class DecodedEvents implements GossipNode.Actions, GossipNode.Listener {
         private final StringBuilder text = new StringBuilder();
         private boolean isRecording;
