--- a/staleness/src/main/java/frostrelay/staleness/BadVersionDetector.java
+++ b/staleness/src/main/java/frostrelay/staleness/BadVersionDetector.java
@@ -8,19 +8,19 @@
 import java.util.Set;
 
 /**
- * Detects versions under which the peers that apply them fail, by crashing soon after they applied
- * them or by serving worse than before, while those on an older version do not. Such a version is
- * not followed automatically. Once the evidence has lasted for the staleness bound, the decision
- * stands until a later version is bad as well or operators override it.
+ * A detector of versions under which the peers that apply them fail, by crashing soon after the
+ * change or by serving worse than before, while peers on an older version do not. Such a version is
+ * not followed automatically. Once the evidence has persisted for the staleness bound, the decision
+ * is kept until another version of the same kind is found bad or operators override it.
  */
 final class BadVersionDetector {
     private final StalenessSettings settings;
     private final FleetVersions fleet;
 
-    /** Which peers crashed or serve worse under a version, and when that was last reported. */
+    /** The peers that crashed or serve worse under a version, with the time of the last report. */
     private final Map<NumberedVersion, Map<Integer, Long>> failureReports = new HashMap<>();
 
-    /** Since when the evidence is sufficient; peers' evidence against it may yet arrive. */
+    /** The time since which the evidence is sufficient; contrary reports may still arrive. */
     private final Map<NumberedVersion, Long> suspectSinceNanos = new HashMap<>();
 
     private final Set<NumberedVersion> badVersions = new HashSet<>();
@@ -30,7 +30,7 @@
         this.fleet = fleet;
     }
 
-    /** A peer reports of itself that it serves worse since it applies a version, or no longer. */
+    /** Handles a peer's report on whether it serves worse since it applied a version. */
     void onVersionFailing(long now, int from, NumberedVersion version, boolean isFailing) {
         PeerVersionState peer = fleet.peer(from);
         if (!isFailing) {
@@ -40,14 +40,14 @@
             }
             return;
         }
-        // Only of the version that it applies: otherwise one peer could fill the table.
+        // Accepts only reports on the version that the peer applies, which bounds the table.
         if (peer.appliedVersions != null
                 && version.kind().number(peer.appliedVersions) == version.number()) {
             recordFailure(now, from, version);
         }
     }
 
-    /** A peer's process ended without leaving. */
+    /** Handles the end of a peer's process without a graceful leave. */
     void onPeerCrashed(long now, int rank) {
         PeerVersionState peer = fleet.peer(rank);
         if (peer.appliedVersions != null
@@ -62,10 +62,10 @@
     }
 
     /**
-     * Whether a version is bad by the evidence so far. Peers that are dead count as well, as they
-     * may have died of it.
+     * Returns whether a version is bad by the evidence so far. Dead peers are included, as the
+     * version may have caused their crash.
      *
-     * @param isLocalFailing whether this balancer, on an older version, serves worse as well
+     * @param isLocalFailing whether this balancer, on an older version, also serves worse
      */
     boolean isBad(long now, NumberedVersion version, boolean isLocalFailing) {
         removeExpired(now);
@@ -84,7 +84,7 @@
         return isHarmful;
     }
 
-    /** Whether half of those on the version fail, and at most a quarter of those on older ones. */
+    /** Returns whether half of the peers on it fail, and at most a quarter on older versions. */
     private boolean isHarmful(NumberedVersion version, boolean isLocalFailing) {
         int knownPeers = 0;
         int adopters = 0;
--- a/staleness/src/main/java/frostrelay/staleness/CacheAvoidance.java
+++ b/staleness/src/main/java/frostrelay/staleness/CacheAvoidance.java
@@ -10,30 +10,34 @@
 import java.util.TreeSet;
 
 /**
- * The caches that this balancer avoids because of its peers: those that peers' operators drain, and
- * those that newer endpoint lists than the local one rule out, until the local list has caught up
- * or the reports expire. Reports only take caches away, and never more than a part of them.
+ * The caches that this balancer avoids because of reports from its peers: caches that are drained
+ * at peers, and caches that are unavailable in newer endpoint lists than the local one, until the
+ * local list has caught up or the reports expire. Reports can only exclude caches, and at most a
+ * limited fraction of them.
  */
 final class CacheAvoidance {
     private static final int MAX_CACHES = 4_096;
 
-    /** Who rules a cache out, each by the revision of its own list. */
+    /** The peers that report a cache as unavailable, each with the revision of its list. */
     private static final class UnavailabilityReport {
         long sinceNanos;
 
-        /** The report of a single peer has been believed for as long as it may be. */
+        /** Whether the lifetime of a report by a single peer has ended. */
         boolean isSingleReportExpired;
 
         final Map<Integer, Long> revisionByReporter = new HashMap<>();
     }
 
     /**
-     * A cache that may be avoided: by which revision enough peers rule it out, {@link
-     * Long#MIN_VALUE} where too few do, and how many peers do at all.
+     * A cache that may be avoided.
+     *
+     * @param listRevision the newest revision that enough peers prove by reporting the cache as
+     *     unavailable in this or a later one; {@link Long#MIN_VALUE} for too few reporters
+     * @param reporterCount number of all peers that report the cache as unavailable
      */
     private record Candidate(long cache, long listRevision, int reporterCount) {}
 
-    /** The newest lists first, then the most reporters. */
+    /** Orders by newest list revision, then by most reporters. */
     private static final Comparator<Candidate> BY_PRIORITY =
             Comparator.comparingLong(Candidate::listRevision)
                     .thenComparingInt(Candidate::reporterCount)
@@ -48,7 +52,7 @@
     private final PeerAdminDrains peerDrains;
     private final Map<Long, UnavailabilityReport> reportsByCache = new LinkedHashMap<>();
 
-    /** By which revision each peer allows a cache again. */
+    /** For each cache, the list revision in which each peer reports it as available again. */
     private final Map<Long, Map<Integer, Long>> restorationsByCache = new HashMap<>();
 
     private Set<Long> readyCaches = Set.of();
@@ -90,9 +94,9 @@
         peerDrains.onPeerAdminDrain(now, from, digest, cache);
     }
 
-    /** Records that a peer rules a cache out; false where that is ignored. */
+    /** Records that a peer reports a cache as unavailable; returns false if that is ignored. */
     boolean onUnavailable(long now, int from, long listRevision, long cache) {
-        if (!isNews(listRevision, cache)
+        if (!isRelevant(listRevision, cache)
                 || reportsByCache.size() >= MAX_CACHES
                 || listRevision < newestRestoration(cache)) {
             return false;
@@ -106,9 +110,9 @@
         return true;
     }
 
-    /** Records that a peer allows a cache again; false where that is ignored. */
+    /** Records that a peer reports a cache as available again; returns false if it is ignored. */
     boolean onRestored(int from, long listRevision, long cache) {
-        if (!isNews(listRevision, cache)
+        if (!isRelevant(listRevision, cache)
                 || restorationsByCache.size() >= MAX_CACHES
                         && !restorationsByCache.containsKey(cache)) {
             return false;
@@ -119,7 +123,7 @@
         return true;
     }
 
-    private boolean isNews(long listRevision, long cache) {
+    private boolean isRelevant(long listRevision, long cache) {
         return !isCaughtUpWith(listRevision) && readyCaches.contains(cache);
     }
 
@@ -128,8 +132,9 @@
     }
 
     /**
-     * The newest proven revision by which a peer allows a cache again; {@link Long#MIN_VALUE} where
-     * there is none. An unproven revision must not end the reports of others.
+     * Returns the newest proven revision in which a peer reports a cache as available again; {@link
+     * Long#MIN_VALUE} if there is none. An unproven revision must not invalidate other peers'
+     * reports.
      */
     private long newestRestoration(long cache) {
         long newestRestored = Long.MIN_VALUE;
@@ -141,7 +146,7 @@
         return newestRestored;
     }
 
-    /** When a report may expire next. */
+    /** Returns the time at which the next report may expire. */
     long nextTimerAtNanos(long now) {
         long nextNanos = peerDrains.nextTimerAtNanos(now);
         for (UnavailabilityReport report : reportsByCache.values()) {
@@ -154,7 +159,7 @@
         return nextNanos;
     }
 
-    /** Removes the reports that expired or that newer lists supersede. */
+    /** Removes the reports that expired or were superseded by newer lists. */
     void removeOutdated(long now) {
         reportsByCache.keySet().removeIf(cache -> !readyCaches.contains(cache));
         restorationsByCache.keySet().removeIf(cache -> !readyCaches.contains(cache));
@@ -166,7 +171,8 @@
             UnavailabilityReport report = entry.getValue();
             report.isSingleReportExpired |=
                     now - report.sinceNanos >= settings.singleReportLifetimeNanos();
-            // Reporter by reporter: one that claims a far revision must not keep others' reports.
+            // Checked per reporter, as a false high revision must not preserve other peers'
+            // reports.
             report.revisionByReporter
                     .values()
                     .removeIf(
@@ -184,9 +190,9 @@
     }
 
     /**
-     * Decides which caches to avoid, up to the part that peers may take away: admin drains first,
-     * then the caches that the newest lists rule out. Locally drained caches do not count, as they
-     * are out of use anyway.
+     * Selects the caches to avoid, up to the maximum fraction: administrative drains first, then
+     * the caches that are unavailable in the newest lists. Locally drained caches are not included,
+     * as they are not used in any case.
      */
     void update(long now) {
         int maxAvoided =
--- a/staleness/src/main/java/frostrelay/staleness/ConfigStaleness.java
+++ b/staleness/src/main/java/frostrelay/staleness/ConfigStaleness.java
@@ -9,9 +9,10 @@
 import java.util.Map;
 
 /**
- * How the local configuration stands to the peers' configurations, and what to do while it is
- * behind: read the file again, then fetch the content from peers. Being behind is never a reason to
- * drain, as a rollout in steps leaves most of a cluster behind on purpose.
+ * The standing of the local configuration relative to the peers' configurations, and the schedule
+ * of actions while it is behind: first reread the file, then fetch the content from peers. A
+ * configuration that is behind is never a reason to drain, because a staged rollout intentionally
+ * leaves most of a cluster behind.
  */
 final class ConfigStaleness {
     private static final long NEVER_NANOS = StalenessDetector.NEVER_NANOS;
@@ -43,7 +44,7 @@
         return standing;
     }
 
-    /** The newest proven number, {@link Long#MIN_VALUE} where there is none. */
+    /** Returns the newest proven number; {@link Long#MIN_VALUE} if there is none. */
     long newestNumber() {
         return newestNumber;
     }
@@ -53,7 +54,7 @@
         rejectedNumber = number;
     }
 
-    /** Evaluates the standing after a change, or after time has passed. */
+    /** Reevaluates the standing after a change or the expiry of a timer. */
     void update(long now) {
         newestNumber = fleet.newestProven(VersionKind.CONFIG);
         Standing previous = standing;
@@ -62,7 +63,7 @@
             stopCatchingUp();
         } else if (behindSinceNanos == NEVER_NANOS) {
             behindSinceNanos = now;
-            // Usually the signal to read the file is still to come.
+            // Usually the reload signal for the file has not been received yet.
             rereadAtNanos = now + settings.probationNanos();
             fetchAtNanos = rereadAtNanos + 2 * settings.minPollIntervalNanos();
         }
@@ -73,7 +74,7 @@
 
     private Standing evaluate(long now) {
         long localNumber = fleet.localVersions().configNumber();
-        if (fleet.isBlind()) {
+        if (fleet.hasNoPeerVersions()) {
             return Standing.HEARS_NOTHING;
         }
         if (localNumber == AppliedVersions.NO_NUMBER || newestNumber <= localNumber) {
@@ -108,9 +109,9 @@
                 || previous == Standing.STRAGGLER) {
             actions.notifyOperators(
                     standing
-                            + " on configuration "
+                            + ": local configuration has number "
                             + fleet.localVersions().configNumber()
-                            + ", peers apply "
+                            + ", newest number proven by peers is "
                             + newestNumber);
         }
         if (standing == Standing.STAYS_BEHIND) {
@@ -119,7 +120,7 @@
         }
     }
 
-    /** When the file is to be read, the content to be fetched, or the standing changes by time. */
+    /** Returns the time of the next reread, fetch, or change of the standing by time. */
     long nextTimerAtNanos() {
         long nextNanos = Math.min(rereadAtNanos, fetchAtNanos);
         return behindSinceNanos != NEVER_NANOS && standing == Standing.BEHIND
@@ -127,7 +128,7 @@
                 : nextNanos;
     }
 
-    /** Reads the file again, or fetches the content, if that is due. */
+    /** Rereads the file or fetches the content if that is due. */
     void catchUpIfDue(long now) {
         if (now >= rereadAtNanos) {
             rereadAtNanos = now + settings.maxPollIntervalNanos();
@@ -139,7 +140,7 @@
         }
     }
 
-    /** Fetches the content that most peers apply under the newest number, if they prove it. */
+    /** Fetches the content that most peers apply under the newest number, if enough peers do. */
     private void fetchNewest() {
         Map<Long, List<Integer>> holdersByDigest = new HashMap<>();
         for (int rank = 0; rank < fleet.count(); rank++) {
@@ -162,7 +163,7 @@
                 holders = candidate.getValue();
             }
         }
-        // With two contents under one number, the more frequent one needs its own proof.
+        // If contents under this number differ, the most frequent one still needs enough reporters.
         if (!holders.isEmpty() && holders.size() >= fleet.requiredReporters()) {
             isFetching = true;
             actions.fetchConfig(digest, List.copyOf(holders));
--- a/staleness/src/main/java/frostrelay/staleness/ConfigTransfer.java
+++ b/staleness/src/main/java/frostrelay/staleness/ConfigTransfer.java
@@ -8,36 +8,37 @@
 import java.util.SplittableRandom;
 
 /**
- * Fetches the content of a configuration from a peer that applies it, in pieces that fit a
- * datagram, and accepts it only if its digest is the requested one. Fetches from one holder at a
- * time; one that does not answer, or whose content has another digest, is replaced by the next.
- * Pieces, open requests and time are bounded. Driven by events alone; not thread-safe.
+ * A transfer of the content of a configuration from a peer that applies it, in pieces that fit into
+ * a datagram. The content is accepted only if its digest is the requested one. Pieces are fetched
+ * from one holder at a time; a holder that does not answer, or whose content has another digest, is
+ * replaced by another one. Pieces, open requests and time are bounded. Event-driven; not
+ * thread-safe.
  */
 public final class ConfigTransfer {
-    /** What the transfer requests of its owner. */
+    /** Actions of the transfer, executed by its owner. */
     public interface Actions {
-        /** One piece is to be requested; a request that is lost is repeated. */
+        /** Requests one piece; the transfer repeats the request if there is no answer. */
         void requestPiece(int holder, long digest, int piece);
 
         /**
-         * All pieces were received.
+         * Applies the content after all pieces were received.
          *
          * @param packed the content as the holder sent it
-         * @return whether its digest is right and it was accepted
+         * @return whether the digest matched and the content was accepted
          */
         boolean applyContent(long digest, byte[] packed);
     }
 
-    /** Bytes of a piece: with its header it fits a datagram of 256. */
+    /** Length of a piece, which fits with its header into a datagram of 256 bytes. */
     public static final int PIECE_BYTES = 200;
 
-    /** Bounds the memory: no configuration of this platform has over 100 KB packed. */
+    /** Bounds the memory; packed configurations of this platform have at most 100 KB. */
     public static final int MAX_PIECES = 512;
 
     private static final long NEVER_NANOS = Long.MAX_VALUE;
     private static final int MAX_OPEN_REQUESTS = 3;
 
-    /** The longest round trip, 60 ms, and time for a holder that is limited in bytes per second. */
+    /** The longest round trip, 60 ms, plus delay for a holder that reached its bandwidth limit. */
     private static final long RETRY_INTERVAL_NANOS = 700_000_000L;
 
     private static final int MAX_TIMEOUTS = 6;
@@ -56,7 +57,7 @@
     private long rejectedCount;
 
     /**
-     * Starts without anything to fetch.
+     * Creates an idle transfer.
      *
      * @param seed of the random choice of a holder
      */
@@ -65,7 +66,7 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Fetches a content from one of the peers that apply it; an empty list stops fetching. */
+    /** Fetches a configuration from a peer that applies it; an empty list stops fetching. */
     public void fetch(long now, long wantedDigest, List<Integer> availableHolders) {
         if (availableHolders.isEmpty()) {
             stop();
@@ -79,7 +80,7 @@
         }
         holders = List.copyOf(availableHolders);
         if (holder < 0 && rejectedHolders.containsAll(holders)) {
-            // All have been tried; what was unreachable then may be reachable now.
+            // All holders were tried; holders that were unreachable may be reachable by now.
             rejectedHolders.clear();
         }
         if (holder < 0 && nextTimerAtNanos == NEVER_NANOS) {
@@ -123,7 +124,7 @@
         }
     }
 
-    /** Handles a piece, which may be of any origin and content. */
+    /** Handles a received piece, whose sender and content are not trusted. */
     public void onPiece(
             long now, int from, long contentDigest, int piece, int count, byte[] content) {
         if (from != holder
@@ -172,18 +173,18 @@
         }
     }
 
-    /** When {@link #onTimer} is to be called next. */
+    /** Returns the time at which {@link #onTimer} is to be called next. */
     public long nextTimerAtNanos() {
         return nextTimerAtNanos;
     }
 
-    /** Repeats requests; to be called at {@link #nextTimerAtNanos}, or a little later. */
+    /** Repeats requests; to be called at {@link #nextTimerAtNanos} or shortly after. */
     public void onTimer(long now) {
         if (now < nextTimerAtNanos || holder < 0) {
             return;
         }
         if (++timeoutCount >= MAX_TIMEOUTS) {
-            // It may be unreachable. Once all holders have failed, the next fetch starts over.
+            // The holder may be unreachable. After all holders failed, the next fetch retries them.
             rejectedHolders.add(holder);
             chooseHolder(now);
         } else {
@@ -191,12 +192,12 @@
         }
     }
 
-    /** The number of contents that were accepted. */
+    /** Returns the number of contents that were accepted. */
     public long acceptedCount() {
         return acceptedCount;
     }
 
-    /** The number of contents with another digest, or that were no valid configuration. */
+    /** Returns the number of contents that had another digest or were invalid configurations. */
     public long rejectedCount() {
         return rejectedCount;
     }
--- a/staleness/src/main/java/frostrelay/staleness/FleetVersions.java
+++ b/staleness/src/main/java/frostrelay/staleness/FleetVersions.java
@@ -4,11 +4,12 @@
 import frostrelay.gossip.MemberState;
 
 /**
- * The versions that this balancer and its peers apply, and a summary of them. The summary takes one
- * pass over the peers, as in large clusters it is updated for each change of each peer.
+ * The versions that this balancer and its peers apply, and a summary of them. The summary is
+ * computed in one pass over the peers, because it is updated for each change of each peer, also in
+ * large clusters.
  */
 final class FleetVersions {
-    /** With so many peers alive, the report of a single one proves nothing. */
+    /** Number of peers alive from which on a fact needs two reporters as proof. */
     static final int MIN_PEERS_FOR_CONFIRMATION = 3;
 
     private final int localRank;
@@ -33,7 +34,7 @@
         }
     }
 
-    /** The number of balancers, the local one included. */
+    /** Returns the number of balancers, including the local one. */
     int count() {
         return peers.length;
     }
@@ -62,27 +63,27 @@
         return peers[rank];
     }
 
-    /** Whether the versions of no peer are known, so that nothing can be compared. */
-    boolean isBlind() {
+    /** Returns whether this balancer is isolated or knows no peer's versions to compare with. */
+    boolean hasNoPeerVersions() {
         return isIsolated || !hasKnownPeer;
     }
 
     /**
-     * Whether a peer applies the local list revision, or configuration number, with another
-     * content.
+     * Returns whether a peer applies different content under the local list revision or
+     * configuration number.
      */
     boolean hasConflict(VersionKind kind) {
         return kind == VersionKind.LIST ? hasListConflict : hasConfigConflict;
     }
 
-    /** How many peers must report a fact to prove it. */
+    /** Returns the number of peers that must report a fact to prove it. */
     int requiredReporters() {
         return aliveCount >= MIN_PEERS_FOR_CONFIRMATION ? 2 : 1;
     }
 
     /**
-     * The newest version that enough peers apply to prove it; {@link Long#MIN_VALUE} where there is
-     * none.
+     * Returns the newest version that enough peers apply to prove it; {@link Long#MIN_VALUE} if
+     * there is none.
      */
     long newestProven(VersionKind kind) {
         boolean needsTwo = requiredReporters() == 2;
@@ -92,7 +93,7 @@
         return needsTwo ? secondNewestConfigNumber : newestConfigNumber;
     }
 
-    /** How many peers are alive and apply a list older than {@code revision}. */
+    /** Returns the number of peers alive that apply a list older than {@code revision}. */
     int countOlderLists(long revision) {
         int older = 0;
         for (int i = 0; i < peers.length; i++) {
@@ -105,7 +106,7 @@
         return older;
     }
 
-    /** How many peers are alive and apply a list at least as new as {@code revision}. */
+    /** Returns the number of peers alive that apply {@code revision} of the list or a newer one. */
     int countCurrentLists(long revision) {
         int current = 0;
         for (int i = 0; i < peers.length; i++) {
--- a/staleness/src/main/java/frostrelay/staleness/ListStaleness.java
+++ b/staleness/src/main/java/frostrelay/staleness/ListStaleness.java
@@ -5,8 +5,9 @@
 import java.util.SplittableRandom;
 
 /**
- * How the local endpoint list stands to the peers' lists, and when to poll the discovery service
- * while it is behind: with backoff, and spread over the balancers that are behind as well.
+ * The standing of the local endpoint list relative to the peers' lists, and the schedule of polls
+ * of the discovery service while the local list is behind. Polls back off and are spread over all
+ * balancers that are behind.
  */
 final class ListStaleness {
     private static final long NEVER_NANOS = StalenessDetector.NEVER_NANOS;
@@ -40,12 +41,12 @@
         return standing;
     }
 
-    /** The newest proven revision, {@link Long#MIN_VALUE} where there is none. */
+    /** Returns the newest proven revision; {@link Long#MIN_VALUE} if there is none. */
     long newestRevision() {
         return newestRevision;
     }
 
-    /** For how long the local list has been behind, in nanoseconds; -1 where it is not. */
+    /** Returns how long the local list has been behind, in nanoseconds; -1 if it is not. */
     long behindForNanos(long now) {
         return behindSinceNanos == NEVER_NANOS ? -1 : now - behindSinceNanos;
     }
@@ -54,13 +55,14 @@
         return pollCount;
     }
 
-    /** Evaluates the standing after a change, or after time has passed. */
+    /** Reevaluates the standing after a change or the expiry of a timer. */
     void update(long now) {
         newestRevision = fleet.newestProven(VersionKind.LIST);
         Standing previous = standing;
         boolean isBehind = newestRevision > localRevision();
-        if (fleet.isBlind()) {
-            // Nothing known before is confirmed or refuted: the list is not behind either.
+        if (fleet.hasNoPeerVersions()) {
+            // Earlier reports of peers can be neither confirmed nor refuted, so the list is not
+            // behind.
             standing = Standing.HEARS_NOTHING;
             stopPolling();
             behindSinceNanos = NEVER_NANOS;
@@ -107,8 +109,8 @@
     }
 
     /**
-     * The time over which the polls of all balancers that are behind are spread, so that they are
-     * no more frequent than all balancers' regular watches.
+     * Returns the time over which the polls of all balancers that are behind are spread, such that
+     * their rate does not exceed that of the regular watches of all balancers.
      */
     private long pollSpreadNanos() {
         int behindCount = 1 + fleet.countOlderLists(newestRevision);
@@ -122,7 +124,11 @@
                 || previous == Standing.STRAGGLER
                 || standing == Standing.CONFLICT) {
             actions.notifyOperators(
-                    standing + " on list " + localRevision() + ", peers apply " + newestRevision);
+                    standing
+                            + ": local endpoint list has revision "
+                            + localRevision()
+                            + ", newest revision proven by peers is "
+                            + newestRevision);
         }
         if (standing == Standing.STAYS_BEHIND) {
             actions.onVersionNotFollowed(
@@ -130,7 +136,7 @@
         }
     }
 
-    /** When a poll is due or the standing changes by time alone. */
+    /** Returns the time of the next poll or of the next change of the standing by time. */
     long nextTimerAtNanos() {
         if (behindSinceNanos == NEVER_NANOS
                 || standing == Standing.STRAGGLER
@@ -144,13 +150,14 @@
         return Math.min(pollAtNanos, behindSinceNanos + standingLastsNanos);
     }
 
-    /** Polls the discovery service if that is due. */
+    /** Polls the discovery service if a poll is due. */
     void pollIfDue(long now) {
         if (now < pollAtNanos) {
             return;
         }
         pollCount++;
-        // Backoff until a poll brings something, so that a whole cluster does not overload it.
+        // Backs off until the list is current, so that a whole cluster does not overload the
+        // service.
         pollIntervalNanos =
                 Math.min(
                         Math.max(settings.maxPollIntervalNanos(), pollSpreadNanos()),
--- a/staleness/src/main/java/frostrelay/staleness/NumberedVersion.java
+++ b/staleness/src/main/java/frostrelay/staleness/NumberedVersion.java
@@ -1,4 +1,4 @@
 package frostrelay.staleness;
 
-/** A version of one kind. */
+/** A version, identified by its kind and number. */
 record NumberedVersion(VersionKind kind, long number) {}
--- a/staleness/src/main/java/frostrelay/staleness/OperatorOverrides.java
+++ b/staleness/src/main/java/frostrelay/staleness/OperatorOverrides.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 
 /**
- * What operators have decided in place of the program. Kept and transferred as words, which last as
- * admin drains do: {@code keep-in}, {@code shut-out}, and {@code follow:config:7} or {@code
- * follow:list:9} for a version that is followed although peers fail under it. Unknown words are
- * ignored. Immutable.
+ * Decisions of operators that override the automatic ones. Stored and transferred as directives,
+ * which persist like administrative drains: {@code keep-in}, {@code shut-out}, and {@code
+ * follow:config:7} or {@code follow:list:9} for a version that is followed although peers fail
+ * under it. Unknown directives are ignored. Immutable.
  */
 public final class OperatorOverrides {
-    /** The balancer serves however far it lags behind; takes precedence over {@link #SHUT_OUT}. */
+    /** Prevents self-draining because of staleness; takes precedence over {@link #SHUT_OUT}. */
     public static final String KEEP_IN = "keep-in";
 
-    /** The balancer drains itself until operators revoke this, whatever versions apply. */
+    /** Makes the balancer drain itself until operators revoke this, regardless of its versions. */
     public static final String SHUT_OUT = "shut-out";
 
     /** No overrides. */
@@ -26,7 +26,7 @@
     private final boolean isShutOut;
     private final Set<NumberedVersion> followedVersions;
 
-    /** Reads the words; unknown ones are ignored. */
+    /** Parses directives; unknown ones are ignored. */
     public OperatorOverrides(Set<String> directives) {
         isKeptIn = directives.contains(KEEP_IN);
         isShutOut = directives.contains(SHUT_OUT) && !isKeptIn;
@@ -39,19 +39,19 @@
         }
     }
 
-    /** The version of a {@code follow:} word; null for any other word. */
+    /** Returns the version of a {@code follow:} directive; null for any other directive. */
     private static NumberedVersion parseFollowed(String directive) {
         for (VersionKind kind : VersionKind.values()) {
             String prefix = followPrefix(kind);
             if (directive.startsWith(prefix)) {
                 try {
                     long number = Long.parseLong(directive.substring(prefix.length()));
-                    // Only the canonical form counts, without a plus sign or leading zeros.
+                    // Accepts only the canonical form, without a plus sign or leading zeros.
                     return directive.equals(followDirective(kind, number))
                             ? new NumberedVersion(kind, number)
                             : null;
                 } catch (NumberFormatException e) {
-                    // An unknown word, which is ignored.
+                    // An unknown directive, which is ignored.
                     return null;
                 }
             }
@@ -63,7 +63,7 @@
         return FOLLOW_PREFIX + kind.name().toLowerCase(Locale.ROOT) + ':';
     }
 
-    /** The word by which a version is followed although peers fail under it. */
+    /** Returns the directive to follow a version although peers fail under it. */
     public static String followDirective(VersionKind kind, long number) {
         return followPrefix(kind) + number;
     }
--- a/staleness/src/main/java/frostrelay/staleness/PeerAdminDrains.java
+++ b/staleness/src/main/java/frostrelay/staleness/PeerAdminDrains.java
@@ -6,14 +6,14 @@
 import java.util.Set;
 
 /**
- * Caches that peers' operators drain. A balancer reports only the drains that its own operators
- * set, with the digest of all of them: the report is valid as long as the peer's applied versions
- * have that digest. So a drain needs no renewal, and its end no message of its own. A drain is
- * adopted once as many peers report it as it takes to prove a fact: a single operator's command
- * concerns a single balancer.
+ * The caches that operators drain at peers. A balancer reports only the drains that operators set
+ * at that balancer, with the digest of all of them. A report is valid as long as the peer's applied
+ * versions contain that digest; therefore drains need no renewal, and their end needs no message. A
+ * drain is adopted only if enough peers report it to prove a fact, because a command at a single
+ * balancer applies only to that balancer.
  */
 final class PeerAdminDrains {
-    /** A report may arrive before the applied versions that have its digest. */
+    /** A report may be received before the applied versions that contain its digest. */
     private static final long REORDER_WINDOW_NANOS = 2_000_000_000L;
 
     private static final int MAX_CACHES = 1_024;
@@ -22,7 +22,7 @@
         long digest;
         long receivedAtNanos;
 
-        /** When its digest was last known to be the peer's current one. */
+        /** The time at which the digest was last known to be the peer's current one. */
         long lastValidAtNanos;
     }
 
@@ -48,7 +48,9 @@
         report.lastValidAtNanos = now;
     }
 
-    /** Those of the ready caches that at least so many peers report. The set is the caller's. */
+    /**
+     * Returns a new set of the ready caches that at least {@code requiredReporters} peers drain.
+     */
     Set<Long> drainedCaches(long now, int requiredReporters, Set<Long> readyCaches) {
         Set<Long> drained = new HashSet<>();
         reportsByCache.forEach(
@@ -66,7 +68,7 @@
     private boolean isExpired(long now, int rank, DrainReport report) {
         PeerVersionState peer = fleet.peer(rank);
         if (fleet.isIsolated() || !peer.isKnownAlive()) {
-            // A drain outlives the balancer that reported it for a while: operators did not end it.
+            // Keeps the drain for a limited time, as operators did not end it.
             return now - report.lastValidAtNanos > settings.reportLifetimeNanos();
         }
         report.lastValidAtNanos = now;
@@ -74,7 +76,7 @@
                 && now - report.receivedAtNanos >= REORDER_WINDOW_NANOS;
     }
 
-    /** When a report may expire. */
+    /** Returns the time at which the next report may expire. */
     long nextTimerAtNanos(long now) {
         return reportsByCache.isEmpty() ? Long.MAX_VALUE : now + REORDER_WINDOW_NANOS;
     }
--- a/staleness/src/main/java/frostrelay/staleness/PeerFreshness.java
+++ b/staleness/src/main/java/frostrelay/staleness/PeerFreshness.java
@@ -1,14 +1,14 @@
 package frostrelay.staleness;
 
-/** Whether a peer's reports of shared state are to be used. */
+/** The freshness of a peer, which determines whether its reports of shared state are used. */
 public enum PeerFreshness {
-    /** It applies a list as new as this balancer's, or has not been behind for long. */
+    /** The peer's list is at least as new as the local one, or was older only for a short time. */
     CURRENT,
     /**
-     * It has applied an older list than this balancer for longer than the bound: its reports are
-     * ignored until it is current.
+     * The peer has applied an older list than this balancer for longer than the staleness bound.
+     * Its reports are ignored until it is current.
      */
     PASSED_OVER,
-    /** Which versions it applies is not known. */
+    /** The peer is not alive, its versions are not known, or this balancer is isolated. */
     UNKNOWN
 }
--- a/staleness/src/main/java/frostrelay/staleness/PeerVersionState.java
+++ b/staleness/src/main/java/frostrelay/staleness/PeerVersionState.java
@@ -3,32 +3,32 @@
 import frostrelay.gossip.AppliedVersions;
 import frostrelay.gossip.MemberState;
 
-/** What is known of one peer's versions. */
+/** The known state and versions of one peer. */
 final class PeerVersionState {
     private static final long NEVER_NANOS = StalenessDetector.NEVER_NANOS;
 
     MemberState state = MemberState.UNKNOWN;
 
-    /** What it was last known to apply; null where that is not known. */
+    /** The versions that the peer was last known to apply; null if they are not known. */
     AppliedVersions appliedVersions;
 
-    /** Since when its current process applies its configuration, as far as is known. */
+    /** The time since which its current process is known to apply its configuration. */
     long configSinceNanos;
 
-    /** When it last confirmed its versions itself. */
+    /** The time at which the peer itself last confirmed its versions. */
     long reportedAtNanos;
 
-    /** Start of its process by its own wall clock; 0 where that is not known. */
+    /** Start of the peer's process by its own wall clock; 0 if it is not known. */
     private long startUnixMillis;
 
-    /** Since when it applies an older list than the local balancer does. */
+    /** The time since which the peer applies an older list than the local balancer. */
     private long olderListSinceNanos = NEVER_NANOS;
 
     boolean isKnownAlive() {
         return state == MemberState.ALIVE && appliedVersions != null;
     }
 
-    /** Whether a new state shows that the peer's process ended without leaving. */
+    /** Returns whether a new state shows that the peer's process ended without a graceful leave. */
     boolean isCrash(MemberState newState, long newStartUnixMillis) {
         boolean hadEnded = state == MemberState.LEFT || state == MemberState.GONE;
         return !hadEnded && (hasRestarted(newStartUnixMillis) || newState == MemberState.GONE);
@@ -38,7 +38,7 @@
         return newStartUnixMillis != startUnixMillis && startUnixMillis != 0;
     }
 
-    /** Takes over a new state; see {@link StalenessDetector#onPeerState}. */
+    /** Applies a new state; see {@link StalenessDetector#onPeerState}. */
     void update(
             long now,
             MemberState newState,
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Compares its list with the local one after a change of either. */
+    /** Compares the peer's list with the local one after a change of either. */
     void updateOlderSince(long now, AppliedVersions localVersions) {
         boolean isOlder =
                 appliedVersions != null
--- a/staleness/src/main/java/frostrelay/staleness/RolloutGuard.java
+++ b/staleness/src/main/java/frostrelay/staleness/RolloutGuard.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Decides which proven versions this balancer does not follow: those under which the peers that
- * apply them fail, unless operators override that. Also knows whether this balancer itself fails
- * under its versions, which its peers take into account.
+ * The decision which proven versions this balancer does not follow: those under which the peers
+ * that apply them fail, unless operators override that. Also detects whether this balancer itself
+ * fails under its versions, which is reported to its peers.
  */
 final class RolloutGuard {
     private final BadVersionDetector badVersions;
@@ -32,7 +32,7 @@
         return overrides;
     }
 
-    /** Records that the local balancer applies other versions. */
+    /** Records a change of the versions that the local balancer applies. */
     void onLocalVersions(long now, AppliedVersions previous, AppliedVersions current) {
         for (VersionKind kind : VersionKind.values()) {
             if (kind.number(current) != kind.number(previous)) {
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Evaluates the local balancer's service.
+     * Evaluates the local balancer's request counts.
      *
      * @return whether {@link #failingKinds} has changed
      */
--- a/staleness/src/main/java/frostrelay/staleness/SelfDrain.java
+++ b/staleness/src/main/java/frostrelay/staleness/SelfDrain.java
@@ -3,9 +3,9 @@
 import frostrelay.staleness.StalenessDetector.Standing;
 
 /**
- * Decides whether this balancer drains itself: because shut out by operators, or because its list
- * is stale, at least half of the cluster is alive and current, and its rank is one of the few that
- * may drain themselves. As the ranks are fixed, no partition can drain more balancers at once.
+ * The decision whether this balancer drains itself. It does so if operators request it, or if its
+ * list is stale, at least half of the cluster is alive and current, and its rank may drain itself.
+ * As these ranks are fixed, a partition cannot cause more balancers to drain at the same time.
  */
 final class SelfDrain {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -34,7 +34,7 @@
         return isDraining;
     }
 
-    /** Starts or ends the drain after a change. */
+    /** Starts or ends the drain after a change of the inputs. */
     void update(long now) {
         boolean isShutOut = rolloutGuard.overrides().isShutOut();
         boolean shouldDrain = isStale() || isShutOut;
@@ -47,17 +47,17 @@
     private boolean isStale() {
         return list.standing() == Standing.STRAGGLER
                 && !rolloutGuard.overrides().isKeptIn()
-                && (isDraining || mayStart());
+                && (isDraining || mayStartDraining());
     }
 
-    private boolean mayStart() {
+    private boolean mayStartDraining() {
         return maySelfDrain(fleet.localRank(), fleet.count(), settings.maxSelfDrainingFraction())
                 && 2 * fleet.countCurrentLists(list.newestRevision()) >= fleet.count();
     }
 
     /**
-     * Whether a rank may drain itself: with a fraction of a quarter every fourth rank, and none in
-     * a cluster of two.
+     * Returns whether a rank may drain itself. With a fraction of a quarter, every fourth rank may;
+     * in a cluster of one or two, none.
      */
     static boolean maySelfDrain(int rank, int count, double maxFraction) {
         int interval = (int) Math.round(1 / maxFraction);
@@ -66,15 +66,15 @@
 
     private String reason(long now, boolean isShutOut) {
         if (!isDraining) {
-            return "not stale any more";
+            return "no reason to drain any longer";
         }
         return isShutOut
-                ? "operators shut it out"
-                : "behind list "
-                        + list.newestRevision()
-                        + " with "
+                ? "operators set the override shut-out"
+                : "local endpoint list has revision "
                         + fleet.localVersions().listRevision()
-                        + " for "
+                        + ", newest proven revision is "
+                        + list.newestRevision()
+                        + ", behind for "
                         + list.behindForNanos(now) / NANOS_PER_MILLI
                         + " ms";
     }
--- a/staleness/src/main/java/frostrelay/staleness/StalenessCodec.java
+++ b/staleness/src/main/java/frostrelay/staleness/StalenessCodec.java
@@ -10,11 +10,16 @@
 import java.util.Set;
 
 /**
- * The wire form of what balancers report to each other about versions, as sections of gossip
- * datagrams, big-endian: an admin drain of this balancer's own operators (16: u64 digest of all
- * drains, u64 cache), a version that it fails under (17: u8 kind, u64 number, u8 1 or 0 for no
- * longer), a request for a piece of a configuration (18: u64 digest, u16 piece) and the piece (19:
- * u64 digest, u16 piece, u16 pieces, content).
+ * The codec of reports about versions, which balancers exchange as big-endian sections of gossip
+ * datagrams. By section type:
+ *
+ * <ul>
+ *   <li>16: an administrative drain at the sender: u64 digest of all its drains, u64 cache
+ *   <li>17: a version under which the sender fails or no longer fails: u8 kind, u64 number, u8 1 if
+ *       failing, else 0
+ *   <li>18: a request for a piece of a configuration: u64 digest, u16 piece
+ *   <li>19: a piece of a configuration: u64 digest, u16 piece, u16 number of pieces, content
+ * </ul>
  */
 public final class StalenessCodec implements PayloadProvider {
     private static final int ADMIN_DRAIN = 16;
@@ -26,29 +31,31 @@
     private static final int PIECE_REQUEST_BYTES = Long.BYTES + Short.BYTES;
     private static final int PIECE_HEADER_BYTES = PIECE_REQUEST_BYTES + Short.BYTES;
 
-    /** Drains are few; all are sent in turn. */
+    /** The number of drains is usually small; all of them are sent in rotation. */
     private static final int MAX_DRAINS_PER_DATAGRAM = 3;
 
     private static final int U16_MASK = 0xffff;
 
-    /** Receives sections, unchecked but for their form. */
+    /** Receives decoded sections, whose values are not validated. */
     public interface Listener {
-        /** A peer's operators drain a cache; {@code digest} is that of all its drains. */
+        /** Handles a cache drained at a peer; {@code digest} is that of all the peer's drains. */
         void onPeerAdminDrain(long now, int from, long digest, long cache);
 
-        /** A peer serves worse since it applies a version, or no longer. */
+        /** Handles a report on whether a peer serves worse since it applied a version. */
         void onVersionFailing(long now, int from, VersionKind kind, long number, boolean isFailing);
 
-        /** A peer requests a piece of the configuration with this digest. */
+        /** Handles a request for a piece of the configuration with this digest. */
         void onPieceRequested(long now, int from, long digest, int piece);
 
-        /** A peer sent one of {@code count} pieces of the configuration with this digest. */
+        /**
+         * Handles a piece of the configuration with this digest, which has {@code count} pieces.
+         */
         void onPiece(long now, int from, long digest, int piece, int count, byte[] content);
     }
 
-    /** Knows which peers need no report of admin drains. */
+    /** Knowledge of the administrative drains that peers have received. */
     public interface DrainKnowledge {
-        /** Whether a peer is known to have the same drains already. */
+        /** Returns whether a peer is known to have the same drains. */
         boolean isUpToDate(int rank, long drainsDigest);
     }
 
@@ -58,18 +65,18 @@
     private int nextDrain;
     private final Map<VersionKind, ByteBuffer> failingVersions = new EnumMap<>(VersionKind.class);
 
-    /** Starts with nothing to report. */
+    /** Creates a codec with no reports. */
     public StalenessCodec(DrainKnowledge drainKnowledge) {
         this.drainKnowledge = drainKnowledge;
     }
 
-    /** Reports these drains of the own operators from now on; the digest is that of all of them. */
+    /** Sets the administrative drains of this balancer to report, and the digest of all of them. */
     public void setAdminDrains(long digest, Set<Long> caches) {
         drainsDigest = digest;
         drainedCaches = caches.stream().sorted().toList();
     }
 
-    /** Reports from now on whether this balancer fails under a version. */
+    /** Sets the report on whether this balancer fails under a version. */
     public void setVersionFailing(VersionKind kind, long number, boolean isFailing) {
         failingVersions.put(
                 kind,
@@ -80,7 +87,7 @@
                         .flip());
     }
 
-    /** Reports nothing about that kind any more. */
+    /** Removes the report about the version of a kind. */
     public void clearVersionFailing(VersionKind kind) {
         failingVersions.remove(kind);
     }
@@ -104,7 +111,7 @@
         nextDrain %= drainedCaches.size();
     }
 
-    /** The content of a section that requests a piece. */
+    /** Returns the content of a section that requests a piece. */
     public static ByteBuffer encodePieceRequest(long digest, int piece) {
         return ByteBuffer.allocate(PIECE_REQUEST_BYTES)
                 .putLong(digest)
@@ -112,14 +119,14 @@
                 .flip();
     }
 
-    /** The type of a section that requests a piece. */
+    /** Returns the type of a section that requests a piece. */
     public static int pieceRequestType() {
         return PIECE_REQUEST;
     }
 
     /**
-     * The content of a section with a piece of a packed configuration; null where there is no such
-     * piece.
+     * Returns the content of a section with a piece of a packed configuration; null if the piece
+     * does not exist.
      */
     public static ByteBuffer encodePiece(long digest, int piece, byte[] packed) {
         int count = (packed.length + ConfigTransfer.PIECE_BYTES - 1) / ConfigTransfer.PIECE_BYTES;
@@ -138,12 +145,12 @@
                 .flip();
     }
 
-    /** The type of a section with a piece. */
+    /** Returns the type of a section with a piece. */
     public static int pieceType() {
         return PIECE;
     }
 
-    /** Reads a section; one of another module, or too short, is ignored. */
+    /** Decodes a section; ignores sections of other modules and those that are too short. */
     public static void read(long now, int from, int type, ByteBuffer in, Listener listener) {
         int length = in.remaining();
         if (type == ADMIN_DRAIN && length >= ADMIN_DRAIN_BYTES) {
--- a/staleness/src/main/java/frostrelay/staleness/StalenessDetector.java
+++ b/staleness/src/main/java/frostrelay/staleness/StalenessDetector.java
@@ -7,63 +7,63 @@
 import java.util.Set;
 
 /**
- * Detects that this balancer applies versions that its peers have superseded, and decides what to
- * do: poll, fetch, avoid caches, or drain itself. What peers report only takes caches away, until
- * the local endpoint list has caught up or the report expires; nothing is ever sent to a cache that
- * the local list does not name. Driven by events alone; not thread-safe; times are nanoseconds of
- * one monotonic clock.
+ * A detector of versions of this balancer that its peers have superseded. Decides whether to poll,
+ * fetch, avoid caches or drain the balancer itself. Reports of peers can only exclude caches, until
+ * the local endpoint list has caught up or the report expires; no request is ever sent to a cache
+ * that the local list does not contain. Event-driven; not thread-safe; times are nanoseconds of one
+ * monotonic clock.
  */
 public final class StalenessDetector {
-    /** What the detector decides. */
+    /** Actions that the detector decides on, executed by its owner. */
     public interface Actions {
-        /** The discovery service is to be polled for the whole list now. */
+        /** Polls the discovery service for the whole list. */
         void pollEndpointList();
 
-        /** The configuration's file is to be read again now: a signal may have been missed. */
+        /** Rereads the configuration file, as a reload signal may have been missed. */
         void rereadConfig();
 
         /**
-         * Reading the file brought nothing: the content may be fetched from peers, where operators
-         * allow that.
+         * Fetches the configuration from peers, if operators allow that, because the file did not
+         * contain it.
          *
-         * @param digest of the configuration
+         * @param digest digest of the configuration
          * @param holders ranks of the peers that apply it; empty to stop fetching
          */
         void fetchConfig(long digest, List<Integer> holders);
 
-        /** From now on exactly these caches are avoided because of peers' reports. */
+        /** Replaces the set of caches to avoid because of peers' reports. */
         void avoidCaches(Set<Long> caches);
 
-        /** This balancer starts or ends draining itself. */
+        /** Starts or ends the self-drain of this balancer. */
         void setSelfDraining(boolean isDraining, String reason);
 
-        /** What {@link #failingKinds} returns has changed and is to be announced to the peers. */
+        /** Announces a changed result of {@link #failingKinds} to the peers. */
         void announceFailingVersions();
 
-        /** A version is not followed although peers apply it. */
+        /** Handles the decision not to follow a version that peers apply. */
         void onVersionNotFollowed(VersionKind kind, long number, String reason);
 
-        /** A message for operators. */
+        /** Sends a message to operators. */
         void notifyOperators(String message);
     }
 
-    /** How this balancer's list, or its configuration, stands to those of its peers. */
+    /** The standing of this balancer's list or configuration relative to those of its peers. */
     public enum Standing {
         /** No peer's versions are known: neither current nor behind. */
         HEARS_NOTHING,
-        /** No newer one is proven. */
+        /** No newer version is proven. */
         CURRENT,
-        /** Peers apply a newer one, and it may yet come by itself. */
+        /** Peers apply a newer version, whose regular notification may still arrive. */
         WAITING,
-        /** The grace period is over, and the newer one is polled for. */
+        /** The grace period has ended, and the newer version is polled for. */
         BEHIND,
-        /** Behind for longer than the bound: its reports of shared state are not to be used. */
+        /** Behind for longer than the staleness bound; its reports of shared state are ignored. */
         STRAGGLER,
-        /** Behind on purpose: those that apply the newer one fail under it. Operators decide. */
+        /** Intentionally behind, until operators decide: peers fail under the newer version. */
         STAYS_BEHIND,
-        /** Behind for a known reason: the newer configuration was read here and is invalid. */
+        /** Behind because the newer configuration was read locally and is invalid. */
         REFUSED,
-        /** One version with two contents. */
+        /** A peer applies different content under the same version number. */
         CONFLICT
     }
 
@@ -82,12 +82,12 @@
     private final SelfDrain selfDrain;
 
     /**
-     * Starts without knowledge of any peer.
+     * Creates a detector without information about any peer.
      *
      * @param localRank this balancer's rank, below {@code count}
      * @param count number of balancers
-     * @param seed of the random spread of polls
-     * @param localVersions what this balancer applies
+     * @param seed seed of the random spread of polls
+     * @param localVersions versions that this balancer applies
      */
     public StalenessDetector(
             StalenessSettings settings,
@@ -106,16 +106,16 @@
         selfDrain = new SelfDrain(settings, fleet, rolloutGuard, list, actions);
     }
 
-    /** This balancer's own operators drain exactly these caches. */
+    /** Sets the caches that operators drain at this balancer. */
     public void onLocalAdminDrains(long now, Set<Long> caches) {
         avoidance.setLocallyDrained(caches);
         reevaluate(now);
     }
 
     /**
-     * This balancer applies other versions from now on.
+     * Records that this balancer applies other versions.
      *
-     * @param usableCaches the caches that its list names as ready
+     * @param usableCaches the caches that are ready in its list
      */
     public void onLocalVersions(long now, AppliedVersions versions, Set<Long> usableCaches) {
         rolloutGuard.onLocalVersions(now, fleet.localVersions(), versions);
@@ -128,11 +128,11 @@
     }
 
     /**
-     * What is known of a peer.
+     * Updates the known state of a peer.
      *
-     * @param versions what it applies; null where that is not known
+     * @param versions versions that the peer applies; null if they are not known
      * @param startUnixMillis start of its process by its own wall clock
-     * @param ageNanos time since it confirmed this itself; negative where it never did
+     * @param ageNanos time since the peer itself confirmed this; negative if it never did
      */
     public void onPeerState(
             long now,
@@ -150,7 +150,7 @@
         reevaluate(now);
     }
 
-    /** Whether nothing at all is received from peers. */
+    /** Records whether this balancer is isolated, that is, receives nothing from any peer. */
     public void onIsolation(long now, boolean isolated) {
         if (isolated != fleet.isIsolated()) {
             fleet.setIsolated(isolated);
@@ -159,10 +159,10 @@
     }
 
     /**
-     * Counts since the start, to be passed about once a second.
+     * Evaluates the request counts since the process start; called about once a second.
      *
-     * @param completed requests that completed in whatever way
-     * @param served those among them that were served
+     * @param completed number of completed requests, successful or not
+     * @param served number of completed requests that were served
      */
     public void onServiceCounts(long now, long completed, long served) {
         if (rolloutGuard.onServiceCounts(now, completed, served)) {
@@ -171,16 +171,16 @@
     }
 
     /**
-     * A configuration was read and is invalid.
+     * Records that a configuration was read and is invalid.
      *
-     * @param number {@link AppliedVersions#NO_NUMBER} where it has none
+     * @param number its version number, or {@link AppliedVersions#NO_NUMBER}
      */
     public void onConfigRejected(long now, long number) {
         config.onRejected(number);
         reevaluate(now);
     }
 
-    /** A peer reports of itself that it serves worse since it applies a version, or no longer. */
+    /** Handles a peer's report on whether it serves worse since it applied a version. */
     public void onVersionFailing(
             long now, int from, VersionKind kind, long number, boolean isFailing) {
         rolloutGuard.onVersionFailing(now, from, new NumberedVersion(kind, number), isFailing);
@@ -188,22 +188,22 @@
     }
 
     /**
-     * A peer reports that its own operators drain a cache.
+     * Handles a peer's report that operators drain a cache at that peer.
      *
-     * @param digest of all its admin drains, as in its applied versions
+     * @param digest digest of all administrative drains of the peer, as in its applied versions
      */
     public void onPeerAdminDrain(long now, int from, long digest, long cache) {
         avoidance.onPeerAdminDrain(now, from, digest, cache);
         reevaluate(now);
     }
 
-    /** Operators have changed what they decide in place of the program. */
+    /** Sets the operators' overrides. */
     public void onOverrides(long now, OperatorOverrides updated) {
         rolloutGuard.setOverrides(updated);
         reevaluate(now);
     }
 
-    /** A peer reports that its list, of this revision, rules a cache out. */
+    /** Handles a peer's report that a cache is unavailable in a revision of its list. */
     public void onCacheUnavailable(long now, int from, long listRevision, long cache) {
         if (avoidance.onUnavailable(now, from, listRevision, cache)) {
             reevaluate(now);
@@ -211,9 +211,10 @@
     }
 
     /**
-     * A peer reports that its list, of this revision, allows a cache again. That ends the reports
-     * by older lists, also those that arrive later, as datagrams may be reordered. Believed as soon
-     * as the revision is proven, so that a single wrong report ends none.
+     * Handles a peer's report that a cache is available again in a revision of its list. This
+     * invalidates reports from older lists, including those received later, as datagrams may be
+     * reordered. It takes effect once the revision is proven, so that a single wrong report does
+     * not invalidate others.
      */
     public void onCacheRestored(long now, int from, long listRevision, long cache) {
         if (avoidance.onRestored(from, listRevision, cache)) {
@@ -221,14 +222,14 @@
         }
     }
 
-    /** When {@link #onTimer} is to be called next. */
+    /** Returns the time at which {@link #onTimer} is to be called next. */
     public long nextTimerAtNanos(long now) {
         return Math.min(
                 Math.min(list.nextTimerAtNanos(), config.nextTimerAtNanos()),
                 avoidance.nextTimerAtNanos(now));
     }
 
-    /** Does what is due; to be called at {@link #nextTimerAtNanos}, or a little later. */
+    /** Runs the timers that are due; to be called at {@link #nextTimerAtNanos} or shortly after. */
     public void onTimer(long now) {
         reevaluate(now);
         config.catchUpIfDue(now);
@@ -244,47 +245,47 @@
         selfDrain.update(now);
     }
 
-    /** How this balancer's list stands to those of its peers. */
+    /** Returns the standing of the local list relative to those of the peers. */
     public Standing listStanding() {
         return list.standing();
     }
 
-    /** How its configuration stands to those of its peers. */
+    /** Returns the standing of the local configuration relative to those of the peers. */
     public Standing configStanding() {
         return config.standing();
     }
 
-    /** The newest proven list revision, {@link Long#MIN_VALUE} where there is none. */
+    /** Returns the newest proven list revision; {@link Long#MIN_VALUE} if there is none. */
     public long newestListRevision() {
         return list.newestRevision();
     }
 
-    /** The newest proven configuration number, {@link Long#MIN_VALUE} where there is none. */
+    /** Returns the newest proven configuration number; {@link Long#MIN_VALUE} if there is none. */
     public long newestConfigNumber() {
         return config.newestNumber();
     }
 
-    /** For how long its list has been behind, in nanoseconds; -1 where it is not. */
+    /** Returns how long the local list has been behind, in nanoseconds; -1 if it is not. */
     public long behindForNanos(long now) {
         return list.behindForNanos(now);
     }
 
-    /** The caches avoided because of peers' reports. */
+    /** Returns the caches that are avoided because of peers' reports. */
     public Set<Long> avoidedCaches() {
         return avoidance.avoidedCaches();
     }
 
-    /** The caches that peers' operators drain and the own operators do not. */
+    /** Returns the caches that are drained at enough peers but not at this balancer. */
     public Set<Long> drainedByPeers() {
         return avoidance.drainedByPeers();
     }
 
-    /** The kinds whose current version this balancer serves worse under than under the previous. */
+    /** Returns the kinds under whose current version this balancer serves worse than before. */
     public List<VersionKind> failingKinds() {
         return rolloutGuard.failingKinds();
     }
 
-    /** Whether a peer's reports of shared state, such as counts and claims, are to be used. */
+    /** Returns whether to use a peer's reports of shared state, such as counts and claims. */
     public PeerFreshness freshnessOf(long now, int rank) {
         PeerVersionState peer = fleet.peer(rank);
         if (fleet.isIsolated() || !peer.isKnownAlive()) {
@@ -295,12 +296,12 @@
                 : PeerFreshness.CURRENT;
     }
 
-    /** Whether this balancer drains itself. */
+    /** Returns whether this balancer drains itself. */
     public boolean isSelfDraining() {
         return selfDrain.isDraining();
     }
 
-    /** How often the discovery service was polled because the list was behind. */
+    /** Returns the number of polls of the discovery service because the list was behind. */
     public long pollCount() {
         return list.pollCount();
     }
--- a/staleness/src/main/java/frostrelay/staleness/StalenessSettings.java
+++ b/staleness/src/main/java/frostrelay/staleness/StalenessSettings.java
@@ -1,30 +1,33 @@
 package frostrelay.staleness;
 
 /**
- * Timeouts and limits, in nanoseconds and parts of 1.
+ * Timeouts and limits of staleness detection. Times are in nanoseconds, fractions between 0 and 1.
  *
- * @param graceNanos how long a newer list is waited for: the discovery service usually notifies all
- *     balancers within this
+ * @param graceNanos how long to wait for a newer list before polling; the discovery service usually
+ *     notifies all balancers within this time
  * @param minPollIntervalNanos first interval between polls of the discovery service; doubled after
- *     each
- * @param maxPollIntervalNanos the longest such interval, and the one between readings of the
- *     configuration's file
- * @param probationNanos how long after its proof a newer configuration is followed at the earliest
- * @param pollSpreadNanos time per balancer over which the polls of those that are behind are
- *     spread, at most
- * @param watchTimeoutNanos how long a watch waits: divided by the number of balancers, it limits
+ *     each poll
+ * @param maxPollIntervalNanos longest interval between polls, and the interval between readings of
+ *     the configuration file
+ * @param probationNanos minimum time from the proof of a newer configuration until the balancer
+ *     follows it
+ * @param pollSpreadNanos maximum time per balancer over which the polls of stale balancers are
+ *     spread
+ * @param watchTimeoutNanos how long a watch waits. Divided by the number of balancers, it limits
  *     the spread in a large cluster, so that polls are as frequent as all watches together
- * @param reportLifetimeNanos how long a cache is avoided because of peers' reports, at most
- * @param singleReportLifetimeNanos how long, once within the former, because of a single peer's
- * @param stalenessBoundNanos a balancer that is behind for longer is a straggler and may drain
- *     itself
- * @param maxAvoidedFraction part of the caches that peers' reports may take away
- * @param maxSelfDrainingFraction part of the balancers that may drain themselves at once
- * @param failureMargin decrease of the success ratio that makes a version failing
- * @param attributionWindowNanos how long after it was applied a version is blamed for failures, and
- *     how long a report of that is valid
- * @param earlyExitNanos a process that crashes so soon after it applied a version crashed because
- *     of it
+ * @param reportLifetimeNanos maximum time for which a cache is avoided because of peers' reports
+ * @param singleReportLifetimeNanos maximum time, once within the report lifetime, for which a cache
+ *     is avoided because of a single peer's report
+ * @param stalenessBoundNanos a balancer that is behind for longer than this is a straggler and may
+ *     drain itself
+ * @param maxAvoidedFraction maximum fraction of the caches to avoid because of peers' reports
+ * @param maxSelfDrainingFraction maximum fraction of the balancers that may drain themselves at the
+ *     same time
+ * @param failureMargin decrease of the success ratio at which a version counts as failing
+ * @param attributionWindowNanos how long after a version was applied failures are attributed to it,
+ *     and how long a report of such failures is valid
+ * @param earlyExitNanos a crash within this time after a version was applied is attributed to that
+ *     version
  */
 public record StalenessSettings(
         long graceNanos,
@@ -44,20 +47,31 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /**
-     * The standard values. Grace: a watch is notified within the platform's tolerance of 200 ms,
-     * and a peer's datagram takes 30 ms. Poll intervals: a poll costs the discovery service as much
-     * as a list does; from a second on and doubling, a cluster of a hundred that gets no
-     * notification makes 10 polls a second, as many as its watches alone. Probation: balancers on a
-     * version report within 3.5 s that they serve worse under it, and within two more their peers
-     * have received that. Spread: five polls a second, as a hundred watches of 20 s make. Report
-     * lifetime: five times the 6 s within which the platform notifies everybody. Single report:
-     * those 6 s; a wrong one takes a third of the caches away for a fifth of the time. Staleness
-     * bound: 6 s is past that tolerance. Avoided fraction: clusters of caches have shrunk to a
-     * third and served; a third fewer is tolerable. Draining fraction: three in four balancers
-     * carry the load of four. Failure margin: days without faults under one build differ by 0.03, a
-     * second's ratio over 20 requests by 0.07; a fifth is neither. Attribution: a minute, as an old
-     * fault that shows later cannot be told from a new one. Early exit: a start takes 2 s, up to 30
-     * s on a slow machine, and what a configuration breaks it breaks at once.
+     * The standard values.
+     *
+     * <ul>
+     *   <li>Grace: a watch is notified within the platform's tolerance of 200 ms, and a peer's
+     *       datagram takes 30 ms.
+     *   <li>Poll intervals: a poll costs the discovery service as much as a list does. Starting at
+     *       1 s and doubling, a cluster of a hundred balancers that gets no notification makes 10
+     *       polls per second, as many as its watches alone.
+     *   <li>Probation: balancers that apply a version report within 3.5 s that they serve worse
+     *       under it, and their peers receive the reports within 2 s more.
+     *   <li>Spread: five polls per second, as many as a hundred watches of 20 s make.
+     *   <li>Report lifetime: five times the 6 s within which the platform notifies all balancers.
+     *   <li>Single report: the same 6 s. Repeated wrong reports of one peer make a third of the
+     *       caches unused for a fifth of the time.
+     *   <li>Staleness bound: 6 s exceeds the notification tolerance of the platform.
+     *   <li>Avoided fraction: clusters reduced to a third of their caches still served, so a
+     *       reduction by a third is tolerable.
+     *   <li>Draining fraction: three of four balancers can carry the load of four.
+     *   <li>Failure margin: fault-free days under the same build differ by 0.03 in their success
+     *       ratio, seconds with 20 requests by 0.07; 0.2 exceeds both.
+     *   <li>Attribution: one minute, as an old fault that appears later cannot be distinguished
+     *       from a new one.
+     *   <li>Early exit: a start takes 2 s, up to 30 s on a slow machine, and a faulty configuration
+     *       fails immediately.
+     * </ul>
      */
     public static final StalenessSettings STANDARD =
             new StalenessSettings(
--- a/staleness/src/main/java/frostrelay/staleness/VersionKind.java
+++ b/staleness/src/main/java/frostrelay/staleness/VersionKind.java
@@ -2,16 +2,16 @@
 
 import frostrelay.gossip.AppliedVersions;
 
-/** What has ordered versions. The ordinal is the code on the wire. */
+/** The kinds of ordered versions. The ordinal is the code on the wire. */
 public enum VersionKind {
-    /** The endpoint list, by its revision. */
+    /** The endpoint list, ordered by its revision. */
     LIST {
         @Override
         public long number(AppliedVersions versions) {
             return versions.listRevision();
         }
     },
-    /** The configuration, by the operators' number. */
+    /** The configuration, ordered by the number that operators gave it. */
     CONFIG {
         @Override
         public long number(AppliedVersions versions) {
@@ -20,12 +20,12 @@
     };
 
     /**
-     * The number of this kind's version; {@link AppliedVersions#NO_NUMBER} where a configuration
-     * has none.
+     * Returns the number of the version of this kind; {@link AppliedVersions#NO_NUMBER} for a
+     * configuration without a number.
      */
     public abstract long number(AppliedVersions versions);
 
-    /** The name in logs and consoles. */
+    /** Returns the name for logs and consoles. */
     public String displayName() {
         return this == LIST ? "list" : "configuration";
     }
--- a/staleness/src/main/java/frostrelay/staleness/VersionOrder.java
+++ b/staleness/src/main/java/frostrelay/staleness/VersionOrder.java
@@ -3,31 +3,31 @@
 import frostrelay.gossip.AppliedVersions;
 
 /**
- * The order of two versions of one kind: how a peer's stands to the local one. Pure.
+ * The order of a peer's version relative to the local version of the same kind.
  *
  * <p>Lists are ordered by the discovery service's revision, configurations by the operators' number
- * where both have one. One number with two contents is a conflict, which operators have to resolve.
- * Configurations without numbers have no order: they are equal or they differ.
+ * if both have one. Different contents under the same number are a conflict, which operators have
+ * to resolve. Configurations without numbers have no order: they are equal or they differ.
  */
 public enum VersionOrder {
     /** Equal contents. */
     SAME,
-    /** The peer's is newer. */
+    /** The peer's version is newer. */
     NEWER,
-    /** The peer's is older. */
+    /** The peer's version is older. */
     OLDER,
-    /** One number with two contents. */
+    /** Different contents under the same number. */
     CONFLICT,
     /** Different contents without an order. */
     UNORDERED;
 
-    /** How a peer's list stands to the local one. */
+    /** Returns the order of a peer's list relative to the local one. */
     public static VersionOrder compareLists(AppliedVersions local, AppliedVersions other) {
         return compareNumbered(
                 local.listRevision(), local.listDigest(), other.listRevision(), other.listDigest());
     }
 
-    /** How a peer's configuration stands to the local one. */
+    /** Returns the order of a peer's configuration relative to the local one. */
     public static VersionOrder compareConfigs(AppliedVersions local, AppliedVersions other) {
         if (local.configNumber() == AppliedVersions.NO_NUMBER
                 || other.configNumber() == AppliedVersions.NO_NUMBER) {
--- a/staleness/src/main/java/frostrelay/staleness/VersionRegressionDetector.java
+++ b/staleness/src/main/java/frostrelay/staleness/VersionRegressionDetector.java
@@ -3,34 +3,35 @@
 import java.util.Arrays;
 
 /**
- * Detects that this balancer serves worse since it applied a version, by its own counts alone.
- * Peers compare the reports of balancers that apply a version with those of balancers that do not,
- * as a fault of the caches affects both. Lists change all the time, and each draining cache reduces
- * the capacity: a list counts as failing only if it ends nearly all service.
+ * A detector of a decrease in this balancer's success ratio after it applied a version. Uses only
+ * the local request counts. Peers compare the reports of balancers that apply a version with those
+ * of balancers that do not, because a fault of the caches affects both. Lists change frequently,
+ * and each draining cache reduces the capacity; therefore a list counts as failing only if nearly
+ * all requests fail.
  */
 public final class VersionRegressionDetector {
     private static final long NEVER_NANOS = Long.MIN_VALUE;
     private static final int WINDOW_SECONDS = 10;
     private static final int EVALUATED_SECONDS = 3;
 
-    /**
-     * Fewer requests are not significant: at 20 a ratio of 0.9 has a standard deviation of 0.07.
-     */
+    /** Minimum sample size: with 20 requests, a ratio of 0.9 has a standard deviation of 0.07. */
     private static final int MIN_REQUESTS = 20;
 
-    /** A single bad second may be a start, a pause or a burst. */
+    /** A single failing second may be due to a start, a pause or a burst. */
     private static final int MIN_CONSECUTIVE_FAILURES = 2;
 
-    /** Part of the usual success ratio: less than this is no mere drain. */
+    /**
+     * Fraction of the baseline success ratio; draining caches alone do not reduce it below this.
+     */
     private static final double LIST_FAILURE_RATIO = 0.25;
 
-    /** The threshold of a configuration after a start, when there is no earlier ratio. */
+    /** Threshold for a configuration after a start, when there is no baseline. */
     private static final double DEFAULT_CONFIG_THRESHOLD = 0.5;
 
     private final StalenessSettings settings;
     private final VersionKind kind;
 
-    /** Completed requests, and those served among them, by second, in a ring. */
+    /** Ring buffers of completed and of served requests, one element per second. */
     private final long[] completed = new long[WINDOW_SECONDS];
 
     private final long[] served = new long[WINDOW_SECONDS];
@@ -42,15 +43,15 @@
     private int consecutiveFailures;
     private boolean isFailing;
 
-    /** Starts without a version to watch. */
+    /** Creates a detector without a version under observation. */
     public VersionRegressionDetector(StalenessSettings settings, VersionKind kind) {
         this.settings = settings;
         this.kind = kind;
     }
 
     /**
-     * Another version applies from now on. If it follows soon after another, the baseline stays the
-     * ratio before the first of them.
+     * Starts to observe a newly applied version. If it follows another within the attribution
+     * window, the baseline remains the success ratio before the first of them.
      */
     public void onVersionApplied(long now) {
         if (versionAppliedAtNanos == NEVER_NANOS
@@ -64,10 +65,10 @@
     }
 
     /**
-     * Counts since the start, to be passed about once a second.
+     * Updates the evaluation with the counts since the process start; called about once a second.
      *
-     * @param totalCompleted requests that completed in whatever way
-     * @param totalServed those among them that were served
+     * @param totalCompleted number of completed requests, successful or not
+     * @param totalServed number of completed requests that were served
      */
     public void onServiceCounts(long now, long totalCompleted, long totalServed) {
         currentSecond = (currentSecond + 1) % WINDOW_SECONDS;
@@ -83,7 +84,8 @@
         }
         double successRatio = successRatio(EVALUATED_SECONDS);
         if (!Double.isNaN(successRatio)) {
-            // Hysteresis: recovering takes half of the margin more.
+            // Hysteresis: to recover, the ratio must also exceed the threshold by half of the
+            // margin.
             double threshold =
                     isFailing
                             ? failureThreshold() + settings.failureMargin() / 2
@@ -104,7 +106,7 @@
                 : baselineSuccessRatio - settings.failureMargin();
     }
 
-    /** The part served of what completed in the last seconds; NaN where that is too little. */
+    /** Returns the success ratio of the last seconds; NaN if too few requests completed. */
     private double successRatio(int seconds) {
         long totalCompleted = 0;
         long totalServed = 0;
@@ -116,7 +118,8 @@
     }
 
     /**
-     * Whether it serves worse, by more than the settings allow, than under the previous version.
+     * Returns whether the balancer serves worse under the current version than under the previous
+     * one, by more than the settings allow.
      */
     public boolean isFailing() {
         return isFailing;
--- a/staleness/src/test/java/frostrelay/staleness/CacheAvoidanceTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/CacheAvoidanceTest.java
@@ -10,32 +10,36 @@
 
 import java.util.Set;
 
-/** Which caches are avoided because of peers' reports, including wrong and reordered ones. */
+/** Tests of the caches to avoid because of reports, including false and reordered reports. */
 class CacheAvoidanceTest extends StalenessDetectorFixture {
     /**
-     * Regression: beside an admin drain and an older report, commands were sent to a cache that
-     * three peers knew as draining.
+     * Regression test: an administrative drain and an older report used up the limit of avoided
+     * caches, and requests were sent to a cache that three peers reported as draining.
      */
     @Test
-    void localDrainsUseNoCapacityAndTheNewestReportGoesFirst() {
+    void locallyDrainedCachesDoNotCountAndNewestReportHasPriority() {
         StalenessDetector detector = createDetector(3, 5);
         for (int peer : new int[] {0, 1}) {
             detector.onPeerState(NANOS_PER_SECOND, peer, MemberState.ALIVE, listVersion(8), 1, 0);
             detector.onPeerAdminDrain(NANOS_PER_SECOND, peer, 0, 6);
             detector.onCacheUnavailable(NANOS_PER_SECOND, peer, 6, 1);
         }
-        assertEquals(Set.of(1L, 6L), avoided, "one has admin drains, one is draining");
+        assertEquals(
+                Set.of(1L, 6L),
+                avoided,
+                "cache 6 is drained at peers, cache 1 is unavailable in their lists");
         detector.onCacheUnavailable(2 * NANOS_PER_SECOND, 0, 8, 3);
         detector.onCacheUnavailable(2 * NANOS_PER_SECOND, 1, 8, 3);
-        assertEquals(Set.of(3L, 6L), avoided, "the newest report first");
+        assertEquals(Set.of(3L, 6L), avoided, "the report from the newest list has priority");
         detector.onLocalAdminDrains(3 * NANOS_PER_SECOND, Set.of(6L));
-        assertEquals(Set.of(1L, 3L), avoided, "what is drained here is out of use already");
+        assertEquals(
+                Set.of(1L, 3L), avoided, "a locally drained cache does not count toward the limit");
         detector.onLocalAdminDrains(4 * NANOS_PER_SECOND, Set.of());
         assertEquals(Set.of(3L, 6L), avoided);
     }
 
     @Test
-    void oneLiarProvesNoVersionAndItsReportsOnCachesSoonExpire() {
+    void falseReportsOfSinglePeerProveNoVersionAndExpire() {
         StalenessDetector detector = createDetector(3, 5);
         for (int peer : new int[] {0, 1}) {
             detector.onPeerState(NANOS_PER_SECOND, peer, MemberState.ALIVE, listVersion(5), 1, 0);
@@ -46,14 +50,14 @@
             detector.onCacheUnavailable(2 * NANOS_PER_SECOND, 2, Long.MAX_VALUE, cache);
         }
         assertEquals(StalenessDetector.Standing.CURRENT, detector.listStanding());
-        assertTrue(avoided.size() <= 2, "a third of the caches at most");
+        assertTrue(avoided.size() <= 2, "at most a third of the caches is avoided");
         runUntil(detector, 8 * NANOS_PER_SECOND + NANOS_PER_MILLI);
-        assertEquals(Set.of(), avoided, "a single report is believed for six seconds");
+        assertEquals(Set.of(), avoided, "a report of a single peer expires after 6 s");
         for (int i = 9; i < 30; i++) {
             for (long cache : CACHES) {
                 detector.onCacheUnavailable(i * NANOS_PER_SECOND, 2, Long.MAX_VALUE, cache);
             }
-            assertEquals(Set.of(), avoided, "and not again when it is repeated");
+            assertEquals(Set.of(), avoided, "a repeated report of a single peer has no effect");
         }
         runUntil(detector, 30 * NANOS_PER_SECOND);
         assertEquals(0, pollCount);
@@ -61,7 +65,7 @@
     }
 
     @Test
-    void aLiarThatClaimsTheFarFutureKeepsNoTrueReportAlive() {
+    void falseReportWithHighRevisionDoesNotPreserveOtherReports() {
         StalenessDetector detector = createDetector(3, 5);
         for (int peer : new int[] {0, 1, 2}) {
             detector.onPeerState(NANOS_PER_SECOND, peer, MemberState.ALIVE, listVersion(7), 1, 0);
@@ -74,57 +78,59 @@
                     8 * NANOS_PER_SECOND, peer, MemberState.ALIVE, listVersion(9), 1, 0);
             detector.onCacheRestored(8 * NANOS_PER_SECOND, peer, 9, 4);
         }
-        assertEquals(
-                Set.of(), avoided, "a single report has been believed for as long as it may be");
+        assertEquals(Set.of(), avoided, "the lifetime of a single peer's report has ended");
     }
 
     @Test
-    void whatIsBackOrCaughtUpWithIsUsedAgain() {
+    void cacheIsUsedAgainAfterRestorationOrWhenLocalListHasCaughtUp() {
         StalenessDetector detector = createDetector(0, 5);
         detector.onCacheUnavailable(NANOS_PER_SECOND, 1, 7, 2);
         detector.onCacheUnavailable(NANOS_PER_SECOND, 2, 7, 2);
         detector.onCacheUnavailable(NANOS_PER_SECOND, 1, 8, 3);
         assertEquals(Set.of(2L, 3L), avoided);
         detector.onCacheRestored(2 * NANOS_PER_SECOND, 2, 9, 3);
-        assertEquals(Set.of(2L, 3L), avoided, "no peer is known to apply version 9");
+        assertEquals(Set.of(2L, 3L), avoided, "no peer is known to apply revision 9");
         detector.onPeerState(2 * NANOS_PER_SECOND, 2, MemberState.ALIVE, listVersion(9), 1, 0);
         assertEquals(Set.of(2L), avoided);
         detector.onCacheUnavailable(2 * NANOS_PER_SECOND, 1, 8, 3);
         detector.onCacheUnavailable(2 * NANOS_PER_SECOND, 2, 8, 3);
-        assertEquals(Set.of(2L), avoided, "a report that was overtaken on its way");
+        assertEquals(
+                Set.of(2L),
+                avoided,
+                "reordered reports from a list older than the restoration are ignored");
         detector.onLocalVersions(3 * NANOS_PER_SECOND, listVersion(7), CACHES);
-        assertEquals(Set.of(), avoided, "the local list of that revision names it as ready");
+        assertEquals(Set.of(), avoided, "the cache is ready in the local list of that revision");
         detector.onCacheUnavailable(4 * NANOS_PER_SECOND, 1, 6, 2);
-        assertEquals(Set.of(), avoided, "older than the local list");
+        assertEquals(Set.of(), avoided, "the report is older than the local list");
     }
 
     @Test
-    void adminDrainsOfTwoPeersAreFollowedAsLongAsTheirAppliedVersionsHaveThem() {
+    void adminDrainsOfTwoPeersApplyWhileTheirAppliedVersionsContainTheDigest() {
         StalenessDetector detector = createDetectorAmongFive();
         detector.onPeerAdminDrain(2 * NANOS_PER_SECOND, 1, 99, 4);
         detector.onPeerState(
                 2 * NANOS_PER_SECOND, 1, MemberState.ALIVE, configVersion(1, 99), 1, 0);
-        assertEquals(Set.of(), avoided, "one balancer's admin drain is its own");
+        assertEquals(
+                Set.of(), avoided, "an administrative drain at one peer applies only to that peer");
         detector.onPeerAdminDrain(3 * NANOS_PER_SECOND, 2, 99, 4);
         detector.onPeerState(
                 3 * NANOS_PER_SECOND, 2, MemberState.ALIVE, configVersion(1, 99), 1, 0);
         assertEquals(Set.of(4L), avoided);
         runUntil(detector, 60 * NANOS_PER_SECOND);
-        assertEquals(Set.of(4L), avoided, "it needs no renewal");
+        assertEquals(Set.of(4L), avoided, "the drain persists without renewal");
         detector.onIsolation(61 * NANOS_PER_SECOND, true);
         runUntil(detector, 80 * NANOS_PER_SECOND);
-        assertEquals(Set.of(4L), avoided, "receiving nothing does not end a drain");
+        assertEquals(Set.of(4L), avoided, "isolation does not end the drain immediately");
         runUntil(detector, 95 * NANOS_PER_SECOND);
-        assertEquals(Set.of(), avoided, "nor does the drain last for ever");
+        assertEquals(Set.of(), avoided, "the drain expires during isolation");
         detector.onIsolation(96 * NANOS_PER_SECOND, false);
         for (long cache : CACHES) {
             detector.onPeerAdminDrain(97 * NANOS_PER_SECOND, 1, 77, cache);
             detector.onPeerAdminDrain(97 * NANOS_PER_SECOND, 2, 77, cache);
         }
-        assertEquals(2, avoided.size(), "a third of the caches, whatever is reported");
+        assertEquals(2, avoided.size(), "at most a third of the caches, although all are reported");
         detector.onPeerState(
                 100 * NANOS_PER_SECOND, 1, MemberState.ALIVE, configVersion(1, 0), 1, 0);
-        assertEquals(
-                Set.of(), avoided, "its applied versions have another digest: the drain has ended");
+        assertEquals(Set.of(), avoided, "drains end when the applied versions have another digest");
     }
 }
--- a/staleness/src/test/java/frostrelay/staleness/ConfigTransferTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/ConfigTransferTest.java
@@ -15,22 +15,24 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A content arrives complete or not at all, whatever is lost, duplicated, late or forged. */
+/**
+ * Tests that no loss, duplication, delay or forgery of pieces causes wrong content to be accepted.
+ */
 class ConfigTransferTest {
     private static final long DIGEST = 77;
 
-    /** Digest, number of the piece and number of all pieces. */
+    /** Length of the digest, the index of the piece and the number of pieces. */
     private static final int PIECE_HEADER_BYTES = Long.BYTES + 2 * Short.BYTES;
 
     private record PieceRequest(int holder, int piece) {}
 
     /**
-     * Holder 0 does not answer, holder 1 sends another content, the others send the right one.
+     * Holder 0 does not answer, holder 1 sends wrong content, the others send the expected content.
      *
-     * @param lossPercent of the pieces
+     * @param lossPercent percentage of the pieces that are lost
      */
     @Property(tries = 200)
-    void theRightContentArrivesCompleteFromThoseWhoHaveIt(
+    void transferCompletesDespiteLossAndFaultyHolders(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 5_000) int length,
             @ForAll @IntRange(min = 0, max = 40) int lossPercent) {
@@ -79,21 +81,24 @@
                         deliver(transfer, now, request, piece, copies);
                     }
                 }
-                now = nextMoment(now, transfer, pieceRequests.isEmpty());
+                now = nextTimeNanos(now, transfer, pieceRequests.isEmpty());
                 transfer.onTimer(now);
             }
         }
         assertEquals(
                 1,
                 acceptedContents.size(),
-                "requested in turn, with " + lossPercent + " of 100 lost");
+                "accepted contents with " + lossPercent + "% of the pieces lost");
         assertArrayEquals(expectedContent, acceptedContents.get(0));
-        assertTrue(maxOpenRequests <= 6, "open at once: " + maxOpenRequests);
-        assertEquals(Long.MAX_VALUE, transfer.nextTimerAtNanos(), "nothing is under way any more");
+        assertTrue(maxOpenRequests <= 6, "requests open at the same time: " + maxOpenRequests);
+        assertEquals(
+                Long.MAX_VALUE, transfer.nextTimerAtNanos(), "no timer is set after completion");
         assertNull(StalenessCodec.encodePiece(DIGEST, 600, expectedContent));
     }
 
-    /** Delivers a piece, and with each copy one of another holder and one that cannot exist. */
+    /**
+     * Delivers copies of a piece, each followed by a forged piece and a piece with invalid count.
+     */
     private static void deliver(
             ConfigTransfer transfer, long now, PieceRequest request, ByteBuffer piece, int copies) {
         for (int copy = 0; copy < copies; copy++) {
@@ -111,7 +116,7 @@
         }
     }
 
-    private static long nextMoment(long now, ConfigTransfer transfer, boolean isIdle) {
+    private static long nextTimeNanos(long now, ConfigTransfer transfer, boolean isIdle) {
         long timerNanos = isIdle ? Math.min(transfer.nextTimerAtNanos(), now + 10_000_000_000L) : 0;
         return Math.max(now + 1_000_000, timerNanos);
     }
--- a/staleness/src/test/java/frostrelay/staleness/FormerVersionSectionsTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/FormerVersionSectionsTest.java
@@ -15,8 +15,8 @@
 import java.util.TreeSet;
 
 /**
- * Sections that version 0.7.0 wrote: this version reads the same fields from them, and writes the
- * same bytes. The resource's README says how they were made.
+ * Wire compatibility with version 0.7.0: this version decodes the same fields from recorded
+ * sections and encodes the same bytes. The README of the resources describes the recording.
  */
 class FormerVersionSectionsTest {
     private static final String RESOURCE = "sections-0.7.0.txt";
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void everyFieldOfEverySectionIsRead() throws IOException {
+    void decodesEveryFieldOfEverySection() throws IOException {
         Set<Integer> types = new TreeSet<>();
         for (String[] fields : lines()) {
             int type = Integer.parseInt(fields[0]);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void theSameReportsAreWrittenAsTheSameBytes() throws IOException {
+    void encodesTheSameBytesForTheSameReports() throws IOException {
         List<String> expected = new ArrayList<>();
         for (String[] fields : lines()) {
             expected.add(fields[0] + " " + fields[1]);
--- a/staleness/src/test/java/frostrelay/staleness/RolloutGuardTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/RolloutGuardTest.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** Which proven versions are not followed, and what a balancer reports of its own service. */
+/** Tests of the decision not to follow a version, and of the reports about failing versions. */
 class RolloutGuardTest extends StalenessDetectorFixture {
     @Test
-    void aVersionUnderWhichItsAdoptersFailIsNotFollowedUntilOperatorsOverride() {
+    void versionUnderWhichPeersFailIsNotFollowedUntilOverridden() {
         StalenessDetector detector = createDetectorAmongFive();
         for (int peer : new int[] {1, 2}) {
             detector.onPeerState(
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void crashesRightAfterAVersionCountAgainstItAndGracefulLeavesAndOldFaultsDoNot() {
+    void crashesCountAgainstVersionButLeavesAndSharedFaultsDoNot() {
         StalenessDetector detector = createDetectorAmongFive();
         detector.onPeerState(2 * NANOS_PER_SECOND, 1, MemberState.ALIVE, configVersion(2, 0), 1, 0);
         detector.onPeerState(2 * NANOS_PER_SECOND, 2, MemberState.ALIVE, configVersion(2, 0), 1, 0);
@@ -52,12 +52,12 @@
         assertEquals(
                 StalenessDetector.Standing.BEHIND,
                 detector.configStanding(),
-                "one of the two left in order");
+                "one of the two peers left gracefully");
         detector.onPeerState(6 * NANOS_PER_SECOND, 1, MemberState.ALIVE, configVersion(2, 0), 3, 0);
         assertEquals(
                 StalenessDetector.Standing.STAYS_BEHIND,
                 detector.configStanding(),
-                "and now it died as well");
+                "both peers have crashed");
         // A fault that also affects balancers on the old version does not count against the new
         // one.
         versionsNotFollowed.clear();
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void itReportsThatItServesWorseSinceAVersionAndNotWhereItServedBadlyBefore() {
+    void versionIsReportedAsFailingOnlyIfServiceIsWorseThanBefore() {
         StalenessDetector detector = createDetectorAmongFive();
         long completed = 0;
         long served = 0;
@@ -86,7 +86,7 @@
         }
         detector.onLocalVersions(15 * NANOS_PER_SECOND, configVersion(2, 0), CACHES);
         detector.onServiceCounts(16 * NANOS_PER_SECOND, completed += 40, served += 20);
-        assertEquals(List.of(), detector.failingKinds(), "one bad second is a burst");
+        assertEquals(List.of(), detector.failingKinds(), "a single failing second may be a burst");
         detector.onServiceCounts(17 * NANOS_PER_SECOND, completed += 40, served += 20);
         assertEquals(List.of(VersionKind.CONFIG), detector.failingKinds());
         assertEquals(1, announcementCount);
@@ -101,7 +101,7 @@
         detector.onServiceCounts(101 * NANOS_PER_SECOND, completed += 40, served += 20);
         detector.onServiceCounts(102 * NANOS_PER_SECOND, completed += 40, served += 20);
         detector.onServiceCounts(103 * NANOS_PER_SECOND, completed += 40, served += 20);
-        assertEquals(List.of(), detector.failingKinds(), "as bad as it was");
+        assertEquals(List.of(), detector.failingKinds(), "the success ratio has not decreased");
         detector.onLocalVersions(
                 110 * NANOS_PER_SECOND, new AppliedVersions(1, 3, 21, 6, 1, 0, 0), CACHES);
         for (int second = 111; second < 120; second++) {
@@ -110,12 +110,12 @@
         assertEquals(
                 List.of(),
                 detector.failingKinds(),
-                "a list that reduces the capacity is not failing");
+                "a list under which some requests are served is not failing");
         for (int second = 120; second < 126; second++) {
             detector.onServiceCounts(second * NANOS_PER_SECOND, completed += 40, served += 1);
         }
         assertTrue(
                 detector.failingKinds().contains(VersionKind.LIST),
-                "one that ends nearly all service is");
+                "a list under which nearly all requests fail is failing");
     }
 }
--- a/staleness/src/test/java/frostrelay/staleness/SelfDrainTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/SelfDrainTest.java
@@ -10,10 +10,10 @@
 
 import java.util.Set;
 
-/** Operators' overrides of the self-drain. */
+/** Tests of the operators' overrides of the self-drain. */
 class SelfDrainTest extends StalenessDetectorFixture {
     @Test
-    void operatorsCanKeepItIn() {
+    void keepInOverrideEndsSelfDrainOfStaleBalancer() {
         StalenessDetector detector = createDetector(3, 5);
         for (int peer : new int[] {0, 1, 2}) {
             detector.onPeerState(NANOS_PER_SECOND, peer, MemberState.ALIVE, listVersion(9), 1, 0);
@@ -26,15 +26,16 @@
         assertEquals(
                 StalenessDetector.Standing.STRAGGLER,
                 detector.listStanding(),
-                "it is stale all the same");
+                "the override does not change the standing");
     }
 
     @Test
-    void operatorsDrainOneAndRestoreIt() {
+    void shutOutOverrideDrainsBalancerUntilRevoked() {
         StalenessDetector detector = createDetectorAmongFive();
         detector.onOverrides(
                 2 * NANOS_PER_SECOND, new OperatorOverrides(Set.of(OperatorOverrides.SHUT_OUT)));
-        assertTrue(isSelfDraining, "whatever its rank, and although it is not behind");
+        assertTrue(
+                isSelfDraining, "drains regardless of its rank and although its list is current");
         detector.onOverrides(3 * NANOS_PER_SECOND, OperatorOverrides.NONE);
         assertFalse(isSelfDraining);
     }
--- a/staleness/src/test/java/frostrelay/staleness/StalenessDetectorFixture.java
+++ b/staleness/src/test/java/frostrelay/staleness/StalenessDetectorFixture.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** A detector whose decisions are recorded, and versions to feed it with. */
+/** A fixture that records the decisions of a detector and creates versions as input. */
 abstract class StalenessDetectorFixture implements StalenessDetector.Actions {
     static final long NANOS_PER_MILLI = 1_000_000L;
     static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public void setSelfDraining(boolean isDraining, String why) {
+    public void setSelfDraining(boolean isDraining, String reason) {
         isSelfDraining = isDraining;
     }
 
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public void onVersionNotFollowed(VersionKind kind, long number, String why) {
+    public void onVersionNotFollowed(VersionKind kind, long number, String reason) {
         versionsNotFollowed.add(kind + " " + number);
     }
 
@@ -79,7 +79,7 @@
         return detector;
     }
 
-    /** Runs the detector's timers up to a moment. */
+    /** Runs the detector's timers up to a time. */
     static void runUntil(StalenessDetector detector, long untilNanos) {
         for (long now = 0, next = detector.nextTimerAtNanos(now);
                 next <= untilNanos;
--- a/staleness/src/test/java/frostrelay/staleness/StalenessDetectorTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/StalenessDetectorTest.java
@@ -15,10 +15,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** What holds for the detector as a whole, whatever peers report in whatever order. */
+/** Tests of the whole detector, including its invariants under arbitrary reports. */
 class StalenessDetectorTest extends StalenessDetectorFixture {
     @Test
-    void aStaleInstanceIsIgnoredUntilItIsCurrentAndAnUnresponsiveOneIsNeither() {
+    void stalePeerIsPassedOverUntilCurrentAndUnresponsivePeerIsUnknown() {
         StalenessDetector detector = createDetectorAmongFive();
         detector.onLocalVersions(2 * NANOS_PER_SECOND, listVersion(9), CACHES);
         assertEquals(PeerFreshness.CURRENT, detector.freshnessOf(7 * NANOS_PER_SECOND, 1));
@@ -32,13 +32,13 @@
     }
 
     /**
-     * Whatever peers report in whatever order: at most a third of the caches is avoided, only
-     * caches of the local list are, and never too many ranks drain themselves.
+     * For arbitrary sequences of reports: at most a third of the caches is avoided, only caches of
+     * the local list are avoided, and only the permitted ranks drain themselves.
      */
     @Property(tries = 300)
-    void boundsHoldWhateverIsReported(
+    void limitsHoldForArbitraryReports(
             @ForAll long seed, @ForAll @IntRange(min = 2, max = 16) int clusterSize) {
-        // One instance serves all tries.
+        // jqwik uses the same instance of this class for all tries.
         avoided = Set.of();
         isSelfDraining = false;
         SplittableRandom random = new SplittableRandom(seed);
@@ -75,15 +75,16 @@
     }
 
     private static void assertFewRanksMayDrain(int clusterSize) {
-        int drainSlots = 0;
+        int permittedRanks = 0;
         for (int i = 0; i < clusterSize; i++) {
-            drainSlots += SelfDrain.maySelfDrain(i, clusterSize, 0.25) ? 1 : 0;
+            permittedRanks += SelfDrain.maySelfDrain(i, clusterSize, 0.25) ? 1 : 0;
         }
         assertTrue(
-                drainSlots <= Math.ceil(clusterSize / 4.0) && (clusterSize > 2 || drainSlots == 0));
+                permittedRanks <= Math.ceil(clusterSize / 4.0)
+                        && (clusterSize > 2 || permittedRanks == 0));
     }
 
-    /** Reports something random of one of seven kinds; 5 is not one of them. */
+    /** Sends a random report; kind 5, a change of the local list, is left to the caller. */
     private static void report(
             StalenessDetector detector, SplittableRandom random, long now, int peer, int kind) {
         switch (kind) {
--- a/staleness/src/test/java/frostrelay/staleness/StalenessSections.java
+++ b/staleness/src/test/java/frostrelay/staleness/StalenessSections.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** A fixed sequence of reports of every kind, as the sections that are written for them. */
+/** A fixed sequence of reports of every kind, encoded as sections. */
 final class StalenessSections implements StalenessCodec.Listener {
     private static final int REPORTED_PEER = 1;
     private static final int UP_TO_DATE_PEER = 2;
@@ -19,7 +19,7 @@
 
     private final StringBuilder decoded = new StringBuilder();
 
-    /** The sections, each as its type and the hexadecimal digits of its content. */
+    /** Returns the sections as text lines: type and hexadecimal content. */
     static List<String> write() {
         List<String> lines = new ArrayList<>();
         StalenessCodec codec = new StalenessCodec((rank, digest) -> rank == UP_TO_DATE_PEER);
@@ -63,7 +63,7 @@
         return type + " " + HexFormat.of().formatHex(bytes);
     }
 
-    /** All fields that are decoded from a section. */
+    /** Returns all fields that are decoded from a section. */
     static String decode(int type, byte[] content) {
         StalenessSections listener = new StalenessSections();
         StalenessCodec.read(READ_AT_NANOS, READ_FROM, type, ByteBuffer.wrap(content), listener);
--- a/staleness/src/test/java/frostrelay/staleness/VersionOrderTest.java
+++ b/staleness/src/test/java/frostrelay/staleness/VersionOrderTest.java
@@ -6,10 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The order of two versions. */
+/** Tests of the order of two versions. */
 class VersionOrderTest extends StalenessDetectorFixture {
     @Test
-    void versionsAreOrderedByNumberAndOneNumberWithTwoContentsIsAConflict() {
+    void versionsAreOrderedByNumberAndConflictIfContentsDiffer() {
         assertEquals(VersionOrder.NEWER, VersionOrder.compareLists(listVersion(5), listVersion(6)));
         assertEquals(VersionOrder.OLDER, VersionOrder.compareLists(listVersion(5), listVersion(4)));
         assertEquals(
