--- a/healthreports/src/main/java/frostrelay/counters/ClusterCounter.java
+++ b/healthreports/src/main/java/frostrelay/counters/ClusterCounter.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * What each balancer counts since its start. The order is the wire format: new constants go at the
- * end.
+ * Counters that each balancer keeps since its start. The order is part of the wire format: new
+ * constants are added at the end.
  */
 public enum ClusterCounter {
     /** Clients' requests, without their retries. */
@@ -24,7 +24,7 @@
     /** Requests that this balancer rejected. */
     REFUSED;
 
-    /** The name in admin output: lower case with hyphens. */
+    /** Returns the name in admin output: lower case with hyphens. */
     public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/healthreports/src/main/java/frostrelay/counters/ClusterCounterSettings.java
+++ b/healthreports/src/main/java/frostrelay/counters/ClusterCounterSettings.java
@@ -4,15 +4,16 @@
  * Limits and intervals of cluster counters.
  *
  * @param minSendIntervalNanos shortest time between two sections to one peer
- * @param directSendAfterNanos a peer last sent to this long ago may be sent to directly
+ * @param directSendAfterNanos time after the last section sent to a peer from which it may be sent
+ *     one directly
  * @param smallClusterPeers a cluster with at most this many peers is small
  * @param smallClusterSendsPerSecond direct sends a second in a small cluster
  * @param sendsPerSecond direct sends a second in a large cluster
- * @param rateWindowNanos shortest time over which a rate is taken
- * @param freshNanos a peer's rate has full weight up to this age of its last section
- * @param expiryNanos the weight falls linearly to 0 at this age
- * @param maxRateGrowth no balancer is taken to exceed this factor of its observed peak rate
- * @param minPeakRatePerSecond lower limit for the peak rate that is assumed of a balancer
+ * @param rateWindowNanos shortest time over which a rate is measured
+ * @param freshNanos age of a peer's last section up to which its rate has full weight
+ * @param expiryNanos age at which the weight, falling linearly, reaches 0
+ * @param maxRateGrowth factor of its observed peak rate that no balancer is assumed to exceed
+ * @param minPeakRatePerSecond lower limit for the peak rate assumed for a balancer
  * @param maxRatePerSecond sections that imply a higher rate are rejected
  */
 public record ClusterCounterSettings(
@@ -37,12 +38,12 @@
      *   <li>directSendAfter, smallClusterPeers and the sends a second: in a small cluster all peers
      *       receive within a second or two; in a large one two datagrams of 80 bytes a second cost
      *       0.0006 of the traffic served.
-     *   <li>rateWindow: in one second of ten requests a third of the rate is chance, but a longer
-     *       window reacts late.
+     *   <li>rateWindow: at ten requests a second, about a third of a rate over one second is random
+     *       variation, but a longer window reacts late.
      *   <li>fresh: in a small cluster a round of probes takes three seconds.
      *   <li>expiry: as for health reports.
-     *   <li>maxRateGrowth: daily bursts add half, and a cluster that loses half its balancers
-     *       doubles the load of the rest; four leaves a margin for both.
+     *   <li>maxRateGrowth: daily bursts raise the rate by half, and the loss of half the balancers
+     *       doubles the load of the rest; a factor of four leaves a margin for both.
      *   <li>minPeakRate: a balancer that has just started has no observed rate.
      *   <li>maxRate: one core serves ten thousand requests a second.
      * </ul>
--- a/healthreports/src/main/java/frostrelay/counters/ClusterCounters.java
+++ b/healthreports/src/main/java/frostrelay/counters/ClusterCounters.java
@@ -13,10 +13,10 @@
 
 /**
  * Counters over the cluster: this balancer's own, and each peer's as that peer sent them itself,
- * piggybacked on gossip datagrams. A missing peer does not count as 0: each total says how many
- * balancers it covers, how old it is, and an upper bound.
+ * piggybacked on gossip datagrams. A missing peer is not counted as 0: each total comes with the
+ * number of balancers it covers, its age and an upper bound.
  *
- * <p>While no peer is heard from, the estimated rate moves to this balancer's own rate times the
+ * <p>While no section is received, the estimated rate moves to this balancer's own rate times the
  * number of living balancers, and returns as sections arrive again. Not thread-safe; moments are
  * nanoseconds of one monotonic clock. {@code docs/design/shared-state.md} has the alternatives
  * considered.
@@ -35,10 +35,10 @@
     private static final class WriterState {
         GrowOnlyCounters counters;
 
-        /** When its latest counters were written, on this balancer's clock. */
+        /** Time at which its latest counters were written, on this balancer's clock. */
         long updatedAtNanos;
 
-        /** Values at {@link #rateBaselineNanos}, against which the next rates are taken. */
+        /** Values at {@link #rateBaselineNanos}, against which the next rates are calculated. */
         long[] rateBaseline;
 
         long rateBaselineNanos;
@@ -81,7 +81,7 @@
     private final Map<Integer, WriterState> peerStates = new TreeMap<>();
     private final Map<Integer, Long> lastSentNanos = new TreeMap<>();
 
-    /** Rank that the round robin of direct sends has reached. */
+    /** Rank that the round robin of direct sends has considered last. */
     private int lastRecipient;
 
     private long rejectedCount;
@@ -120,8 +120,8 @@
     }
 
     /**
-     * A gossip section was received; sections of other modules are ignored, and expired, truncated
-     * or impossible ones are rejected.
+     * Merges a received gossip section. Sections of other modules are ignored; expired, truncated
+     * or implausible ones are rejected.
      *
      * @param delayNanos time for which the datagram was delayed on its way
      * @param sender rank of the sending peer
@@ -178,10 +178,10 @@
     }
 
     /**
-     * Sends directly to peers that were last sent to longest ago: piggybacking misses some for
-     * seconds.
+     * Sends directly, in round-robin order, to living peers that have not been sent a section for a
+     * while, because a peer may get no piggybacked section for seconds.
      */
-    private void sendToStalest(long now) {
+    private void sendToOverduePeers(long now) {
         int remainingSends =
                 clusterSize - 1 <= settings.smallClusterPeers()
                         ? settings.smallClusterSendsPerSecond()
@@ -200,7 +200,7 @@
     }
 
     /**
-     * To be called once a second: updates this balancer's rates and sends to some peers directly.
+     * Updates this balancer's rates and sends to some peers directly. To be called once a second.
      */
     public void tick(long now) {
         localState.counters =
@@ -208,10 +208,10 @@
                         localState.counters.startedAtUnixMillis(), localValues.clone());
         localState.updatedAtNanos = now;
         localState.updateRates(now, settings.rateWindowNanos());
-        sendToStalest(now);
+        sendToOverduePeers(now);
     }
 
-    /** The cluster total of a counter as far as is known now. */
+    /** Estimates the cluster total of a counter from the sections received so far. */
     public CounterTotal total(long now, ClusterCounter counter) {
         int index = counter.ordinal();
         long known = localValues[index];
@@ -267,7 +267,7 @@
         return writer.ratesPerSecond == null ? 0 : writer.ratesPerSecond[index];
     }
 
-    /** 1 while the rate is fresh, then falling linearly to 0 at expiry. */
+    /** Returns 1 while the rate is fresh, then a weight that falls linearly to 0 at expiry. */
     private double weight(long ageNanos) {
         return Math.max(
                 0,
@@ -286,21 +286,21 @@
      */
     public record PeerCounters(int rank, long startedAtUnixMillis, long ageNanos, long[] values) {}
 
-    /** Latest counters of all peers heard from, ordered by rank. */
+    /** Returns the latest counters of each peer that has sent a section, ordered by rank. */
     public List<PeerCounters> peerCounters(long now) {
         List<PeerCounters> rows = new ArrayList<>();
         peerStates.forEach(
-                (number, peer) ->
+                (rank, peer) ->
                         rows.add(
                                 new PeerCounters(
-                                        number,
+                                        rank,
                                         peer.counters.startedAtUnixMillis(),
                                         now - peer.updatedAtNanos,
                                         peer.counters.values().clone())));
         return rows;
     }
 
-    /** Sections rejected as expired, truncated or impossible. */
+    /** Returns the number of sections rejected as expired, truncated or implausible. */
     public long rejectedCount() {
         return rejectedCount;
     }
--- a/healthreports/src/main/java/frostrelay/counters/GrowOnlyCounters.java
+++ b/healthreports/src/main/java/frostrelay/counters/GrowOnlyCounters.java
@@ -4,22 +4,22 @@
 import java.util.Arrays;
 
 /**
- * One balancer's counters in one incarnation; each only ever grows. A state-based CRDT, the
+ * One balancer's counters in one incarnation; none ever decreases. A state-based CRDT, the
  * G-Counter of Shapiro et al. 2011: {@link #merge} takes the larger of each counter, and the later
- * incarnation as a whole, so it is commutative, associative and idempotent, and loss, reordering
- * and duplication do not matter. Immutable.
+ * incarnation as a whole, so it is commutative, associative and idempotent; loss, reordering and
+ * duplication of sections do not affect the result. Immutable.
  *
  * @param startedAtUnixMillis the balancer's start, which is its incarnation without refutations
  * @param values by ordinal of {@link ClusterCounter}
  */
 record GrowOnlyCounters(long startedAtUnixMillis, long[] values) {
-    /** Size of a counter on the wire: lasts ten years at three thousand a second. */
+    /** Size of a counter on the wire; lasts ten years at 3,000 increments a second. */
     private static final int COUNTER_BYTES = 5;
 
     private static final int U8_MASK = 0xff;
     static final int COUNTER_COUNT = ClusterCounter.values().length;
 
-    /** The least upper bound of both; either may be null. */
+    /** Returns the least upper bound of both; either may be null. */
     static GrowOnlyCounters merge(GrowOnlyCounters a, GrowOnlyCounters b) {
         if (a == null || b == null) {
             return a == null ? b : a;
@@ -48,14 +48,14 @@
         }
     }
 
-    /** Whether the section holds at least one counter and no truncated one. */
+    /** Returns whether the section holds at least one counter and no truncated one. */
     static boolean isComplete(ByteBuffer in) {
         return in.hasRemaining() && in.remaining() % COUNTER_BYTES == 0;
     }
 
     /**
-     * Reads counters of any build: those that an older one does not have are 0, those that a newer
-     * one has added are ignored.
+     * Reads counters written by any build: those that an older build lacks are 0, those that a
+     * newer build has added are ignored.
      */
     static GrowOnlyCounters read(long startedAtUnixMillis, ByteBuffer in) {
         long[] values = new long[COUNTER_COUNT];
--- a/healthreports/src/main/java/frostrelay/healthreports/AttemptObservation.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/AttemptObservation.java
@@ -1,12 +1,12 @@
 package frostrelay.healthreports;
 
 /**
- * What the outcome of an attempt says about its cache. The ordinals are part of the wire format.
+ * Evidence about a cache from the outcome of one attempt. The ordinals are part of the wire format.
  */
 public enum AttemptObservation {
     /** The cache answered. */
     ANSWERED,
-    /** The cache answered with an error, its own or one of its origin. */
+    /** The cache answered with an error of its own or of its origin. */
     FAILED,
     /** The cache rejected the request although its deadline was not near. */
     TURNED_AWAY,
@@ -17,11 +17,11 @@
     /** No connection could be established. */
     UNREACHABLE;
 
-    /** Its bit in a set of observations. */
+    /** Returns this observation's bit in a set of observations. */
     public int bit() {
         return 1 << ordinal();
     }
 
-    /** Observations whose cause is the cache or the network, not what is behind the cache. */
+    /** Observations that the cache or the network causes, never the origin. */
     static final int UNREACHABLE_BITS = RESET.bit() | UNREACHABLE.bit();
 }
--- a/healthreports/src/main/java/frostrelay/healthreports/HealthReport.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/HealthReport.java
@@ -5,11 +5,11 @@
 import java.nio.ByteBuffer;
 
 /**
- * What one balancer, the reporter, observed of one cache recently. Each reporter and cache have a
- * single writer, so reports are ordered by the reporter's incarnation and sequence number, and
- * {@link #newerOf} keeps the later: a register of a last-writer-wins map, whose merge is
- * commutative, associative and idempotent. Reordering, loss and duplication do not matter.
- * Immutable.
+ * Recent observations of one cache by one balancer, the reporter. Only the reporter writes reports
+ * under its rank, so its reports on a cache are ordered by the reporter's incarnation and sequence
+ * number, and {@link #newerOf} keeps the later: a register of a last-writer-wins map, whose merge
+ * is commutative, associative and idempotent. Reordering, loss and duplication do not affect the
+ * result. Immutable.
  *
  * @param rank the reporter's
  * @param incarnation the reporter's
@@ -18,7 +18,7 @@
  *     bits of Unix milliseconds
  * @param successes recent answers, at most 255; 0 if the reporter finds the cache unhealthy
  * @param failures recent failed or unanswered attempts, at most 255; 0 if it finds it healthy
- * @param observationBits kinds of those failures, a set of {@link AttemptObservation#bit}
+ * @param observationBits kinds of those failures, as a set of {@link AttemptObservation#bit}
  */
 public record HealthReport(
         int rank,
@@ -88,20 +88,20 @@
                 .put((byte) observationBits);
     }
 
-    /** Rounds up, so that a report never seems younger than it is. */
+    /** Converts an age to wire units, rounding up so that a report never seems newer than it is. */
     private static long toAgeUnits(long ageNanos) {
         long units = (ageNanos + AGE_UNIT_NANOS - 1) / AGE_UNIT_NANOS;
         return Math.min(MAX_AGE_UNITS, Math.max(0, units));
     }
 
-    /** Whether the reporter finds the cache unhealthy. */
+    /** Returns whether the reporter finds the cache unhealthy. */
     public boolean isUnhealthy() {
         return failures > successes;
     }
 
     /**
-     * Whether this is later than another report of the same reporter. Of two different reports
-     * under one sequence number, which only a faulty peer sends, the larger content wins.
+     * Returns whether this is later than another report of the same reporter. Of two different
+     * reports under one sequence number, which only a faulty peer sends, the larger content wins.
      */
     boolean isNewerThan(HealthReport other) {
         if (Incarnation.toUnixMillis(incarnation) != Incarnation.toUnixMillis(other.incarnation)) {
@@ -120,7 +120,7 @@
                 | observationBits;
     }
 
-    /** The later of two reports of one reporter; either may be null. */
+    /** Returns the later of two reports of one reporter; either may be null. */
     static HealthReport newerOf(HealthReport a, HealthReport b) {
         if (a == null || b == null) {
             return a == null ? b : a;
--- a/healthreports/src/main/java/frostrelay/healthreports/HealthReportAggregator.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/HealthReportAggregator.java
@@ -10,7 +10,7 @@
 import java.util.TreeSet;
 
 /**
- * Takes in health reports of this balancer and its peers, spreads them, and keeps the set of
+ * Merges health reports of this balancer and its peers, sends them on, and keeps the set of
  * outliers. Peers' reports are advisory: they eject a cache from ordinary selection, never close
  * its connections, and fresh answers to this balancer outweigh them.
  *
@@ -20,22 +20,22 @@
 public final class HealthReportAggregator implements PayloadProvider {
     /** Effects of health reports on the balancer. */
     public interface Actions {
-        /** Exactly these caches are outliers from now on. */
+        /** Replaces the set of outliers. */
         void setOutliers(Set<Long> outliers);
 
-        /** Reports are queued that any peer may be sent soon. */
+        /** Called when reports were queued that may be sent to any peer soon. */
         void onReportsPending();
 
-        /** Sends one section to one peer now; false if the gossip bandwidth limit rejects it. */
+        /** Sends one section to one peer; returns false if over the gossip bandwidth limit. */
         boolean sendSection(int to, int type, ByteBuffer section);
 
-        /** By its own attempts this balancer now finds a cache unhealthy, and did not before. */
+        /** Called when this balancer's own attempts show that a cache has become unhealthy. */
         void onLocallyUnhealthy(long cache);
     }
 
     /** Decides whose reports count. */
     public interface Trust {
-        /** Whether a peer is alive at this moment and acts on a current endpoint list. */
+        /** Returns whether a peer is alive at this moment and acts on a current endpoint list. */
         boolean isTrusted(long now, int rank);
     }
 
@@ -69,7 +69,7 @@
     private boolean isolated;
     private long evaluateAtNanos;
 
-    /** When pending reports are next sent to all peers directly; small clusters only. */
+    /** Time of the next direct send of pending reports to all peers; small clusters only. */
     private long sendAtNanos = NEVER;
 
     private long writtenCount;
@@ -101,8 +101,8 @@
     }
 
     /**
-     * A new endpoint list was applied. Local statistics of caches that were removed or restarted
-     * are dropped.
+     * Applies a new endpoint list and drops local statistics of caches that were removed or
+     * restarted.
      *
      * @param caches the ready ones, with their start times in Unix milliseconds
      */
@@ -120,20 +120,20 @@
         return start == null || previousStart != null && !previousStart.equals(start);
     }
 
-    /** This balancer has a new incarnation from now on. */
+    /** Sets the incarnation that further reports of this balancer carry. */
     public void onIncarnationChange(long newIncarnation) {
         incarnation = newIncarnation;
     }
 
-    /** Whether this balancer receives from no peer at all; if so it has no outliers. */
+    /** Sets whether this balancer receives from no peer at all; if so it has no outliers. */
     public void onIsolation(long now, boolean isolatedNow) {
         isolated = isolatedNow;
         evaluate(now);
     }
 
     /**
-     * An attempt of this balancer at a cache, sent at {@code sentAtNanos}, ended with this
-     * observation; caches that are not ready are ignored.
+     * Records the observation of an attempt of this balancer that was sent at {@code sentAtNanos};
+     * caches that are not ready are ignored.
      */
     public void onAttemptObserved(
             long now, long cache, AttemptObservation observation, long sentAtNanos) {
@@ -197,7 +197,7 @@
     }
 
     /**
-     * A gossip section was received; sections of other modules are ignored. Relayed reports are
+     * Merges a received gossip section; sections of other modules are ignored. Relayed reports are
      * kept apart from the sender's own.
      *
      * @param delayNanos time for which the datagram was delayed on its way
@@ -241,7 +241,7 @@
         return !expired && !full;
     }
 
-    /** Only unhealthy reports are relayed, and only those of a third balancer. */
+    /** Returns whether a report may be relayed: only unhealthy ones of a third balancer are. */
     private boolean isRelayable(HealthReport report, int sender) {
         return report.rank() != sender && report.rank() < clusterSize && report.isUnhealthy();
     }
@@ -270,7 +270,7 @@
 
     /**
      * Relays a direct report once under its reporter's name, in clusters too large for the reporter
-     * to send to everybody.
+     * to send to every peer.
      */
     private void relay(long now, long cache, HealthReport report, long writtenAtNanos) {
         if (reportQueue.isSmallCluster()) {
@@ -300,8 +300,8 @@
     }
 
     /**
-     * In a small cluster every peer is sent pending reports directly; lost ones are made up for by
-     * the second send or by a section on a probe.
+     * Sends pending reports directly to every peer of a small cluster. A peer that misses one
+     * receives it with the second send or with a probe.
      */
     private void sendToAll(long now) {
         sendAtNanos = NEVER;
@@ -316,12 +316,12 @@
         sendAtNanos = reportQueue.isEmpty() ? NEVER : now + settings.minReportIntervalNanos();
     }
 
-    /** When {@link #onTimer} is to be called next. */
+    /** Returns when {@link #onTimer} is to be called next. */
     public long nextWakeupNanos() {
         return Math.min(evaluateAtNanos, sendAtNanos);
     }
 
-    /** To be called at {@link #nextWakeupNanos} or a little later: expires old reports. */
+    /** Sends pending and drops expired reports; called at {@link #nextWakeupNanos} or later. */
     public void onTimer(long now) {
         if (now >= sendAtNanos) {
             sendToAll(now);
@@ -336,8 +336,8 @@
     }
 
     /**
-     * How many peers, trusted or not, report a cache as unhealthy themselves; with enough of them
-     * no further reports are spread.
+     * Returns how many peers, trusted or not, report a cache as unhealthy themselves; if they are
+     * enough, no further reports are sent.
      */
     private int directReporterCount(long now, long cache, int serverStart) {
         PeerReports cacheReports = peerReports.get(cache);
@@ -361,32 +361,34 @@
         return new OutlierEvaluator.Evidence(readyCaches, localStats, peerReports);
     }
 
-    /** The caches that are ejected at present. */
+    /** Returns the caches that are ejected at present. */
     public Set<Long> outliers() {
         return outliers;
     }
 
-    /** Peers' latest reports on a cache, direct or relayed, by rank, with their ages in ns. */
+    /**
+     * Returns peers' latest reports on a cache, direct or relayed, by rank, and their ages in ns.
+     */
     public Map<HealthReport, Long> reportAges(long now, long cache) {
         PeerReports cacheReports = peerReports.get(cache);
         return cacheReports == null ? Map.of() : cacheReports.reportAges(now);
     }
 
-    /** The caches on which any peer reports. */
+    /** Returns the caches on which any peer reports. */
     public Set<Long> reportedCaches() {
         return new TreeSet<>(peerReports.keySet());
     }
 
     /**
-     * Reports since the start.
+     * Numbers of reports since the start.
      *
      * @param written of this balancer, queued for its peers
-     * @param merged received and newer than what was known
+     * @param merged received and newer than the known report
      * @param rejected received, but expired or impossible
      */
     public record ReportCounts(long written, long merged, long rejected) {}
 
-    /** How many reports were written, merged and rejected since the start. */
+    /** Returns how many reports were written, merged and rejected since the start. */
     public ReportCounts reportCounts() {
         return new ReportCounts(writtenCount, mergedCount, rejectedCount);
     }
--- a/healthreports/src/main/java/frostrelay/healthreports/LocalHealthStats.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/LocalHealthStats.java
@@ -23,8 +23,8 @@
     int sequenceNumber;
 
     /**
-     * Counts an attempt that was sent at {@code sentAtNanos}. An unanswered one is ignored if the
-     * cache has answered another since it was sent: then its key is slow, not the cache.
+     * Counts an attempt that was sent at {@code sentAtNanos}. An unanswered attempt is ignored if
+     * the cache has answered another one since, because then the key is slow and not the cache.
      */
     void recordAttempt(
             long now, AttemptObservation observation, long sentAtNanos, long halfLifeNanos) {
@@ -55,28 +55,28 @@
         }
     }
 
-    /** Whether the cache answered so recently that peers' reports are to be ignored. */
+    /** Returns whether the cache answered recently enough to outweigh the reports of peers. */
     boolean hasFreshSuccess(long now, long freshNanos) {
         return now - lastSuccessNanos < freshNanos && consecutiveFailures == 0;
     }
 
-    /** Whether the latest attempt failed and has not decayed yet. */
+    /** Returns whether the latest attempt failed and has not decayed yet. */
     boolean isFailing() {
         return consecutiveFailures > 0;
     }
 
     /**
-     * When the cache last answered, if nothing has failed since: it supersedes older reports.
-     * Otherwise {@link Long#MIN_VALUE}.
+     * Returns the time of the cache's last answer, which supersedes older reports, or {@link
+     * Long#MIN_VALUE} if an attempt has failed since.
      */
     long answeredAtNanos() {
         return consecutiveFailures == 0 ? lastSuccessNanos : Long.MIN_VALUE;
     }
 
     /**
-     * Whether two attempts in a row failed, one failed after a half-life without an answer, or most
-     * recent ones failed. Unanswered attempts alone do not count while the cache has answered
-     * others within a half-life: it is slow for some keys then.
+     * Returns whether two attempts in a row failed, one failed after a half-life without an answer,
+     * or most recent ones failed. Unanswered attempts alone do not count while the cache has
+     * answered others within a half-life, because then it is slow for some keys only.
      */
     boolean isUnhealthy(long now, HealthReportSettings settings) {
         decay(now, settings.halfLifeNanos());
--- a/healthreports/src/main/java/frostrelay/healthreports/OutlierEvaluator.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/OutlierEvaluator.java
@@ -10,20 +10,20 @@
 import java.util.TreeSet;
 
 /**
- * The ejection rule: which of the ready caches are outliers, by this balancer's own statistics and
- * its peers' reports. Keeps no state between evaluations.
+ * The ejection rule, which selects the outliers among the ready caches from this balancer's own
+ * statistics and its peers' reports. Keeps no state between evaluations.
  */
 final class OutlierEvaluator {
-    /** With fewer peers than this, all but one of them suffice as reporters. */
+    /** Number of peers below which reports of all peers but one are sufficient. */
     private static final int FULL_QUORUM_PEERS = 4;
 
     /**
-     * A reporter that its peers contradict on more than this fraction of the caches that both
-     * report on is not trusted.
+     * A reporter is not trusted if more than this fraction of its unhealthy reports is contradicted
+     * and it has at least {@link #MIN_CONTRADICTED_REPORTS} such reports.
      */
     private static final double MAX_CONTRADICTED_FRACTION = 0.5;
 
-    /** A reporter is trusted as long as fewer of its reports than this are contradicted. */
+    /** A reporter with fewer contradicted reports than this is trusted. */
     private static final int MIN_CONTRADICTED_REPORTS = 2;
 
     private final HealthReportSettings settings;
@@ -31,7 +31,7 @@
     private final boolean smallCluster;
     private final HealthReportAggregator.Trust trust;
 
-    /** What one evaluation goes by; the maps are the aggregator's own and are only read. */
+    /** Input of one evaluation; the maps belong to the aggregator and are not modified. */
     record Evidence(
             Map<Long, Integer> readyCaches,
             Map<Long, LocalHealthStats> localStats,
@@ -39,13 +39,13 @@
 
     /** A cache that enough reporters find unhealthy. */
     private record Suspect(long cache, int reporters, int observationBits) {
-        /** Whether no attempt found its connection refused or reset. */
+        /** Returns whether no attempt found its connection refused or reset. */
         boolean isReachable() {
             return (observationBits & AttemptObservation.UNREACHABLE_BITS) == 0;
         }
     }
 
-    /** How many unhealthy reports a reporter has made, and how many of them are contradicted. */
+    /** Counts of a reporter's unhealthy reports, and of those that are contradicted. */
     private static final class ContradictionCount {
         int total;
         int contradicted;
@@ -67,7 +67,7 @@
         this.trust = trust;
     }
 
-    /** The outliers at this moment, at most the configured fraction of the ready caches. */
+    /** Returns the outliers at this moment, at most the configured fraction of the ready caches. */
     Set<Long> evaluate(long now, Evidence evidence) {
         List<Suspect> suspects = findSuspects(now, evidence);
         removeUnconfirmed(suspects, evidence.readyCaches.size());
@@ -115,9 +115,9 @@
     }
 
     /**
-     * Whether peers report nothing but unanswered attempts at a cache that has answered this
-     * balancer lately: it is slow for some keys, and for requests queued behind them on one
-     * connection.
+     * Returns whether peers report only unanswered attempts at a cache that has answered this
+     * balancer recently. Such a cache is slow for some keys, and for requests queued after them on
+     * the same connection.
      */
     private boolean isSlowForSomeKeysOnly(
             long now, PeerReports.Summary summary, LocalHealthStats local) {
@@ -127,16 +127,16 @@
     }
 
     /**
-     * Whether this balancer counts as one more reporter, which needs no trust: unless its last
-     * attempt was answered.
+     * Returns whether this balancer counts as one more reporter: its own statistics show the cache
+     * unhealthy and its last attempt was not answered. Trust is checked for peers only.
      */
     private boolean isLocallyUnhealthy(long now, LocalHealthStats local) {
         return local != null && local.isFailing() && local.isUnhealthy(now, settings);
     }
 
     /**
-     * Drops suspects with too few reporters. Where many reachable caches fail at once the cause is
-     * taken to lie behind all of them, such as their origin, and no reachable one is an outlier.
+     * Drops suspects with too few reporters. If many reachable caches fail at once, a common cause
+     * such as their origin is assumed, and no reachable cache is an outlier.
      */
     private void removeUnconfirmed(List<Suspect> suspects, int readyCaches) {
         int required = requiredReporters();
@@ -164,7 +164,8 @@
     }
 
     /**
-     * Reporters whose unhealthy reports are mostly contradicted by others and confirmed by nobody.
+     * Returns reporters whose unhealthy reports are mostly contradicted and not confirmed by
+     * others.
      */
     private Set<Integer> untrustedReporters(long now, Evidence evidence) {
         Map<Integer, ContradictionCount> counts = new HashMap<>();
--- a/healthreports/src/main/java/frostrelay/healthreports/PeerReports.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/PeerReports.java
@@ -12,7 +12,7 @@
 
 /**
  * Peers' reports on one cache. A reporter's direct report and the copies that other peers relay are
- * kept apart; a relayed copy does not count where a newer direct report is known. Not thread-safe.
+ * kept apart; a relayed copy does not count if a newer direct report is known. Not thread-safe.
  */
 final class PeerReports {
     /** Bounds on memory, above the number of reporters that any decision needs. */
@@ -20,18 +20,18 @@
 
     private static final int MAX_RELAYS_PER_REPORTER = 3;
 
-    /** A report, and when its reporter wrote it on this balancer's clock. */
+    /** A report, with the time at which it was written, on this balancer's clock. */
     static final class LatestReport {
         HealthReport report;
         long writtenAtNanos;
 
         /** Keeps the newer report; returns whether that changed anything. */
         boolean merge(HealthReport other, long otherWrittenAtNanos) {
-            HealthReport joined = HealthReport.newerOf(report, other);
-            if (joined.equals(report)) {
+            HealthReport newer = HealthReport.newerOf(report, other);
+            if (newer.equals(report)) {
                 return false;
             }
-            report = joined;
+            report = newer;
             writtenAtNanos = otherWrittenAtNanos;
             return true;
         }
@@ -46,13 +46,13 @@
     /** By reporter, then by the peer that relayed it. */
     private final Map<Integer, Map<Integer, LatestReport>> relayed = new TreeMap<>();
 
-    /** A peer sent its own report; returns whether it is newer than what was known. */
+    /** Adds a report that its reporter sent; returns whether it is newer than the known one. */
     boolean addDirect(HealthReport report, long writtenAtNanos) {
         return direct.computeIfAbsent(report.rank(), rank -> new LatestReport())
                 .merge(report, writtenAtNanos);
     }
 
-    /** A peer relayed a report of another; returns whether it is newer than what was known. */
+    /** Adds a report that another peer relayed; returns whether it is newer than the known one. */
     boolean addRelayed(int relay, HealthReport report, long writtenAtNanos) {
         Map<Integer, LatestReport> byRelay = relayed.get(report.rank());
         if (byRelay == null) {
@@ -86,21 +86,22 @@
     }
 
     /**
-     * All reports on the cache taken together.
+     * A summary of all current reports on the cache.
      *
      * @param unhealthyReporters independent reporters that find it unhealthy
      * @param healthyReporters direct reporters that find it healthy
-     * @param observationBits what the unhealthy ones observed, see {@link AttemptObservation#bit}
+     * @param observationBits observations of the unhealthy reporters, see {@link
+     *     AttemptObservation#bit}
      */
     record Summary(int unhealthyReporters, int healthyReporters, int observationBits) {}
 
     /**
-     * Counts independent reporters. One counts by its direct report, or by a relayed one together
-     * with its relay; no peer is used twice, as reporter or relay, so a peer that sends false
-     * reports counts once in whatever names it writes.
+     * Counts independent reporters. A reporter counts through its direct report, or through a
+     * relayed one together with the relaying peer. No peer is used twice, as reporter or relay, so
+     * a peer that sends false reports under several names counts once.
      *
-     * @param supersededBeforeNanos unhealthy reports written by then do not count
-     * @param isTrusted by rank; reports from and through others do not count
+     * @param supersededBeforeNanos unhealthy reports written at or before this time do not count
+     * @param isTrusted tests a rank; reports written or relayed by other peers do not count
      */
     Summary summarize(
             long now,
@@ -154,7 +155,10 @@
         return new Summary(unhealthyReporters, healthyReporters, observationBits);
     }
 
-    /** Ranks of the peers whose own current report finds the cache unhealthy, or healthy. */
+    /**
+     * Returns the ranks of the peers whose own current report finds the cache unhealthy, or
+     * healthy.
+     */
     List<Integer> directReporters(long now, long expiryNanos, int serverStart, boolean unhealthy) {
         List<Integer> found = new ArrayList<>();
         direct.forEach(
@@ -167,7 +171,7 @@
         return found;
     }
 
-    /** Each reporter's latest report, direct or relayed, with its age in ns; ordered by rank. */
+    /** Returns each reporter's latest report, direct or relayed, and its age in ns, by rank. */
     Map<HealthReport, Long> reportAges(long now) {
         Map<Integer, LatestReport> latest = new TreeMap<>(direct);
         relayed.forEach(
--- a/healthreports/src/main/java/frostrelay/healthreports/ReportQueue.java
+++ b/healthreports/src/main/java/frostrelay/healthreports/ReportQueue.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 
 /**
- * Reports that are to be sent to peers, and how often each peer was sent them: once in large
- * clusters, where a report reaches a limited number of peers, and twice in small ones, where it
- * goes to all. The newest goes first; expired reports are dropped. Not thread-safe.
+ * A queue of reports to be sent to peers, which counts the sends to each peer. In large clusters a
+ * report is sent once to each of a limited number of peers, in small ones twice to every peer.
+ * Newer reports are sent first; expired ones are dropped. Not thread-safe.
  */
 final class ReportQueue {
     /**
-     * With this many peers or fewer, every peer is sent each report directly, twice: at 30% loss
-     * nine of a hundred miss both, and probes carry it later.
+     * Number of peers up to which every peer is sent each report directly, twice. At 30% loss nine
+     * of a hundred peers miss both sends; they receive the report with a probe later.
      */
     static final int SMALL_CLUSTER_PEERS = 16;
 
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Queues a report of this balancer, or one that a peer sent about its own attempts, in place of
-     * that reporter's previous one. Small clusters relay nothing.
+     * Queues a report in place of its reporter's previous one on that cache. The reporter is this
+     * balancer, or a peer whose direct report is to be relayed; small clusters relay no reports.
      */
     void add(long cache, HealthReport report, long writtenAtNanos) {
         boolean local = report.rank() == localRank;
@@ -92,7 +92,7 @@
         return items.isEmpty();
     }
 
-    /** Whether any report is still to be sent to this peer. */
+    /** Returns whether any report is still to be sent to this peer. */
     boolean hasPending(int to) {
         return items.values().stream().anyMatch(item -> isDue(item, to));
     }
@@ -103,7 +103,7 @@
                 && item.sendsByPeer.getOrDefault(to, 0) < (smallCluster ? SENDS_PER_PEER : 1);
     }
 
-    /** The latest batch was not sent to this peer: its reports become due again. */
+    /** Makes the reports of the latest batch due again, as it was not sent to this peer. */
     void onSendFailed(int to) {
         lastBatch.forEach(
                 (key, item) -> {
--- a/healthreports/src/test/java/frostrelay/counters/ClusterCountersTest.java
+++ b/healthreports/src/test/java/frostrelay/counters/ClusterCountersTest.java
@@ -23,8 +23,8 @@
 import java.util.Random;
 
 /**
- * Cluster totals stay within their bounds whatever sections are lost, delayed, duplicated or
- * truncated.
+ * Checks that cluster totals stay within their bounds when sections are lost, delayed, duplicated
+ * or truncated.
  */
 class ClusterCountersTest {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
@@ -48,7 +48,7 @@
     }
 
     @Property(tries = 1_000)
-    void joinIsCommutativeAssociativeAndIdempotent(
+    void mergeIsCommutativeAssociativeAndIdempotent(
             @ForAll("vectors") GrowOnlyCounters a,
             @ForAll("vectors") GrowOnlyCounters b,
             @ForAll("vectors") GrowOnlyCounters c) {
@@ -72,7 +72,7 @@
                 (to, type, section) -> {});
     }
 
-    /** The section that a balancer would send to a peer now; empty if there is none. */
+    /** Returns the section that a balancer would send to a peer now; empty if none is due. */
     private static ByteBuffer encodedFor(ClusterCounters source, long now, int to) {
         ByteBuffer loaded = Datagrams.loaded(source, now, to);
         return loaded.hasRemaining() ? loaded.slice(2, loaded.remaining() - 2) : loaded;
@@ -86,8 +86,8 @@
             ByteBuffer section) {}
 
     /**
-     * Four balancers with uneven traffic; sections to the first are lost, duplicated, late by up to
-     * two seconds and reordered.
+     * Four balancers with uneven traffic; sections to the first are lost, duplicated, delayed by up
+     * to two seconds and reordered.
      */
     private static final class SimulatedCluster {
         static final int SIZE = 4;
@@ -95,7 +95,7 @@
         final int lossPercent;
         final ClusterCounters[] all = new ClusterCounters[SIZE];
         final long[] startTimes = new long[SIZE];
-        final long[] truth = new long[SIZE];
+        final long[] trueCounts = new long[SIZE];
         final List<DelayedSection> inTransit = new ArrayList<>();
         long now = NANOS_PER_SECOND;
 
@@ -108,7 +108,7 @@
             }
         }
 
-        /** One section of each arrives: the total of a peer never heard from is unbounded. */
+        /** Delivers one section of each peer; without one the upper bound would be infinite. */
         void deliverFirstSections() {
             for (int i = 1; i < SIZE; i++) {
                 all[0].onSection(
@@ -126,7 +126,7 @@
             for (int i = 0; i < SIZE; i++) {
                 if (random.nextInt(i + 1) == 0) {
                     all[i].increment(ClusterCounter.SENDS);
-                    truth[i]++;
+                    trueCounts[i]++;
                 }
             }
             int i = 1 + random.nextInt(SIZE - 1);
@@ -149,24 +149,24 @@
                     section);
         }
 
-        private boolean deliverIfDue(DelayedSection one) {
-            if (one.deliverAtNanos > now) {
+        private boolean deliverIfDue(DelayedSection delayed) {
+            if (delayed.deliverAtNanos > now) {
                 return false;
             }
             all[0].onSection(
                     now,
-                    now - one.sentAtNanos,
-                    one.from,
-                    Incarnation.fromUnixMillis(one.startedAtUnixMillis),
+                    now - delayed.sentAtNanos,
+                    delayed.from,
+                    Incarnation.fromUnixMillis(delayed.startedAtUnixMillis),
                     SECTION,
-                    one.section);
+                    delayed.section);
             return true;
         }
     }
 
-    /** At each moment the true total lies between the known one and the upper bound. */
+    /** Checks at each step that the true total lies between the known one and the upper bound. */
     @Property(tries = 150)
-    void theTruthLiesWithinTheBounds(
+    void trueTotalLiesBetweenKnownTotalAndUpperBound(
             @ForAll long seed, @ForAll @IntRange(min = 0, max = 60) int lost) {
         SimulatedCluster cluster = new SimulatedCluster(seed, lost);
         ClusterCounters first = cluster.all[0];
@@ -177,12 +177,12 @@
                 first.tick(cluster.now);
             }
             CounterTotal sum = first.total(cluster.now, ClusterCounter.SENDS);
-            long sent = Arrays.stream(cluster.truth).sum();
+            long sent = Arrays.stream(cluster.trueCounts).sum();
             assertTrue(
                     sum.known() <= sent && sent <= sum.upperBound(),
                     step + ": " + sum + " and " + sent);
             assertEquals(
-                    cluster.truth[0],
+                    cluster.trueCounts[0],
                     first.total(cluster.now, ClusterCounter.SENDS).known()
                             - first.peerCounters(cluster.now).stream()
                                     .filter(row -> isFresh(row))
@@ -203,7 +203,7 @@
         assertEquals(
                 0,
                 first.peerCounters(cluster.now).get(0).values()[ClusterCounter.SENDS.ordinal()],
-                "a later incarnation begins with nothing");
+                "a later incarnation starts counting at 0");
     }
 
     private static boolean isFresh(ClusterCounters.PeerCounters row) {
@@ -211,8 +211,8 @@
     }
 
     @Test
-    void withoutReportsATotalDecaysToTheLocalCountTimesTheClusterSizeWithoutAStep() {
-        ClusterCounters mine = newCounters(0, 5, 0, START_UNIX_MILLIS);
+    void withoutSectionsARateMovesGraduallyToTheLocalRateTimesTheClusterSize() {
+        ClusterCounters local = newCounters(0, 5, 0, START_UNIX_MILLIS);
         ClusterCounters[] peers = new ClusterCounters[5];
         for (int i = 1; i < 5; i++) {
             peers[i] = newCounters(i, 5, 0, START_UNIX_MILLIS + i);
@@ -224,7 +224,7 @@
                 for (int n = 0; n < 100; n++) {
                     peers[i].increment(ClusterCounter.FIRST_TRIES);
                 }
-                mine.onSection(
+                local.onSection(
                         now,
                         0,
                         i,
@@ -233,78 +233,78 @@
                         encodedFor(peers[i], now, 0));
             }
             for (int n = 0; n < 10; n++) {
-                mine.increment(ClusterCounter.FIRST_TRIES);
+                local.increment(ClusterCounter.FIRST_TRIES);
             }
-            mine.tick(now);
+            local.tick(now);
         }
-        assertEquals(410, mine.total(now, ClusterCounter.FIRST_TRIES).ratePerSecond(), 1);
-        assertEquals(5, mine.total(now, ClusterCounter.FIRST_TRIES).coveredMembers());
-        double before = mine.total(now, ClusterCounter.FIRST_TRIES).ratePerSecond();
+        assertEquals(410, local.total(now, ClusterCounter.FIRST_TRIES).ratePerSecond(), 1);
+        assertEquals(5, local.total(now, ClusterCounter.FIRST_TRIES).coveredMembers());
+        double before = local.total(now, ClusterCounter.FIRST_TRIES).ratePerSecond();
         for (int tenth = 1; tenth <= 120; tenth++) {
             now += NANOS_PER_SECOND / 10;
             if (tenth % 10 == 0) {
                 for (int n = 0; n < 10; n++) {
-                    mine.increment(ClusterCounter.FIRST_TRIES);
+                    local.increment(ClusterCounter.FIRST_TRIES);
                 }
-                mine.tick(now);
+                local.tick(now);
             }
-            double rate = mine.total(now, ClusterCounter.FIRST_TRIES).ratePerSecond();
+            double rate = local.total(now, ClusterCounter.FIRST_TRIES).ratePerSecond();
             assertTrue(
                     rate <= before + 1e-6 && before - rate < 60, "from " + before + " to " + rate);
             before = rate;
         }
         assertEquals(50, before, 1);
-        CounterTotal alone = mine.total(now, ClusterCounter.FIRST_TRIES);
+        CounterTotal alone = local.total(now, ClusterCounter.FIRST_TRIES);
         assertEquals(1, alone.coveredMembers());
         assertEquals(5, alone.aliveMembers());
         assertTrue(
                 alone.upperBound() >= 4 * 500 + alone.known(),
-                "a peer that is not heard from does not count as 0: " + alone);
+                "a peer with expired counters is not counted as 0: " + alone);
         ClusterCounters fresh = newCounters(0, 5, now, START_UNIX_MILLIS);
         assertEquals(
                 Double.POSITIVE_INFINITY,
                 fresh.total(now, ClusterCounter.SENDS).upperBound(),
-                "nor does one that never was");
+                "without a section from a peer the upper bound is infinite");
     }
 
     @Test
-    void whatNobodyCanHaveDoneAndWhatIsCutOffIsPassedOver() {
-        ClusterCounters mine = newCounters(0, 3, 0, START_UNIX_MILLIS);
+    void implausibleAndTruncatedSectionsAreRejected() {
+        ClusterCounters local = newCounters(0, 3, 0, START_UNIX_MILLIS);
         ClusterCounters other = newCounters(1, 3, 0, START_UNIX_MILLIS + 1);
-        mine.onSection(
+        local.onSection(
                 NANOS_PER_SECOND,
                 0,
                 1,
                 Incarnation.fromUnixMillis(START_UNIX_MILLIS + 1),
                 SECTION,
                 encodedFor(other, NANOS_PER_SECOND, 0));
-        long[] much = new long[GrowOnlyCounters.COUNTER_COUNT];
-        Arrays.fill(much, 1L << 39);
-        ByteBuffer lie = ByteBuffer.allocate(GrowOnlyCounters.encodedBytes());
-        new GrowOnlyCounters(0, much).write(lie);
-        mine.onSection(
+        long[] hugeValues = new long[GrowOnlyCounters.COUNTER_COUNT];
+        Arrays.fill(hugeValues, 1L << 39);
+        ByteBuffer implausible = ByteBuffer.allocate(GrowOnlyCounters.encodedBytes());
+        new GrowOnlyCounters(0, hugeValues).write(implausible);
+        local.onSection(
                 2 * NANOS_PER_SECOND,
                 0,
                 1,
                 Incarnation.fromUnixMillis(START_UNIX_MILLIS + 1),
                 SECTION,
-                lie.flip());
-        assertEquals(0, mine.total(2 * NANOS_PER_SECOND, ClusterCounter.SENDS).known());
-        assertEquals(1, mine.rejectedCount());
-        mine.onSection(
+                implausible.flip());
+        assertEquals(0, local.total(2 * NANOS_PER_SECOND, ClusterCounter.SENDS).known());
+        assertEquals(1, local.rejectedCount());
+        local.onSection(
                 2 * NANOS_PER_SECOND,
                 0,
                 2,
                 Incarnation.fromUnixMillis(START_UNIX_MILLIS + 2),
                 SECTION,
                 ByteBuffer.wrap(new byte[] {1, 2, 3}));
-        mine.onSection(
+        local.onSection(
                 2 * NANOS_PER_SECOND,
                 0,
                 9,
                 Incarnation.fromUnixMillis(START_UNIX_MILLIS + 2),
                 SECTION,
-                lie.rewind());
-        assertEquals(2, mine.total(2 * NANOS_PER_SECOND, ClusterCounter.SENDS).coveredMembers());
+                implausible.rewind());
+        assertEquals(2, local.total(2 * NANOS_PER_SECOND, ClusterCounter.SENDS).coveredMembers());
     }
 }
--- a/healthreports/src/test/java/frostrelay/counters/FormerCounterFormatTest.java
+++ b/healthreports/src/test/java/frostrelay/counters/FormerCounterFormatTest.java
@@ -11,10 +11,12 @@
 import java.io.InputStream;
 import java.nio.ByteBuffer;
 
-/** A section of counters that version 0.7.0 wrote is read, and written again alike. */
+/**
+ * Checks that a counter section written by version 0.7.0 is read, and encoded to the same bytes.
+ */
 class FormerCounterFormatTest {
     @Test
-    void countersAreReadAndWrittenAlike() throws IOException {
+    void countersAreReadAndEncodedToTheSameBytes() throws IOException {
         byte[] section;
         try (InputStream in =
                 FormerCounterFormatTest.class.getResourceAsStream("format-0.7.0/counters.bin")) {
--- a/healthreports/src/test/java/frostrelay/gossip/Datagrams.java
+++ b/healthreports/src/test/java/frostrelay/gossip/Datagrams.java
@@ -2,11 +2,11 @@
 
 import java.nio.ByteBuffer;
 
-/** An empty datagram's payload, for tests of payload providers in other modules. */
+/** Access to the payload of an empty datagram, for tests of payload providers in other modules. */
 public final class Datagrams {
     private Datagrams() {}
 
-    /** The sections that a provider writes into an empty datagram for a balancer. */
+    /** Returns the sections that a provider writes into an empty datagram for a balancer. */
     public static ByteBuffer loaded(PayloadProvider provider, long now, int to) {
         ByteBuffer out = ByteBuffer.allocate(GossipDatagram.MAX_BYTES);
         provider.writeSections(
--- a/healthreports/src/test/java/frostrelay/healthreports/ExploredCluster.java
+++ b/healthreports/src/test/java/frostrelay/healthreports/ExploredCluster.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 
 /**
- * Three balancers of a cluster, the datagrams between them, and what each truly observed; state of
- * {@link HealthReportExplorationTest}, created anew for each sequence of steps.
+ * Three balancers of a cluster, the datagrams between them and the true observations of each: the
+ * state of {@link HealthReportExplorationTest}, built from scratch for each sequence of steps.
  */
 final class ExploredCluster {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -23,28 +23,28 @@
     /** Large enough for reports to be relayed. */
     static final int LARGE = 20;
 
-    private static final int LIAR = 3;
+    private static final int FAULTY_PEER = 3;
     private static final int CACHES = 3;
 
-    /** Faults put in on purpose, to see that the exploration finds them. */
+    /** Faults seeded to check that the exploration finds them. */
     enum SeededDefect {
         NONE,
-        COUNTS_THE_BRINGER,
-        KEEPS_OLD_STARTS,
-        BELIEVES_THE_BRINGER
+        COUNTS_SENDER_AS_ANOTHER_REPORTER,
+        MISSES_CACHE_RESTARTS,
+        TREATS_RELAYED_AS_DIRECT
     }
 
     enum ActionKind {
-        BAD,
-        GOOD,
-        TELL,
+        ATTEMPT_FAILED,
+        ATTEMPT_ANSWERED,
+        SEND,
         DELIVER,
-        DOUBLE,
-        LOSE,
-        ANEW,
-        BOOT,
+        DELIVER_DUPLICATE,
+        DROP,
+        RESTART_BALANCER,
+        RESTART_CACHE,
         WAIT,
-        LIE
+        SEND_FALSE_REPORTS
     }
 
     record Step(ActionKind kind, int balancer, int other) {}
@@ -55,8 +55,10 @@
     final SeededDefect defect;
     final int clusterSize;
 
-    /** Whether the liar has spoken to anybody: it may pass for one that saw the cache bad. */
-    boolean lied;
+    /**
+     * Whether the faulty peer has sent reports: it then counts as one balancer that saw a failure.
+     */
+    boolean falseReportsSent;
 
     final HealthReportAggregator[] nodes = new HealthReportAggregator[ACTORS];
     final long[] incarnations = new long[ACTORS];
@@ -65,12 +67,14 @@
     final long[] serverStarts = new long[CACHES + 1];
 
     /**
-     * When a balancer last truly saw a cache bad in its present start, by balancer and cache; and
-     * how often in a row.
+     * Time of the last failed attempt of a balancer at a cache since the cache's latest start, by
+     * balancer and cache.
      */
     final long[][] lastFailureNanos = new long[ACTORS][CACHES + 1];
 
+    /** Failed attempts in a row, by balancer and cache. */
     final int[][] consecutiveFailures = new int[ACTORS][CACHES + 1];
+
     long now = 100 * NANOS_PER_SECOND;
     long restarts;
 
@@ -107,12 +111,12 @@
 
                             @Override
                             public void onReportsPending() {
-                                // Telling is a step of its own.
+                                // Reports are sent in steps of their own.
                             }
 
                             @Override
                             public void onLocallyUnhealthy(long cache) {
-                                // Nobody reads along.
+                                // Not part of this exploration.
                             }
                         });
         sendEndpointList(i);
@@ -130,35 +134,35 @@
         now += NANOS_PER_SECOND / 10;
         int b = step.balancer;
         switch (step.kind) {
-            case BAD -> {
+            case ATTEMPT_FAILED -> {
                 lastFailureNanos[b][step.other] = now;
                 consecutiveFailures[b][step.other]++;
                 nodes[b].onAttemptObserved(now, step.other, AttemptObservation.SILENT, now);
             }
-            case GOOD -> {
+            case ATTEMPT_ANSWERED -> {
                 consecutiveFailures[b][step.other] = 0;
                 nodes[b].onAttemptObserved(now, step.other, AttemptObservation.ANSWERED, now);
             }
-            case TELL -> {
-                byte[] sections = LoadedSections.loadedFor(nodes[b], now, step.other);
+            case SEND -> {
+                byte[] sections = LoadedSections.sectionsFor(nodes[b], now, step.other);
                 if (sections.length > 0) {
                     inTransit.add(new Message(b, step.other, incarnations[b], sections));
                 }
             }
             case DELIVER -> deliver(inTransit.remove(step.other));
-            case DOUBLE -> deliver(inTransit.get(step.other));
-            case LIE -> sendFalseReports(b);
-            case LOSE -> inTransit.remove(step.other);
-            case ANEW -> {
+            case DELIVER_DUPLICATE -> deliver(inTransit.get(step.other));
+            case SEND_FALSE_REPORTS -> sendFalseReports(b);
+            case DROP -> inTransit.remove(step.other);
+            case RESTART_BALANCER -> {
                 Arrays.fill(consecutiveFailures[b], 0);
                 restart(b);
             }
-            case BOOT -> {
+            case RESTART_CACHE -> {
                 serverStarts[step.other]++;
                 for (int i = 0; i < ACTORS; i++) {
                     lastFailureNanos[i][step.other] = Long.MIN_VALUE / 2;
                     consecutiveFailures[i][step.other] = 0;
-                    if (defect != SeededDefect.KEEPS_OLD_STARTS || i != 2) {
+                    if (defect != SeededDefect.MISSES_CACHE_RESTARTS || i != 2) {
                         sendEndpointList(i);
                     }
                 }
@@ -172,21 +176,25 @@
         }
     }
 
-    /** The liar reports cache 1 in its own name and relays reports in those of three others. */
+    /**
+     * Delivers reports of the faulty peer on cache 1: a direct one, and relayed ones that it
+     * attributes to three other balancers.
+     */
     private void sendFalseReports(int to) {
-        lied = true;
+        falseReportsSent = true;
         long incarnation = Incarnation.fromUnixMillis(1_790_000_000_000L);
         ByteBuffer out =
                 ByteBuffer.allocate(4 + HealthReport.BYTES + 3 * HealthReport.RELAYED_BYTES);
         out.put((byte) 32).put((byte) HealthReport.BYTES);
-        new HealthReport(LIAR, incarnation, 1, (int) serverStarts[1], 0, 9, 8)
+        new HealthReport(FAULTY_PEER, incarnation, 1, (int) serverStarts[1], 0, 9, 8)
                 .write(out, 1, 0, false);
         out.put((byte) 33).put((byte) (3 * HealthReport.RELAYED_BYTES));
         for (int other = 0; other < ACTORS; other++) {
-            new HealthReport(LIAR + 1 + other, incarnation, 1, (int) serverStarts[1], 0, 9, 8)
+            new HealthReport(
+                            FAULTY_PEER + 1 + other, incarnation, 1, (int) serverStarts[1], 0, 9, 8)
                     .write(out, 1, 0, true);
         }
-        deliver(new Message(LIAR, to, incarnation, out.array()));
+        deliver(new Message(FAULTY_PEER, to, incarnation, out.array()));
     }
 
     private void deliver(Message message) {
@@ -194,7 +202,7 @@
         LoadedSections.sections(
                 message.bytes,
                 (type, content) -> {
-                    if (defect == SeededDefect.BELIEVES_THE_BRINGER && type == 33) {
+                    if (defect == SeededDefect.TREATS_RELAYED_AS_DIRECT && type == 33) {
                         while (content.remaining() >= HealthReport.RELAYED_BYTES) {
                             HealthReport one =
                                     HealthReport.read(content.slice(), 0, 0, true).report();
@@ -212,7 +220,7 @@
                     }
                     to.onSection(
                             now, 0, message.from, message.incarnation, type, content.duplicate());
-                    if (defect == SeededDefect.COUNTS_THE_BRINGER && type == 32) {
+                    if (defect == SeededDefect.COUNTS_SENDER_AS_ANOTHER_REPORTER && type == 32) {
                         to.onSection(now, 0, 4, message.incarnation, type, content);
                     }
                 });
@@ -221,54 +229,54 @@
     List<Step> nextSteps() {
         List<Step> steps = new ArrayList<>();
         for (int b = 0; b < ACTORS; b++) {
-            steps.add(new Step(ActionKind.BAD, b, 1));
-            steps.add(new Step(ActionKind.GOOD, b, 1));
+            steps.add(new Step(ActionKind.ATTEMPT_FAILED, b, 1));
+            steps.add(new Step(ActionKind.ATTEMPT_ANSWERED, b, 1));
             for (int to = 0; to < ACTORS; to++) {
                 if (to != b) {
-                    steps.add(new Step(ActionKind.TELL, b, to));
+                    steps.add(new Step(ActionKind.SEND, b, to));
                 }
             }
         }
-        steps.add(new Step(ActionKind.BAD, 0, 2));
-        steps.add(new Step(ActionKind.ANEW, 1, 0));
-        steps.add(new Step(ActionKind.BOOT, 0, 1));
+        steps.add(new Step(ActionKind.ATTEMPT_FAILED, 0, 2));
+        steps.add(new Step(ActionKind.RESTART_BALANCER, 1, 0));
+        steps.add(new Step(ActionKind.RESTART_CACHE, 0, 1));
         steps.add(new Step(ActionKind.WAIT, 0, 0));
         if (clusterSize == LARGE) {
-            steps.add(new Step(ActionKind.LIE, 0, 0));
-            steps.add(new Step(ActionKind.LIE, 2, 0));
+            steps.add(new Step(ActionKind.SEND_FALSE_REPORTS, 0, 0));
+            steps.add(new Step(ActionKind.SEND_FALSE_REPORTS, 2, 0));
         }
         for (int i = 0; i < inTransit.size(); i++) {
             steps.add(new Step(ActionKind.DELIVER, 0, i));
-            steps.add(new Step(ActionKind.DOUBLE, 0, i));
-            steps.add(new Step(ActionKind.LOSE, 0, i));
+            steps.add(new Step(ActionKind.DELIVER_DUPLICATE, 0, i));
+            steps.add(new Step(ActionKind.DROP, 0, i));
         }
         return steps;
     }
 
-    /** The invariant that does not hold, or null. */
+    /** Returns a description of the first violated invariant, or null. */
     String violation() {
         for (int b = 0; b < ACTORS; b++) {
             if (outliers.get(b).size() > 1) {
-                return "more than a third of the caches lowered at " + b;
+                return "more than a third of the caches ejected at balancer " + b;
             }
             for (long cache : outliers.get(b)) {
-                int saw = 0;
+                int observers = 0;
                 for (int i = 0; i < ACTORS; i++) {
-                    saw +=
+                    observers +=
                             now - lastFailureNanos[i][(int) cache] < 12 * NANOS_PER_SECOND
                                             && (i != b || consecutiveFailures[b][(int) cache] >= 1)
                                     ? 1
                                     : 0;
                 }
-                saw += lied ? 1 : 0;
-                if (saw < HealthReportSettings.STANDARD.requiredReporters()) {
+                observers += falseReportsSent ? 1 : 0;
+                if (observers < HealthReportSettings.STANDARD.requiredReporters()) {
                     return "cache "
                             + cache
-                            + " is lowered at "
+                            + " is ejected at balancer "
                             + b
                             + ", and "
-                            + saw
-                            + " saw it bad in its present start";
+                            + observers
+                            + " balancers saw it fail since its latest start";
                 }
             }
         }
@@ -280,11 +288,11 @@
         for (int b = 0; b < ACTORS; b++) {
             print.append(outliers.get(b)).append(Arrays.toString(consecutiveFailures[b]));
             for (long cache = 1; cache <= CACHES; cache++) {
-                Map<Integer, String> said = new TreeMap<>();
+                Map<Integer, String> reports = new TreeMap<>();
                 nodes[b].reportAges(now, cache)
                         .forEach(
                                 (one, age) ->
-                                        said.put(
+                                        reports.put(
                                                 one.rank(),
                                                 one.sequenceNumber()
                                                         + ","
@@ -293,7 +301,7 @@
                                                         + age / NANOS_PER_SECOND
                                                         + ","
                                                         + one.serverStart()));
-                print.append(said)
+                print.append(reports)
                         .append(serverStarts[(int) cache])
                         .append((now - lastFailureNanos[b][(int) cache]) / NANOS_PER_SECOND / 4);
             }
--- a/healthreports/src/test/java/frostrelay/healthreports/FormerHealthReportFormatTest.java
+++ b/healthreports/src/test/java/frostrelay/healthreports/FormerHealthReportFormatTest.java
@@ -13,7 +13,7 @@
 import java.io.InputStream;
 import java.nio.ByteBuffer;
 
-/** Sections of health reports that version 0.7.0 wrote are read, and written again alike. */
+/** Checks that report sections written by version 0.7.0 are read, and encoded to the same bytes. */
 class FormerHealthReportFormatTest {
     private static final long INCARNATION = Incarnation.fromUnixMillis(1_790_000_000_000L);
 
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void directReportsAreReadAndWrittenAlike() throws IOException {
+    void directReportsAreReadAndEncodedToTheSameBytes() throws IOException {
         byte[] section = resource("direct-reports.bin");
         ByteBuffer in = ByteBuffer.wrap(section);
         ByteBuffer out = ByteBuffer.allocate(section.length);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void relayedReportsAreReadAndWrittenAlike() throws IOException {
+    void relayedReportsAreReadAndEncodedToTheSameBytes() throws IOException {
         byte[] section = resource("relayed-reports.bin");
         ByteBuffer in = ByteBuffer.wrap(section);
         ByteBuffer out = ByteBuffer.allocate(section.length);
--- a/healthreports/src/test/java/frostrelay/healthreports/HealthReportAggregatorTest.java
+++ b/healthreports/src/test/java/frostrelay/healthreports/HealthReportAggregatorTest.java
@@ -1,5 +1,6 @@
 package frostrelay.healthreports;
 
+import static frostrelay.healthreports.AttemptObservation.SILENT;
 import static frostrelay.healthreports.ReportSections.sendDirect;
 import static frostrelay.healthreports.ReportSections.sendRelayed;
 
@@ -27,7 +28,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Outliers by peers' reports, with faulty reporters and in any order of arrival. */
+/** Tests of outliers found by peers' reports, with faulty reporters and in any order of arrival. */
 class HealthReportAggregatorTest implements HealthReportAggregator.Actions {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
     private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLISECOND;
@@ -45,7 +46,7 @@
 
     @Override
     public void onLocallyUnhealthy(long cache) {
-        // Likewise.
+        // Not part of these tests.
     }
 
     @Override
@@ -56,20 +57,20 @@
 
     @Override
     public void onReportsPending() {
-        // Sections are collected by the tests themselves.
+        // The tests deliver sections themselves.
     }
 
     private HealthReportAggregator newAggregator(
             int clusterSize, int caches, HealthReportAggregator.Trust trust) {
-        HealthReportAggregator one =
+        HealthReportAggregator node =
                 new HealthReportAggregator(
                         HealthReportSettings.STANDARD, 0, clusterSize, INCARNATION, trust, this);
         Map<Long, Long> listed = new HashMap<>();
         for (long i = 1; i <= caches; i++) {
             listed.put(i, (long) SERVER_START);
         }
-        one.onEndpointList(0, listed);
-        return one;
+        node.onEndpointList(0, listed);
+        return node;
     }
 
     private static HealthReport unhealthy(
@@ -83,7 +84,7 @@
     }
 
     @Provide
-    Arbitrary<HealthReport> evidence() {
+    Arbitrary<HealthReport> reports() {
         return Combinators.combine(
                         Arbitraries.longs().between(1, 3),
                         Arbitraries.integers().between(0, 9),
@@ -110,9 +111,9 @@
 
     @Property(tries = 1_000)
     void newerOfIsCommutativeAssociativeAndIdempotent(
-            @ForAll("evidence") HealthReport a,
-            @ForAll("evidence") HealthReport b,
-            @ForAll("evidence") HealthReport c) {
+            @ForAll("reports") HealthReport a,
+            @ForAll("reports") HealthReport b,
+            @ForAll("reports") HealthReport c) {
         assertEquals(HealthReport.newerOf(a, b), HealthReport.newerOf(b, a));
         assertEquals(
                 HealthReport.newerOf(HealthReport.newerOf(a, b), c),
@@ -121,9 +122,9 @@
         assertEquals(a, HealthReport.newerOf(a, null));
     }
 
-    /** Order, doubles and who brings it change nothing; nor is anybody's evidence counted twice. */
+    /** Checks that the order and duplication of reports do not affect the result. */
     @Property(tries = 200)
-    void whateverOrderItComesInTheSameIsKnown(
+    void orderAndDuplicationOfReportsDoNotAffectTheResult(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 30) int messages) {
         Random random = new Random(seed);
         List<HealthReport> all = new ArrayList<>();
@@ -131,160 +132,159 @@
             int rank = 1 + random.nextInt(5);
             all.add(
                     random.nextBoolean()
-                            ? unhealthy(rank, random.nextInt(6), AttemptObservation.SILENT)
+                            ? unhealthy(rank, random.nextInt(6), SILENT)
                             : healthy(rank, random.nextInt(6)));
         }
         List<HealthReport> other = new ArrayList<>(all);
         other.addAll(all.subList(0, random.nextInt(messages)));
         Collections.shuffle(other, random);
-        // One instance serves all tries.
+        // All tries share one instance of this class.
         outliers = Set.of();
-        HealthReportAggregator one = newAggregator(8, 6, (now, rank) -> true);
-        all.forEach(evidence -> sendDirect(one, NANOS_PER_SECOND, 1, evidence, 0));
+        HealthReportAggregator node = newAggregator(8, 6, (now, rank) -> true);
+        all.forEach(report -> sendDirect(node, NANOS_PER_SECOND, 1, report, 0));
         Set<Long> first = outliers;
         outliers = Set.of();
-        HealthReportAggregator two = newAggregator(8, 6, (now, rank) -> true);
-        other.forEach(evidence -> sendDirect(two, NANOS_PER_SECOND, 1, evidence, 0));
+        HealthReportAggregator second = newAggregator(8, 6, (now, rank) -> true);
+        other.forEach(report -> sendDirect(second, NANOS_PER_SECOND, 1, report, 0));
         assertEquals(
-                one.reportAges(NANOS_PER_SECOND, 1).keySet(),
-                two.reportAges(NANOS_PER_SECOND, 1).keySet());
+                node.reportAges(NANOS_PER_SECOND, 1).keySet(),
+                second.reportAges(NANOS_PER_SECOND, 1).keySet());
         assertEquals(first, outliers);
-        assertTrue(one.reportAges(NANOS_PER_SECOND, 1).size() <= 5);
+        assertTrue(node.reportAges(NANOS_PER_SECOND, 1).size() <= 5);
     }
 
     @Test
     void theThirdReporterEjectsACacheUntilALocalFreshSuccessExpiryOrARestart() {
-        HealthReportAggregator one = newAggregator(6, 6, (now, rank) -> true);
-        sendDirect(one, NANOS_PER_SECOND, 2, unhealthy(1, 1, AttemptObservation.SILENT), 0);
-        sendDirect(one, NANOS_PER_SECOND, 2, unhealthy(1, 2, AttemptObservation.SILENT), 0);
-        sendDirect(one, NANOS_PER_SECOND, 2, unhealthy(2, 1, AttemptObservation.RESET), 0);
-        assertEquals(Set.of(), outliers, "two, one of them twice");
-        sendDirect(one, NANOS_PER_SECOND, 2, unhealthy(3, 1, AttemptObservation.UNREACHABLE), 20);
+        HealthReportAggregator node = newAggregator(6, 6, (now, rank) -> true);
+        sendDirect(node, NANOS_PER_SECOND, 2, unhealthy(1, 1, SILENT), 0);
+        sendDirect(node, NANOS_PER_SECOND, 2, unhealthy(1, 2, SILENT), 0);
+        sendDirect(node, NANOS_PER_SECOND, 2, unhealthy(2, 1, AttemptObservation.RESET), 0);
+        assertEquals(Set.of(), outliers, "two reporters, one of them twice");
+        sendDirect(node, NANOS_PER_SECOND, 2, unhealthy(3, 1, AttemptObservation.UNREACHABLE), 20);
         assertEquals(Set.of(2L), outliers);
-        one.onAttemptObserved(
+        node.onAttemptObserved(
                 2 * NANOS_PER_SECOND, 2, AttemptObservation.ANSWERED, 2 * NANOS_PER_SECOND);
-        assertEquals(Set.of(), outliers, "it has just answered here");
-        one.onTimer(3 * NANOS_PER_SECOND + NANOS_PER_MILLISECOND);
-        assertEquals(Set.of(), outliers, "what they said before that is overtaken");
-        sendDirect(one, 4 * NANOS_PER_SECOND, 2, unhealthy(1, 3, AttemptObservation.SILENT), 0);
-        sendDirect(one, 4 * NANOS_PER_SECOND, 2, unhealthy(2, 2, AttemptObservation.SILENT), 0);
-        sendDirect(one, 4 * NANOS_PER_SECOND, 2, unhealthy(3, 2, AttemptObservation.SILENT), 5);
-        assertEquals(Set.of(2L), outliers, "and they see it bad again");
-        one.onTimer(13 * NANOS_PER_SECOND + 600 * NANOS_PER_MILLISECOND);
-        assertEquals(Set.of(), outliers, "the third was half a second old when it came");
-        sendDirect(one, 14 * NANOS_PER_SECOND, 3, unhealthy(1, 1, AttemptObservation.SILENT), 0);
-        sendDirect(one, 14 * NANOS_PER_SECOND, 3, unhealthy(2, 1, AttemptObservation.SILENT), 0);
-        sendDirect(one, 14 * NANOS_PER_SECOND, 3, unhealthy(4, 1, AttemptObservation.SILENT), 0);
+        assertEquals(Set.of(), outliers, "the cache has just answered this balancer");
+        node.onTimer(3 * NANOS_PER_SECOND + NANOS_PER_MILLISECOND);
+        assertEquals(Set.of(), outliers, "the answer supersedes older reports");
+        sendDirect(node, 4 * NANOS_PER_SECOND, 2, unhealthy(1, 3, SILENT), 0);
+        sendDirect(node, 4 * NANOS_PER_SECOND, 2, unhealthy(2, 2, SILENT), 0);
+        sendDirect(node, 4 * NANOS_PER_SECOND, 2, unhealthy(3, 2, SILENT), 5);
+        assertEquals(Set.of(2L), outliers, "newer reports count");
+        node.onTimer(13 * NANOS_PER_SECOND + 600 * NANOS_PER_MILLISECOND);
+        assertEquals(Set.of(), outliers, "the third report was half a second old on arrival");
+        sendDirect(node, 14 * NANOS_PER_SECOND, 3, unhealthy(1, 1, SILENT), 0);
+        sendDirect(node, 14 * NANOS_PER_SECOND, 3, unhealthy(2, 1, SILENT), 0);
+        sendDirect(node, 14 * NANOS_PER_SECOND, 3, unhealthy(4, 1, SILENT), 0);
         assertEquals(Set.of(3L), outliers);
-        one.onEndpointList(
+        node.onEndpointList(
                 15 * NANOS_PER_SECOND, Map.of(1L, 7L, 2L, 7L, 3L, 8L, 4L, 7L, 5L, 7L, 6L, 7L));
-        assertEquals(Set.of(), outliers, "it has started anew");
+        assertEquals(Set.of(), outliers, "the cache has restarted");
     }
 
     @Test
-    void aLiarAStaleInstanceAPartitionedAndAnIsolatedPeerEjectNothing() {
-        HealthReportAggregator one = newAggregator(8, 9, (now, rank) -> rank != 5);
+    void untrustedAndFalseReportersAreLimitedAndAnIsolatedBalancerEjectsNothing() {
+        HealthReportAggregator node = newAggregator(8, 9, (now, rank) -> rank != 5);
         for (long cache = 1; cache <= 9; cache++) {
-            sendDirect(one, NANOS_PER_SECOND, cache, unhealthy(1, 1, AttemptObservation.SILENT), 0);
-            sendDirect(one, NANOS_PER_SECOND, cache, unhealthy(5, 1, AttemptObservation.SILENT), 0);
+            sendDirect(node, NANOS_PER_SECOND, cache, unhealthy(1, 1, SILENT), 0);
+            sendDirect(node, NANOS_PER_SECOND, cache, unhealthy(5, 1, SILENT), 0);
             sendDirect(
-                    one,
+                    node,
                     NANOS_PER_SECOND,
                     cache,
                     new HealthReport(1, INCARNATION + (1L << 20), 1, SERVER_START, 0, 255, 63),
                     0);
         }
-        assertEquals(Set.of(), outliers, "one liar in two lives, and one who is not trusted");
+        assertEquals(
+                Set.of(),
+                outliers,
+                "one faulty reporter in two incarnations, and one untrusted reporter");
         for (long cache = 1; cache <= 9; cache++) {
-            sendDirect(one, NANOS_PER_SECOND, cache, unhealthy(2, 1, AttemptObservation.SILENT), 0);
-            sendDirect(one, NANOS_PER_SECOND, cache, unhealthy(3, 1, AttemptObservation.SILENT), 0);
+            sendDirect(node, NANOS_PER_SECOND, cache, unhealthy(2, 1, SILENT), 0);
+            sendDirect(node, NANOS_PER_SECOND, cache, unhealthy(3, 1, SILENT), 0);
         }
-        assertEquals(3, outliers.size(), "three of them lie: a third of the caches, no more");
-        one.onIsolation(2 * NANOS_PER_SECOND, true);
+        assertEquals(
+                3, outliers.size(), "three false reporters eject a third of the caches at most");
+        node.onIsolation(2 * NANOS_PER_SECOND, true);
         assertEquals(Set.of(), outliers);
     }
 
     /**
-     * One liar is one voice: in its own name, in others', and where honest ones pass on what it
-     * said of itself.
+     * Checks that a faulty peer counts as one reporter, whether it writes reports under its own
+     * rank or under those of others, and whether correct peers relay them.
      */
     @Property(tries = 300)
-    void aLiarCountsAsOneReporterWhateverItRelaysAndWhoeverRelaysIt(
-            @ForAll long seed, @ForAll @IntRange(min = 1, max = 2) int liars) {
+    void aFaultyPeerCountsAsOneReporterInDirectAndRelayedReports(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 2) int faultyPeers) {
         outliers = Set.of();
         Random random = new Random(seed);
-        HealthReportAggregator one = newAggregator(40, 6, (now, rank) -> true);
+        HealthReportAggregator node = newAggregator(40, 6, (now, rank) -> true);
         for (int i = 0; i < 60; i++) {
             long now = NANOS_PER_SECOND + i * NANOS_PER_MILLISECOND;
-            int liar = 1 + random.nextInt(liars);
+            int faultyPeer = 1 + random.nextInt(faultyPeers);
             switch (random.nextInt(3)) {
-                case 0 -> sendDirect(one, now, 1, unhealthy(liar, i, AttemptObservation.SILENT), 0);
+                case 0 -> sendDirect(node, now, 1, unhealthy(faultyPeer, i, SILENT), 0);
                 case 1 ->
                         sendRelayed(
-                                one,
-                                now,
-                                1,
-                                liar,
-                                unhealthy(random.nextInt(40), i, AttemptObservation.SILENT));
+                                node, now, 1, faultyPeer, unhealthy(random.nextInt(40), i, SILENT));
                 default ->
                         sendRelayed(
-                                one,
+                                node,
                                 now,
                                 1,
                                 3 + random.nextInt(37),
-                                unhealthy(liar, i, AttemptObservation.SILENT));
+                                unhealthy(faultyPeer, i, SILENT));
             }
-            assertEquals(Set.of(), outliers, "two voices at most");
+            assertEquals(Set.of(), outliers, "two reporters at most");
         }
         for (int rank = 10; rank < 13; rank++) {
-            sendDirect(
-                    one, 2 * NANOS_PER_SECOND, 1, unhealthy(rank, 1, AttemptObservation.SILENT), 0);
+            sendDirect(node, 2 * NANOS_PER_SECOND, 1, unhealthy(rank, 1, SILENT), 0);
         }
         assertEquals(Set.of(1L), outliers);
     }
 
     @Test
-    void reportsRelayedByThreePeersCountUntilAReporterContradictsDirectly() {
-        HealthReportAggregator one = newAggregator(40, 6, (now, rank) -> true);
-        sendRelayed(one, NANOS_PER_SECOND, 1, 5, unhealthy(15, 1, AttemptObservation.SILENT));
-        sendRelayed(one, NANOS_PER_SECOND, 1, 5, unhealthy(16, 1, AttemptObservation.SILENT));
-        sendRelayed(one, NANOS_PER_SECOND, 1, 6, unhealthy(16, 1, AttemptObservation.SILENT));
-        sendRelayed(one, NANOS_PER_SECOND, 1, 6, unhealthy(17, 1, AttemptObservation.SILENT));
-        assertEquals(Set.of(), outliers, "three say so, and two bring it");
-        sendRelayed(one, NANOS_PER_SECOND, 1, 7, unhealthy(17, 1, AttemptObservation.SILENT));
+    void reportsRelayedByThreePeersCountUntilAReporterRevokesItsOwn() {
+        HealthReportAggregator node = newAggregator(40, 6, (now, rank) -> true);
+        sendRelayed(node, NANOS_PER_SECOND, 1, 5, unhealthy(15, 1, SILENT));
+        sendRelayed(node, NANOS_PER_SECOND, 1, 5, unhealthy(16, 1, SILENT));
+        sendRelayed(node, NANOS_PER_SECOND, 1, 6, unhealthy(16, 1, SILENT));
+        sendRelayed(node, NANOS_PER_SECOND, 1, 6, unhealthy(17, 1, SILENT));
+        assertEquals(Set.of(), outliers, "three reporters, but only two relays");
+        sendRelayed(node, NANOS_PER_SECOND, 1, 7, unhealthy(17, 1, SILENT));
         assertEquals(Set.of(1L), outliers);
-        sendRelayed(one, NANOS_PER_SECOND, 1, 8, healthy(16, 9));
-        assertEquals(Set.of(1L), outliers, "that it is well again its writer says itself");
-        sendDirect(one, NANOS_PER_SECOND, 1, healthy(16, 2), 0);
+        sendRelayed(node, NANOS_PER_SECOND, 1, 8, healthy(16, 9));
+        assertEquals(Set.of(1L), outliers, "a relayed healthy report does not count");
+        sendDirect(node, NANOS_PER_SECOND, 1, healthy(16, 2), 0);
         assertEquals(Set.of(), outliers);
     }
 
     /**
-     * In a small cluster each peer is sent a report twice; what the bandwidth limit rejects counts
-     * as not sent.
+     * In a small cluster each peer is sent a report twice; a send that the bandwidth limit rejects
+     * does not count.
      */
     @Test
-    void reportsHeldBackByTheBandwidthLimitAreSentLater() {
-        HealthReportAggregator one = newAggregator(4, 6, (now, rank) -> true);
+    void reportsRejectedByTheBandwidthLimitAreSentLater() {
+        HealthReportAggregator node = newAggregator(4, 6, (now, rank) -> true);
         bandwidthExhausted = true;
-        one.onAttemptObserved(NANOS_PER_SECOND, 2, AttemptObservation.RESET, NANOS_PER_SECOND);
-        one.onTimer(one.nextWakeupNanos());
+        node.onAttemptObserved(NANOS_PER_SECOND, 2, AttemptObservation.RESET, NANOS_PER_SECOND);
+        node.onTimer(node.nextWakeupNanos());
         assertEquals(List.of(1, 2, 3), recipients);
         bandwidthExhausted = false;
         recipients.clear();
         for (int i = 0; i < 12; i++) {
-            one.onTimer(one.nextWakeupNanos());
+            node.onTimer(node.nextWakeupNanos());
         }
         assertEquals(List.of(1, 2, 3, 1, 2, 3), recipients);
     }
 
     @Test
-    void manyThatFailByTheirOwnWordHaveOneCauseBehindThem() {
-        HealthReportAggregator one = newAggregator(6, 6, (now, rank) -> true);
+    void manyReachableCachesThatFailAtOnceAreNotOutliers() {
+        HealthReportAggregator node = newAggregator(6, 6, (now, rank) -> true);
         for (long cache = 1; cache <= 4; cache++) {
             for (int rank = 1; rank <= 3; rank++) {
                 sendDirect(
-                        one,
+                        node,
                         NANOS_PER_SECOND,
                         cache,
                         unhealthy(rank, 1, AttemptObservation.FAILED),
@@ -294,72 +294,77 @@
         assertEquals(Set.of(), outliers);
         for (int rank = 1; rank <= 3; rank++) {
             sendDirect(
-                    one,
+                    node,
                     NANOS_PER_SECOND,
                     5,
                     unhealthy(rank, 1, AttemptObservation.UNREACHABLE),
                     0);
         }
-        assertEquals(Set.of(5L), outliers, "one that is not there is another matter");
+        assertEquals(
+                Set.of(5L),
+                outliers,
+                "an unreachable cache is an outlier despite the common cause");
     }
 
     /**
-     * What needs the origin takes long: caches leave some reads unanswered and answer others
-     * meanwhile.
+     * Reads that need a slow origin stay unanswered while the cache answers other reads; such a
+     * cache is not unhealthy.
      */
     @Test
-    void readsThatAreSlowForTheirKeysTellNothingOfTheirCache() {
-        HealthReportAggregator one = newAggregator(6, 6, (now, rank) -> true);
+    void slowKeysDoNotMakeACacheUnhealthy() {
+        HealthReportAggregator node = newAggregator(6, 6, (now, rank) -> true);
         for (int i = 1; i <= 6; i++) {
-            one.onAttemptObserved(
+            node.onAttemptObserved(
                     i * NANOS_PER_SECOND + 200 * NANOS_PER_MILLISECOND,
                     1,
                     AttemptObservation.ANSWERED,
                     i * NANOS_PER_SECOND + 100 * NANOS_PER_MILLISECOND);
-            one.onAttemptObserved(
+            node.onAttemptObserved(
                     i * NANOS_PER_SECOND + 300 * NANOS_PER_MILLISECOND,
                     1,
-                    AttemptObservation.SILENT,
+                    SILENT,
                     i * NANOS_PER_SECOND);
         }
-        assertEquals(0, one.reportCounts().written(), "nothing was written");
-        one.onAttemptObserved(
-                9 * NANOS_PER_SECOND, 1, AttemptObservation.SILENT, 8 * NANOS_PER_SECOND);
-        assertEquals(1, one.reportCounts().written());
+        assertEquals(0, node.reportCounts().written(), "no report was written");
+        node.onAttemptObserved(9 * NANOS_PER_SECOND, 1, SILENT, 8 * NANOS_PER_SECOND);
+        assertEquals(1, node.reportCounts().written());
     }
 
     @Test
-    void aReporterContradictedByPeersLosesItsWeight() {
-        HealthReportAggregator one = newAggregator(8, 9, (now, rank) -> true);
+    void aReporterContradictedByPeersIsNotCounted() {
+        HealthReportAggregator node = newAggregator(8, 9, (now, rank) -> true);
         for (long cache = 1; cache <= 6; cache++) {
-            sendDirect(one, NANOS_PER_SECOND, cache, unhealthy(1, 1, AttemptObservation.SILENT), 0);
-            sendDirect(one, NANOS_PER_SECOND, cache, healthy(2, 1), 0);
-            sendDirect(one, NANOS_PER_SECOND, cache, healthy(3, 1), 0);
+            sendDirect(node, NANOS_PER_SECOND, cache, unhealthy(1, 1, SILENT), 0);
+            sendDirect(node, NANOS_PER_SECOND, cache, healthy(2, 1), 0);
+            sendDirect(node, NANOS_PER_SECOND, cache, healthy(3, 1), 0);
         }
-        sendDirect(one, NANOS_PER_SECOND, 9, unhealthy(1, 1, AttemptObservation.SILENT), 0);
-        sendDirect(one, NANOS_PER_SECOND, 9, unhealthy(4, 1, AttemptObservation.SILENT), 0);
-        sendDirect(one, NANOS_PER_SECOND, 9, unhealthy(5, 1, AttemptObservation.SILENT), 0);
-        assertEquals(Set.of(), outliers, "two count: the third calls six healthy ones bad");
-        sendDirect(one, NANOS_PER_SECOND, 9, unhealthy(6, 1, AttemptObservation.SILENT), 0);
+        sendDirect(node, NANOS_PER_SECOND, 9, unhealthy(1, 1, SILENT), 0);
+        sendDirect(node, NANOS_PER_SECOND, 9, unhealthy(4, 1, SILENT), 0);
+        sendDirect(node, NANOS_PER_SECOND, 9, unhealthy(5, 1, SILENT), 0);
+        assertEquals(
+                Set.of(),
+                outliers,
+                "two reporters count: the third reports six healthy caches as unhealthy");
+        sendDirect(node, NANOS_PER_SECOND, 9, unhealthy(6, 1, SILENT), 0);
         assertEquals(Set.of(9L), outliers);
     }
 
     /**
-     * Whatever comes, a third of the listed caches at most is lowered, and damaged sections cost
-     * nothing but themselves.
+     * Checks that at most a third of the listed caches is ejected for any input, and that malformed
+     * sections have no effect on others.
      */
     @Property(tries = 200)
-    void theBoundHoldsWhateverComes(
+    void atMostAThirdOfTheCachesIsEjectedForAnyInput(
             @ForAll long seed, @ForAll @IntRange(min = 2, max = 12) int count) {
         outliers = Set.of();
         Random random = new Random(seed);
-        HealthReportAggregator one = newAggregator(count, 6, (now, rank) -> random.nextInt(4) > 0);
+        HealthReportAggregator node = newAggregator(count, 6, (now, rank) -> random.nextInt(4) > 0);
         long now = 0;
         for (int i = 0; i < 300; i++) {
             now += random.nextInt(300) * NANOS_PER_MILLISECOND;
             switch (random.nextInt(5)) {
                 case 0 ->
-                        one.onAttemptObserved(
+                        node.onAttemptObserved(
                                 now,
                                 1 + random.nextInt(8),
                                 AttemptObservation.values()[
@@ -368,18 +373,17 @@
                 case 1 -> {
                     byte[] noise = new byte[random.nextInt(120)];
                     random.nextBytes(noise);
-                    one.onSection(
+                    node.onSection(
                             now, 0, random.nextInt(14), INCARNATION, 32, ByteBuffer.wrap(noise));
                 }
-                case 2 -> one.onTimer(Math.max(now, one.nextWakeupNanos()));
+                case 2 -> node.onTimer(Math.max(now, node.nextWakeupNanos()));
                 default ->
                         sendDirect(
-                                one,
+                                node,
                                 now,
                                 1 + random.nextInt(8),
                                 random.nextInt(4) > 0
-                                        ? unhealthy(
-                                                random.nextInt(14), i, AttemptObservation.SILENT)
+                                        ? unhealthy(random.nextInt(14), i, SILENT)
                                         : healthy(random.nextInt(14), i),
                                 random.nextInt(256));
             }
--- a/healthreports/src/test/java/frostrelay/healthreports/HealthReportExplorationTest.java
+++ b/healthreports/src/test/java/frostrelay/healthreports/HealthReportExplorationTest.java
@@ -18,23 +18,24 @@
 import java.util.Set;
 
 /**
- * Explores all interleavings of a few events against the production code, breadth first: three
- * balancers of a cluster of six see caches answer or fail, send each other reports, lose, duplicate
- * and reorder them, restart, and learn of a cache's restart; in a large cluster they relay reports,
- * and a fourth sends false ones in its own name and in those of three others. What each truly
- * observed is recorded apart, and the invariants are checked against that.
+ * Explores interleavings of a few events against the production code, breadth first. Three
+ * balancers of a cluster of six observe answers and failures of caches, send each other reports,
+ * which are lost, duplicated and reordered, restart, and apply endpoint lists with a restarted
+ * cache. In a large cluster they also relay reports, and a fourth balancer sends false ones under
+ * its own rank and under those of three others. The true observations of each balancer are recorded
+ * separately, and the invariants are checked against these.
  */
 class HealthReportExplorationTest {
     private static final int MAX_DEPTH = 9;
     private static final int MAX_STATES = 60_000;
 
     private static ExploredCluster replay(SeededDefect defect, int clusterSize, List<Step> steps) {
-        ExploredCluster world = new ExploredCluster(defect, clusterSize);
-        steps.forEach(world::apply);
-        return world;
+        ExploredCluster cluster = new ExploredCluster(defect, clusterSize);
+        steps.forEach(cluster::apply);
+        return cluster;
     }
 
-    /** How many states were visited, and the first broken invariant, or null. */
+    /** Number of states visited, and the first violated invariant, or null. */
     private record Exploration(int states, String violation) {}
 
     /** Explores breadth first from the state after {@code first}. */
@@ -44,17 +45,17 @@
         frontier.add(first);
         while (!frontier.isEmpty() && visited.size() < MAX_STATES) {
             List<Step> steps = frontier.poll();
-            ExploredCluster world = replay(defect, clusterSize, steps);
-            String broken = world.violation();
-            if (broken != null) {
-                return new Exploration(visited.size(), broken + " behind " + steps);
+            ExploredCluster cluster = replay(defect, clusterSize, steps);
+            String violation = cluster.violation();
+            if (violation != null) {
+                return new Exploration(visited.size(), violation + " after " + steps);
             }
-            if (!visited.add(world.fingerprint())
+            if (!visited.add(cluster.fingerprint())
                     || steps.size() >= MAX_DEPTH + first.size()
-                    || world.inTransit.size() > 3) {
+                    || cluster.inTransit.size() > 3) {
                 continue;
             }
-            for (Step next : world.nextSteps()) {
+            for (Step next : cluster.nextSteps()) {
                 List<Step> longer = new ArrayList<>(steps);
                 longer.add(next);
                 frontier.add(longer);
@@ -63,19 +64,19 @@
         return new Exploration(visited.size(), null);
     }
 
-    /** Two of three have found cache 1 unhealthy and reported it to the third. */
+    /** Two of three balancers find cache 1 unhealthy and report it to the third. */
     private static final List<Step> TWO_REPORTS_PREFIX =
             List.of(
-                    new Step(ActionKind.BAD, 0, 1),
-                    new Step(ActionKind.BAD, 0, 1),
-                    new Step(ActionKind.BAD, 1, 1),
-                    new Step(ActionKind.BAD, 1, 1),
-                    new Step(ActionKind.TELL, 0, 2),
-                    new Step(ActionKind.TELL, 1, 2),
+                    new Step(ActionKind.ATTEMPT_FAILED, 0, 1),
+                    new Step(ActionKind.ATTEMPT_FAILED, 0, 1),
+                    new Step(ActionKind.ATTEMPT_FAILED, 1, 1),
+                    new Step(ActionKind.ATTEMPT_FAILED, 1, 1),
+                    new Step(ActionKind.SEND, 0, 2),
+                    new Step(ActionKind.SEND, 1, 2),
                     new Step(ActionKind.DELIVER, 0, 0));
 
     @Test
-    void noReachableStateEjectsACacheThatThreeDidNotSeeFail() {
+    void noReachableStateEjectsACacheWithFewerThanThreeObservers() {
         for (int clusterSize : new int[] {ExploredCluster.SMALL, ExploredCluster.LARGE}) {
             Exploration fromStart = explore(SeededDefect.NONE, clusterSize, List.of());
             assertEquals(null, fromStart.violation());
@@ -83,41 +84,48 @@
             assertEquals(null, fromPrefix.violation());
             assertTrue(
                     fromStart.states() > 30_000 && fromPrefix.states() > 30_000,
-                    "states walked: " + fromStart.states() + " and " + fromPrefix.states());
+                    "states visited: " + fromStart.states() + " and " + fromPrefix.states());
         }
         ExploredCluster reached =
                 replay(
                         SeededDefect.NONE,
                         ExploredCluster.SMALL,
                         List.of(
-                                new Step(ActionKind.BAD, 0, 1),
-                                new Step(ActionKind.BAD, 1, 1),
-                                new Step(ActionKind.BAD, 2, 1),
-                                new Step(ActionKind.BAD, 2, 1),
-                                new Step(ActionKind.TELL, 0, 2),
-                                new Step(ActionKind.TELL, 1, 2),
+                                new Step(ActionKind.ATTEMPT_FAILED, 0, 1),
+                                new Step(ActionKind.ATTEMPT_FAILED, 1, 1),
+                                new Step(ActionKind.ATTEMPT_FAILED, 2, 1),
+                                new Step(ActionKind.ATTEMPT_FAILED, 2, 1),
+                                new Step(ActionKind.SEND, 0, 2),
+                                new Step(ActionKind.SEND, 1, 2),
                                 new Step(ActionKind.DELIVER, 0, 0),
                                 new Step(ActionKind.DELIVER, 0, 0)));
-        assertEquals(Set.of(1L), reached.outliers.get(2), "three saw it: it is reached");
+        assertEquals(
+                Set.of(1L),
+                reached.outliers.get(2),
+                "three observed failures, so the cache is ejected");
     }
 
     @Test
     void eachSeededDefectIsFound() {
         for (SeededDefect defect :
-                List.of(SeededDefect.COUNTS_THE_BRINGER, SeededDefect.KEEPS_OLD_STARTS)) {
-            List<Step> begun = new ArrayList<>(TWO_REPORTS_PREFIX);
-            if (defect == SeededDefect.KEEPS_OLD_STARTS) {
-                begun.addAll(
-                        List.of(new Step(ActionKind.BAD, 2, 1), new Step(ActionKind.BAD, 2, 1)));
+                List.of(
+                        SeededDefect.COUNTS_SENDER_AS_ANOTHER_REPORTER,
+                        SeededDefect.MISSES_CACHE_RESTARTS)) {
+            List<Step> prefix = new ArrayList<>(TWO_REPORTS_PREFIX);
+            if (defect == SeededDefect.MISSES_CACHE_RESTARTS) {
+                prefix.addAll(
+                        List.of(
+                                new Step(ActionKind.ATTEMPT_FAILED, 2, 1),
+                                new Step(ActionKind.ATTEMPT_FAILED, 2, 1)));
             }
             assertFalse(
-                    explore(defect, ExploredCluster.SMALL, begun).violation() == null,
+                    explore(defect, ExploredCluster.SMALL, prefix).violation() == null,
                     defect.toString());
         }
         assertFalse(
-                explore(SeededDefect.BELIEVES_THE_BRINGER, ExploredCluster.LARGE, List.of())
+                explore(SeededDefect.TREATS_RELAYED_AS_DIRECT, ExploredCluster.LARGE, List.of())
                                 .violation()
                         == null,
-                "a liar speaks for three others");
+                "a faulty peer reports under the ranks of three others");
     }
 }
