--- a/node/src/main/java/frostrelay/node/proxy/ActiveRequest.java
+++ b/node/src/main/java/frostrelay/node/proxy/ActiveRequest.java
@@ -10,65 +10,73 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An accepted request, until the outcome of its last attempt. Runs on the event loop. */
+/**
+ * An accepted request and its attempts. Exists until the last attempt has its outcome. Runs on the
+ * event loop.
+ */
 public final class ActiveRequest {
-    /** Receives the one final response, in whatever protocol. */
+    /** Receives the final response of a request and encodes it for the client's protocol. */
     public interface ResponseListener {
         /**
-         * An attempt was successful.
+         * Called when an attempt has succeeded.
          *
-         * @param value a long value that is still being received; else null
+         * @param value the stream of a long value that is still being received; null for a buffered
+         *     value
          */
         void onServed(UpstreamResponse response, ValueStream value);
 
         /**
-         * No attempt has run.
+         * Called when the request is rejected, which implies that no attempt has run.
          *
-         * @param retryAfterMillis after what time the client may retry; 0 if it is told none
+         * @param retryAfterMillis the time in milliseconds after which the client may retry; 0 to
+         *     send no such time
          */
         void onRejected(long retryAfterMillis);
 
-        /** The request is given up, and an attempt may have run. */
+        /** Called when the request has failed and an attempt may have run. */
         void onFailed();
 
         /**
-         * Since when a disconnect of the client would have gone undetected; {@link
-         * ActionGuard#NEVER} while it would be detected.
+         * Returns the time since which a disconnect of the client would have gone undetected, or
+         * {@link ActionGuard#NEVER} if a disconnect would be detected now.
          */
         long disconnectUndetectableSince(long now);
     }
 
     final long id;
 
-    /** What the client asked for. */
+    /** The request as the client sent it. */
     public final ClientRequest clientRequest;
 
-    /** Its class, by the settings that applied when the request was accepted. */
+    /** The request class from the settings that applied when the request was accepted. */
     final RequestClass requestClass;
 
     /**
-     * When the final response is due, by {@link frostrelay.node.time.Clock}; brought forward when a
-     * shutdown begins.
+     * The time by {@link frostrelay.node.time.Clock} at which the final response is due. A shutdown
+     * moves it to an earlier time.
      */
     long deadlineNanos;
 
     private final long acceptedAtNanos;
     final List<Attempt> attempts = new ArrayList<>(2);
-    final ResponseListener client;
+    final ResponseListener responseListener;
 
     /** Attempts whose outcome the policy has not received yet. */
     int pendingOutcomes;
 
-    /** It has its response, or its client has disconnected: no attempt is sent any more. */
+    /**
+     * Whether the response has been given or the client has disconnected. No attempt is sent after
+     * that.
+     */
     boolean completed;
 
-    /** The number of the attempt whose response it got; -1 before. */
+    /** The number of the attempt whose response was used; -1 if there is none yet. */
     int winningAttempt = -1;
 
-    /** Whether some attempt with an outcome may have run. */
+    /** Whether a server may have executed any attempt that has an outcome. */
     boolean mayHaveRun;
 
-    /** Answers it past its deadline; null if it was rejected at once. */
+    /** Completes the request shortly after its deadline; null if it was rejected on arrival. */
     Future<?> fallbackTask;
 
     ActiveRequest(
@@ -77,24 +85,27 @@
             RequestClass requestClass,
             long acceptedAtNanos,
             long deadlineNanos,
-            ResponseListener client) {
+            ResponseListener responseListener) {
         this.id = id;
         this.clientRequest = clientRequest;
         this.requestClass = requestClass;
         this.acceptedAtNanos = acceptedAtNanos;
         this.deadlineNanos = deadlineNanos;
-        this.client = client;
+        this.responseListener = responseListener;
     }
 
     /**
-     * How many nanoseconds past its deadline it is now; negative before. Not counted is the time
-     * that it waited before it was accepted.
+     * Returns the nanoseconds since the deadline; negative before it. If the deadline had passed
+     * before the request was accepted, the time is counted from the acceptance.
      */
     long latenessNanos(long now) {
         return now - Math.max(acceptedAtNanos, deadlineNanos);
     }
 
-    /** Closes the request; true the first time only, so that there is never a second response. */
+    /**
+     * Marks the request as completed. Returns true only for the first call, so that no second
+     * response is sent.
+     */
     boolean markCompleted() {
         boolean isFirst = !completed;
         completed = true;
@@ -104,7 +115,7 @@
         return isFirst;
     }
 
-    /** Logs a step of the request's life, if that is enabled. */
+    /** Logs a step in the processing of the request if request logging is enabled. */
     void trace(String step, Object detail) {
         if (Log.isEnabled(Event.REQUEST)) {
             Log.write(Event.REQUEST, clientRequest.id(), step, detail);
--- a/node/src/main/java/frostrelay/node/proxy/Attempt.java
+++ b/node/src/main/java/frostrelay/node/proxy/Attempt.java
@@ -4,38 +4,46 @@
 
 import io.netty.util.concurrent.Future;
 
-/** One attempt to send a request to a cache server; the request's first one has the number 0. */
+/**
+ * One attempt to send a request to a cache server. The first attempt of a request has the number 0.
+ */
 public final class Attempt {
-    /** The request that it belongs to. */
+    /** The request that this attempt belongs to. */
     public final ActiveRequest activeRequest;
 
     final int number;
 
-    /** The server that it is sent to. */
+    /** The server that the attempt is sent to. */
     final long serverId;
 
     final long sentAtNanos;
     final long timeoutAtNanos;
 
-    /** The applied version that it was decided on under, by its number in this incarnation. */
+    /**
+     * The sequence number, in this incarnation, of the applied version under which the policy
+     * decided on the attempt.
+     */
     final int appliedVersionIndex;
 
-    /** Whether it has its one outcome. */
+    /** Whether the attempt has its outcome. */
     boolean completed;
 
-    /** Its outcome; null before. */
+    /** The outcome; null until the attempt is completed. */
     AttemptResult result;
 
-    /** Whether its write has been started. */
+    /** Whether the write to the connection has been started. */
     boolean writeStarted;
 
-    /** Times it out at {@link #timeoutAtNanos}; null if it never was sent. */
+    /** Times the attempt out at {@link #timeoutAtNanos}; null if the attempt was not sent. */
     Future<?> timeoutTask;
 
-    /** The timeout in milliseconds that its server was given; 0 before it is written. */
+    /** The timeout in milliseconds that was sent to the server; 0 before the write. */
     public long announcedTimeoutMillis;
 
-    /** The connection that carries it, or will once it is open; null before and after. */
+    /**
+     * The connection that carries the attempt or, while it is being opened, will carry it; null
+     * before the attempt is sent and after it ends.
+     */
     public Upstream.AttemptConnection connection;
 
     Attempt(
@@ -53,7 +61,9 @@
         this.appliedVersionIndex = appliedVersionIndex;
     }
 
-    /** Whether its last byte has been sent: from then on it may run. */
+    /**
+     * Returns whether the last byte has been sent; from then on the server may execute the request.
+     */
     boolean isWritten() {
         return connection != null && connection.isWritten();
     }
--- a/node/src/main/java/frostrelay/node/proxy/AttemptTracker.java
+++ b/node/src/main/java/frostrelay/node/proxy/AttemptTracker.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The attempts of requests, from the policy's action to their one outcome: starts them, times them
- * out, abandons them, and reports the outcomes. Runs on the event loop.
+ * Tracks each attempt from the policy's action to its outcome: starts attempts, times them out,
+ * abandons them, and reports each outcome once. Runs on the event loop.
  */
 final class AttemptTracker {
     private final EventLoop loop;
@@ -49,7 +49,8 @@
     /**
      * Starts an attempt.
      *
-     * @param abandonAtNanos when the policy gives it up; 0 or less for the request's deadline
+     * @param abandonAtNanos the time at which the policy abandons the attempt; 0 or less for the
+     *     request's deadline
      */
     void start(ActiveRequest activeRequest, long serverId, long abandonAtNanos) {
         long now = Clock.now();
@@ -86,7 +87,7 @@
         }
     }
 
-    /** An attempt is about to be written. */
+    /** Called immediately before an attempt is written. */
     void onWriteStarted(Attempt attempt, int serverNumber) {
         boolean isHedge = false;
         for (int i = 0; i < attempt.number; i++) {
@@ -102,7 +103,10 @@
                 attempt.activeRequest.clientRequest);
     }
 
-    /** Stops waiting for an attempt, unless it has its outcome, and reports this one. */
+    /**
+     * Stops waiting for an attempt and reports the given outcome, unless the attempt has one
+     * already.
+     */
     void abandon(Attempt attempt, AttemptResult result) {
         if (!attempt.completed) {
             upstream.abandon(attempt);
@@ -110,7 +114,7 @@
         }
     }
 
-    /** Reports the outcome of an attempt, unless it has one. */
+    /** Reports the outcome of an attempt, unless the attempt has one already. */
     void complete(
             Attempt attempt, AttemptResult result, UpstreamResponse response, ValueStream value) {
         if (attempt.completed) {
@@ -140,7 +144,7 @@
         @Override
         public void run() {
             counters.recordTimer(Clock.now() - attempt.timeoutAtNanos);
-            // An attempt that was not written cannot have run: its connection was too slow to open.
+            // An attempt that was not written cannot have run: its connection did not open in time.
             abandon(
                     attempt,
                     attempt.isWritten() ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED);
@@ -195,21 +199,23 @@
                             loadReport));
         }
 
-        /** Passes the response to the client if it is the request's first. */
+        /**
+         * Passes the response to the client if no other attempt has provided the response before.
+         */
         private void respond() {
             if (result == AttemptResult.OK && completion.markCompleted(activeRequest)) {
                 activeRequest.winningAttempt = attempt.number;
                 counters.served++;
                 activeRequest.trace("served", attempt.number);
-                activeRequest.client.onServed(response, value);
+                activeRequest.responseListener.onServed(response, value);
             } else if (value != null) {
                 value.cancel();
             }
         }
 
         /**
-         * What the outcome shows of the server's health; null for nothing. A rejection for lack of
-         * capacity is no fault of the server.
+         * Returns what the outcome indicates about the server's health, or null if it indicates
+         * nothing. A rejection for lack of capacity is not a fault of the server.
          */
         private AttemptObservation observation() {
             return switch (result) {
@@ -218,7 +224,7 @@
                 case TIMEOUT -> AttemptObservation.SILENT;
                 case RESET -> AttemptObservation.RESET;
                 case CONNECT_FAILED -> AttemptObservation.UNREACHABLE;
-                // A hedged request that was sent later was answered first.
+                // A hedged request sent later got its response first.
                 case CANCELLED ->
                         activeRequest.winningAttempt > attempt.number
                                 ? AttemptObservation.SILENT
--- a/node/src/main/java/frostrelay/node/proxy/ClientRequest.java
+++ b/node/src/main/java/frostrelay/node/proxy/ClientRequest.java
@@ -3,38 +3,37 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 
-/**
- * A valid request of a client, in whatever protocol, as far as its handling depends on it.
- * Immutable.
- */
+/** A valid client request, independent of the protocol that it arrived in. Immutable. */
 public interface ClientRequest {
-    /** The id by which servers know the request. */
+    /** Returns the id by which servers identify the request. */
     String id();
 
-    /** Its class, by the number in the settings. */
+    /** Returns the index of the request class in the settings. */
     int requestClass();
 
-    /** Its tenant, by the number in the settings. */
+    /** Returns the index of the tenant in the settings. */
     int tenant();
 
-    /** The key as a number for the policy. */
+    /** Returns the key as a number, for the policy. */
     long numericKey();
 
-    /** The client's timeout in milliseconds. */
+    /** Returns the client's timeout in milliseconds. */
     long clientTimeoutMillis();
 
-    /** Expected work in nanoseconds; 0 if unknown. */
+    /** Returns the expected processing time in nanoseconds; 0 if unknown. */
     long expectedWorkNanos();
 
-    /** Whether the client marks the request as a retry of its own. */
+    /** Returns whether the client has marked the request as a retry. */
     boolean isClientRetry();
 
-    /** Whether it changes what is stored. */
+    /** Returns whether the request changes stored data. */
     boolean isWrite();
 
-    /** Bytes of memory that it occupies until it is over. */
+    /** Returns the bytes of memory that the request occupies until it is finished. */
     int sizeBytes();
 
-    /** Encodes it for a server, with the remaining timeout. The caller releases the buffer. */
+    /**
+     * Encodes the request for a server, with the remaining timeout. The caller releases the buffer.
+     */
     ByteBuf encode(ByteBufAllocator alloc, long remainingMillis);
 }
--- a/node/src/main/java/frostrelay/node/proxy/DeadlineFallback.java
+++ b/node/src/main/java/frostrelay/node/proxy/DeadlineFallback.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Answers requests without the policy: those that it has left open past their deadline, for
- * whatever reason, and those about which it failed.
+ * Completes requests without the policy, if the policy has left them open past their deadline or
+ * has thrown an exception while it handled them.
  */
 final class DeadlineFallback {
-    /** How far past its deadline a request is answered here. */
+    /** The delay between the deadline of a request and its completion by the fallback. */
     private static final long FALLBACK_DELAY_NANOS = Clock.NANOS_PER_MILLISECOND;
 
     private final EventLoop loop;
@@ -41,7 +41,7 @@
         this.policy = policy;
     }
 
-    /** Schedules the fallback of a request at its present deadline. */
+    /** Schedules the fallback of a request for its current deadline. */
     void schedule(ActiveRequest activeRequest, long now) {
         activeRequest.fallbackTask =
                 loop.schedule(
@@ -72,14 +72,17 @@
         }
     }
 
-    /** Ends a request and its attempts; it is rejected only if none of them can have run. */
+    /**
+     * Completes a request and abandons its attempts. The request is rejected if no attempt can have
+     * run; otherwise it fails.
+     */
     void completeWithoutPolicy(ActiveRequest activeRequest) {
         boolean mayHaveRun =
                 activeRequest.mayHaveRun
                         || activeRequest.attempts.stream().anyMatch(Attempt::isWritten);
         for (Attempt attempt : List.copyOf(activeRequest.attempts)) {
-            // The policy receives the outcome and may answer by it, so an attempt that was never
-            // written must be reported as such.
+            // The policy receives the outcome and may choose the response accordingly, so an
+            // attempt that was never written must be reported as such.
             attempts.abandon(
                     attempt,
                     attempt.isWritten() ? AttemptResult.CANCELLED : AttemptResult.SUPERSEDED);
--- a/node/src/main/java/frostrelay/node/proxy/DecisionObserver.java
+++ b/node/src/main/java/frostrelay/node/proxy/DecisionObserver.java
@@ -11,40 +11,45 @@
 import java.util.Set;
 
 /**
- * Is notified of the state that decisions are based on, just before it is applied, and of the
- * decisions. Called on the event loop. All methods have defaults that do nothing.
+ * An observer of routing decisions and of the state that they are based on. Changes of state are
+ * reported immediately before they are applied. Called on the event loop. All methods have defaults
+ * that do nothing.
  */
 public interface DecisionObserver {
-    /** Ignores everything. */
+    /** An observer that ignores all calls. */
     DecisionObserver NONE = new DecisionObserver() {};
 
-    /** An update of the endpoint list is applied; one that failed changes nothing. */
+    /** Called before an update of the endpoint list is applied. A failed update changes nothing. */
     default void onEndpointList(
             EndpointUpdateMode mode, long revision, List<EndpointList.Endpoint> members) {}
 
-    /** A configuration is applied. */
+    /** Called before a configuration is applied. */
     default void onConfig(Config config) {}
 
-    /** Operators drain these servers now, by their names in the endpoint list. */
+    /**
+     * Called before the set of administratively drained servers is replaced. They are identified by
+     * their names in the endpoint list.
+     */
     default void onAdminDrains(Set<String> names) {}
 
-    /** A configuration was invalid and is not applied. */
+    /** Called when a configuration is invalid and is not applied. */
     default void onConfigRejected(String reason) {}
 
-    /** The number of the applied version that decisions are made under now. */
+    /** Returns the sequence number of the applied version that decisions are currently based on. */
     default int versionSequence() {
         return 0;
     }
 
-    /** The number of a cache server in these events. */
+    /** Returns the number that identifies a cache server in these events. */
     default int cacheNumber(String uid) {
         return 0;
     }
 
     /**
-     * An attempt is about to be written.
+     * Called immediately before an attempt is written.
      *
-     * @param versionSequence the applied version that it was decided on under
+     * @param versionSequence the sequence number of the applied version under which the policy
+     *     decided on the attempt
      * @param cache the {@link #cacheNumber} of its server
      * @param hedged whether an earlier attempt of the request is still in flight
      */
@@ -52,22 +57,26 @@
             int versionSequence, int cache, int attempt, boolean hedged, ClientRequest request) {}
 
     /**
-     * An attempt has ended and shows this of its server's health.
+     * Called when the outcome of an attempt indicates something about its server's health.
      *
      * @param cache the id of its server in the endpoint list
      * @param sentAtNanos when the attempt was started
      */
     default void onAttemptObserved(long cache, AttemptObservation observation, long sentAtNanos) {}
 
-    /** A request is accepted, which the client may have marked as a retry. */
+    /**
+     * Called before a request is passed to the policy.
+     *
+     * @param clientRetry whether the client has marked the request as a retry
+     */
     default void onRequestAccepted(boolean clientRetry) {}
 
-    /** An attempt that was written has ended. */
+    /** Called when an attempt that was written has ended. */
     default void onAttemptCompleted(AttemptResult result, ResponseSource source) {}
 
-    /** A request is rejected. */
+    /** Called when a request is rejected by the policy or by this process. */
     default void onRequestRejected() {}
 
-    /** A request is given up, of which an attempt may have run. */
+    /** Called when a request fails after an attempt that may have run. */
     default void onRequestFailed() {}
 }
--- a/node/src/main/java/frostrelay/node/proxy/EndpointSubscription.java
+++ b/node/src/main/java/frostrelay/node/proxy/EndpointSubscription.java
@@ -10,18 +10,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps the subscription to pushed endpoint lists, where the policy does not subscribe itself: this
- * process watches its own agent all the time, at no cost, and serves no client before its first
- * answer. Runs on the event loop.
+ * Keeps a subscription to pushed endpoint lists if the policy does not subscribe itself. A
+ * permanent subscription to the local discovery agent costs nothing. No client is served before the
+ * agent's first response or a timeout. Runs on the event loop.
  */
 final class EndpointSubscription {
     /**
-     * An agent that is down is back within seconds, and the list that it then has applies at once,
-     * but for a drain's 500 ms.
+     * The delay before the next subscription. A failed agent restarts within seconds, and its list
+     * then applies immediately, except for the 500 ms of a drain.
      */
     private static final long AGENT_RECONNECT_MILLIS = 150;
 
-    /** How long clients wait at a start for the list of an agent that is unresponsive. */
+    /** The longest time that clients wait after a start for the list of an unresponsive agent. */
     private static final long INITIAL_LIST_TIMEOUT_MILLIS = 2_000;
 
     private final EventLoop loop;
@@ -34,12 +34,15 @@
         this.initialListReceived = loop.newPromise();
     }
 
-    /** Done when clients may be served. */
+    /** Returns a future that is completed when clients may be served. */
     Future<Void> initialListReceived() {
         return initialListReceived;
     }
 
-    /** Limits how long clients wait; not at all if the policy subscribes itself. */
+    /**
+     * Starts the timeout for the first list. Clients do not wait at all if the policy subscribes
+     * itself.
+     */
     void startInitialWait(boolean policySubscribes) {
         if (policySubscribes) {
             initialListReceived.setSuccess(null);
@@ -51,7 +54,7 @@
         }
     }
 
-    /** Subscribes when the cached list has been applied, and again after a failure. */
+    /** Subscribes after the cached list has been applied, and again after a failure. */
     void onEndpointList(EndpointUpdateMode mode) {
         if (mode == EndpointUpdateMode.CACHED) {
             discovery.subscribe();
--- a/node/src/main/java/frostrelay/node/proxy/EndpointUpdates.java
+++ b/node/src/main/java/frostrelay/node/proxy/EndpointUpdates.java
@@ -18,8 +18,8 @@
 
 /**
  * Applies endpoint lists and drains to the upstream and the policy. A server may be drained by the
- * list, by operators of this process, and by peers, which have newer lists or operators of their
- * own. Runs on the event loop.
+ * list, by an operator at this process, by a peer's newer list, or by an operator at a peer. Runs
+ * on the event loop.
  */
 final class EndpointUpdates {
     private final DecisionObserver observer;
@@ -27,12 +27,14 @@
     private final PolicyEventQueue events;
     private final PolicyEvents policy;
 
-    /** Unix time in milliseconds, which may step; discovery gives start times in it. */
+    /** Unix time in milliseconds, which may jump. Discovery reports start times in Unix time. */
     private final LongSupplier wallClockMillis;
 
     private final ServerStartTimes startTimes = new ServerStartTimes();
 
-    /** The servers as listed by discovery, with their start on this process's clock. */
+    /**
+     * The servers as listed by discovery, with their start times converted to this process's clock.
+     */
     private final Map<Long, Server> listedServers = new HashMap<>();
 
     private Set<Long> locallyDrained = Set.of();
@@ -54,7 +56,7 @@
         this.wallClockMillis = wallClockMillis;
     }
 
-    /** Applies an update of the endpoint list; one that failed changes no server. */
+    /** Applies an update of the endpoint list. A failed update changes no server. */
     void apply(EndpointUpdateMode mode, long revision, List<EndpointList.Endpoint> members) {
         observer.onEndpointList(mode, revision, members);
         upstream.update(mode, members);
@@ -79,7 +81,10 @@
         events.post(null, () -> policy.onEndpointUpdate(Clock.now(), mode, servers));
     }
 
-    /** Replaces the set of servers that operators of this process drain, by their listed names. */
+    /**
+     * Replaces the set of servers that are administratively drained at this process, given by their
+     * names in the endpoint list.
+     */
     void setAdminDrains(Set<String> names) {
         Set<Long> servers = new HashSet<>();
         names.forEach(name -> servers.add(EndpointList.serverId(name)));
@@ -88,7 +93,10 @@
         applyDrains();
     }
 
-    /** Replaces the servers that are drained by newer lists of peers, and by their operators. */
+    /**
+     * Replaces the sets of servers that are drained by newer lists of peers and by operators at
+     * peers.
+     */
     void setPeerDrains(Set<Long> servers, Set<Long> adminDrainedByPeers) {
         Set<Long> changed = new TreeSet<>(avoidedServers);
         changed.addAll(servers);
@@ -115,7 +123,7 @@
         events.post(null, () -> policy.onAdminDrains(Clock.now(), adminDrained));
     }
 
-    /** A listed server with its start on this process's clock. */
+    /** Returns a listed server with its start time converted to this process's clock. */
     private Server withLocalStartTime(Server listedServer) {
         if (listedServer.state() == EndpointState.REMOVED) {
             startTimes.forget(listedServer.id());
@@ -131,7 +139,10 @@
                 startTimes.toLocalStart(listedServer.id(), listedServer.startedAtNanos()));
     }
 
-    /** A listed server as newer lists of peers have it. */
+    /**
+     * Returns a server with the state {@code DRAINING} if it is ready here but drained in a newer
+     * list of a peer; otherwise unchanged.
+     */
     private Server withPeerDrains(Server server) {
         return server.state() != EndpointState.READY || !avoidedServers.contains(server.id())
                 ? server
--- a/node/src/main/java/frostrelay/node/proxy/IdInUseException.java
+++ b/node/src/main/java/frostrelay/node/proxy/IdInUseException.java
@@ -1,8 +1,8 @@
 package frostrelay.node.proxy;
 
 /**
- * Another request with the same id is open, and servers know requests by their ids alone. Made
- * without a stack trace, as clients can cause any number of these.
+ * Thrown when another request with the same id is open, because servers identify requests by their
+ * ids alone. Has no stack trace, because clients can cause any number of these exceptions.
  */
 public final class IdInUseException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/node/src/main/java/frostrelay/node/proxy/PolicyEvent.java
+++ b/node/src/main/java/frostrelay/node/proxy/PolicyEvent.java
@@ -1,12 +1,11 @@
 package frostrelay.node.proxy;
 
 /**
- * An event for the policy. Frequent events are classes of their own: without the second compiler,
- * which this program does not load, a capturing lambda is made through a slow call into the JVM
- * each time.
+ * An event for the policy. Each frequent event has its own class: this program runs without the C2
+ * compiler, and without it each creation of a capturing lambda makes a slow call into the JVM.
  */
 abstract class PolicyEvent {
-    /** The request that the event is about; null if it is about none. */
+    /** The request that the event concerns; null if there is none. */
     final ActiveRequest activeRequest;
 
     PolicyEvent(ActiveRequest activeRequest) {
--- a/node/src/main/java/frostrelay/node/proxy/PolicyEventQueue.java
+++ b/node/src/main/java/frostrelay/node/proxy/PolicyEventQueue.java
@@ -6,16 +6,20 @@
 import java.util.Queue;
 
 /**
- * Passes events to the policy one at a time and in order: an event that is posted while the policy
- * runs, as by one of its actions, is queued until it has returned. Runs on the event loop.
+ * Passes events to the policy one at a time and in order. An event that is posted while the policy
+ * runs, for example by one of the policy's actions, is queued until the policy has returned. Runs
+ * on the event loop.
  */
 final class PolicyEventQueue {
-    /** Completes a request about which the policy has failed. */
+    /**
+     * Completes a request after the policy has thrown an exception while it handled an event of the
+     * request.
+     */
     interface FailureHandler {
         void completeWithoutPolicy(ActiveRequest activeRequest);
     }
 
-    /** An event that is too rare for a class of its own. */
+    /** An event that is too rare to need its own class. */
     private static final class CallbackEvent extends PolicyEvent {
         private final Runnable callback;
 
@@ -42,12 +46,12 @@
         this.failureHandler = failureHandler;
     }
 
-    /** Posts a rare event; {@code activeRequest} is null if it is about none. */
+    /** Posts a rare event; {@code activeRequest} is null if the event concerns no request. */
     void post(ActiveRequest activeRequest, Runnable callback) {
         post(new CallbackEvent(activeRequest, callback));
     }
 
-    /** Posts an event, which is dispatched at once unless another one is being dispatched. */
+    /** Posts an event, which is dispatched immediately unless another event is being dispatched. */
     void post(PolicyEvent newEvent) {
         pendingEvents.add(newEvent);
         if (isDispatching) {
--- a/node/src/main/java/frostrelay/node/proxy/RequestAdmission.java
+++ b/node/src/main/java/frostrelay/node/proxy/RequestAdmission.java
@@ -19,14 +19,14 @@
  */
 final class RequestAdmission {
     /**
-     * A client's timeout runs from when it sent the request, and the response has its way to go as
-     * well: this much is subtracted, so that a final response arrives before the timeout.
+     * Subtracted from the client's timeout for the network delay of the request and of the
+     * response, so that the final response arrives before the client times out.
      */
     private static final long NETWORK_ALLOWANCE_NANOS = 6 * Clock.NANOS_PER_MILLISECOND;
 
     /**
-     * How long requests wait after a stall: a few rounds of the event loop, each of which reads all
-     * that has arrived; far below any latency objective.
+     * The delay of requests after a stall: a few iterations of the event loop, in which the sockets
+     * are read, and far below any latency objective.
      */
     private static final long CATCH_UP_DELAY_MILLIS = 10;
 
@@ -70,16 +70,20 @@
 
     /** See {@link RequestDispatcher#accept}. */
     ActiveRequest accept(
-            ClientRequest clientRequest, long arrivedAtNanos, ActiveRequest.ResponseListener client)
+            ClientRequest clientRequest,
+            long arrivedAtNanos,
+            ActiveRequest.ResponseListener responseListener)
             throws IdInUseException {
         if (requestTable.isOpen(clientRequest.id())) {
             throw new IdInUseException();
         }
         long now = Clock.now();
-        ActiveRequest activeRequest = newRequest(clientRequest, arrivedAtNanos, now, client);
+        ActiveRequest activeRequest =
+                newRequest(clientRequest, arrivedAtNanos, now, responseListener);
         counters.accepted++;
         activeRequest.trace("accepted", clientRequest.clientTimeoutMillis());
-        // Nothing has been sent yet, so rejecting a request for lack of capacity does no harm.
+        // No attempt has been sent yet, so the client may safely retry a request that is rejected
+        // here.
         if (requestTable.openCount() >= currentSettings.get().maxOpenRequests) {
             completion.reject(activeRequest, RejectionReason.TOO_MANY_OPEN, 0);
             return activeRequest;
@@ -105,7 +109,7 @@
             ClientRequest clientRequest,
             long arrivedAtNanos,
             long now,
-            ActiveRequest.ResponseListener client) {
+            ActiveRequest.ResponseListener responseListener) {
         long deadlineNanos =
                 guard.requestDeadlineNanos(
                         arrivedAtNanos,
@@ -118,7 +122,7 @@
                 settings.policySettings.classes().get(clientRequest.requestClass()),
                 now,
                 deadlineNanos,
-                client);
+                responseListener);
     }
 
     private final class RequestEvent extends PolicyEvent {
@@ -147,7 +151,7 @@
         }
     }
 
-    /** The client of an open request has disconnected: no response is due any more. */
+    /** Handles the disconnect of an open request's client, after which no response is sent. */
     void onClientDisconnect(ActiveRequest activeRequest) {
         if (completion.markCompleted(activeRequest)) {
             counters.disconnectedClients++;
@@ -157,7 +161,7 @@
         }
     }
 
-    /** Caps the deadlines of all open requests at this moment. */
+    /** Moves the deadlines of all open requests that are later than the given time to that time. */
     void capDeadlines(long latestDeadlineNanos) {
         long now = Clock.now();
         for (ActiveRequest activeRequest : requestTable.activeRequests()) {
--- a/node/src/main/java/frostrelay/node/proxy/RequestCompletion.java
+++ b/node/src/main/java/frostrelay/node/proxy/RequestCompletion.java
@@ -6,11 +6,10 @@
 import frostrelay.node.metrics.RejectionReason;
 import frostrelay.node.time.Clock;
 
-/** Gives requests their one final response, and checks that it is not late. */
+/** Gives each request its final response, once, and records a violation if the response is late. */
 final class RequestCompletion {
     /**
-     * A final response that is later than this has another cause than a stall of this process
-     * within its limit.
+     * The largest lateness of a final response that a tolerated stall of this process can cause.
      */
     private static final long MAX_LATENESS_NANOS =
             ActionGuard.MAX_PROCESS_STALL_NANOS + 50 * Clock.NANOS_PER_MILLISECOND;
@@ -25,27 +24,30 @@
         this.requestTable = requestTable;
     }
 
-    /** Rejects a request; {@code retryAfterMillis} is 0 if the client is told no time. */
+    /** Rejects a request; {@code retryAfterMillis} is 0 if the response names no retry time. */
     void reject(ActiveRequest activeRequest, RejectionReason reason, long retryAfterMillis) {
         counters.rejected(reason);
         activeRequest.trace("rejected", reason);
         observer.onRequestRejected();
         if (markCompleted(activeRequest)) {
-            activeRequest.client.onRejected(retryAfterMillis);
+            activeRequest.responseListener.onRejected(retryAfterMillis);
         }
     }
 
-    /** Gives up a request, of which an attempt may have run. */
+    /** Fails a request of which an attempt may have run. */
     void fail(ActiveRequest activeRequest) {
         counters.failed++;
         activeRequest.trace("failed", null);
         observer.onRequestFailed();
         if (markCompleted(activeRequest)) {
-            activeRequest.client.onFailed();
+            activeRequest.responseListener.onFailed();
         }
     }
 
-    /** Closes a request; true the first time only, so that there is never a second response. */
+    /**
+     * Marks a request as completed. Returns true only for the first call, so that no second
+     * response is sent.
+     */
     boolean markCompleted(ActiveRequest activeRequest) {
         if (!activeRequest.markCompleted()) {
             return false;
--- a/node/src/main/java/frostrelay/node/proxy/RequestDispatcher.java
+++ b/node/src/main/java/frostrelay/node/proxy/RequestDispatcher.java
@@ -28,14 +28,14 @@
 
 /**
  * Connects clients, the policy and the upstream: accepts requests, passes events to the policy and
- * carries out its actions. It decides nothing: what is sent, retried, rejected or given up is
- * decided by the policy. Runs on the event loop.
+ * executes its actions. The policy alone decides which requests are sent, retried, rejected or
+ * failed. Runs on the event loop.
  */
 public final class RequestDispatcher
         implements PolicyActions, Upstream.Listener, DiscoveryClient.Listener {
     /** Creates the policy. */
     public interface PolicyFactory {
-        /** {@code actions} receives what the policy decides. */
+        /** Creates a policy that calls {@code actions} for its decisions. */
         PolicyEvents create(PolicySettings settings, long seed, PolicyActions actions);
     }
 
@@ -61,7 +61,8 @@
      * Creates a dispatcher and applies the configuration's endpoint list. To be called on the event
      * loop.
      *
-     * @param sharedState what the other processes of this balancer have left or are using
+     * @param sharedState the state that the processes of this balancer share: drains, overrides and
+     *     descriptor usage
      * @param wallClockMillis Unix time in milliseconds
      */
     public RequestDispatcher(
@@ -126,9 +127,9 @@
     }
 
     /**
-     * Done when clients may be served. Where lists are pushed, the agent's list applies from the
-     * start of this process and the configuration's may be old: nothing is sent before the agent
-     * has answered or failed.
+     * Returns a future that is completed when clients may be served. If lists are pushed, the list
+     * in the configuration may be outdated when this process starts, so nothing is sent before the
+     * agent has responded, has failed, or has timed out.
      */
     public Future<Void> initialEndpointsReceived() {
         return endpointSubscription.initialListReceived();
@@ -139,22 +140,25 @@
     /**
      * Accepts a request, which gets exactly one response unless its client disconnects first.
      *
-     * @param arrivedAtNanos when it had arrived completely; its client's timeout runs from then
-     * @throws IdInUseException if another request with this id is open: servers know requests by
-     *     their ids alone, so the second one could be served with the response to the first
+     * @param arrivedAtNanos the time at which the request had arrived completely, from which the
+     *     client's timeout is counted
+     * @throws IdInUseException if another request with this id is open: servers identify requests
+     *     by their ids alone, so the second request could be served with the response to the first
      */
     public ActiveRequest accept(
-            ClientRequest clientRequest, long arrivedAtNanos, ActiveRequest.ResponseListener client)
+            ClientRequest clientRequest,
+            long arrivedAtNanos,
+            ActiveRequest.ResponseListener responseListener)
             throws IdInUseException {
-        return admission.accept(clientRequest, arrivedAtNanos, client);
+        return admission.accept(clientRequest, arrivedAtNanos, responseListener);
     }
 
-    /** The client of an open request has disconnected: no response is due any more. */
+    /** Handles the disconnect of an open request's client, after which no response is sent. */
     public void onClientDisconnect(ActiveRequest activeRequest) {
         admission.onClientDisconnect(activeRequest);
     }
 
-    /** Caps the deadlines of all open requests at this moment. */
+    /** Moves the deadlines of all open requests that are later than the given time to that time. */
     public void capDeadlines(long latestDeadlineNanos) {
         admission.capDeadlines(latestDeadlineNanos);
     }
@@ -174,32 +178,42 @@
         }
     }
 
-    /** Replaces the set of servers that operators drain, by their names in the endpoint list. */
+    /**
+     * Replaces the set of administratively drained servers, given by their names in the endpoint
+     * list.
+     */
     public void onAdminDrains(Set<String> names) {
         endpointUpdates.setAdminDrains(names);
     }
 
     /**
-     * Replaces the servers that are avoided on reports of peers.
+     * Replaces the sets of servers that are not used because of drains known to peers.
      *
      * @param servers drained according to newer endpoint lists of peers
-     * @param adminDrainedByPeers drained by operators at peers, with the same effect as here
+     * @param adminDrainedByPeers drained by operators at peers, with the same effect as a drain at
+     *     this process
      */
     public void onPeerDrains(Set<Long> servers, Set<Long> adminDrainedByPeers) {
         endpointUpdates.setPeerDrains(servers, adminDrainedByPeers);
     }
 
-    /** Replaces the set of servers that are outliers according to the peers together. */
+    /**
+     * Replaces the set of servers that are outliers according to the combined health reports of the
+     * peers.
+     */
     public void onPeerHealthReports(Set<Long> outliers) {
         events.post(null, () -> policy.onPeerHealthReports(Clock.now(), outliers));
     }
 
-    /** The number of further processes of this balancer that serve now. */
+    /** Passes on the number of other processes of this balancer that are serving. */
     public void onSiblingProcesses(int siblingCount) {
         events.post(null, () -> policy.onSiblingProcesses(Clock.now(), siblingCount));
     }
 
-    /** Applies what of a new configuration may change at run time: settings and discovery. */
+    /**
+     * Applies the parts of a new configuration that can change at run time: the settings and the
+     * address of discovery.
+     */
     public void reload(Config newConfig) {
         observer.onConfig(newConfig);
         currentSettings.replace(newConfig.settings());
@@ -208,19 +222,20 @@
         discovery.moveTo(newConfig.discoveryAddress());
     }
 
-    /** The settings that apply now. */
+    /** Returns the settings that currently apply. */
     public DeploymentSettings deploymentSettings() {
         return currentSettings.get();
     }
 
-    /** Polls discovery at once. */
+    /** Polls discovery immediately. */
     public void refresh() {
         discovery.refresh();
     }
 
     /**
-     * Whether the endpoint list names this server, or did recently: operators restart servers that
-     * they drain, and discovery may remove one just before their command arrives.
+     * Returns whether the endpoint list contains this server or did so recently. Operators restart
+     * servers that they drain, so discovery may remove a server just before the command to end its
+     * drain arrives.
      */
     public boolean isKnownServer(String name) {
         return upstream.isKnown(EndpointList.serverId(name));
@@ -228,12 +243,17 @@
 
     // Periodic tasks and views.
 
-    /** From now on requests that arrive after a stall of this process wait for its sockets. */
+    /**
+     * Enables the delay of requests after a stall of this process until its sockets have been read.
+     */
     public void enableCatchUp() {
         stallDetector.enable();
     }
 
-    /** Retires connections that are idle for too long. To be called four times a second. */
+    /**
+     * Closes connections to servers that have been idle for too long. Must be called four times a
+     * second.
+     */
     public void sweep() {
         stallDetector.onSweep();
         upstream.sweep();
@@ -244,17 +264,20 @@
         upstream.setMaxConnections(maxConnections);
     }
 
-    /** Connections to servers. */
+    /** Returns the number of connections to servers that are open or being opened. */
     public int connectionCount() {
         return upstream.connectionCount();
     }
 
-    /** The number of requests that are due a response. */
+    /** Returns the number of requests that have no final response yet. */
     public int openRequestCount() {
         return requestTable.openCount();
     }
 
-    /** The first open requests, each by its id and the milliseconds until its deadline. */
+    /**
+     * Returns up to {@code maxEntries} open requests: for each id the milliseconds until the
+     * deadline.
+     */
     public Map<String, Object> openRequests(int maxEntries) {
         return requestTable.openRequests(maxEntries);
     }
@@ -295,17 +318,19 @@
 
     @Override
     public void onAttemptCompleted(
-            Attempt attempt, AttemptResult reason, UpstreamResponse response, ValueStream value) {
-        attempts.complete(attempt, reason, response, value);
+            Attempt attempt, AttemptResult result, UpstreamResponse response, ValueStream value) {
+        attempts.complete(attempt, result, response, value);
     }
 
-    // Actions of the policy, carried out in its order.
+    // Actions of the policy, executed in the order of its calls.
 
     @Override
     public void send(long requestId, long serverId, long abandonAtNanos) {
         ActiveRequest activeRequest = requestTable.get(requestId);
         if (activeRequest == null) {
-            counters.warn("send for a request that is over: " + requestId);
+            counters.warn(
+                    "ignored a send by the policy for a request that is already finished: "
+                            + requestId);
             return;
         }
         attempts.start(activeRequest, serverId, abandonAtNanos);
--- a/node/src/main/java/frostrelay/node/proxy/RequestTable.java
+++ b/node/src/main/java/frostrelay/node/proxy/RequestTable.java
@@ -11,26 +11,26 @@
 import java.util.Set;
 
 /**
- * The requests that are in progress, until the outcome of their last attempt, and the memory that
- * is reserved for them. Runs on the event loop.
+ * A table of the requests in progress and the memory reserved for them. A request stays in the
+ * table until its last attempt has an outcome. Runs on the event loop.
  */
 final class RequestTable {
     private final MemoryLimiter memoryLimiter;
     private final Map<Long, ActiveRequest> activeRequests = new HashMap<>();
 
-    /** The ids of requests that are due a response. */
+    /** The ids of the requests that have no final response yet. */
     private final Set<String> openRequestIds = new HashSet<>();
 
     RequestTable(MemoryLimiter memoryLimiter) {
         this.memoryLimiter = memoryLimiter;
     }
 
-    /** Whether a request with this id of a client is due a response. */
+    /** Returns whether a request with this client-assigned id has no final response yet. */
     boolean isOpen(String clientRequestId) {
         return openRequestIds.contains(clientRequestId);
     }
 
-    /** Reserves memory for a request; false if there is not enough. */
+    /** Reserves memory for a request; returns false if there is not enough. */
     boolean tryReserveMemory(ClientRequest clientRequest) {
         return memoryLimiter.tryReserve(clientRequest.sizeBytes());
     }
@@ -41,7 +41,7 @@
         openRequestIds.add(activeRequest.clientRequest.id());
     }
 
-    /** The request with this number; null if it is over. */
+    /** Returns the request with this internal id, or null if it is finished. */
     ActiveRequest get(long requestId) {
         return activeRequests.get(requestId);
     }
@@ -51,8 +51,9 @@
     }
 
     /**
-     * A request has its response, or its client has disconnected. One that was rejected before it
-     * was added is not here, and its id may be that of another one.
+     * Releases the id of a request that has its response or whose client has disconnected. A
+     * request that was rejected before it was added to the table is ignored, because another
+     * request may use its id.
      */
     void onCompleted(ActiveRequest activeRequest) {
         if (activeRequests.containsKey(activeRequest.id)) {
@@ -60,7 +61,10 @@
         }
     }
 
-    /** Removes a completed request and releases its memory if no outcome is pending any more. */
+    /**
+     * Removes a request and releases its memory if the request is completed and no outcome is
+     * pending.
+     */
     void removeIfFinished(ActiveRequest activeRequest) {
         if (activeRequest.completed
                 && activeRequest.pendingOutcomes == 0
@@ -69,17 +73,23 @@
         }
     }
 
-    /** Requests that are due a response. */
+    /** Returns the number of requests that have no final response yet. */
     int openCount() {
         return openRequestIds.size();
     }
 
-    /** Requests in progress, including those that only wait for outcomes. */
+    /**
+     * Returns the number of requests in progress, including completed requests with pending
+     * outcomes.
+     */
     int size() {
         return activeRequests.size();
     }
 
-    /** The first open requests, each by its id and the milliseconds until its deadline. */
+    /**
+     * Returns up to {@code maxEntries} open requests: for each id the milliseconds until the
+     * deadline.
+     */
     Map<String, Object> openRequests(int maxEntries) {
         long now = Clock.now();
         Map<String, Object> open = new LinkedHashMap<>();
--- a/node/src/main/java/frostrelay/node/proxy/SendGuard.java
+++ b/node/src/main/java/frostrelay/node/proxy/SendGuard.java
@@ -8,8 +8,8 @@
 import frostrelay.policy.api.RequestClass;
 
 /**
- * Collects for {@link ActionGuard} what is known of an attempt, immediately before its write, and
- * checks the write once more when it is done.
+ * Checks each attempt with {@link ActionGuard} immediately before its write, and once more after
+ * the write.
  */
 final class SendGuard {
     private final ActionGuard guard;
@@ -39,7 +39,7 @@
         ActiveRequest activeRequest = attempt.activeRequest;
         return new ActionGuard.PendingSend(
                 activeRequest.completed,
-                activeRequest.client.disconnectUndetectableSince(now),
+                activeRequest.responseListener.disconnectUndetectableSince(now),
                 attempt.timeoutAtNanos,
                 activeRequest.deadlineNanos,
                 sendAllowedUntilNanos,
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Until when an attempt may be sent, given what the attempts before it may have done; {@link
-     * ActionGuard#NEVER} for no limit.
+     * Returns the time until which an attempt may be sent, given that earlier attempts may have
+     * run; {@link ActionGuard#NEVER} for no limit.
      */
     private long retryAllowedUntilNanos(Attempt attempt) {
         for (int i = 0; i < attempt.number; i++) {
@@ -81,7 +81,7 @@
 
     /**
      * Checks a write again with a new reading of the clock, and records a violation if this process
-     * stalled before it for longer than the guard allows for.
+     * stalled before the write for longer than the guard's allowance.
      */
     void verifyWritten(Attempt attempt, long sendAllowedUntilNanos) {
         long now = Clock.now();
--- a/node/src/main/java/frostrelay/node/proxy/StallDetector.java
+++ b/node/src/main/java/frostrelay/node/proxy/StallDetector.java
@@ -3,11 +3,12 @@
 import frostrelay.node.time.Clock;
 
 /**
- * Detects by the missing periodic sweep that this process was stopped or starved. What its peers
- * have sent meanwhile waits in its sockets, and is read before requests are decided on.
+ * A detector of stalls of this process, which uses the delay of a periodic sweep. Messages that
+ * peers sent during a stall are still in the sockets and must be read before the policy decides on
+ * requests.
  */
 final class StallDetector {
-    /** The sweep runs four times a second; one overdue by twice that indicates a stall. */
+    /** The sweep runs every 250 ms; a sweep that is overdue by two periods indicates a stall. */
     private static final long STALL_THRESHOLD_NANOS = 750 * Clock.NANOS_PER_MILLISECOND;
 
     private boolean enabled;
@@ -21,7 +22,7 @@
         lastSweepNanos = Clock.now();
     }
 
-    /** Whether this process has stalled and has not run its sweep since. */
+    /** Returns whether this process has stalled and the sweep has not run since then. */
     boolean hasStalled(long now) {
         return enabled && now - lastSweepNanos > STALL_THRESHOLD_NANOS;
     }
--- a/node/src/main/java/frostrelay/node/proxy/Upstream.java
+++ b/node/src/main/java/frostrelay/node/proxy/Upstream.java
@@ -10,81 +10,106 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The servers that attempts are sent to, and the connections to them. Runs on the event loop. */
+/**
+ * The cache servers that attempts are sent to, with the connections to them. Runs on the event
+ * loop.
+ */
 public interface Upstream {
-    /** Decides whether attempts may be written, and is notified of their progress. */
+    /**
+     * A listener that decides whether attempts may be written and is notified of their progress.
+     */
     interface Listener {
         /**
-         * Whether an attempt may be written now.
+         * Returns whether an attempt may be written now.
          *
-         * @param sendAllowedUntilNanos the last moment at which a send to its server may start
+         * @param sendAllowedUntilNanos the latest time at which a send to the server may start
          */
         ActionGuard.SendDecision maySend(Attempt attempt, long sendAllowedUntilNanos);
 
         /**
-         * The timeout in nanoseconds that the server of an attempt is given, if it is written now.
+         * Returns the timeout in nanoseconds to send to the server if the attempt is written now.
          */
         long remainingTimeoutNanos(Attempt attempt);
 
-        /** An attempt is about to be written to the server with this {@link #serverNumber}. */
+        /**
+         * Called immediately before an attempt is written to the server with this {@link
+         * #serverNumber}.
+         */
         void onWriteStarted(Attempt attempt, int serverNumber);
 
-        /** The write of an attempt has been passed to the operating system. */
+        /** Called when the write of an attempt has been handed to its channel. */
         void onWritten(Attempt attempt, long sendAllowedUntilNanos);
 
-        /** The number of a server in events, given its name in the endpoint list. */
+        /**
+         * Returns the number that identifies a server in events, given its name in the endpoint
+         * list.
+         */
         int serverNumber(String uid);
 
         /**
-         * An attempt has ended that was not abandoned.
+         * Called when an attempt has ended without having been abandoned.
          *
-         * @param response what the server answered; null if nothing
-         * @param value a long value that is still being received; else null
+         * @param response the response of the server; null if there is none
+         * @param value the stream of a long value that is still being received; null for a buffered
+         *     value
          */
         void onAttemptCompleted(
                 Attempt attempt,
-                AttemptResult reason,
+                AttemptResult result,
                 UpstreamResponse response,
                 ValueStream value);
     }
 
-    /** Creates an upstream. */
+    /** A factory of upstreams. */
     interface Factory {
-        /** The upstream reports to this listener, but not before this method has returned. */
+        /**
+         * Creates an upstream, which does not call the listener before this method has returned.
+         */
         Upstream create(CurrentSettings currentSettings, Listener listener);
     }
 
     /** A connection that carries an attempt. */
     interface AttemptConnection {
-        /** Whether the attempt's last byte has been sent: from then on it may run. */
+        /**
+         * Returns whether the last byte of the attempt has been sent; from then on the server may
+         * execute the request.
+         */
         boolean isWritten();
     }
 
-    /** Applies a list before the policy sees it, so that every server it may choose is known. */
+    /**
+     * Applies an update of the endpoint list. Must be called before the policy receives the update,
+     * so that every server that the policy may choose is known.
+     */
     void update(EndpointUpdateMode mode, List<EndpointList.Endpoint> members);
 
-    /** Replaces the set of servers that are drained in addition to what the list says. */
+    /**
+     * Replaces the set of servers that are drained in addition to those drained by the endpoint
+     * list.
+     */
     void setDrainedServers(Set<Long> servers);
 
-    /** Whether the list names the server, or did so within the last minute. */
+    /** Returns whether the endpoint list contains the server or did so within the last minute. */
     boolean isKnown(long serverId);
 
-    /** Sends an attempt; if that is not possible, it is reported as completed at once. */
+    /** Sends an attempt. If it cannot be sent, it is reported as completed immediately. */
     void send(Attempt attempt, long serverId);
 
-    /** Stops waiting for an attempt, which is not reported any more. */
+    /** Stops waiting for an attempt, whose end is then not reported. */
     void abandon(Attempt attempt);
 
     /** Closes the idle connections to a server. */
     void closeIdleConnections(long serverId);
 
-    /** Changes the limit on connections; idle ones above it are closed. */
+    /** Changes the limit on connections and closes idle connections above it. */
     void setMaxConnections(int maxConnections);
 
-    /** Closes connections that are idle for too long. To be called several times a second. */
+    /**
+     * Closes connections that have been idle for too long. Must be called several times a second.
+     */
     void sweep();
 
-    /** Connections that are open or being opened. */
+    /** Returns the number of connections that are open or being opened. */
     int connectionCount();
 
     /** Adds the gauges of servers and connections. */
--- a/node/src/main/java/frostrelay/node/proxy/UpstreamResponse.java
+++ b/node/src/main/java/frostrelay/node/proxy/UpstreamResponse.java
@@ -2,20 +2,20 @@
 
 import frostrelay.policy.api.ResponseSource;
 
-/** A server's successful response, in whatever protocol. Immutable. */
+/** A successful response of a server, independent of the protocol. Immutable. */
 public interface UpstreamResponse {
-    /** The value of a read; null for a long one, which is streamed. */
+    /** Returns the value of a read, or null if the value is long and therefore streamed. */
     byte[] data();
 
-    /** The complete length of the value in bytes. */
+    /** Returns the complete length of the value in bytes. */
     long valueBytes();
 
-    /** The receipt that confirms a write. */
+    /** Returns the receipt that confirms a write. */
     String receipt();
 
-    /** Where the value came from, if the server reports it. */
+    /** Returns the source of the value, if the server reports it. */
     ResponseSource source();
 
-    /** The server's load report; null if it sent none. */
+    /** Returns the server's load report, or null if the response contains none. */
     String loadReport();
 }
--- a/node/src/main/java/frostrelay/node/proxy/ValueStream.java
+++ b/node/src/main/java/frostrelay/node/proxy/ValueStream.java
@@ -6,29 +6,32 @@
 import java.util.Queue;
 
 /**
- * One long value on its way from a server to a client, in chunks that neither end collects: the
- * server is read only while the client takes them. Until the client's end is attached, at most the
- * chunks of one read are buffered here. Runs on the event loop.
+ * A stream that forwards one long value from a server to a client in chunks, without buffering the
+ * whole value: the server's connection is read only while the client accepts chunks. Until the sink
+ * is attached, at most the chunks of one read are buffered here. Runs on the event loop.
  */
 public final class ValueStream {
-    /** The server's end. */
+    /** The server's side of the stream. */
     public interface Source {
-        /** Whether further chunks are wanted now. */
-        void setDemand(boolean wantsMore);
+        /** Starts or stops the delivery of further chunks. */
+        void setDemand(boolean enabled);
 
-        /** The rest is not wanted. */
+        /** Stops the transfer and discards the rest of the value. */
         void cancel();
     }
 
-    /** The client's end. */
+    /** The client's side of the stream. */
     public interface Sink {
         /** Takes ownership of a chunk. */
         void onChunk(ByteBuf chunk);
 
-        /** The value is complete. */
+        /** Called after the last chunk of a complete value. */
         void onStreamComplete();
 
-        /** The rest will never arrive, which the client must be able to recognise. */
+        /**
+         * Called when the rest of the value cannot be delivered. The client must be able to detect
+         * that the value is truncated.
+         */
         void onStreamFailed();
     }
 
@@ -44,13 +47,13 @@
     private State state = State.OPEN;
     private boolean cancelled;
 
-    /** Creates a stream and stops its source until there is demand. */
+    /** Creates a stream and pauses its source until there is demand. */
     public ValueStream(Source source) {
         this.source = source;
         source.setDemand(false);
     }
 
-    // Called by the server's end.
+    // Called by the source.
 
     /** Takes ownership of a chunk. */
     public void addChunk(ByteBuf chunk) {
@@ -63,12 +66,12 @@
         }
     }
 
-    /** All chunks have been added. */
+    /** Ends the stream after its last chunk. */
     public void complete() {
         finish(State.COMPLETE);
     }
 
-    /** No further chunk will arrive. */
+    /** Ends the stream before the value is complete. */
     public void fail() {
         finish(State.FAILED);
     }
@@ -88,9 +91,9 @@
         }
     }
 
-    // Called by the client's end.
+    // Called by the sink.
 
-    /** Attaches the client's end, which receives the buffered chunks at once. */
+    /** Attaches the sink, which immediately receives the buffered chunks. */
     public void attach(Sink newSink) {
         sink = newSink;
         for (ByteBuf chunk = bufferedChunks.poll(); chunk != null; chunk = bufferedChunks.poll()) {
@@ -99,14 +102,14 @@
         notifyEnd();
     }
 
-    /** Whether further chunks are wanted now. */
-    public void setDemand(boolean wantsMore) {
+    /** Starts or stops the delivery of further chunks. */
+    public void setDemand(boolean enabled) {
         if (state == State.OPEN && !cancelled) {
-            source.setDemand(wantsMore);
+            source.setDemand(enabled);
         }
     }
 
-    /** Drops the rest; the client does not want it. */
+    /** Cancels the transfer and releases the buffered chunks. */
     public void cancel() {
         if (cancelled) {
             return;
