--- a/node/src/main/java/frostrelay/node/client/ClientConnection.java
+++ b/node/src/main/java/frostrelay/node/client/ClientConnection.java
@@ -18,15 +18,15 @@
 import java.util.Queue;
 
 /**
- * One connection of a client: begins its commands, writes their responses in order, and closes it
- * so that no response is lost. Its end is described by {@link ConnectionLifecycle}. Runs on the
- * event loop.
+ * A connection of a client. Starts the client's commands, writes their responses in order, and
+ * closes the connection without losing a response. {@link ConnectionLifecycle} holds the state of
+ * the close. Runs on the event loop.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<MetaFrame>
         implements ReadAhead.Listener, ConnectionLimiter.LimitedConnection {
     /**
-     * Pause between the reads of a connection that responds to nothing any more, so that a flood on
-     * it costs little.
+     * The pause between reads of a connection that is being closed and discards its input, which
+     * limits the cost of a flood on it.
      */
     private static final long DISCARD_PAUSE_MILLIS = 50;
 
@@ -45,22 +45,22 @@
     private final PendingResponses pendingResponses;
     private final ConnectionTimeouts timeouts = new ConnectionTimeouts();
 
-    /** Commands that have been read and not begun. */
+    /** Commands that have been decoded but not started. */
     private final Queue<ReceivedCommand> receivedCommands = new ArrayDeque<>();
 
-    /** Whether a command has been begun since it was idle last. */
+    /** Whether a command has been started since the connection was last idle. */
     private boolean usedSinceIdle;
 
-    /** Whether it exceeds the connection limit, so that its requests are rejected. */
+    /** Whether the connection exceeds the connection limit, so that its requests are rejected. */
     private boolean overCapacity;
 
-    /** Whether commands are being begun: responses wait until that is done. */
+    /** Whether commands are being started; responses are written after that. */
     private boolean dispatching;
 
-    /** Whether {@link #dispatchTask} is due. */
+    /** Whether {@link #dispatchTask} is scheduled. */
     private boolean dispatchScheduled;
 
-    /** Made once: a lambda is slow to make without the second compiler. */
+    /** Created once, because creating a lambda is slow without the C2 compiler. */
     private final Runnable dispatchTask = this::dispatch;
 
     ClientConnection(
@@ -68,7 +68,7 @@
             MetaDecoder decoder,
             ClientListener listener,
             ReadAhead.BufferedTotal readAheadTotal,
-            int maxReadsPerTurn) {
+            int maxReadsPerIteration) {
         this.channel = channel;
         this.decoder = decoder;
         this.loop = listener.loop();
@@ -77,7 +77,7 @@
         this.guard = listener.guard();
         this.limiter = listener.limiter();
         this.responseMemory = listener.responseMemory();
-        this.readAhead = new ReadAhead(this, readAheadTotal, maxReadsPerTurn);
+        this.readAhead = new ReadAhead(this, readAheadTotal, maxReadsPerIteration);
         this.readPauses = new ReadPauses(channel, readAhead, loop, this::updateState);
         this.executor = new CommandExecutor(this, readPauses, dispatcher, counters, guard);
         this.lifecycle = new ConnectionLifecycle(counters, guard);
@@ -123,8 +123,8 @@
     }
 
     /**
-     * Removed from the limiter at once, as the channel reports its end only later: a burst of new
-     * connections would otherwise evict this one repeatedly.
+     * Closes this connection and removes it from the limiter immediately. The channel reports the
+     * close only later, and a burst of new connections would otherwise evict this one repeatedly.
      */
     @Override
     public void evict() {
@@ -132,7 +132,7 @@
         close(CloseReason.EVICTED);
     }
 
-    /** Whether nothing that was read waits for its response, or to be begun. */
+    /** Returns whether no received bytes or commands are waiting and no response is pending. */
     private boolean isIdle() {
         return pendingResponses.isEmpty() && receivedCommands.isEmpty() && readAhead.isEmpty();
     }
@@ -142,14 +142,14 @@
                 executor.isProven()
                         ? ConnectionLimiter.IdleState.IDLE
                         : ConnectionLimiter.IdleState.UNPROVEN;
-        // A connection that is idle already keeps its place in the order of eviction.
+        // A connection that is already idle keeps its position in the eviction order.
         if (limiter.markIdle(this, idleState) && usedSinceIdle) {
             usedSinceIdle = false;
             timeouts.restart();
         }
     }
 
-    /** Closes the connection if one of its timeouts has expired or it is to be drained. */
+    /** Closes the connection if a timeout has expired or if it is idle during a drain. */
     void checkTimeouts(long now) {
         if (pendingResponses.isStalled(now)) {
             counters.truncatedValues++;
@@ -180,7 +180,7 @@
         }
     }
 
-    /** Bytes that wait keep a connection from being evicted: they may be a command. */
+    /** Protects the connection from eviction, because the buffered bytes may be a command. */
     @Override
     public void onBytesBuffered() {
         limiter.markBusy(this);
@@ -209,18 +209,18 @@
 
     private boolean canDispatch() {
         return !lifecycle.state().isClosing()
-                && !readAhead.isBehind()
+                && !readAhead.mayHaveUnreadBytes()
                 && !pendingResponses.isFull()
                 && channel.isWritable()
                 && readPauses.allowsDispatch();
     }
 
     /**
-     * Begins the commands that were read, once the reads of this turn of the loop are over: by then
-     * the end of a connection that was closed behind its commands has been read too, and they are
-     * dropped. Otherwise, after a slow start, a stall of the machine or a burst, a queue of
-     * commands whose clients have all disconnected would cost as much as live ones. As a
-     * consequence a client that closes only its sending side gets no response.
+     * Starts the received commands after the reads of this event loop iteration. If the client
+     * closed the connection after its commands, the close has then been read as well, and the
+     * commands are dropped. Otherwise, after a slow start, a stall of the machine or a burst,
+     * queued commands of disconnected clients would cost as much as commands of connected ones. As
+     * a consequence, a client that closes only its sending side gets no response.
      */
     private void dispatch() {
         dispatchScheduled = false;
@@ -250,7 +250,7 @@
         executor.execute(pendingResponse, next);
     }
 
-    /** Writes the responses that no earlier one has to precede. */
+    /** Writes the completed responses up to the first one that is still pending. */
     void flushCompletedResponses() {
         if (dispatching || isDisconnected()) {
             return;
@@ -262,7 +262,7 @@
         updateState();
     }
 
-    /** The long value of the first response has been written completely. */
+    /** Called when the long value of the first response has been written completely. */
     void onValueStreamed(PendingResponse pendingResponse) {
         pendingResponses.remove(pendingResponse);
         channel.flush();
@@ -272,10 +272,13 @@
         }
     }
 
-    /** The long value of a response will not become complete; the connection is being closed. */
-    void onValueBroken() {
+    /**
+     * Called when the long value of a response cannot be completed. The response then closes the
+     * connection.
+     */
+    void onValueTruncated() {
         counters.truncatedValues++;
-        lifecycle.onValueBroken();
+        lifecycle.onValueTruncated();
     }
 
     @Override
@@ -284,20 +287,23 @@
         updateState();
     }
 
-    /** The client asks for the end of the connection; this command has no response. */
+    /** Handles the quit command, which has no response and closes the connection. */
     void quit(PendingResponse pendingResponse) {
         pendingResponses.remove(pendingResponse);
         closeAfterResponses(CloseReason.CLIENT_QUIT);
     }
 
-    /** Begins no more commands; the connection closes behind the responses that are due. */
+    /**
+     * Stops starting commands, and closes the connection after the pending responses have been
+     * written.
+     */
     void closeAfterResponses(CloseReason reason) {
         lifecycle.startClosing(reason);
     }
 
     /**
-     * Closes a connection that is over capacity or to be drained. To be called right after a
-     * response: then no request can be on its way that the close would cross.
+     * Closes the connection if it is idle and either exceeds the limit or is to be drained. Must be
+     * called immediately after a response, when no further request can be in transit.
      */
     private void closeIfRequired() {
         if ((overCapacity || guard.isDraining()) && isIdle()) {
@@ -318,8 +324,8 @@
     }
 
     /**
-     * Begins waiting commands, reads on, pauses reading, or closes, as the open requests and the
-     * client's reading of responses allow.
+     * Starts waiting commands, resumes or pauses reading, or closes the connection, depending on
+     * the open requests and on how fast the client reads its responses.
      */
     private void updateState() {
         if (isDisconnected()) {
@@ -331,7 +337,7 @@
         if (lifecycle.state() == ConnectionState.CLOSING && pendingResponses.isEmpty()) {
             shutdownOutput();
         } else if (responseMemory.isUnreadLimitExceeded() && !channel.isWritable()) {
-            // A client that does not read its responses must not use up the memory.
+            // A client that does not read its responses must not exhaust the memory.
             close(CloseReason.RESPONSES_UNREAD);
             return;
         }
@@ -352,10 +358,10 @@
     }
 
     /**
-     * Shuts the output down behind what is still being written and reads on until the client has
-     * closed as well, for a limited time: closing over unread bytes would reset the connection, and
-     * the client would lose the last response. What is read from now on is discarded; the client
-     * sends it again on another connection.
+     * Shuts the output down after the pending writes, and keeps reading until the client has closed
+     * its side, for a limited time. Closing a connection with unread bytes would reset it, and the
+     * client could lose the last response. Input that is read from now on is discarded; the client
+     * must resend it on another connection.
      */
     private void shutdownOutput() {
         lifecycle.onOutputClosing();
--- a/node/src/main/java/frostrelay/node/client/ClientListener.java
+++ b/node/src/main/java/frostrelay/node/client/ClientListener.java
@@ -27,23 +27,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accepts clients' connections, up to a limit, and closes those whose timeouts expire. Runs on the
- * event loop.
+ * A listener that accepts client connections up to a limit and closes those whose timeouts expire.
+ * Runs on the event loop.
  */
 public final class ClientListener {
     private static final int ACCEPT_BACKLOG = 1024;
 
     /**
-     * Connections accepted in one turn of the loop. All of them occupy a descriptor before the
-     * first is handled, and one that is closed keeps it until the next turn: more at once could
-     * exhaust the descriptors.
+     * The number of connections accepted per event loop iteration. All of them occupy a descriptor
+     * before the first is handled, and a closed connection keeps its descriptor until the next
+     * iteration, so a larger number could exhaust the descriptors.
      */
-    private static final int MAX_ACCEPTS_PER_TURN = 16;
+    private static final int MAX_ACCEPTS_PER_ITERATION = 16;
 
     private static final long ACCEPT_RETRY_MILLIS = 20;
 
-    /** Reads of one connection per turn of the loop, so that a flood on one starves no other. */
-    private static final int MAX_READS_PER_TURN = 4;
+    /**
+     * The number of reads of one connection per event loop iteration, so that a flood on one
+     * connection does not starve the others.
+     */
+    private static final int MAX_READS_PER_ITERATION = 4;
 
     private static final int MIN_READ_BYTES = 512;
     private static final int INITIAL_READ_BYTES = 2048;
@@ -64,8 +67,9 @@
     /**
      * Creates a listener that accepts nothing before {@link #listen}.
      *
-     * @param maxConnections connections that are served
-     * @param maxOverflow connections above that which are accepted to reject their requests
+     * @param maxConnections the limit on connections that are served
+     * @param maxOverflow the limit on further connections, which are accepted to reject their
+     *     requests
      */
     public ClientListener(
             RequestDispatcher dispatcher,
@@ -83,7 +87,7 @@
         this.limiter = new ConnectionLimiter<>(loop, maxConnections, maxOverflow);
     }
 
-    /** Starts to listen; the future is done when the address is bound, or fails. */
+    /** Starts to listen. The future is completed when the address is bound, or fails. */
     public ChannelFuture listen(InetSocketAddress address) {
         ServerBootstrap bootstrap =
                 new ServerBootstrap()
@@ -97,7 +101,7 @@
                         .option(
                                 ChannelOption.RCVBUF_ALLOCATOR,
                                 new ServerChannelRecvByteBufAllocator()
-                                        .maxMessagesPerRead(MAX_ACCEPTS_PER_TURN));
+                                        .maxMessagesPerRead(MAX_ACCEPTS_PER_ITERATION));
         ChannelFuture bindFuture = configureConnections(bootstrap).bind(address);
         listeningChannel = bindFuture.channel();
         return bindFuture;
@@ -108,17 +112,17 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(
                         ChannelOption.RCVBUF_ALLOCATOR,
-                        // Reads on after a short read: that is where a disconnect shows.
+                        // Reads again after a short read, in order to detect a disconnect.
                         new AdaptiveRecvByteBufAllocator(
                                         MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES)
                                 .respectMaybeMoreData(false)
-                                .maxMessagesPerRead(MAX_READS_PER_TURN))
+                                .maxMessagesPerRead(MAX_READS_PER_ITERATION))
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARKS)
                 .childHandler(
                         new ChannelInitializer<>() {
                             @Override
-                            protected void initChannel(Channel fresh) {
-                                initConnection((SocketChannel) fresh);
+                            protected void initChannel(Channel newChannel) {
+                                initConnection((SocketChannel) newChannel);
                             }
                         });
     }
@@ -126,30 +130,34 @@
     private void initConnection(SocketChannel channel) {
         MetaDecoder decoder = MetaDecoder.forCommands(memoryLimiter);
         ClientConnection connection =
-                new ClientConnection(channel, decoder, this, readAheadTotal, MAX_READS_PER_TURN);
+                new ClientConnection(
+                        channel, decoder, this, readAheadTotal, MAX_READS_PER_ITERATION);
         channel.pipeline().addLast(connection.readAhead(), decoder, connection);
     }
 
-    /** Accepts no more connections; those that are open stay. */
+    /** Stops accepting connections. Open connections are not closed. */
     public void stopListening() {
         if (listeningChannel != null) {
             listeningChannel.close();
         }
     }
 
-    /** Changes the limit; idle connections above it are evicted as further ones are accepted. */
+    /**
+     * Changes the limit. Idle connections above it are evicted when further connections are
+     * accepted.
+     */
     public void setMaxConnections(int maxConnections) {
         limiter.setMaxConnections(maxConnections);
     }
 
-    /** Connections that are open. */
+    /** Returns the number of open connections. */
     public int connectionCount() {
         return limiter.size();
     }
 
     /**
-     * Closes connections whose timeouts have expired: each occupies a descriptor and memory. To be
-     * called several times a second.
+     * Closes connections whose timeouts have expired, because each occupies a descriptor and
+     * memory. Must be called several times a second.
      */
     public void closeTimedOut() {
         long now = Clock.now();
@@ -183,13 +191,17 @@
     }
 
     /**
-     * Pauses accepting after a failure, as for lack of descriptors: retried at once it would keep
-     * the event loop busy.
+     * A handler that pauses accepting after a failure, for example for lack of descriptors. An
+     * immediate retry would keep the event loop busy.
      */
     private final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            counters.warn("cannot accept: " + cause);
+            counters.warn(
+                    "cannot accept a client connection; retrying in "
+                            + ACCEPT_RETRY_MILLIS
+                            + " ms: "
+                            + cause);
             ctx.channel().config().setAutoRead(false);
             loop.schedule(
                     () -> ctx.channel().config().setAutoRead(true),
--- a/node/src/main/java/frostrelay/node/client/CommandExecutor.java
+++ b/node/src/main/java/frostrelay/node/client/CommandExecutor.java
@@ -14,10 +14,10 @@
 
 /** Executes the commands of one client connection and counts its protocol errors. */
 final class CommandExecutor {
-    /** After a protocol error a connection is not read for this long. */
+    /** The time for which a connection is not read after a protocol error. */
     private static final long PROTOCOL_ERROR_PAUSE_MILLIS = 50;
 
-    /** After this many protocol errors a connection is closed. */
+    /** The number of protocol errors after which a connection is closed. */
     private static final int MAX_PROTOCOL_ERRORS = 8;
 
     private final ClientConnection connection;
@@ -45,12 +45,12 @@
         return hasSentValidCommand;
     }
 
-    /** Whether the client has sent valid commands and no other ones. */
+    /** Returns whether the client has sent at least one valid command and no invalid one. */
     boolean isProven() {
         return hasSentValidCommand && protocolErrorCount == 0;
     }
 
-    /** Executes a command; its response is given at once or when its request is completed. */
+    /** Executes a command. The response is given immediately or when the request is completed. */
     void execute(PendingResponse pendingResponse, ReceivedCommand received) {
         MetaFrame frame = received.frame();
         if (frame.errorResponse() != null) {
@@ -92,7 +92,10 @@
         }
     }
 
-    /** Why no request of this connection is accepted now; null if they are. */
+    /**
+     * Returns the reason for which requests of this connection are currently rejected, or null if
+     * they are accepted.
+     */
     private RejectionReason rejectionReason(long now) {
         if (connection.isOverCapacity()) {
             return RejectionReason.NO_CONNECTION_CAPACITY;
@@ -106,8 +109,9 @@
     }
 
     /**
-     * Responds to what cannot be served. Nothing behind a framing error is read; behind any other
-     * one reading pauses, so that a client which repeats it at once takes no time from the others.
+     * Responds to a malformed command. After a framing error the connection is closed; after any
+     * other error reading pauses, so that a client that repeats the error immediately does not take
+     * processing time from other clients.
      */
     private void rejectMalformed(
             PendingResponse pendingResponse, String errorResponse, boolean endsStream) {
--- a/node/src/main/java/frostrelay/node/client/ConnectionLifecycle.java
+++ b/node/src/main/java/frostrelay/node/client/ConnectionLifecycle.java
@@ -9,13 +9,13 @@
 
 import io.netty.channel.Channel;
 
-/** How far the end of one client connection has come, and why this end closes it. */
+/** The closing state of a client connection, and the reason if the close was initiated locally. */
 final class ConnectionLifecycle {
     private final Counters counters;
     private final ActionGuard guard;
     private ConnectionState state = ConnectionState.OPEN;
 
-    /** Why this end closes the connection; null while it does not. */
+    /** The reason for a close by this process; null if it has not started one. */
     private CloseReason closeReason;
 
     ConnectionLifecycle(Counters counters, ActionGuard guard) {
@@ -31,17 +31,19 @@
         return closeReason;
     }
 
-    /** Sets why this end closes the connection; the first reason stays. */
+    /**
+     * Sets the reason for which this process closes the connection, unless a reason is already set.
+     */
     void setCloseReason(CloseReason reason) {
         closeReason = closeReason == null ? reason : closeReason;
     }
 
-    /** A value was broken off; this replaces any earlier reason. */
-    void onValueBroken() {
+    /** Sets the close reason after a truncated value, replacing any earlier reason. */
+    void onValueTruncated() {
         closeReason = CloseReason.VALUE_BROKEN;
     }
 
-    /** From now on no command is begun. */
+    /** Starts closing the connection, after which no command is started. */
     void startClosing(CloseReason reason) {
         if (state == ConnectionState.OPEN) {
             state = ConnectionState.CLOSING;
@@ -59,13 +61,16 @@
         }
     }
 
-    /** The connection was not admitted and is closed at once. */
+    /** Records that the connection was not admitted and is closed immediately. */
     void onNotAdmitted() {
         counters.recordClose(CloseReason.CONNECTION_REJECTED);
         state = ConnectionState.DISCONNECTED;
     }
 
-    /** The channel is closed. Counts and logs the end of a connection that was admitted. */
+    /**
+     * Counts and logs the close of a connection that was admitted. Called when the channel has been
+     * closed.
+     */
     void onDisconnect(Channel channel, int pendingResponseCount) {
         if (state == ConnectionState.DISCONNECTED) {
             return;
@@ -78,7 +83,10 @@
         }
     }
 
-    /** Why a connection is closed that is over the connection limit or to be drained. */
+    /**
+     * Returns the reason for closing a connection that exceeds the connection limit or is to be
+     * drained.
+     */
     CloseReason gracefulCloseReason() {
         if (!guard.isDraining()) {
             return CloseReason.OVER_CONNECTION_LIMIT;
@@ -87,8 +95,8 @@
     }
 
     /**
-     * Records a violation where this end drops commands that were read: only a client that broke
-     * the protocol or disconnected may lose them.
+     * Records a violation if a close initiated by this process drops received commands. Commands
+     * may be dropped only if the client violated the protocol or disconnected.
      */
     void recordUnanswered(CloseReason reason, int pendingResponseCount, int receivedCommandCount) {
         if (reason.isInitiatedLocally()) {
@@ -97,9 +105,9 @@
                     reason
                             + ": "
                             + pendingResponseCount
-                            + " open, "
+                            + " pending responses and "
                             + receivedCommandCount
-                            + " read");
+                            + " unstarted commands dropped");
         }
     }
 }
--- a/node/src/main/java/frostrelay/node/client/ConnectionLimiter.java
+++ b/node/src/main/java/frostrelay/node/client/ConnectionLimiter.java
@@ -14,49 +14,58 @@
 import java.util.Set;
 
 /**
- * Limits how many clients' connections are open, and chooses the idle one that is evicted for
- * another. Runs on the event loop.
+ * A limiter of the number of open client connections, which selects idle connections to evict for
+ * new ones. Runs on the event loop.
  */
 final class ConnectionLimiter<C extends ConnectionLimiter.LimitedConnection> {
-    /** What the limiter needs of a connection. */
+    /** A connection that is subject to the limit. */
     interface LimitedConnection {
-        /** When it was accepted, became idle, or started to close its output. */
+        /**
+         * Returns the time at which the connection was accepted, became idle, or started or
+         * completed the shutdown of its output.
+         */
         long stateSinceNanos();
 
-        /** Closes it, as its place is needed. */
+        /** Closes the connection to free capacity for another one. */
         void evict();
 
-        /** It exceeds the limit: its requests are to be rejected. */
+        /** Makes the connection reject all requests, because it exceeds the limit. */
         void rejectRequests();
     }
 
-    /** The kinds of idle connections, in the order in which they are evicted. */
+    /** The states of idle connections, in the order in which they are evicted. */
     enum IdleState {
-        /** Their output is closed and only the client's end is awaited: nothing can be lost. */
+        /**
+         * The output has been closed and only the client's close is awaited, so an eviction loses
+         * nothing.
+         */
         CLOSING,
-        /** They have sent no valid command, or an invalid one. */
+        /** The client has sent no valid command yet, or has sent an invalid one. */
         UNPROVEN,
-        /** They have been served before. */
+        /** The client has sent valid commands only. */
         IDLE
     }
 
     /**
-     * A connection without a command is not evicted before this age: its first command may be on
-     * its way.
+     * The minimum age at which a connection without a valid command is evicted, because its first
+     * command may be in transit.
      */
     private static final long MIN_UNPROVEN_AGE_NANOS = 100 * Clock.NANOS_PER_MILLISECOND;
 
-    /** More unproven connections than the limit divided by this count as a flood. */
+    /**
+     * The limit divided by this number is the number of unproven connections above which they are
+     * treated as a flood.
+     */
     private static final int UNPROVEN_FLOOD_DIVISOR = 4;
 
     private final EventLoop loop;
     private final int maxOverflow;
     private final Set<C> openConnections = new LinkedHashSet<>();
 
-    /** Each in the order in which they became idle, the longest idle first. */
+    /** The idle connections by state, the longest idle first. */
     private final Map<IdleState, Set<C>> idleByState = new EnumMap<>(IdleState.class);
 
-    /** Connections that were accepted above the limit, for which none has been evicted yet. */
+    /** Connections admitted above the limit for which no other connection has been evicted yet. */
     private final Queue<C> awaitingCapacity = new ArrayDeque<>();
 
     private int maxConnections;
@@ -64,8 +73,8 @@
     /**
      * Creates a limiter without connections.
      *
-     * @param maxOverflow connections above {@code maxConnections} that are admitted to reject their
-     *     requests
+     * @param maxOverflow the limit on connections above {@code maxConnections} that are admitted to
+     *     reject their requests
      */
     ConnectionLimiter(EventLoop loop, int maxConnections, int maxOverflow) {
         this.loop = loop;
@@ -76,7 +85,10 @@
         }
     }
 
-    /** Changes the limit; idle connections above it are evicted as further ones are admitted. */
+    /**
+     * Changes the limit. Idle connections above it are evicted when further connections are
+     * admitted.
+     */
     void setMaxConnections(int newMax) {
         maxConnections = newMax;
     }
@@ -85,14 +97,14 @@
         return openConnections.size();
     }
 
-    /** A copy of the connections that are open now. */
+    /** Returns a copy of the set of open connections. */
     List<C> openConnections() {
         return List.copyOf(openConnections);
     }
 
     /**
-     * Admits a new connection and, above the limit, evicts another one or has its requests
-     * rejected; false if it must be closed at once.
+     * Admits a new connection. Above the limit, another connection is evicted or the requests of
+     * the new one are rejected. Returns false if the new connection must be closed immediately.
      */
     boolean admit(C connection) {
         if (openConnections.size() >= maxConnections + maxOverflow
@@ -104,34 +116,37 @@
         if (openConnections.size() > maxConnections) {
             awaitingCapacity.add(connection);
             if (awaitingCapacity.size() == 1) {
-                loop.execute(this::evictForWaiting);
+                loop.execute(this::evictForOverLimitConnections);
             }
         }
         return true;
     }
 
-    /** Registers a connection as idle; false if it was already, as it then keeps its place. */
+    /**
+     * Registers a connection as idle. Returns false if it already was, in which case it keeps its
+     * position in the eviction order.
+     */
     boolean markIdle(C connection, IdleState idleState) {
         return idleByState.get(idleState).add(connection);
     }
 
-    /** A connection is in use, or may be. */
+    /** Marks a connection as in use, so that it is not evicted. */
     void markBusy(C connection) {
         idleByState.values().forEach(connections -> connections.remove(connection));
     }
 
-    /** A connection is closed, or will be within this turn of the loop. */
+    /** Removes a connection that is closed or will be closed within this event loop iteration. */
     void remove(C connection) {
         openConnections.remove(connection);
         markBusy(connection);
     }
 
     /**
-     * Evicts connections for those that were admitted above the limit. Runs after the reads of the
-     * same turn of the loop: a connection whose command was waiting to be read is not idle any
-     * more, and closing it would lose the command.
+     * Evicts idle connections for those that were admitted above the limit. Runs after the reads of
+     * the same event loop iteration, so that a connection whose command has just been read is no
+     * longer idle; evicting it would lose the command.
      */
-    private void evictForWaiting() {
+    private void evictForOverLimitConnections() {
         for (C connection = awaitingCapacity.poll();
                 connection != null;
                 connection = awaitingCapacity.poll()) {
@@ -144,8 +159,8 @@
     }
 
     private boolean evictAny() {
-        // In a flood of unproven connections all are young: idle connections of proven clients must
-        // not be evicted for it.
+        // In a flood all unproven connections are young. Without the lower minimum age, idle
+        // connections of proven clients would be evicted instead.
         long minAgeNanos =
                 idleByState.get(IdleState.UNPROVEN).size() > maxConnections / UNPROVEN_FLOOD_DIVISOR
                         ? 0
--- a/node/src/main/java/frostrelay/node/client/ConnectionState.java
+++ b/node/src/main/java/frostrelay/node/client/ConnectionState.java
@@ -1,24 +1,27 @@
 package frostrelay.node.client;
 
-/** How far the end of a client's connection has come; it only moves forward. */
+/** The state of a client connection. Transitions only move forward in this order. */
 enum ConnectionState {
-    /** Commands are begun. */
+    /** Commands are started. */
     OPEN,
-    /** No command is begun any more; responses are still due. */
+    /** No further commands are started, but responses are still pending. */
     CLOSING,
-    /** The last response is being written, and the end of the output follows it. */
+    /** The last response is being written, after which the output is shut down. */
     OUTPUT_CLOSING,
-    /** The output has ended; only the client's end is awaited. */
+    /** The output has been shut down, and the client's close is awaited. */
     OUTPUT_SHUT_DOWN,
     /** The channel is closed. */
     DISCONNECTED;
 
-    /** Whether the end of the output has been requested on a connection that is not closed yet. */
+    /**
+     * Returns whether a shutdown of the output has been requested and the channel is not closed
+     * yet.
+     */
     boolean isOutputClosing() {
         return this == OUTPUT_CLOSING || this == OUTPUT_SHUT_DOWN;
     }
 
-    /** Whether no command is begun any more on a connection that is not closed yet. */
+    /** Returns whether no further commands are started and the channel is not closed yet. */
     boolean isClosing() {
         return this == CLOSING || isOutputClosing();
     }
--- a/node/src/main/java/frostrelay/node/client/ConnectionTimeouts.java
+++ b/node/src/main/java/frostrelay/node/client/ConnectionTimeouts.java
@@ -6,27 +6,35 @@
 /** The timeouts of one client connection on which no request is open. */
 final class ConnectionTimeouts {
     /**
-     * A first command, or one of which a part has arrived, must be complete within this time; a
-     * slow but correct client may need 2 s.
+     * The time within which a first command, or a command that has arrived in part, must be
+     * complete. A slow but correct client may need 2 s.
      */
     private static final long COMMAND_TIMEOUT_NANOS = 2_500 * Clock.NANOS_PER_MILLISECOND;
 
-    /** A connection without a command for this long is closed; clients send far more often. */
+    /**
+     * The time without a command after which a connection is closed. Clients send commands far more
+     * often.
+     */
     private static final long IDLE_TIMEOUT_NANOS = 20 * Clock.NANOS_PER_SECOND;
 
-    /** How long a client may take to read the last response of a connection that closes. */
+    /**
+     * The time in which a client must read the last response of a connection that is being closed.
+     */
     private static final long LAST_RESPONSE_TIMEOUT_NANOS = 2 * Clock.NANOS_PER_SECOND;
 
     /**
-     * How long the client's end is awaited after the output was shut down. A client closes one
-     * network delay later; each that does not occupies a descriptor.
+     * The time for which the client's close is awaited after the output was shut down. A client
+     * normally closes after one network delay; a client that does not close occupies a descriptor.
      */
-    private static final long LINGER_NANOS = Clock.NANOS_PER_SECOND;
+    private static final long LINGER_TIMEOUT_NANOS = Clock.NANOS_PER_SECOND;
 
-    /** When the connection was accepted, became idle, or went on with its end. */
+    /**
+     * The time at which the connection was accepted, became idle, or started or completed the
+     * shutdown of its output.
+     */
     private long stateSinceNanos = Clock.now();
 
-    /** Since when a part of a command has been there; 0 if there is none. */
+    /** The time since which a part of a command has been buffered; 0 if there is none. */
     private long partialCommandSinceNanos;
 
     long stateSinceNanos() {
@@ -49,16 +57,22 @@
         return partialCommandSinceNanos != 0;
     }
 
-    /** Whether a connection whose output closes, or has closed, is to be dropped. */
+    /**
+     * Returns whether the timeout of a connection whose output is being shut down or has been shut
+     * down is exceeded.
+     */
     boolean isCloseOverdue(long now, ConnectionState state) {
         long timeoutNanos =
                 state == ConnectionState.OUTPUT_SHUT_DOWN
-                        ? LINGER_NANOS
+                        ? LINGER_TIMEOUT_NANOS
                         : LAST_RESPONSE_TIMEOUT_NANOS;
         return now - stateSinceNanos > timeoutNanos;
     }
 
-    /** Why an idle connection is to be closed now; null if it is not. */
+    /**
+     * Returns the reason for which an idle connection must be closed now, or null if no timeout has
+     * expired.
+     */
     CloseReason expiredTimeout(long now, boolean hasSentValidCommand) {
         boolean hasCommandTimedOut =
                 !hasSentValidCommand && now - stateSinceNanos > COMMAND_TIMEOUT_NANOS
--- a/node/src/main/java/frostrelay/node/client/PendingResponse.java
+++ b/node/src/main/java/frostrelay/node/client/PendingResponse.java
@@ -13,11 +13,13 @@
 import io.netty.channel.socket.SocketChannel;
 
 /**
- * The response to one command in the order of a connection's commands: encoded when it is there,
- * written when all earlier ones are. Behind its line a long value may follow, in chunks.
+ * The response to one command of a connection. It is encoded when it becomes available and written
+ * after all earlier responses. A long value follows the response line in chunks.
  */
 final class PendingResponse implements ActiveRequest.ResponseListener, ValueStream.Sink {
-    /** A long value without progress at either end for this long is given up. */
+    /**
+     * The time without progress at either end after which the transfer of a long value is aborted.
+     */
     private static final long VALUE_STALL_TIMEOUT_NANOS = 10 * Clock.NANOS_PER_SECOND;
 
     private static final byte[] CRLF = {'\r', '\n'};
@@ -26,25 +28,33 @@
     private final SocketChannel channel;
     private final ResponseMemory responseMemory;
 
-    /** The encoded response, or its line where a long value follows; null until it is there. */
+    /**
+     * The encoded response, or only its line if a long value follows; null until the response is
+     * available.
+     */
     private ByteBuf response;
 
-    /** The command if it is a request; else null. */
+    /** The command if it is a request; otherwise null. */
     private MetaCommand command;
 
-    /** The request if it was accepted; else null. */
+    /** The request if it was accepted; otherwise null. */
     private ActiveRequest activeRequest;
 
-    /** The long value behind the line, until its last chunk has been written. */
+    /**
+     * The long value that follows the line; null if there is none or if its last chunk has been
+     * received.
+     */
     private ValueStream valueStream;
 
     /** Whether the line has been written and the value follows. */
     private boolean streaming;
 
-    /** Bytes of chunks that the client has not taken yet. */
+    /** Bytes of chunks that have not been written to the socket yet. */
     private int unsentBytes;
 
-    /** When the client took a chunk last. */
+    /**
+     * The time at which the last chunk was written to the socket, or at which streaming started.
+     */
     private long lastProgressNanos;
 
     PendingResponse(ClientConnection connection, ResponseMemory responseMemory) {
@@ -53,7 +63,9 @@
         this.responseMemory = responseMemory;
     }
 
-    /** To be called before the request is accepted, which may respond at once. */
+    /**
+     * Must be called before the request is accepted, because the response may be given immediately.
+     */
     void setCommand(MetaCommand newCommand) {
         command = newCommand;
     }
@@ -106,7 +118,7 @@
         return connection.disconnectUndetectableSince(now);
     }
 
-    /** Sets the response, which is written as soon as its turn has come. */
+    /** Sets the response, which is written after all earlier responses. */
     void respond(String line, byte[] data) {
         if (!connection.isDisconnected()) {
             response = MetaCommand.encodeLine(channel.alloc(), line, data);
@@ -124,7 +136,7 @@
         respond(line, null);
     }
 
-    /** Starts to write the value; its line has been written. */
+    /** Starts to write the value after its line has been written. */
     void startStreaming() {
         streaming = true;
         lastProgressNanos = Clock.now();
@@ -133,8 +145,8 @@
     }
 
     /**
-     * Reads the server on while the client takes the chunks and the limit over all connections
-     * allows it.
+     * Continues to read from the server while the client accepts chunks and the memory limit over
+     * all connections allows it; otherwise pauses reading.
      */
     void adjustDemand() {
         if (streaming && valueStream != null) {
@@ -171,20 +183,21 @@
 
     @Override
     public void onStreamFailed() {
-        // The value is short of its length and the connection ends: the client can tell.
+        // The client detects the truncated value, because the connection closes before the
+        // announced length.
         valueStream = null;
-        connection.onValueBroken();
+        connection.onValueTruncated();
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Whether neither end of the value has made progress for too long. */
+    /** Returns whether no chunk of the value has been written for longer than the timeout. */
     boolean isStalled(long now) {
         return streaming
                 && valueStream != null
                 && now - lastProgressNanos > VALUE_STALL_TIMEOUT_NANOS;
     }
 
-    /** Releases what will not be written, and gives up the request if it is still open. */
+    /** Releases the data that will not be written, and ends the request if it is still open. */
     void onDisconnect(RequestDispatcher dispatcher) {
         if (valueStream != null) {
             valueStream.cancel();
--- a/node/src/main/java/frostrelay/node/client/PendingResponses.java
+++ b/node/src/main/java/frostrelay/node/client/PendingResponses.java
@@ -7,9 +7,9 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 
-/** The responses that are due on one client connection, in the order of its commands. */
+/** The pending responses of one client connection, in the order of its commands. */
 final class PendingResponses {
-    /** Requests of one connection that may be open at once; further ones wait to be begun. */
+    /** The limit on pending responses of one connection; further commands wait to be started. */
     private static final int MAX_PIPELINED = 64;
 
     private final Queue<PendingResponse> queue = new ArrayDeque<>();
@@ -33,7 +33,7 @@
         return queue.isEmpty();
     }
 
-    /** Whether no further command is to be begun for now. */
+    /** Returns whether the limit is reached, so that no further command may be started for now. */
     boolean isFull() {
         return queue.size() >= MAX_PIPELINED;
     }
@@ -42,7 +42,7 @@
         return queue.size();
     }
 
-    /** Whether the value that is being written has stalled. */
+    /** Returns whether the transfer of the value that is being written has stalled. */
     boolean isStalled(long now) {
         return !queue.isEmpty() && queue.peek().isStalled(now);
     }
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Writes, without a flush, the responses that no earlier one has to precede; a long value
-     * starts to follow its line. Returns whether there were any.
+     * Writes the completed responses up to the first one that is still pending, without a flush,
+     * and starts to stream a long value after its line. Returns whether any response was written.
      */
     boolean writeCompleted() {
         boolean hasWritten = false;
@@ -80,7 +80,7 @@
                 .addListener(responseMemory.removeWhenWritten(responseBytes));
     }
 
-    /** Releases what will not be written, and gives up the requests that are still open. */
+    /** Releases the data that will not be written, and ends the requests that are still open. */
     void onDisconnect(RequestDispatcher dispatcher) {
         for (PendingResponse pendingResponse : queue) {
             pendingResponse.onDisconnect(dispatcher);
--- a/node/src/main/java/frostrelay/node/client/ReadAhead.java
+++ b/node/src/main/java/frostrelay/node/client/ReadAhead.java
@@ -14,27 +14,37 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reads a client's connection ahead of the commands that are served from it, as bytes and within a
- * bound: a disconnect is read only behind all bytes sent before it, and must be detected while
- * earlier commands are in flight. Runs on the event loop.
+ * A bounded buffer that reads a client's connection ahead of the commands being served. A
+ * disconnect can be read only after all bytes sent before it, and must be detected while earlier
+ * commands are in flight. Runs on the event loop.
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
-    /** More than well-behaved clients send at once: hundreds of commands. */
+    /**
+     * The limit per connection; the size of hundreds of commands, which is more than well-behaved
+     * clients send at once.
+     */
     private static final int MAX_BUFFERED_BYTES = 128 * 1024;
 
-    /** Passed to the decoder at a time, so that few commands are decoded before their turn. */
+    /**
+     * The number of bytes passed to the decoder at a time, so that few commands are decoded long
+     * before they are started.
+     */
     private static final int CHUNK_BYTES = 4 * 1024;
 
-    /** The loop reads its sockets before it runs a task with this delay. */
-    private static final long NEXT_TURN_MILLIS = 1;
+    /** The event loop reads its sockets before it runs a task with this delay. */
+    private static final long NEXT_ITERATION_MILLIS = 1;
 
-    /** Bytes that arrive within this time count as having arrived with the first of them. */
+    /**
+     * Bytes that arrive within this time of each other share the arrival time of the first of them.
+     */
     private static final long SAME_ARRIVAL_NANOS = 5 * Clock.NANOS_PER_MILLISECOND;
 
-    /** After reading resumes, bytes that had arrived during the pause are read within this time. */
+    /**
+     * The time after the end of a pause within which bytes that arrived during the pause are read.
+     */
     private static final long RESUME_WINDOW_NANOS = 20 * Clock.NANOS_PER_MILLISECOND;
 
-    /** Bytes that arrived together. */
+    /** A group of bytes with the same arrival time. */
     private static final class Arrival {
         final long atNanos;
         int remainingBytes;
@@ -45,21 +55,21 @@
         }
     }
 
-    /** Is notified of what has been read. */
+    /** A listener that is notified of reads. */
     interface Listener {
-        /** Bytes wait for {@link #feedDecoder}. */
+        /** Called when bytes are waiting for {@link #feedDecoder}. */
         void onBytesBuffered();
 
         /**
-         * All that had arrived has been read, or as much as this turn of the loop and the next may
-         * read.
+         * Called when all bytes that had arrived have been read, or as many as this event loop
+         * iteration and the next one may read.
          *
-         * @param hasBytes whether anything was read
+         * @param hasBytes whether any bytes were read
          */
         void onReadComplete(boolean hasBytes);
     }
 
-    /** Bytes that wait for a decoder, over all connections. */
+    /** The number of bytes waiting for a decoder on all connections together. */
     static final class BufferedTotal {
         private static final long MAX_TOTAL_BYTES = 2L * 1024 * 1024;
         private long bytes;
@@ -68,40 +78,41 @@
     private final Listener listener;
     private final BufferedTotal bufferedTotal;
 
-    /** Reads per turn of the loop; after this many more bytes may be waiting. */
-    private final int maxReadsPerTurn;
+    /** The limit on reads per event loop iteration. If it is reached, more bytes may be waiting. */
+    private final int maxReadsPerIteration;
 
     private ChannelHandlerContext context;
     private ByteBuf buffer = Unpooled.EMPTY_BUFFER;
 
-    /** When the buffered bytes arrived, in their order. */
+    /** The arrival times of the buffered bytes, in the order of the bytes. */
     private final Deque<Arrival> arrivals = new ArrayDeque<>(1);
 
-    /** When the bytes that were passed on last had arrived. */
+    /** The arrival time of the bytes that were last passed to the decoder. */
     private long arrivedAtNanos;
 
     /**
-     * When reading was paused, and when it resumed; bytes read shortly after may have arrived at
-     * any time since the pause began. 0 for neither.
+     * The time at which reading was paused; 0 if it was not. Bytes that are read shortly after the
+     * end of a pause may have arrived at any time since its start.
      */
     private long pausedSinceNanos;
 
+    /** The time at which reading was resumed after a pause; 0 if it was not. */
     private long resumedAtNanos;
 
-    /** Since when unread bytes may have been waiting; 0 while all are read. */
-    private long behindSinceNanos;
+    /** The time since which unread bytes may have been waiting; 0 if all bytes have been read. */
+    private long unreadSinceNanos;
 
-    private int readsThisTurn;
+    private int readsThisIteration;
 
-    /** Turns of the loop in which this connection was read. */
-    private long turnCount;
+    /** The number of event loop iterations in which this connection was read. */
+    private long iterationCount;
 
     private boolean discarding;
 
-    ReadAhead(Listener listener, BufferedTotal bufferedTotal, int maxReadsPerTurn) {
+    ReadAhead(Listener listener, BufferedTotal bufferedTotal, int maxReadsPerIteration) {
         this.listener = listener;
         this.bufferedTotal = bufferedTotal;
-        this.maxReadsPerTurn = maxReadsPerTurn;
+        this.maxReadsPerIteration = maxReadsPerIteration;
     }
 
     @Override
@@ -117,8 +128,8 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf bytes = (ByteBuf) message;
-        readsThisTurn++;
-        behindSinceNanos = behindSinceNanos == 0 ? Clock.now() : behindSinceNanos;
+        readsThisIteration++;
+        unreadSinceNanos = unreadSinceNanos == 0 ? Clock.now() : unreadSinceNanos;
         if (discarding) {
             bytes.release();
             return;
@@ -143,13 +154,16 @@
         }
     }
 
-    /** Reading is paused: bytes that arrive meanwhile count from the start of the pause. */
+    /**
+     * Records a pause of reading. Bytes that arrive during the pause get its start as their arrival
+     * time.
+     */
     void markPaused() {
         pausedSinceNanos = pausedSinceNanos == 0 ? Clock.now() : pausedSinceNanos;
         resumedAtNanos = 0;
     }
 
-    /** Reading resumes; true if it was paused. */
+    /** Records that reading resumes; returns whether it was paused. */
     boolean markResumed() {
         boolean wasPaused = pausedSinceNanos != 0 && resumedAtNanos == 0;
         resumedAtNanos = wasPaused ? Clock.now() : resumedAtNanos;
@@ -157,15 +171,15 @@
     }
 
     /**
-     * Since when a disconnect would have gone undetected; {@link ActionGuard#NEVER} while it would
-     * be detected.
+     * Returns the time since which a disconnect would have gone undetected, or {@link
+     * ActionGuard#NEVER} if a disconnect would be detected now.
      */
     long disconnectUndetectableSince(long now) {
         boolean wasPaused =
                 pausedSinceNanos != 0
                         && (resumedAtNanos == 0 || now - resumedAtNanos <= RESUME_WINDOW_NANOS);
         long sinceNanos = wasPaused ? pausedSinceNanos : ActionGuard.NEVER;
-        return behindSinceNanos == 0 ? sinceNanos : Math.min(sinceNanos, behindSinceNanos);
+        return unreadSinceNanos == 0 ? sinceNanos : Math.min(sinceNanos, unreadSinceNanos);
     }
 
     private void clearPause() {
@@ -173,64 +187,72 @@
         resumedAtNanos = 0;
     }
 
-    /** When the bytes that were passed to the decoder last had arrived. */
+    /** Returns the arrival time of the bytes that were last passed to the decoder. */
     long arrivedAtNanos() {
         return arrivedAtNanos;
     }
 
     /**
-     * Where this turn has read as much as it may, no command is begun before the next turn has read
-     * more bytes, or the disconnect.
+     * Notifies the listener, unless the read limit of this event loop iteration has been reached.
+     * In that case no command is started before the next iteration has read further bytes or the
+     * disconnect.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        boolean mayHaveMore = readsThisTurn >= maxReadsPerTurn && hasCapacity();
-        boolean hasRead = readsThisTurn > 0;
-        if (readsThisTurn < maxReadsPerTurn) {
-            markCaughtUp();
+        boolean mayHaveMore = readsThisIteration >= maxReadsPerIteration && hasCapacity();
+        boolean hasRead = readsThisIteration > 0;
+        if (readsThisIteration < maxReadsPerIteration) {
+            markAllRead();
         }
-        readsThisTurn = 0;
-        turnCount++;
+        readsThisIteration = 0;
+        iterationCount++;
         if (mayHaveMore) {
-            awaitNextTurn(turnCount);
+            awaitNextIteration(iterationCount);
         } else {
             listener.onReadComplete(hasRead);
         }
     }
 
     /**
-     * A task that a scheduled task schedules runs after the reads of the next turn: if there were
-     * none by then, all bytes had been read.
+     * Waits until the reads of the next event loop iteration are over, which is certain when a task
+     * scheduled by a scheduled task runs. If there were no reads until then, all bytes had been
+     * read before.
      */
-    private void awaitNextTurn(long turn) {
+    private void awaitNextIteration(long iteration) {
         context.executor()
                 .schedule(
                         () ->
                                 context.executor()
                                         .schedule(
                                                 () -> {
-                                                    if (turn == turnCount) {
-                                                        markCaughtUp();
+                                                    if (iteration == iterationCount) {
+                                                        markAllRead();
                                                         listener.onReadComplete(true);
                                                     }
                                                 },
-                                                NEXT_TURN_MILLIS,
+                                                NEXT_ITERATION_MILLIS,
                                                 TimeUnit.MILLISECONDS),
-                        NEXT_TURN_MILLIS,
+                        NEXT_ITERATION_MILLIS,
                         TimeUnit.MILLISECONDS);
     }
 
-    private void markCaughtUp() {
+    private void markAllRead() {
         clearPause();
-        behindSinceNanos = 0;
+        unreadSinceNanos = 0;
     }
 
-    /** Whether reading is not paused and unread bytes may wait, with the disconnect behind them. */
-    boolean isBehind() {
-        return behindSinceNanos != 0 && pausedSinceNanos == 0;
+    /**
+     * Returns whether reading is not paused and unread bytes may be waiting, which a disconnect may
+     * follow.
+     */
+    boolean mayHaveUnreadBytes() {
+        return unreadSinceNanos != 0 && pausedSinceNanos == 0;
     }
 
-    /** Whether to read on, within the limits of this connection and of all together. */
+    /**
+     * Returns whether to continue reading, within the limits of this connection and of all
+     * connections together.
+     */
     boolean hasCapacity() {
         return !buffer.isReadable()
                 || buffer.readableBytes() < MAX_BUFFERED_BYTES
@@ -241,7 +263,7 @@
         return !buffer.isReadable();
     }
 
-    /** Passes some bytes to the decoder; false if there are none. */
+    /** Passes some bytes to the decoder; returns false if there are none. */
     boolean feedDecoder() {
         if (isEmpty()) {
             return false;
@@ -263,7 +285,7 @@
         return true;
     }
 
-    /** From now on drops all bytes, as no command will be answered any more. */
+    /** Drops all buffered and future bytes, because no further command will be started. */
     void discard() {
         discarding = true;
         releaseBuffer();
--- a/node/src/main/java/frostrelay/node/client/ReadPauses.java
+++ b/node/src/main/java/frostrelay/node/client/ReadPauses.java
@@ -7,9 +7,12 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Decides when one client connection is read, and when commands are begun after a pause. */
+/**
+ * The pauses in reading one client connection, and the delay after them before commands are
+ * started.
+ */
 final class ReadPauses {
-    /** How long commands wait after reading has resumed, so that a disconnect is read first. */
+    /** The delay of commands after reading has resumed, so that a disconnect is read first. */
     private static final long RESUMED_READ_DELAY_MILLIS = 2;
 
     private final SocketChannel channel;
@@ -29,14 +32,14 @@
         this.updateTask = updateTask;
     }
 
-    /** Stops reading for this long; the update task is run at the end. */
+    /** Pauses reading for the given time, after which the update task runs. */
     void pause(long millis) {
         readingPausedUntilNanos = Clock.now() + millis * Clock.NANOS_PER_MILLISECOND;
         setReading(false);
         loop.schedule(updateTask, millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Reads on, or stops, as the pauses and the bytes that wait allow. */
+    /** Resumes or stops reading, depending on the pauses and the number of buffered bytes. */
     void update() {
         setReading(readAhead.hasCapacity() && Clock.now() >= readingPausedUntilNanos);
     }
@@ -45,7 +48,8 @@
         if (!enabled) {
             readAhead.markPaused();
         } else if (readAhead.markResumed()) {
-            // The client may have disconnected meanwhile: that is read before a command is begun.
+            // The client may have disconnected during the pause, which must be read before a
+            // command is started.
             dispatchDelayedUntilNanos =
                     Clock.now() + RESUMED_READ_DELAY_MILLIS * Clock.NANOS_PER_MILLISECOND;
             loop.schedule(updateTask, RESUMED_READ_DELAY_MILLIS, TimeUnit.MILLISECONDS);
@@ -53,7 +57,9 @@
         channel.config().setAutoRead(enabled);
     }
 
-    /** Whether neither a pause nor the delay behind it keeps commands from being begun. */
+    /**
+     * Returns whether commands may be started: neither a pause nor the delay after it is in effect.
+     */
     boolean allowsDispatch() {
         return Clock.now() >= Math.max(readingPausedUntilNanos, dispatchDelayedUntilNanos);
     }
--- a/node/src/main/java/frostrelay/node/client/ReceivedCommand.java
+++ b/node/src/main/java/frostrelay/node/client/ReceivedCommand.java
@@ -3,8 +3,8 @@
 import frostrelay.node.memcache.MetaFrame;
 
 /**
- * A command that was read and is not begun yet.
+ * A command that has been read but not started.
  *
- * @param arrivedAtNanos when its last bytes arrived, by {@link frostrelay.node.time.Clock}
+ * @param arrivedAtNanos the arrival time of its last bytes, by {@link frostrelay.node.time.Clock}
  */
 record ReceivedCommand(MetaFrame frame, long arrivedAtNanos) {}
--- a/node/src/main/java/frostrelay/node/client/ResponseMemory.java
+++ b/node/src/main/java/frostrelay/node/client/ResponseMemory.java
@@ -4,14 +4,14 @@
 import io.netty.channel.ChannelFutureListener;
 
 /**
- * Counts the response bytes, over all connections, that clients have not taken yet, against their
- * limits. Runs on the event loop.
+ * A count of the response bytes of all connections that have not been written to the clients'
+ * sockets, with their limits. Runs on the event loop.
  */
 final class ResponseMemory {
-    /** Bytes of complete responses that clients may leave unread. */
+    /** The limit on unwritten bytes of complete responses. */
     private static final long MAX_UNREAD_BYTES = 8L * 1024 * 1024;
 
-    /** Bytes of long values that may wait for clients before servers are no longer read. */
+    /** The limit on unwritten bytes of long values, above which their servers are not read. */
     private static final long MAX_STREAMED_BYTES = 6L * 1024 * 1024;
 
     private long unreadBytes;
@@ -41,12 +41,15 @@
         return streamedBytes < MAX_STREAMED_BYTES;
     }
 
-    /** A listener for the write of a response that was added as unread. */
+    /**
+     * Returns a listener that removes the bytes of a response, added as unread before, when its
+     * write has ended.
+     */
     ChannelFutureListener removeWhenWritten(int bytes) {
         return new WriteListener(bytes);
     }
 
-    /** A class rather than a lambda, which is slow to make without the second compiler. */
+    /** A class rather than a lambda, because creating a lambda is slow without the C2 compiler. */
     private final class WriteListener implements ChannelFutureListener {
         private final int bytes;
 
--- a/node/src/main/java/frostrelay/node/proxy/RequestCompletion.java
+++ b/node/src/main/java/frostrelay/node/proxy/RequestCompletion.java
@@ -57,9 +57,9 @@
             counters.recordViolation(
                     InvariantViolation.UNANSWERED,
                     activeRequest.clientRequest.id()
-                            + ": for "
+                            + ": completed "
                             + latenessNanos / Clock.NANOS_PER_MILLISECOND
-                            + " ms past its time");
+                            + " ms after its deadline");
         }
         requestTable.onCompleted(activeRequest);
         return true;
--- a/node/src/main/java/frostrelay/node/proxy/RequestDispatcher.java
+++ b/node/src/main/java/frostrelay/node/proxy/RequestDispatcher.java
@@ -127,9 +127,9 @@
     }
 
     /**
-     * Returns a future that is completed when clients may be served. If lists are pushed, the list
-     * in the configuration may be outdated when this process starts, so nothing is sent before the
-     * agent has responded, has failed, or has timed out.
+     * Returns a future that is completed when clients may be served. If lists are pushed, the
+     * agent's list applies from the start of this process and the list in the configuration may be
+     * outdated, so nothing is sent before the agent has responded, has failed, or has timed out.
      */
     public Future<Void> initialEndpointsReceived() {
         return endpointSubscription.initialListReceived();
@@ -234,8 +234,8 @@
 
     /**
      * Returns whether the endpoint list contains this server or did so recently. Operators restart
-     * servers that they drain, so discovery may remove a server just before the command to end its
-     * drain arrives.
+     * servers that they drain, so discovery may remove a server just before an operator's command
+     * for it arrives.
      */
     public boolean isKnownServer(String name) {
         return upstream.isKnown(EndpointList.serverId(name));
--- a/node/src/main/java/frostrelay/node/proxy/SendGuard.java
+++ b/node/src/main/java/frostrelay/node/proxy/SendGuard.java
@@ -102,9 +102,9 @@
             counters.recordViolation(
                     InvariantViolation.DEADLINE_OVERSTATED,
                     attempt.activeRequest.clientRequest.id()
-                            + ": by "
+                            + ": timeout sent to the server ends "
                             + overstatedNanos / Clock.NANOS_PER_MILLISECOND
-                            + " ms");
+                            + " ms after the deadline");
         }
     }
 }
