--- a/audit/src/main/java/frostrelay/audit/AuditLog.java
+++ b/audit/src/main/java/frostrelay/audit/AuditLog.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 
 /**
- * Records what one incarnation of a balancer acts on. A send costs two additions and no allocation
- * unless sends are recorded one by one. Not thread-safe; moments are nanoseconds of the balancer's
- * monotonic clock.
+ * Records the versions that one incarnation of a balancer acts on, its sends and the messages of
+ * its peers. A send costs two additions and no allocation unless sends are recorded one by one. Not
+ * thread-safe; times are nanoseconds of the balancer's monotonic clock.
  */
 public final class AuditLog implements GossipNode.Listener {
-    /** A wall clock that moved by less against the monotonic one was slewed, not set. */
+    /** A smaller change of the wall clock against the monotonic clock is slewing, not a jump. */
     private static final long CLOCK_JUMP_MILLIS = 250;
 
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
@@ -34,9 +34,9 @@
     private Cause cause = Cause.START;
 
     /**
-     * Records the start.
+     * Creates the log and records the start of the incarnation.
      *
-     * @param recordsEachSend whether every send gets an entry of its own
+     * @param recordsEachSend true to write one entry per send in addition to the counts
      * @param wallMillis Unix milliseconds
      * @param rank this balancer's number among its peers, -1 if it has none
      * @param incarnation this balancer's incarnation
@@ -62,7 +62,7 @@
         recorder.append(new Entry.VersionsApplied(0, 0, Cause.START, wallMillis, initialVersions));
     }
 
-    /** The number that stands for a cache in this record; records the name on first use. */
+    /** Returns the number that identifies a cache in this record; records its name on first use. */
     public int cacheNumber(long now, String uid) {
         Integer known = cacheNumbers.get(uid);
         if (known != null) {
@@ -83,7 +83,7 @@
                 new Entry.EndpointListed(now - startNanos, cache, ready, serverStartMillis));
     }
 
-    /** Records that decisions are made under these versions from now on; ignores equal ones. */
+    /** Records that decisions use these versions from now on; ignores unchanged versions. */
     public void recordVersionsApplied(
             long now, long wallMillis, AppliedVersions newVersions, Cause newCause) {
         if (newVersions.equals(appliedVersions)) {
@@ -99,30 +99,30 @@
                         now - startNanos, sequence, newCause, wallMillis, newVersions));
     }
 
-    /** How often the applied versions have changed. */
+    /** Returns the number of changes of the applied versions since the start. */
     public int sequence() {
         return sequence;
     }
 
-    /** The versions in force. */
+    /** Returns the versions currently applied. */
     public AppliedVersions appliedVersions() {
         return appliedVersions;
     }
 
-    /** Since when they have been in force, in nanoseconds of the monotonic clock. */
+    /** Returns when the current versions were applied, in nanoseconds of the monotonic clock. */
     public long appliedAtNanos() {
         return appliedAtNanos;
     }
 
-    /** Why they came into force. */
+    /** Returns why the current versions were applied. */
     public Cause cause() {
         return cause;
     }
 
     /**
-     * An attempt was written to a cache.
+     * Records that an attempt was written to a cache.
      *
-     * @param decidedSequence {@link #sequence} when it was decided on
+     * @param decidedSequence the value of {@link #sequence} when the send was decided
      * @param cache {@link #cacheNumber} of the cache
      * @param attempt 0 for the request's first attempt
      * @param hedged whether another attempt of the request is in flight
@@ -140,7 +140,7 @@
                             now - startNanos, decidedSequence, cache, attempt, requestId));
         }
         if (decidedSequence != sequence) {
-            // Decided on before the latest change: counts under the versions then in force.
+            // Decided before the latest change: counted under the versions applied at that time.
             recorder.append(
                     new Entry.SendCounts(
                             now - startNanos,
@@ -156,24 +156,24 @@
         hedgedRequests += hedged ? 1 : 0;
     }
 
-    /** A request was rejected. */
+    /** Counts a rejected request. */
     public void recordRejection() {
         rejectedRequests++;
     }
 
-    /** A request failed by a decision of this balancer. */
+    /** Counts a request that failed by a decision of this balancer. */
     public void recordFailure() {
         failedRequests++;
     }
 
-    /** A configuration or another update was rejected. */
+    /** Records that a configuration or another update was rejected. */
     public void recordRejection(long now, String reason) {
         recorder.append(new Entry.UpdateRejected(now - startNanos, reason));
     }
 
     /**
-     * To be called about once a second: records the counts so far, even if all are 0, as a sign
-     * that the balancer runs, and a wall clock that was set.
+     * Records the counts since the last call, even if all are 0, to show that the balancer is
+     * running, and any jump of the wall clock. To be called about once a second.
      */
     public void tick(long now, long wallMillis) {
         flush(now);
@@ -213,7 +213,7 @@
         failedRequests = 0;
     }
 
-    /** Records a shutdown. */
+    /** Records the remaining counts and a shutdown. */
     public void recordStop(long now) {
         flush(now);
         recorder.append(new Entry.Stopped(now - startNanos));
--- a/audit/src/main/java/frostrelay/audit/AuditRecord.java
+++ b/audit/src/main/java/frostrelay/audit/AuditRecord.java
@@ -14,12 +14,13 @@
     /**
      * Reads all complete entries.
      *
-     * @throws IllegalArgumentException if the bytes do not begin like a record
+     * @throws IllegalArgumentException if the bytes do not begin with {@link Codec#MAGIC}
      */
     public static AuditRecord read(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         if (bytes.length < Long.BYTES || in.getLong() != Codec.MAGIC) {
-            throw new IllegalArgumentException("no audit record");
+            throw new IllegalArgumentException(
+                    "not an audit record: it does not begin with the magic number");
         }
         List<Entry> entries = new ArrayList<>();
         int unknownEntries = 0;
--- a/audit/src/main/java/frostrelay/audit/Cause.java
+++ b/audit/src/main/java/frostrelay/audit/Cause.java
@@ -10,6 +10,6 @@
     FILE,
     /** An operator acted through the admin server. */
     OPERATORS,
-    /** A peer supplied it. */
+    /** A peer supplied the new version. */
     PEER
 }
--- a/audit/src/main/java/frostrelay/audit/Codec.java
+++ b/audit/src/main/java/frostrelay/audit/Codec.java
@@ -25,7 +25,7 @@
 
     private Codec() {}
 
-    /** A buffer that any entry fits into. */
+    /** Returns a buffer large enough for any entry. */
     static ByteBuffer newBuffer() {
         return ByteBuffer.allocate(MAX_ENTRY_BYTES + FRAME_BYTES);
     }
@@ -42,7 +42,7 @@
         out.putInt((int) crc.getValue());
     }
 
-    /** Length of the frame that begins here; -1 where it is truncated or damaged. */
+    /** Returns the length of the frame at the position; -1 if it is truncated or damaged. */
     static int completeFrameLength(ByteBuffer in) {
         int start = in.position();
         if (in.remaining() < FRAME_BYTES) {
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Reads the complete frame that begins here and advances past it.
+     * Reads the complete frame at the position and advances past it.
      *
-     * @param length what {@link #completeFrameLength} returned
+     * @param length the frame's length, as {@link #completeFrameLength} returned it
      * @return the entry; null if this build does not know its type or form
      */
     static Entry read(ByteBuffer in, int length) {
@@ -75,8 +75,9 @@
         try {
             return EntryDecoder.read(type, content);
         } catch (EntryFormatException e) {
-            // The checksum is valid, so another build has written it and uses this type number
-            // differently: unknown, like a type that this build does not have.
+            // The checksum is valid, so another build wrote the entry with a different form for
+            // this
+            // type number. It is treated as unknown, like a type that this build does not have.
             return null;
         }
     }
--- a/audit/src/main/java/frostrelay/audit/Entry.java
+++ b/audit/src/main/java/frostrelay/audit/Entry.java
@@ -5,27 +5,29 @@
 
 /**
  * One entry of a balancer's record. {@code atNanos} counts from the start of its incarnation on its
- * monotonic clock; wall clocks are in Unix milliseconds and may jump. Immutable, if the arrays of
- * {@link SendCounts} are left alone.
+ * monotonic clock; wall clocks are in Unix milliseconds and may jump. Immutable, provided that the
+ * arrays of {@link SendCounts} are not modified.
  */
 public sealed interface Entry {
-    /** When it was recorded. */
+    /** Returns the time of recording. */
     long atNanos();
 
-    /** The incarnation starts. {@code rank}: its number among its peers, -1 if it has none. */
+    /**
+     * The start of the incarnation. {@code rank}: its number among its peers, -1 if it has none.
+     */
     record Started(
             long atNanos, String name, int rank, long incarnation, int build, long wallMillis)
             implements Entry {}
 
     /**
-     * From now on it acts on these versions. {@code sequence}: how often they had changed before in
-     * this incarnation.
+     * A change of the versions that the balancer acts on. {@code sequence}: the number of earlier
+     * changes in this incarnation.
      */
     record VersionsApplied(
             long atNanos, int sequence, Cause cause, long wallMillis, AppliedVersions versions)
             implements Entry {}
 
-    /** A number stands for a cache in the entries after this one. */
+    /** The number that identifies a cache in later entries. */
     record CacheNamed(long atNanos, int cache, String uid) implements Entry {}
 
     /**
@@ -50,21 +52,21 @@
             implements Entry {}
 
     /**
-     * One send, if operators have them recorded one by one. {@code requestId}: as the client gave
-     * it.
+     * One send; recorded only if operators enabled entries for single sends. {@code requestId}: the
+     * id given by the client.
      */
     record AttemptSent(long atNanos, int sequence, int cache, int attempt, String requestId)
             implements Entry {}
 
     /**
-     * It has learned that a peer acts on other versions; {@code ageNanos}: time since that peer
-     * wrote so.
+     * A peer's report that it acts on other versions; {@code ageNanos}: time since the peer wrote
+     * the report.
      */
     record PeerVersionsHeard(
             long atNanos, int rank, long incarnation, int sequence, int versionsRef, long ageNanos)
             implements Entry {}
 
-    /** The state of a peer, as this balancer sees it, has changed. */
+    /** A change of a peer's state as seen by this balancer. */
     record PeerStateChanged(
             long atNanos, int rank, long incarnation, MemberState state, int reportedBy)
             implements Entry {}
@@ -78,26 +80,26 @@
             implements Entry {}
 
     /**
-     * Its wall clock has moved by this against its monotonic one since the last such entry or the
-     * start.
+     * A jump of the wall clock against the monotonic clock since the last such entry or the start.
      */
     record WallClockJumped(long atNanos, long jumpMillis) implements Entry {}
 
     /**
-     * Its own incarnation has changed: it was reported dead, or a later one of its name is known.
+     * A change of the balancer's own incarnation, because it was reported dead or because peers
+     * know a later incarnation of the same name.
      */
     record IncarnationChanged(long atNanos, long incarnation) implements Entry {}
 
-    /** A rejected update, mostly a configuration; {@code reason}: in words. */
+    /** A rejected update, usually a configuration; {@code reason}: a description for operators. */
     record UpdateRejected(long atNanos, String reason) implements Entry {}
 
     /**
-     * Entries missing here, from {@code fromNanos} on: the buffer was full, or the disk rejected
-     * them.
+     * Entries lost at this point, the first at {@code fromNanos}, because the buffer was full or
+     * the disk rejected them.
      */
     record Gap(long atNanos, long fromNanos, long lostEntries, String reason) implements Entry {}
 
-    /** Ends a {@link Preamble}: the entries before this one repeat older ones. */
+    /** The end of a {@link Preamble}: the entries before this one repeat older ones. */
     record Resumed(long atNanos) implements Entry {}
 
     /** A shutdown: the last entry of an incarnation. */
--- a/audit/src/main/java/frostrelay/audit/EntryDecoder.java
+++ b/audit/src/main/java/frostrelay/audit/EntryDecoder.java
@@ -10,12 +10,13 @@
 final class EntryDecoder {
     private EntryDecoder() {}
 
-    /** Reads an entry of a type. */
+    /** Reads the content of an entry of this type. */
     static Entry read(EntryType type, ByteBuffer in) throws EntryFormatException {
         try {
             return readFields(type, in);
         } catch (BufferUnderflowException e) {
-            throw new EntryFormatException("entry of type " + type + " is too short", e);
+            throw new EntryFormatException(
+                    "entry of type " + type + " truncated: content of " + in.limit() + " bytes", e);
         }
     }
 
@@ -52,14 +53,17 @@
         int ordinal = in.get();
         if (ordinal < 0 || ordinal >= constants.length) {
             throw new EntryFormatException(
-                    "no " + constants[0].getDeclaringClass().getSimpleName() + " " + ordinal);
+                    "unknown ordinal of "
+                            + constants[0].getDeclaringClass().getSimpleName()
+                            + ": "
+                            + ordinal);
         }
         return constants[ordinal];
     }
 
     private static Entry.Started readStarted(long atNanos, ByteBuffer in) {
         String name = EntryText.read(in);
-        // Signed: -1 stands for a balancer without peers.
+        // Signed: -1 for a balancer without peers.
         int rank = in.getShort();
         return new Entry.Started(atNanos, name, rank, in.getLong(), in.getInt(), in.getLong());
     }
--- a/audit/src/main/java/frostrelay/audit/EntryFormatException.java
+++ b/audit/src/main/java/frostrelay/audit/EntryFormatException.java
@@ -1,6 +1,6 @@
 package frostrelay.audit;
 
-/** The content of an entry with a valid checksum does not have the form that its type asks for. */
+/** Thrown if the content of an entry with a valid checksum does not match the entry's type. */
 final class EntryFormatException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/audit/src/main/java/frostrelay/audit/EntryRingBuffer.java
+++ b/audit/src/main/java/frostrelay/audit/EntryRingBuffer.java
@@ -6,9 +6,9 @@
 import java.util.Deque;
 
 /**
- * The latest entries of an incarnation in bounded memory, for balancers without a disk. A {@link
- * Preamble} of what the remaining entries refer to is kept when older ones are dropped, and the
- * dropped ones are named as a gap. Not thread-safe.
+ * The latest entries of an incarnation in bounded memory, for balancers without a disk. When the
+ * oldest entries are dropped, a {@link Preamble} keeps those that later entries refer to, and the
+ * record contains a gap for the dropped ones. Not thread-safe.
  */
 public final class EntryRingBuffer implements Recorder {
     private static final String GAP_REASON = "no room";
@@ -21,7 +21,11 @@
     private long droppedEntries;
     private long droppedUntilNanos;
 
-    /** Creates a buffer that holds at most so many bytes of entries, or a single larger one. */
+    /**
+     * Creates a buffer.
+     *
+     * @param maxBytes limit on the size of all entries; a single larger entry is still kept
+     */
     public EntryRingBuffer(int maxBytes) {
         this.maxBytes = maxBytes;
     }
@@ -45,7 +49,7 @@
         preamble.observe(entry);
     }
 
-    /** The record as of now, in the format of {@link Codec}. */
+    /** Returns the current record in the format of {@link Codec}. */
     public byte[] record() {
         ByteArrayOutputStream out = new ByteArrayOutputStream(usedBytes + Codec.MAX_ENTRY_BYTES);
         out.writeBytes(ByteBuffer.allocate(Long.BYTES).putLong(Codec.MAGIC).array());
--- a/audit/src/main/java/frostrelay/audit/EntryType.java
+++ b/audit/src/main/java/frostrelay/audit/EntryType.java
@@ -1,6 +1,6 @@
 package frostrelay.audit;
 
-/** The types of entries, with the numbers that stand for them in a record. */
+/** The types of entries, with their numbers in a record. */
 enum EntryType {
     STARTED(1),
     VERSIONS_APPLIED(2),
@@ -37,7 +37,7 @@
         return code;
     }
 
-    /** The type of a number; null for those of later builds. */
+    /** Returns the type with this number; null for types of later builds. */
     static EntryType ofCode(int code) {
         return code < BY_CODE.length ? BY_CODE[code] : null;
     }
--- a/audit/src/main/java/frostrelay/audit/FramedEntries.java
+++ b/audit/src/main/java/frostrelay/audit/FramedEntries.java
@@ -8,12 +8,12 @@
 public final class FramedEntries {
     private FramedEntries() {}
 
-    /** The frame of an entry. */
+    /** Returns the frame of an entry. */
     public static byte[] encode(Entry entry) {
         return encode(entry, Codec.newBuffer());
     }
 
-    /** The frame of an entry, encoded in a buffer that the caller reuses. */
+    /** Returns the frame of an entry, encoded in a buffer that the caller reuses. */
     static byte[] encode(Entry entry, ByteBuffer out) {
         out.clear();
         Codec.write(entry, out);
@@ -23,8 +23,8 @@
     }
 
     /**
-     * End of the frames from {@code from} on that fit into {@code capacityBytes}, one frame at
-     * least.
+     * Returns the end offset of the frames that start at {@code from} and fit into {@code
+     * capacityBytes}; includes at least one frame.
      */
     public static int endOfFittingEntries(byte[] bytes, int from, long capacityBytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
@@ -40,7 +40,7 @@
         return end == from ? bytes.length : end;
     }
 
-    /** The entries of the complete frames at the start of these bytes. */
+    /** Decodes the complete frames at the start of these bytes. */
     public static List<Entry> entries(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         List<Entry> entries = new ArrayList<>();
--- a/audit/src/main/java/frostrelay/audit/Preamble.java
+++ b/audit/src/main/java/frostrelay/audit/Preamble.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * Repeats the entries that later ones refer to, for records whose beginning was dropped: the start,
+ * The entries that later ones refer to, repeated in records whose beginning was dropped: the start,
  * the caches' names and latest states, and the versions last applied. Not thread-safe.
  */
 public final class Preamble {
@@ -16,7 +16,7 @@
     private Entry.VersionsApplied lastApplied;
     private long lastEntryNanos;
 
-    /** Takes in an entry that the record will no longer hold before those to come. */
+    /** Takes note of an entry that precedes the entries of the record to be written. */
     public void observe(Entry entry) {
         lastEntryNanos = entry.atNanos();
         if (entry instanceof Entry.Started started) {
@@ -30,12 +30,12 @@
         }
     }
 
-    /** Whether the start was not observed yet. */
+    /** Returns true until a start entry has been observed. */
     public boolean isEmpty() {
         return start == null;
     }
 
-    /** The entries, {@link Entry.Resumed} last. */
+    /** Returns the entries of the preamble, ending with {@link Entry.Resumed}. */
     public List<Entry> entries() {
         List<Entry> entries = new ArrayList<>();
         if (start != null) {
--- a/audit/src/main/java/frostrelay/audit/Recorder.java
+++ b/audit/src/main/java/frostrelay/audit/Recorder.java
@@ -1,10 +1,10 @@
 package frostrelay.audit;
 
-/** Stores entries, in order of time. */
+/** A sink for entries in chronological order. */
 public interface Recorder {
     /**
-     * Adds an entry. Does not block and does not fail: entries that cannot be stored are named by a
-     * {@link Entry.Gap} later.
+     * Adds an entry. Does not block and does not fail: entries that cannot be stored are reported
+     * by a later {@link Entry.Gap}.
      */
     void append(Entry entry);
 }
--- a/audit/src/main/java/frostrelay/audit/fleet/AuditedVersionKind.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/AuditedVersionKind.java
@@ -4,14 +4,16 @@
 
 import java.util.Locale;
 
-/** The kinds of versions that {@link AppliedVersions} hold. */
+/** The kinds of versions in {@link AppliedVersions}. */
 public enum AuditedVersionKind {
     CONFIG,
     LIST,
     HOLDS,
     BUILD;
 
-    /** The version of this kind: its number if there is one, and the digest of its content. */
+    /**
+     * Returns the version of this kind: its number, if it has one, and the digest of its content.
+     */
     public Version versionIn(AppliedVersions versions) {
         return switch (this) {
             case CONFIG -> new Version(versions.configNumber(), versions.configDigest());
@@ -21,22 +23,22 @@
         };
     }
 
-    /** As the command line names it. */
+    /** Returns the name used on the command line. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
     /** A version: {@code number} is {@link AppliedVersions#NO_NUMBER} if it has none. */
     public record Version(long number, long digest) {
-        /** {@code 41:0000beef...}, or the digest alone. */
+        /** Returns {@code 41:0000beef...}, or the digest alone. */
         public String text() {
             String content = String.format(Locale.ROOT, "%016x", digest);
             return number == AppliedVersions.NO_NUMBER ? content : number + ":" + content;
         }
 
         /**
-         * Whether a query of an operator selects this version: by its number, by its digest or at
-         * least four leading digits of that, or by both with ':'.
+         * Returns whether an operator's query selects this version: by number, by digest or at
+         * least four of its leading digits, or by number and digest separated by ':'.
          */
         public boolean matches(String query) {
             String content = String.format(Locale.ROOT, "%016x", digest);
--- a/audit/src/main/java/frostrelay/audit/fleet/ClockAlignment.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/ClockAlignment.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 
 /**
- * Places the clocks of all incarnations on one time line. Wall clocks are not trusted where peers
- * probed each other: an answered probe bounds a moment of one clock by two of another, and such
- * intervals add up along the path to the reference. An incarnation that no peer heard from is
- * placed by its wall clock, and marked so.
+ * Maps the clocks of all incarnations to one time line. Wall clocks are not used where peers probed
+ * each other: an answered probe bounds a time of one clock by two times of another, and such
+ * intervals add up along the path to the reference incarnation. An incarnation without answered
+ * probes is placed by its wall clock and marked accordingly.
  */
 public final class ClockAlignment {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
 
-    /** Error assumed of a wall clock, about that of one that is not synchronized. */
+    /** Assumed error of a wall clock: about that of an unsynchronized clock. */
     private static final long WALL_CLOCK_TOLERANCE_NANOS = 60_000 * NANOS_PER_MILLISECOND;
 
     /**
-     * What to add to an incarnation's times: between {@code minNanos} and {@code maxNanos}. {@code
+     * Bounds on the offset from an incarnation's clock to the common time line. {@code
      * fromPeerSamples}: derived from probes, not from a wall clock.
      */
     public record Offset(long minNanos, long maxNanos, boolean fromPeerSamples) {
@@ -28,9 +28,9 @@
         }
     }
 
-    /** A moment on the common time line, known to lie between two. */
+    /** Bounds on a time on the common time line. */
     public record TimeInterval(long earliestNanos, long latestNanos) {
-        /** Whether this is certainly before another. */
+        /** Returns whether this time is certainly before the other. */
         public boolean isBefore(TimeInterval other) {
             return latestNanos < other.earliestNanos;
         }
@@ -38,7 +38,7 @@
 
     private final Map<IncarnationHistory, Offset> offsets = new HashMap<>();
 
-    /** Aligns incarnations; the start of the first is 0. */
+    /** Aligns incarnations; time 0 is the start of the first. */
     public ClockAlignment(List<IncarnationHistory> histories) {
         if (histories.isEmpty()) {
             return;
@@ -46,7 +46,7 @@
         Map<IncarnationHistory, Map<IncarnationHistory, Offset>> edges = edges(histories);
         IncarnationHistory reference = histories.get(0);
         offsets.put(reference, new Offset(0, 0, true));
-        // Dijkstra's algorithm: each incarnation is reached by the narrowest sum of intervals.
+        // Dijkstra's algorithm: finds the path with the narrowest sum of intervals.
         Map<IncarnationHistory, Offset> candidates = new HashMap<>(offsets);
         offsets.clear();
         while (!candidates.isEmpty()) {
@@ -91,8 +91,8 @@
     }
 
     /**
-     * For each pair of incarnations that probed each other: what to add to the second's times to
-     * get the first's.
+     * Returns, for each pair of incarnations that probed each other, the offset from the second's
+     * clock to the first's.
      */
     private static Map<IncarnationHistory, Map<IncarnationHistory, Offset>> edges(
             List<IncarnationHistory> histories) {
@@ -143,7 +143,7 @@
                         (a, b) -> {
                             long minNanos = Math.max(a.minNanos, b.minNanos);
                             long maxNanos = Math.min(a.maxNanos, b.maxNanos);
-                            // With drifting clocks two correct intervals may be disjoint: the
+                            // With drifting clocks two correct intervals may be disjoint; the
                             // narrower one is kept.
                             return minNanos <= maxNanos
                                     ? new Offset(minNanos, maxNanos, true)
@@ -151,13 +151,13 @@
                         });
     }
 
-    /** Where a time of an incarnation lies on the common time line. */
+    /** Converts a time of an incarnation to the common time line. */
     public TimeInterval intervalOf(IncarnationHistory history, long atNanos) {
         Offset offset = offsets.get(history);
         return new TimeInterval(atNanos + offset.minNanos, atNanos + offset.maxNanos);
     }
 
-    /** How an incarnation was placed. */
+    /** Returns the offset of an incarnation and how it was derived. */
     public Offset offset(IncarnationHistory history) {
         return offsets.get(history);
     }
--- a/audit/src/main/java/frostrelay/audit/fleet/FleetAudit.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/FleetAudit.java
@@ -19,17 +19,17 @@
 /**
  * Queries over the audit records of a fleet. Results are rows as {@code frostrelay audit --json}
  * prints them. Times are milliseconds from the start of the first incarnation, as {@code [earliest,
- * latest]}: where the order of two events is not known their intervals overlap. Missing entries are
- * named, never filled in.
+ * latest]}: if the order of two events is unknown, their intervals overlap. Missing entries are
+ * reported, never interpolated.
  */
 public final class FleetAudit {
     private final List<IncarnationHistory> histories;
     private final ClockAlignment clocks;
 
     /**
-     * Aligns the clocks of some incarnations.
+     * Aligns the clocks of incarnations.
      *
-     * @param histories in any order; the one that started first is the reference
+     * @param histories in any order; the first incarnation to start is the reference
      */
     public FleetAudit(List<IncarnationHistory> histories) {
         this.histories = new ArrayList<>(histories);
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Every incarnation: from when to when, how it ended, how its clock was aligned, and what its
-     * record lacks.
+     * Describes each incarnation: start and end, how it ended, how its clock was aligned, and the
+     * gaps in its record.
      */
     public List<Map<String, Object>> describeRecords() {
         List<Map<String, Object>> rows = new ArrayList<>();
@@ -90,7 +90,7 @@
         return rows;
     }
 
-    /** Which balancers acted on a version, when, and how much they sent under it. */
+    /** Returns the balancers that acted on a version, when, and their number of sends under it. */
     public List<Map<String, Object>> applicationsOf(AuditedVersionKind kind, String versionQuery) {
         List<Map<String, Object>> found = new ArrayList<>();
         for (IncarnationHistory history : histories) {
@@ -150,7 +150,7 @@
         return sum;
     }
 
-    /** Version numbers with more than one content, and which balancers acted on which. */
+    /** Returns version numbers with more than one content, and the balancers that acted on each. */
     public List<Map<String, Object>> conflicts() {
         List<Map<String, Object>> rows = new ArrayList<>();
         for (AuditedVersionKind kind :
@@ -193,30 +193,30 @@
     }
 
     /**
-     * For each version of a kind, in order of first appearance: when each balancer applied it, how
-     * far that was behind the first, or that it never did as far as its record goes.
+     * Returns, for each version of a kind in order of first appearance, when each balancer applied
+     * it and how long after the first one, or that its record does not show it as applied.
      */
     public List<Map<String, Object>> drift(AuditedVersionKind kind) {
         return new VersionDrift(histories, clocks).rows(kind);
     }
 
     /**
-     * Sends to a cache after its drain was known anywhere in the fleet. {@code certain}: sends that
-     * were certainly later; {@code possible}: those that may have been, as counts cover a span and
-     * clocks are known to an interval.
+     * Returns the sends to a cache after any balancer of the fleet knew of its drain. {@code
+     * certain}: sends that were certainly later; {@code possible}: sends that may have been later,
+     * as counts cover a time span and clocks are aligned only to an interval.
      */
     public List<Map<String, Object>> sendsAfterDrain() {
         return new SendsAfterDrain(histories, clocks).rows();
     }
 
-    /** Contradictions within records and between them, in words; empty if there are none. */
+    /** Describes contradictions within and between records; empty if there are none. */
     public List<String> verify() {
         return new RecordVerification(histories, clocks).verify();
     }
 
     /**
-     * Each balancer's applied versions over time, for a diagram: one row of spans for each
-     * incarnation.
+     * Returns the applied versions of each balancer over time, for a diagram: one row of spans for
+     * each incarnation.
      */
     public List<Map<String, Object>> spans(AuditedVersionKind kind) {
         List<Map<String, Object>> rows = new ArrayList<>();
--- a/audit/src/main/java/frostrelay/audit/fleet/IncarnationHistory.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/IncarnationHistory.java
@@ -13,7 +13,7 @@
 
 /**
  * One incarnation of a balancer, joined from the parts of its record. Entries are in recorded
- * order; preambles are left out if the part before them is present.
+ * order; a preamble is omitted if the part before it is present.
  */
 public final class IncarnationHistory {
     private final String source;
@@ -46,42 +46,45 @@
         unreadBytes = totalUnreadBytes;
         Entry.Started startEntry = null;
         for (Entry entry : entries) {
-            if (entry instanceof Entry.Started one) {
-                startEntry = one;
-                incarnations.add(one.incarnation());
-            } else if (entry instanceof Entry.IncarnationChanged one) {
-                incarnations.add(one.incarnation());
-            } else if (entry instanceof Entry.CacheNamed one) {
-                cacheNames.put(one.cache(), one.uid());
-            } else if (entry instanceof Entry.VersionsApplied one) {
-                appliedVersions.add(one);
+            if (entry instanceof Entry.Started started) {
+                startEntry = started;
+                incarnations.add(started.incarnation());
+            } else if (entry instanceof Entry.IncarnationChanged changed) {
+                incarnations.add(changed.incarnation());
+            } else if (entry instanceof Entry.CacheNamed named) {
+                cacheNames.put(named.cache(), named.uid());
+            } else if (entry instanceof Entry.VersionsApplied applied) {
+                appliedVersions.add(applied);
             }
         }
         start = startEntry;
         beginningLost = !hasFirstPart || entries.stream().anyMatch(Entry.Resumed.class::isInstance);
     }
 
-    /** Adds those entries of a preamble that were lost from the parts before it. */
+    /** Adds the entries of a preamble that are missing in the parts before it. */
     private void addMissingFromPreamble(List<Entry> preamble) {
         int lastSequence = -1;
         for (Entry entry : entries) {
             lastSequence =
-                    entry instanceof Entry.VersionsApplied one ? one.sequence() : lastSequence;
+                    entry instanceof Entry.VersionsApplied applied
+                            ? applied.sequence()
+                            : lastSequence;
         }
         for (Entry entry : preamble) {
             if (entry instanceof Entry.CacheNamed
-                    || entry instanceof Entry.VersionsApplied one
-                            && one.sequence() > lastSequence) {
+                    || entry instanceof Entry.VersionsApplied applied
+                            && applied.sequence() > lastSequence) {
                 entries.add(entry);
             }
         }
     }
 
     /**
-     * Joins parts, in their order.
+     * Joins the parts of a record.
      *
      * @param source where the parts came from, for messages
-     * @param hasFirstPart whether the first of them is the first of the incarnation
+     * @param parts the parts in their order
+     * @param hasFirstPart whether {@code parts} begins with the first part of the incarnation
      * @return null if no start entry could be read
      */
     public static IncarnationHistory of(
@@ -90,7 +93,7 @@
         return history.start == null ? null : history;
     }
 
-    /** Where its record was found. */
+    /** Returns where the record was found. */
     public String source() {
         return source;
     }
@@ -100,7 +103,7 @@
         return start.name();
     }
 
-    /** Name and start time, which identify an incarnation. */
+    /** Returns name and start time, which identify an incarnation. */
     public String label() {
         return start.name() + "/" + Incarnation.toUnixMillis(start.incarnation());
     }
@@ -113,17 +116,17 @@
         return entries;
     }
 
-    /** The versions that it acted on, in order. */
+    /** Returns the changes of applied versions, in order. */
     public List<Entry.VersionsApplied> appliedVersions() {
         return appliedVersions;
     }
 
-    /** The name of a cache; its number, after a {@code #}, if that entry was lost. */
+    /** Returns the name of a cache, or {@code #} and its number if the name's entry was lost. */
     public String cacheName(int number) {
         return cacheNames.getOrDefault(number, "#" + number);
     }
 
-    /** Whether peers know this incarnation by this rank and number. */
+    /** Returns whether peers know this incarnation by this rank and number. */
     public boolean isIncarnation(int rank, long incarnation) {
         return start.rank() == rank
                 && (incarnations.contains(incarnation)
@@ -131,27 +134,27 @@
                                 == Incarnation.toUnixMillis(start.incarnation()));
     }
 
-    /** Whether its last entry is a shutdown. */
+    /** Returns whether the last entry is a shutdown. */
     public boolean hasStopped() {
         return !entries.isEmpty() && entries.get(entries.size() - 1) instanceof Entry.Stopped;
     }
 
-    /** The time of its last entry. */
+    /** Returns the time of the last entry. */
     public long lastEntryNanos() {
         return entries.get(entries.size() - 1).atNanos();
     }
 
-    /** Bytes at the end of its parts that could not be read. */
+    /** Returns the number of unreadable bytes at the ends of the parts. */
     public int unreadBytes() {
         return unreadBytes;
     }
 
-    /** Whether older parts of it are missing. */
+    /** Returns whether older parts of the record are missing. */
     public boolean beginningLost() {
         return beginningLost;
     }
 
-    /** Gaps that the record names. */
+    /** Returns the gaps recorded. */
     public List<Entry.Gap> gaps() {
         List<Entry.Gap> gaps = new ArrayList<>();
         for (Entry entry : entries) {
@@ -163,8 +166,8 @@
     }
 
     /**
-     * Until when it acted on the versions at an index of {@link #appliedVersions}: when the next
-     * ones were applied, or its last entry.
+     * Returns the end of the time in which the versions at an index of {@link #appliedVersions}
+     * were applied: the time of the next change, or of the last entry.
      */
     public long appliedUntilNanos(int index) {
         return index + 1 < appliedVersions.size()
--- a/audit/src/main/java/frostrelay/audit/fleet/JsonRows.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/JsonRows.java
@@ -12,14 +12,14 @@
 
     private JsonRows() {}
 
-    /** {@code [earliest, latest]} in whole milliseconds. */
+    /** Returns {@code [earliest, latest]} in whole milliseconds. */
     static List<Object> toMillis(TimeInterval interval) {
         return List.of(
                 Math.round(interval.earliestNanos() / NANOS_PER_MILLISECOND),
                 Math.round(interval.latestNanos() / NANOS_PER_MILLISECOND));
     }
 
-    /** An object of keys, which are strings, and values in turn; values may be null. */
+    /** Builds an object from alternating keys, which are strings, and values, which may be null. */
     static Map<String, Object> jsonObject(Object... pairs) {
         Map<String, Object> object = new LinkedHashMap<>();
         for (int i = 0; i < pairs.length; i += 2) {
--- a/audit/src/main/java/frostrelay/audit/fleet/RecordVerification.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/RecordVerification.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Checks records for contradictions within themselves and with those of peers. */
+/** Checks records for contradictions, within one record and between those of peers. */
 final class RecordVerification {
     /** Gossip carries the sequence number of applied versions modulo 2^16. */
     private static final int GOSSIP_SEQUENCE_MASK = 0xffff;
@@ -41,7 +41,7 @@
         violations.add(history.label() + violation);
     }
 
-    /** Order of time and of sequence numbers within one record. */
+    /** Checks the order of times and sequence numbers within one record. */
     private final class HistoryCheck {
         private final IncarnationHistory history;
         private long latestNanos = Long.MIN_VALUE;
@@ -108,9 +108,7 @@
         }
     }
 
-    /**
-     * Compares what it recorded of peers' versions with the peers' own records, as far as those go.
-     */
+    /** Compares the peers' versions in this record with the peers' own records, where available. */
     private void verifyAgainstPeers(IncarnationHistory history) {
         for (Entry entry : history.entries()) {
             if (!(entry instanceof Entry.PeerVersionsHeard heard)) {
@@ -137,18 +135,18 @@
         if (applied.versions().fingerprint() != heard.versionsRef()) {
             report(
                     history,
-                    " heard that "
+                    " received versions "
+                            + heard.sequence()
+                            + " of "
                             + peer.label()
-                            + " acts on "
+                            + " with fingerprint "
                             + Integer.toHexString(heard.versionsRef())
-                            + " as its versions "
-                            + heard.sequence()
                             + "; its own record has "
                             + Integer.toHexString(applied.versions().fingerprint()));
         } else if (isCertainlyEarlier(history, heard, peer, applied)) {
             report(
                     history,
-                    " heard of versions "
+                    " received versions "
                             + heard.sequence()
                             + " of "
                             + peer.label()
--- a/audit/src/main/java/frostrelay/audit/fleet/SendsAfterDrain.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/SendsAfterDrain.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Sends to caches after some balancer's endpoint list said that they drain. */
+/** Counts sends to caches that were already draining in any balancer's endpoint list. */
 final class SendsAfterDrain {
     private final List<IncarnationHistory> histories;
     private final ClockAlignment clocks;
@@ -28,15 +28,16 @@
         histories.forEach(this::collectChanges);
     }
 
-    /** What an endpoint list of some revision said of a cache, and when it was applied. */
+    /** The state of a cache in a revision of the endpoint list, and when the list was applied. */
     private record ReadinessChange(
             IncarnationHistory history, String cache, TimeInterval interval, long listRevision) {}
 
-    /** Sends certainly, and possibly, within a drain. */
+    /** Numbers of sends that were certainly and possibly within a drain. */
     private record SendTotals(long certain, long possible) {}
 
     /**
-     * From when a cache drained, and until when; {@code end} is null if it never was ready again.
+     * The time span of a cache's drain; {@code end} is null if the cache did not become ready
+     * again.
      */
     private record Drain(TimeInterval begin, TimeInterval end) {
         boolean mayContain(TimeInterval sendsBegin) {
@@ -53,7 +54,7 @@
         }
     }
 
-    /** Endpoint entries precede the entry of the list revision that they belong to. */
+    /** Collects changes; endpoint entries precede the entry of the list revision they belong to. */
     private void collectChanges(IncarnationHistory history) {
         List<Entry.EndpointListed> pending = new ArrayList<>();
         for (Entry entry : history.entries()) {
@@ -123,8 +124,8 @@
     }
 
     /**
-     * When a cache was ready again, or null. Only a later revision of the list says so: an old one
-     * may be applied late.
+     * Returns when a cache was ready again, or null. Only a later revision of the list counts, as
+     * an older one may be applied late.
      */
     private TimeInterval readyAgain(ReadinessChange drain) {
         return ready.stream()
@@ -137,7 +138,9 @@
                 .orElse(null);
     }
 
-    /** Single sends are used where the record has them; otherwise counts, which cover a span. */
+    /**
+     * Counts from entries of single sends if the record has any, otherwise from interval counts.
+     */
     private SendTotals countSends(IncarnationHistory history, String cache, Drain drain) {
         boolean hasEachSend =
                 history.entries().stream().anyMatch(Entry.AttemptSent.class::isInstance);
--- a/audit/src/main/java/frostrelay/audit/fleet/VersionDrift.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/VersionDrift.java
@@ -14,7 +14,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** How far balancers were behind the first that applied each version. */
+/** Delays between the first balancer to apply a version and the others. */
 final class VersionDrift {
     private final List<IncarnationHistory> histories;
     private final ClockAlignment clocks;
@@ -24,7 +24,7 @@
         this.clocks = clocks;
     }
 
-    /** Versions that an incarnation applied, and when. */
+    /** A change of an incarnation's applied versions, and its time. */
     private record Application(
             IncarnationHistory history, TimeInterval interval, Entry.VersionsApplied applied) {}
 
@@ -32,12 +32,12 @@
     List<Map<String, Object>> rows(AuditedVersionKind kind) {
         Map<Version, Map<IncarnationHistory, Entry.VersionsApplied>> firstApplied =
                 new LinkedHashMap<>();
-        for (Application one : applicationsInOrder()) {
+        for (Application application : applicationsInOrder()) {
             firstApplied
                     .computeIfAbsent(
-                            kind.versionIn(one.applied.versions()),
+                            kind.versionIn(application.applied.versions()),
                             version -> new LinkedHashMap<>())
-                    .putIfAbsent(one.history, one.applied);
+                    .putIfAbsent(application.history, application.applied);
         }
         List<Map<String, Object>> rows = new ArrayList<>();
         firstApplied.forEach((version, firstByHistory) -> rows.add(row(version, firstByHistory)));
@@ -53,7 +53,8 @@
                                 history, clocks.intervalOf(history, applied.atNanos()), applied));
             }
         }
-        applications.sort(Comparator.comparingLong(one -> one.interval.latestNanos()));
+        applications.sort(
+                Comparator.comparingLong(application -> application.interval.latestNanos()));
         return applications;
     }
 
@@ -97,7 +98,9 @@
         return Math.max(0, Math.round((toNanos - fromNanos) / JsonRows.NANOS_PER_MILLISECOND));
     }
 
-    /** Its record goes on after the version first appeared, without applying it. */
+    /**
+     * Describes a balancer whose record continues after the version first appeared but lacks it.
+     */
     private Map<String, Object> notAppliedRow(IncarnationHistory history) {
         return jsonObject(
                 "balancer",
--- a/audit/src/main/java/frostrelay/audit/fleet/package-info.java
+++ b/audit/src/main/java/frostrelay/audit/fleet/package-info.java
@@ -5,7 +5,7 @@
  * frostrelay.audit.fleet.FleetAudit} answers the queries of {@code frostrelay audit}.
  *
  * <p>Invariants: a time is an interval, and an order of two events is stated only where their
- * intervals do not overlap; missing entries are named, never filled in. Everything is computed from
- * the records given, without I/O; nothing is thread-safe.
+ * intervals do not overlap; missing entries are reported, never interpolated. Everything is
+ * computed from the records given, without I/O; nothing is thread-safe.
  */
 package frostrelay.audit.fleet;
--- a/audit/src/main/java/frostrelay/audit/package-info.java
+++ b/audit/src/main/java/frostrelay/audit/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The audit record: what one incarnation of a balancer acted on, from when to when, what it sent
- * under it, and what it received from its peers.
+ * The audit record of one incarnation of a balancer: the versions that it acted on and when, its
+ * sends under each of them, and the reports that it received from its peers.
  *
  * <p>{@link frostrelay.audit.AuditLog} turns events of a balancer into {@link
  * frostrelay.audit.Entry}s and passes them to a {@link frostrelay.audit.Recorder}: in memory {@link
@@ -8,11 +8,11 @@
  * frostrelay.audit.Codec} is the format of both.
  *
  * <p>Invariants: entries of types or forms that a build does not know are skipped; a truncated or
- * damaged tail ends the reading and is counted; entries that were lost are named by a {@link
+ * damaged tail ends the reading and is counted; lost entries are reported by a {@link
  * frostrelay.audit.Entry.Gap}; recording a send allocates nothing unless sends are recorded one by
  * one.
  *
  * <p>Nothing here does I/O, reads a clock or is thread-safe: a balancer calls it from its event
- * loop, with moments as nanoseconds of its monotonic clock.
+ * loop, with times in nanoseconds of its monotonic clock.
  */
 package frostrelay.audit;
--- a/audit/src/main/java/frostrelay/audit/store/CollectedRecords.java
+++ b/audit/src/main/java/frostrelay/audit/store/CollectedRecords.java
@@ -12,16 +12,16 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** Reads records from files, of balancers that run or have ended. */
+/** Reads records of running and stopped balancers from files. */
 public final class CollectedRecords {
     private static final String FIRST_PART_SUFFIX = "-000000" + RecordFolder.SUFFIX;
 
     private CollectedRecords() {}
 
     /**
-     * All incarnations found in a folder and below it.
+     * Reads all incarnations found in a folder and its subfolders.
      *
-     * @param complaints gets a line for each file that cannot be read, which is skipped
+     * @param complaints receives a line for each unreadable file, which is skipped
      */
     public static List<IncarnationHistory> histories(Path folder, List<String> complaints)
             throws IOException {
@@ -30,9 +30,9 @@
             folders = all.filter(Files::isDirectory).sorted().toList();
         }
         List<IncarnationHistory> histories = new ArrayList<>();
-        for (Path one : folders) {
+        for (Path subfolder : folders) {
             Map<String, List<Path>> files = new LinkedHashMap<>();
-            for (Path file : RecordFolder.files(one)) {
+            for (Path file : RecordFolder.files(subfolder)) {
                 files.computeIfAbsent(
                                 RecordFolder.incarnationOf(file), incarnation -> new ArrayList<>())
                         .add(file);
@@ -62,11 +62,11 @@
         if (history != null) {
             histories.add(history);
         } else if (!records.isEmpty()) {
-            complaints.add(parts.get(0) + ": its start cannot be read");
+            complaints.add(parts.get(0) + ": skipped, no start entry could be read");
         }
     }
 
-    /** A record as an admin server returned it; null if its start cannot be read. */
+    /** Reads a record that an admin server returned; null if no start entry could be read. */
     public static IncarnationHistory history(String source, byte[] record) {
         return IncarnationHistory.of(source, List.of(AuditRecord.read(record)), true);
     }
--- a/audit/src/main/java/frostrelay/audit/store/RecordFolder.java
+++ b/audit/src/main/java/frostrelay/audit/store/RecordFolder.java
@@ -24,11 +24,12 @@
 import java.util.function.Consumer;
 
 /**
- * An incarnation's record in append-only files, written by a thread of its own: an event loop must
- * not wait for a disk. SIGKILL loses the entries of the last {@link #WRITE_INTERVAL_MILLIS}; what
- * was written survives in the page cache, and files are not synced against a crash of the machine.
- * File names are incarnation, then part; the oldest files of the folder are deleted at its bound.
- * {@link #append} only adds to a buffer; it is to be called from one thread.
+ * An incarnation's record in append-only files, written by a dedicated thread because an event loop
+ * must not wait for a disk. SIGKILL loses the entries of the last {@link #WRITE_INTERVAL_MILLIS};
+ * written entries survive in the page cache, and files are not synced against a crash of the
+ * machine. A file name consists of incarnation and part number; the oldest files are deleted when
+ * the folder reaches its size limit. {@link #append} only adds to a buffer; it must be called from
+ * one thread.
  */
 public final class RecordFolder implements Recorder, AutoCloseable {
     /** Pending entries are written this often. */
@@ -37,8 +38,8 @@
     static final String SUFFIX = ".rec";
 
     /**
-     * Pending entries beyond this are dropped and named as a gap: a disk that hangs must not fill
-     * the heap.
+     * Limit on pending entries; further ones are dropped and reported as a gap, so that a hanging
+     * disk cannot fill the heap.
      */
     private static final int MAX_PENDING_BYTES = 512 * 1024;
 
@@ -57,7 +58,10 @@
                     });
     private final Object lock = new Object();
 
-    /** Of all entries before the pending ones, lost ones included. Guarded by {@link #lock}. */
+    /**
+     * Preamble of all entries before the pending ones, including lost ones. Guarded by {@link
+     * #lock}.
+     */
     private final Preamble preamble = new Preamble();
 
     private ByteBuffer pending = ByteBuffer.allocate(64 * 1024);
@@ -65,7 +69,7 @@
     private long lostFromNanos;
     private String lostReason = "";
 
-    // Below: used by the writer thread alone, and by close() after it has ended.
+    // The fields below are used only by the writer thread, and by close() after that thread ended.
     private FileChannel partChannel;
     private Path partFile;
     private int partCount;
@@ -76,7 +80,7 @@
     /**
      * Starts the writer thread.
      *
-     * @param incarnation prefix of the file names; has to sort after those of earlier incarnations
+     * @param incarnation prefix of the file names; must sort after those of earlier incarnations
      * @param maxBytes bound on the size of all files in the folder
      * @param onFailure called on the writer thread with the reason, once when writes begin to fail
      */
@@ -97,7 +101,8 @@
     public void append(Entry entry) {
         synchronized (lock) {
             if (lostEntries > 0 && pending.position() == 0) {
-                // All pending entries were written or rejected: try the disk again, gap first.
+                // All pending entries were written or rejected: retry the disk, starting with the
+                // gap.
                 long previouslyLost = lostEntries;
                 lostEntries = 0;
                 enqueue(new Entry.Gap(entry.atNanos(), lostFromNanos, previouslyLost, lostReason));
@@ -114,11 +119,11 @@
             return;
         }
         if (pending.remaining() < bytes.length) {
-            ByteBuffer wider =
+            ByteBuffer enlarged =
                     ByteBuffer.allocate(Math.min(MAX_PENDING_BYTES, 2 * pending.capacity()));
             pending.flip();
-            wider.put(pending);
-            pending = wider;
+            enlarged.put(pending);
+            pending = enlarged;
         }
         pending.put(bytes);
     }
@@ -174,8 +179,8 @@
     private void onWriteFailed(byte[] bytes, Exception e) {
         try {
             if (partChannel != null) {
-                // The rejected write may have been done in part. The next one gets another file, as
-                // the fault may lie with this one.
+                // The failed write may be partial. The next write uses another file, as the fault
+                // may affect only this one.
                 partChannel.truncate(partBytesWritten);
                 partChannel.close();
                 if (partBytesWritten == headBytes) {
@@ -213,7 +218,7 @@
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         head.writeBytes(ByteBuffer.allocate(Long.BYTES).putLong(Codec.MAGIC).array());
         synchronized (lock) {
-            // Without earlier entries, written or lost, the record begins with its own start.
+            // Without earlier entries, written or lost, the record begins with its start entry.
             if (!preamble.isEmpty()) {
                 preamble.entries().forEach(entry -> head.writeBytes(FramedEntries.encode(entry)));
             }
@@ -246,7 +251,7 @@
         }
     }
 
-    /** The files of all incarnations in a folder, the oldest first. */
+    /** Returns the files of all incarnations in a folder, oldest first. */
     public static List<Path> files(Path folder) throws IOException {
         List<Path> files = new ArrayList<>();
         if (Files.isDirectory(folder)) {
@@ -258,7 +263,7 @@
         return files;
     }
 
-    /** The incarnation that a file name begins with. */
+    /** Returns the incarnation at the start of a file name. */
     public static String incarnationOf(Path file) {
         String name = file.getFileName().toString();
         return name.substring(0, Math.max(0, name.lastIndexOf('-')));
--- a/audit/src/test/java/frostrelay/audit/AuditLogAllocationTest.java
+++ b/audit/src/test/java/frostrelay/audit/AuditLogAllocationTest.java
@@ -10,7 +10,7 @@
 /** Recording a send or a rejection allocates nothing. */
 class AuditLogAllocationTest {
     @Test
-    void aSendAllocatesNothing() {
+    void sendsAndRejectionsAllocateNothing() {
         int[] entries = new int[1];
         AuditLog log =
                 new AuditLog(
--- a/audit/src/test/java/frostrelay/audit/AuditRecordTest.java
+++ b/audit/src/test/java/frostrelay/audit/AuditRecordTest.java
@@ -31,7 +31,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.zip.CRC32C;
 
-/** Records survive truncation, damage, rotation and a disk that rejects writes. */
+/** Records stay readable after truncation, damage, rotation and rejected writes. */
 class AuditRecordTest {
     private static final long INCARNATION = Incarnation.fromUnixMillis(1_790_000_000_000L);
 
@@ -81,7 +81,7 @@
         return entries.stream().map(AuditRecordTest::text).toList();
     }
 
-    /** SIGKILL may truncate a file anywhere: complete entries are read, the rest is counted. */
+    /** SIGKILL may truncate a file anywhere; complete entries must be read and the rest counted. */
     @Test
     void aTruncatedRecordIsReadUpToTheLastCompleteEntry() {
         List<Entry> entries = sampleEntries();
@@ -93,12 +93,12 @@
             assertEquals(length, bytes(entries.subList(0, count)).length + read.unreadBytes());
             assertTrue(
                     count == entries.size() || bytes(entries.subList(0, count + 1)).length > length,
-                    "nothing whole is left out");
+                    "no complete entry is omitted");
         }
     }
 
     @Test
-    void aFlippedByteEndsTheReadingBeforeItsEntry() {
+    void readingStopsBeforeACorruptEntry() {
         List<Entry> entries = sampleEntries();
         byte[] record = bytes(entries);
         for (int at = 8; at < record.length; at++) {
@@ -107,7 +107,7 @@
             AuditRecord read = AuditRecord.read(damaged);
             assertTrue(read.entries().size() < entries.size());
             assertEquals(texts(entries.subList(0, read.entries().size())), texts(read.entries()));
-            assertTrue(read.unreadBytes() > 0, "and that is said");
+            assertTrue(read.unreadBytes() > 0, "unread bytes are reported");
         }
     }
 
@@ -154,7 +154,8 @@
     }
 
     @Property(tries = 500)
-    void whatIsWrittenIsRead(@ForAll("entry") Entry one, @ForAll("entry") Entry other) {
+    void encodedEntriesAreDecodedUnchanged(
+            @ForAll("entry") Entry one, @ForAll("entry") Entry other) {
         assertEquals(
                 texts(List.of(one, other)),
                 texts(AuditRecord.read(bytes(List.of(one, other))).entries()));
@@ -162,15 +163,15 @@
 
     /** An entry type of a later build does not hide the entries after it. */
     @Test
-    void anUnknownEntryIsPassedOver() {
-        byte[] alien = FramedEntries.encode(new Entry.Stopped(9));
-        alien[2] = 77;
+    void anUnknownEntryTypeIsSkipped() {
+        byte[] unknown = FramedEntries.encode(new Entry.Stopped(9));
+        unknown[2] = 77;
         CRC32C crc = new CRC32C();
-        crc.update(alien, 0, alien.length - 4);
-        ByteBuffer.wrap(alien).putInt(alien.length - 4, (int) crc.getValue());
+        crc.update(unknown, 0, unknown.length - 4);
+        ByteBuffer.wrap(unknown).putInt(unknown.length - 4, (int) crc.getValue());
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(bytes(List.of(new Entry.WallClockJumped(1, 2))));
-        out.writeBytes(alien);
+        out.writeBytes(unknown);
         out.writeBytes(FramedEntries.encode(new Entry.Stopped(10)));
         AuditRecord read = AuditRecord.read(out.toByteArray());
         assertEquals(1, read.unknownEntries());
@@ -179,14 +180,14 @@
     }
 
     @Test
-    void aFullRingNamesWhatItDroppedAndStaysReadable() {
+    void aFullRingBufferRecordsAGapAndStaysReadable() {
         EntryRingBuffer ring = new EntryRingBuffer(2_000);
         sampleEntries().forEach(ring::append);
         for (int i = 0; i < 200; i++) {
             ring.append(new Entry.AttemptSent(100 + i, 0, 0, 0, "late-" + i));
         }
         byte[] record = ring.record();
-        assertTrue(record.length < 4_000, "bounded: " + record.length);
+        assertTrue(record.length < 4_000, "record size in bytes: " + record.length);
         IncarnationHistory history = CollectedRecords.history("ring", record);
         assertEquals("b", history.name());
         assertEquals("cache-1", history.cacheName(0));
@@ -195,9 +196,9 @@
         assertTrue(history.beginningLost());
     }
 
-    /** The oldest parts are deleted, and the remaining ones can be read by themselves. */
+    /** The oldest parts are deleted, and each remaining part can be read on its own. */
     @Test
-    void theFolderIsBoundedAndItsPartsStandByThemselves() throws Exception {
+    void theFolderSizeIsBoundedAndEachPartIsReadableAlone() throws Exception {
         try (RecordFolder files =
                 new RecordFolder(
                         folder,
@@ -218,7 +219,7 @@
         for (Path file : RecordFolder.files(folder)) {
             bytes += Files.size(file);
         }
-        assertTrue(bytes <= 64 * 1024 + 32 * 1024, "about its bound: " + bytes);
+        assertTrue(bytes <= 64 * 1024 + 32 * 1024, "folder size in bytes: " + bytes);
         IncarnationHistory history = CollectedRecords.histories(folder, new ArrayList<>()).get(0);
         assertEquals("cache-1", history.cacheName(0));
         assertTrue(history.beginningLost());
@@ -230,9 +231,9 @@
                                                 && sent.requestId().equals("request-3999")));
     }
 
-    /** Entries that only the preamble of the next part repeats, as the disk rejected them. */
+    /** Entries rejected by the disk are restored from the preamble of the next part. */
     @Test
-    void whatOnlyTheNextPartsHeadHasIsNotLost() {
+    void entriesFoundOnlyInTheNextPreambleAreRestored() {
         List<Entry> first = sampleEntries().subList(0, 4);
         AuditRecord second =
                 new AuditRecord(
@@ -253,7 +254,9 @@
         assertEquals(1, history.gaps().size());
     }
 
-    /** A rejected write is reported once; once the disk accepts again the gap is written first. */
+    /**
+     * Failing writes are reported once; when the disk accepts writes again, the gap comes first.
+     */
     @Test
     void entriesThatTheDiskRejectedAreRecordedAsAGap() throws Exception {
         List<String> failures = new CopyOnWriteArrayList<>();
@@ -268,7 +271,7 @@
         }
         IncarnationHistory history =
                 CollectedRecords.histories(auditFolder, new ArrayList<>()).get(0);
-        assertEquals("b", history.name(), "its start is repeated, though the disk had refused it");
+        assertEquals("b", history.name(), "the start entry is repeated after the disk rejected it");
         assertEquals("cache-1", history.cacheName(0));
         assertTrue(history.beginningLost());
         Entry.Gap gap = history.gaps().get(0);
--- a/audit/src/test/java/frostrelay/audit/FleetAuditTest.java
+++ b/audit/src/test/java/frostrelay/audit/FleetAuditTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Queries over several records, with wrong clocks and records that end early. */
+/** Queries over several records, some with wrong clocks or without an end. */
 class FleetAuditTest {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
     private static final long START_UNIX_MILLIS = 1_790_000_000_000L;
@@ -52,7 +52,8 @@
     }
 
     /**
-     * b1 started one second after b0, its wall clock is ten seconds slow; they probed each other.
+     * An answered probe: the peer's incarnation was {@code theirMs} old between {@code sentMs} and
+     * {@code atMs}.
      */
     private static Entry clockSample(int rank, long atMs, long sentMs, long theirMs) {
         return new Entry.PeerClockSampled(
@@ -63,8 +64,9 @@
                 theirMs);
     }
 
+    /** b1 started one second after b0 and its wall clock is ten seconds slow. */
     @Test
-    void peersPutMomentsInOrderWhereWallClocksWouldNot() {
+    void peerSamplesOrderEventsDespiteWrongWallClocks() {
         FleetAudit report =
                 new FleetAudit(
                         List.of(
@@ -85,7 +87,7 @@
         assertEquals("2:0000000000000002", second.get("version"));
         List<?> balancers = (List<?>) second.get("balancers");
         Map<?, ?> b1 = (Map<?, ?>) balancers.get(1);
-        // b1 began between 994 and 1005 ms after b0, so it took it 494 to 505 ms behind.
+        // b1 started 994 to 1005 ms after b0, so it applied the version 494 to 505 ms after b0.
         assertEquals(List.of(494L, 505L), b1.get("behindMs"));
         assertTrue(report.verify().isEmpty(), report.verify().toString());
         assertTrue(
@@ -106,7 +108,7 @@
     }
 
     @Test
-    void oneNumberWithTwoContentsIsAConflictAndARollbackIsNone() {
+    void oneNumberWithTwoContentsIsAConflictButARollbackIsNot() {
         FleetAudit report =
                 new FleetAudit(
                         List.of(
@@ -132,7 +134,7 @@
     }
 
     @Test
-    void sendsBehindADrainThatSomebodyKnewAreCounted() {
+    void sendsAfterAKnownDrainAreCounted() {
         FleetAudit report =
                 new FleetAudit(
                         List.of(
@@ -151,22 +153,23 @@
                                         new Entry.AttemptSent(
                                                 10 * NANOS_PER_MILLISECOND, 0, 0, 0, "before"),
                                         new Entry.AttemptSent(
-                                                500 * NANOS_PER_MILLISECOND, 0, 0, 0, "behind"),
+                                                500 * NANOS_PER_MILLISECOND, 0, 0, 0, "after"),
                                         new Entry.AttemptSent(
                                                 600 * NANOS_PER_MILLISECOND,
                                                 0,
                                                 0,
                                                 0,
-                                                "behind too"))));
+                                                "also after"))));
         Map<String, Object> one = report.sendsAfterDrain().get(0);
         assertEquals("b1", one.get("balancer"));
         assertEquals(2L, one.get("certain"));
-        // The first lies within what is known of their clocks: it may be behind.
+        // The first send is within the uncertainty of the clock alignment: it may be after the
+        // drain.
         assertEquals(3L, one.get("possible"));
     }
 
     @Test
-    void aRecordThatAnotherContradictsIsFound() {
+    void contradictionsBetweenRecordsAreReported() {
         FleetAudit report =
                 new FleetAudit(
                         List.of(
--- a/audit/src/test/java/frostrelay/audit/FormerRecordFormatTest.java
+++ b/audit/src/test/java/frostrelay/audit/FormerRecordFormatTest.java
@@ -23,12 +23,12 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Records that version 0.7.0 wrote are read entry by entry, and written again byte for byte. */
+/** Records of version 0.7.0 are read entry by entry and encode to the same bytes again. */
 class FormerRecordFormatTest {
     private static final String FOLDER = "format-0.7.0/";
     private static final long INCARNATION = Incarnation.fromUnixMillis(1_790_000_000_000L);
     private static final long START_MILLIS = 1_790_000_000_123L;
-    private static final int TORN_BYTES = 10;
+    private static final int TRUNCATED_BYTES = 10;
 
     private static final Entry STARTED =
             new Entry.Started(0, "balancer-1", 3, INCARNATION, 77, START_MILLIS);
@@ -75,20 +75,20 @@
         return out.toByteArray();
     }
 
-    private static void assertEntries(List<Entry> expected, String file, int tornBytes)
+    private static void assertEntries(List<Entry> expected, String file, int truncatedBytes)
             throws IOException {
         byte[] bytes = resource(file);
         AuditRecord read = AuditRecord.read(bytes);
         assertEquals(0, read.unknownEntries());
-        assertEquals(tornBytes, read.unreadBytes());
+        assertEquals(truncatedBytes, read.unreadBytes());
         assertEquals(expected.size(), read.entries().size());
         for (int i = 0; i < expected.size(); i++) {
             assertEntry(expected.get(i), read.entries().get(i));
         }
-        assertArrayEquals(Arrays.copyOf(bytes, bytes.length - tornBytes), encode(expected));
+        assertArrayEquals(Arrays.copyOf(bytes, bytes.length - truncatedBytes), encode(expected));
     }
 
-    /** As records compare arrays by identity, counts are compared part by part. */
+    /** Compares counts field by field, as Java records compare arrays by identity. */
     private static void assertEntry(Entry expected, Entry actual) {
         if (!(expected instanceof Entry.SendCounts counts)) {
             assertEquals(expected, actual);
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void aTornRecordIsReadUpToItsTail() throws IOException {
+    void aTruncatedRecordIsReadUpToItsLastCompleteEntry() throws IOException {
         assertEntries(
                 List.of(
                         new Entry.Started(
@@ -204,7 +204,7 @@
                                         7)),
                         new Entry.UpdateRejected(40, "configuration 42: unknown key")),
                 "0002-000000.rec",
-                TORN_BYTES);
+                TRUNCATED_BYTES);
     }
 
     @Test
@@ -232,7 +232,7 @@
         IncarnationHistory second = histories.get(1);
         assertEquals("balancer-2", second.name());
         assertEquals(3, second.entries().size());
-        assertEquals(TORN_BYTES, second.unreadBytes());
+        assertEquals(TRUNCATED_BYTES, second.unreadBytes());
         assertEquals(false, second.hasStopped());
     }
 }
