--- a/node/src/main/java/frostrelay/node/ClassArchiveTraining.java
+++ b/node/src/main/java/frostrelay/node/ClassArchiveTraining.java
@@ -27,18 +27,18 @@
 import java.nio.file.Path;
 
 /**
- * Runs a balancer from start to shutdown on the loopback interface, with a cache server and a
- * discovery of its own. The build runs it to archive the classes that it loads ({@code
- * -XX:ArchiveClassesAtExit}): without the archive a start costs twice the CPU, and the first
- * requests wait for class loading, too long on a small share of a core. Two balancers with gossip
- * follow, so that a start with gossip, audit and staleness detection costs little more than one
- * without.
+ * Training run for the class data sharing (CDS) archive that the build creates with {@code
+ * -XX:ArchiveClassesAtExit}. Runs a balancer from start to shutdown on the loopback interface, with
+ * its own cache server and discovery. Without the archive, a start costs twice the CPU time and
+ * class loading delays the first requests too much on a small share of a core. Then runs two
+ * balancers with gossip, audit and staleness detection, so that a start with these costs little
+ * more than one without them.
  */
 public final class ClassArchiveTraining {
     private static final int READ_COUNT = 50;
     private static final int READ_TIMEOUT_MILLIS = 20_000;
 
-    /** Enough time for the two to join, check each other's health and exchange their versions. */
+    /** Time for two balancers to join, check each other's health and exchange their versions. */
     private static final int GOSSIP_WAIT_MILLIS = 1_500;
 
     private static final ClusterOptions GOSSIP_OPTIONS =
@@ -59,14 +59,14 @@
                "ceilings":{"peer-messages":true,"max-attempts":4,"may-duplicate":true,"cancelling":true,"retry-after":true}}}
             """;
 
-    /** The response of a server to a line; null for none. */
+    /** Returns the response of a server to a line; null for no response. */
     private interface ResponseScript {
         String respond(String line);
     }
 
     private ClassArchiveTraining() {}
 
-    /** Takes no arguments; throws an exception if the training run fails. */
+    /** Runs the training and exits; takes no arguments and throws if the training fails. */
     public static void main(String[] args) throws Exception {
         int correctResponses = run();
         Log.write(Event.CLASS_ARCHIVE_TRAINED, correctResponses);
@@ -228,7 +228,7 @@
                             try {
                                 task.run();
                             } catch (IOException e) {
-                                // The peer has closed its connection, which ends the task.
+                                // The peer closed its connection, which ends the task.
                             }
                         });
         thread.setDaemon(true);
--- a/node/src/main/java/frostrelay/node/DescriptorLimits.java
+++ b/node/src/main/java/frostrelay/node/DescriptorLimits.java
@@ -5,7 +5,7 @@
 /**
  * Divides the file descriptors that a balancer may use among client connections, upstream
  * connections and a reserve. The limit applies to all processes of a balancer together, so that the
- * share of this one depends on what its peer processes use. Not thread-safe.
+ * share of this one depends on the usage of its peer processes. Not thread-safe.
  */
 final class DescriptorLimits {
     /**
@@ -17,10 +17,9 @@
     private static final int RESERVED_DIVISOR = 4;
 
     /**
-     * Clients with requests use at most a third of the descriptors. With exactly that many, each
-     * closed connection that has not been handled yet would cost a live client its place, so there
-     * are extra ones for these, for silent clients and for clients that are kept only to be
-     * rejected.
+     * Clients with requests use at most a third of the descriptors. Extra descriptors are available
+     * for closed connections that have not been handled yet, which would otherwise displace active
+     * clients, for idle clients and for clients whose requests are only rejected.
      */
     private static final int REQUEST_CLIENTS_DIVISOR = 3;
 
@@ -61,26 +60,32 @@
     }
 
     /**
-     * Applies the limit of a reloaded configuration: it changes the reserve that is subtracted for
-     * each peer process, and nothing else until a restart.
+     * Applies the limit of a reloaded configuration. Until a restart, this changes only the reserve
+     * that is subtracted for each peer process.
      */
     void onReload(int descriptorLimit) {
         reservedPerProcess = reserved(descriptorLimit);
     }
 
-    /** Client connections beyond the maximum that are accepted only to be rejected. */
+    /** Returns how many connections over the maximum are accepted only to reject their requests. */
     int maxSurplusClients() {
         return maxSurplusClients;
     }
 
-    /** Client connections of this process: what its peers do not use, but at least its share. */
+    /**
+     * Returns the limit on client connections of this process: the descriptors that its peer
+     * processes do not use, but at least an equal share.
+     */
     int maxClients(SharedDirectory.Snapshot sharedState) {
         return Math.max(
                 clientDescriptors / (1 + sharedState.peerProcessCount()),
                 clientDescriptors - sharedState.peerUsage().clients());
     }
 
-    /** Upstream connections of this process, likewise; each peer process has its own reserve. */
+    /**
+     * Returns the limit on upstream connections of this process, computed like {@link #maxClients}
+     * after subtracting a reserve for each peer process.
+     */
     int maxUpstreamConnections(SharedDirectory.Snapshot sharedState) {
         int processCount = 1 + sharedState.peerProcessCount();
         int available =
--- a/node/src/main/java/frostrelay/node/Node.java
+++ b/node/src/main/java/frostrelay/node/Node.java
@@ -45,7 +45,7 @@
     /** An administrator's call must be received completely within this time. */
     private static final long ADMIN_CALL_TIMEOUT_MILLIS = 2_000;
 
-    /** Bytes of values in memory at one time; the heap has capacity for a few times that. */
+    /** Limit on the bytes of values in memory; the heap can hold several times that. */
     private static final long MAX_VALUE_BYTES = 8L * 1024 * 1024;
 
     private Config config;
@@ -67,13 +67,13 @@
     private int sweepsPerReport;
 
     /**
-     * The longest request deadline: the shortest such value of all settings in effect since the
-     * start, as the delay before a SIGKILL may follow any of them.
+     * The minimum, over all settings in effect since the start, of the longest request deadline:
+     * the delay between SIGTERM and SIGKILL may be derived from any of these settings.
      */
     private long longestDeadlineNanos;
 
     /**
-     * To be called on the loop, like all of this class.
+     * Creates a node; to be called on the event loop, like all methods of this class.
      *
      * @param sharedState the shared directory's state at the start
      */
@@ -140,7 +140,7 @@
                 hooks.wallClock());
     }
 
-    /** What the cluster membership may cause at this node. */
+    /** The actions that the cluster membership triggers at this node. */
     private final class ClusterActions implements ClusterMembership.Actions {
         @Override
         public void refreshEndpoints() {
@@ -179,8 +179,8 @@
     }
 
     /**
-     * Starts to listen, first for administrators, then for clients: from then on it is ready to
-     * serve. Completed with the bound channel for clients.
+     * Starts to listen for administrators and, once the endpoints are known, for clients; the node
+     * is then ready to serve. Completed with the bound channel for clients.
      */
     Future<ChannelFuture> start() {
         loop.scheduleAtFixedRate(
@@ -209,7 +209,7 @@
 
     private void listen(Promise<ChannelFuture> started) {
         if (actionGuard.isShuttingDown()) {
-            // Shut down before it served at all: the process ends, and nobody awaits the promise.
+            // Shut down before serving: the process ends and no caller waits for the promise.
             return;
         }
         ChannelFuture bindFuture = clientListener.listen(config.listenAddress());
@@ -252,7 +252,7 @@
         dispatcher.onEndpointList(mode, 0, members);
     }
 
-    /** Sets the interval between two reports of the counters, from now on. */
+    /** Sets the interval between reports of the counters. */
     void setReportInterval(long intervalNanos) {
         sweepsPerReport =
                 (int)
@@ -269,7 +269,7 @@
     /**
      * Replaces the configuration.
      *
-     * @return false if the new one is invalid; nothing changes then
+     * @return false if the new configuration is invalid; the current one then stays in effect
      */
     boolean reload(Map<?, ?> json) {
         try {
@@ -305,7 +305,7 @@
         return reload(newConfig);
     }
 
-    /** Sets what to do when peers use a newer configuration; the action must not block. */
+    /** Sets the action to run when peers use a newer configuration; it must not block. */
     void setRereadAction(Runnable action) {
         rereadAction = action;
     }
@@ -315,7 +315,7 @@
         return sharedStateSync.setOverride(decision);
     }
 
-    /** The new configuration file could not be read or parsed. */
+    /** Records that the new configuration file could not be read or parsed. */
     void onUnreadableConfig(String reason) {
         membership.observer().onConfigRejected(reason);
     }
@@ -352,12 +352,12 @@
 
     /**
      * Shuts down gracefully; completed when every request is answered and every client has
-     * disconnected, or the time for that is over.
+     * disconnected, or the time limit is reached.
      *
      * @param isReplaced whether another process of this balancer listens, so that there is no need
      *     to wait for new clients
-     * @param signalledAtNanos when the shutdown was requested; the time until a SIGKILL counts from
-     *     then
+     * @param signalledAtNanos when the shutdown was requested; the delay before a SIGKILL starts at
+     *     this time
      */
     Future<Void> stop(boolean isReplaced, long signalledAtNanos) {
         DrainSchedule schedule = DrainSchedule.forShutdown(signalledAtNanos, longestDeadlineNanos);
--- a/node/src/main/java/frostrelay/node/NodeProcess.java
+++ b/node/src/main/java/frostrelay/node/NodeProcess.java
@@ -32,14 +32,14 @@
     /** How long a shutdown waits for the shared directory. */
     private static final long SHARED_DIRECTORY_TIMEOUT_MILLIS = 100;
 
-    /** A file that has not changed for this long is assumed to be written completely. */
+    /** A file that is unchanged for this time is assumed to be completely written. */
     private static final long STABLE_FILE_DELAY_NANOS = 300 * Clock.NANOS_PER_MILLISECOND;
 
     /** The source of the operators' own options; read at the start and at each reload. */
     public interface OptionsSource {
         /**
-         * Reads the current options. A RuntimeException, with a message that says what is wrong,
-         * leaves the current configuration and options in effect.
+         * Reads the current options. If this throws a RuntimeException during a reload, the current
+         * configuration and options stay in effect and the exception's message is logged.
          */
         Options read();
     }
@@ -72,7 +72,7 @@
         start(configPath, optionsSource, TestHooks.NONE);
     }
 
-    /** Likewise, with the hooks of a test build. */
+    /** Starts to serve like {@link #start(String, OptionsSource)}, with hooks for a test build. */
     public static void start(String configPath, OptionsSource optionsSource, TestHooks hooks) {
         try {
             ReloadSignal reloadSignal = ReloadSignal.install();
@@ -127,7 +127,7 @@
         Runtime.getRuntime().halt(1);
     }
 
-    /** Polls the configuration file if the options ask for it or no signal would be received. */
+    /** Polls the configuration file if the options require it or SIGHUP is ignored. */
     private void watchConfigFile(boolean isSignalIgnored, long requestedIntervalNanos) {
         long intervalNanos =
                 requestedIntervalNanos > 0 ? requestedIntervalNanos : DEFAULT_POLL_INTERVAL_NANOS;
@@ -151,7 +151,7 @@
     }
 
     /**
-     * Reloads the file if its content has changed and two checks in a row have found it the same.
+     * Reloads the file if its content has changed and two consecutive checks find the same version.
      */
     private void reloadOnceStable(ScheduledExecutorService executor) {
         executor.execute(configFile::hasChanged);
@@ -166,7 +166,8 @@
     }
 
     /**
-     * Reads on the caller's thread. Synchronized, so that the last version read is applied last.
+     * Reads the file on the caller's thread. Synchronized, so that the version read last is also
+     * applied last.
      */
     private synchronized void reload() {
         try {
@@ -185,7 +186,7 @@
         }
     }
 
-    /** The directory that all processes of this balancer share with each other and nobody else. */
+    /** Returns the directory shared by exactly the processes of this balancer. */
     private static Path temporaryDirectory() {
         String configuredPath = System.getenv("TMPDIR");
         return Path.of(
--- a/node/src/main/java/frostrelay/node/Options.java
+++ b/node/src/main/java/frostrelay/node/Options.java
@@ -8,7 +8,7 @@
 import org.slf4j.event.Level;
 
 /**
- * What operators set beyond the platform's configuration.
+ * Options that operators set in addition to the platform's configuration.
  *
  * @param logFormat the form of log lines
  * @param logLevel the least severe level that is logged
@@ -23,7 +23,7 @@
         long configPollNanos,
         long reportIntervalNanos,
         ClusterOptions cluster) {
-    /** The options in effect where nothing is set, as on the platform. */
+    /** The default options, which apply on the platform. */
     public static final Options DEFAULTS =
             new Options(
                     LogSetup.Format.AUTO,
@@ -33,7 +33,7 @@
                     ClusterOptions.OFF);
 
     /**
-     * The defaults with the cluster options from the JVM's system properties.
+     * Returns the defaults with the cluster options from the JVM's system properties.
      *
      * @throws ConfigException if a property has an invalid value
      */
--- a/node/src/main/java/frostrelay/node/ReloadSignal.java
+++ b/node/src/main/java/frostrelay/node/ReloadSignal.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Handles SIGHUP, which means that the configuration was replaced. Without a handler it ends the
- * JVM, so this is installed before anything else; signals received before a reload is possible are
- * queued until then.
+ * Handler for SIGHUP, which requests a reload of the configuration. Without a handler SIGHUP ends
+ * the JVM, so this is installed before anything else; signals received before a reload is possible
+ * are queued.
  */
 final class ReloadSignal {
     private final CompletableFuture<Runnable> reloadAction = new CompletableFuture<>();
@@ -28,7 +28,7 @@
                         ReloadSignal.class.getClassLoader(),
                         new Class<?>[] {handlerClass},
                         (proxy, method, arguments) -> {
-                            // Besides handle there are only Object's methods, which nobody calls.
+                            // The only other methods are those of Object, which are not called.
                             reloadSignal.reloadAction.thenAccept(Runnable::run);
                             return null;
                         });
@@ -39,20 +39,20 @@
                                 null,
                                 signalClass.getConstructor(String.class).newInstance("HUP"),
                                 handlerProxy);
-        // If the signal was ignored when the JVM started, the JVM silently leaves it ignored: only
-        // the previous handler shows that.
+        // If the signal was ignored when the JVM started, the JVM silently leaves it ignored; only
+        // the previous handler reveals this.
         reloadSignal.isIgnored = previousHandler == handlerClass.getField("SIG_IGN").get(null);
         return reloadSignal;
     }
 
-    /** Whether the signal will never arrive because the parent process set it to be ignored. */
+    /** Returns whether the signal never arrives because the parent process made it ignored. */
     boolean isIgnored() {
         return isIgnored;
     }
 
     /**
-     * Runs the action for each signal, on a thread of the JVM's signal handling, and at once for
-     * signals received so far.
+     * Sets the action that runs for each signal on a signal handling thread of the JVM. For signals
+     * received before this call it runs immediately.
      */
     void setReloadAction(Runnable action) {
         reloadAction.complete(action);
--- a/node/src/main/java/frostrelay/node/ServingState.java
+++ b/node/src/main/java/frostrelay/node/ServingState.java
@@ -7,7 +7,7 @@
 import frostrelay.node.time.Clock;
 
 /**
- * Whether a node is starting, serving, draining or stopping, and the transitions between these
+ * The phase of a node (starting, serving, draining or stopping) and the transitions between these
  * phases. Passes the schedule of a drain or shutdown on to the {@link ActionGuard}. Owned by the
  * event loop.
  */
@@ -29,12 +29,12 @@
         this.actionGuard = actionGuard;
     }
 
-    /** Whether this process serves: started, and neither draining nor stopping. */
+    /** Returns whether this process serves: started, and neither draining nor stopping. */
     boolean isServing() {
         return phase == Phase.SERVING;
     }
 
-    /** The node listens for clients from now on. */
+    /** Enters the serving phase when the node starts to listen for clients. */
     void onListening() {
         phase = Phase.SERVING;
     }
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Ends a drain, whatever its cause; does nothing unless draining. */
+    /** Ends a drain of any cause; does nothing unless draining. */
     void stopDrain() {
         isDrainedAsStale = false;
         if (phase == Phase.DRAINING) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Drains while stale; a drain that an administrator started is not ended here. */
+    /** Starts or ends the drain due to staleness; does not end an administrator's drain. */
     void setDrainedAsStale(boolean isStale) {
         if (isStale && phase == Phase.SERVING) {
             isDrainedAsStale = true;
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Starts the shutdown, from which there is no way back. */
+    /** Starts the shutdown, which cannot be cancelled. */
     void startShutdown(DrainSchedule schedule) {
         phase = Phase.STOPPING;
         actionGuard.setSchedule(schedule);
--- a/node/src/main/java/frostrelay/node/SharedStateSync.java
+++ b/node/src/main/java/frostrelay/node/SharedStateSync.java
@@ -18,7 +18,7 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps a node in step with the state that its balancer's processes share: drains and overrides set
+ * Synchronizes a node with the state that its balancer's processes share: drains and overrides set
  * by administrators, and the number of serving processes with their descriptor usage. Runs on the
  * event loop, except that the directory's thread reads the usage to publish.
  */
@@ -60,7 +60,7 @@
         peerProcessCount = initialState.peerProcessCount();
     }
 
-    /** Registers this process as serving and follows the shared state from now on. */
+    /** Registers this process as serving and starts to poll the shared state. */
     void start() {
         membership.setOverrides(overrides);
         sharedDirectory.announceAndPoll(
@@ -99,7 +99,7 @@
         }
         boolean isPeerNew = count > peerProcessCount;
         Log.write(isPeerNew ? Event.PEER_PROCESS_SERVING : Event.PEER_PROCESS_ENDED, count);
-        // During an upgrade the new process gossips for both, as it is the one that stays.
+        // During an upgrade the new process gossips for both, as it outlives the old process.
         membership.setGossipActive(!isPeerNew);
         peerProcessCount = count;
         dispatcher.onSiblingProcesses(count);
@@ -108,8 +108,8 @@
     /**
      * Drains a server or ends its drain, for all processes of this balancer.
      *
-     * @return true once the change is stored, so that a process started after the answer finds it;
-     *     false for an unknown id
+     * @return true once the change is stored, so that a process started after the response reads
+     *     it; false for an unknown id
      */
     Future<Boolean> setAdminDrain(String id, boolean isDrained) {
         if (!dispatcher.isKnownServer(id) && !adminDrains.contains(id)) {
--- a/node/src/main/java/frostrelay/node/ShutdownSequence.java
+++ b/node/src/main/java/frostrelay/node/ShutdownSequence.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The graceful shutdown of a node after its drain has been scheduled: stops listening, waits until
- * every request is answered and every client disconnected, and logs the progress. Runs on the event
- * loop, once.
+ * The graceful shutdown of a node once its drain is scheduled: stops listening, waits until every
+ * request is answered and every client disconnected, and logs the progress. Runs on the event loop,
+ * once.
  */
 final class ShutdownSequence {
     private static final long POLL_INTERVAL_MILLIS = 10;
@@ -30,10 +30,10 @@
     private final long requestedAtNanos;
     private final DrainSchedule schedule;
 
-    /** Runs once no request or client is left, or the schedule's end is reached. */
+    /** Runs when no request or client is left, or at the end of the schedule. */
     private final Runnable onQuiescent;
 
-    /** How far into the shutdown its progress was last logged. */
+    /** Elapsed time of the shutdown when its progress was last logged. */
     private long progressLoggedAtNanos;
 
     ShutdownSequence(
@@ -60,8 +60,9 @@
      *     to wait for new clients
      */
     void start(boolean isReplaced) {
-        // Connections that the system has already accepted are read first: closing the listening
-        // socket would reset them.
+        // Connections in the listening socket's accept queue are handled first, as closing the
+        // socket
+        // would reset them.
         long listenForNanos =
                 isReplaced
                         ? POLL_INTERVAL_MILLIS * Clock.NANOS_PER_MILLISECOND
@@ -77,8 +78,8 @@
     private void awaitQuiescence() {
         boolean isQuiescent =
                 clientListener.connectionCount() == 0 && dispatcher.openRequestCount() == 0;
-        // At the schedule's end every request is answered: only clients that do not read can be
-        // left.
+        // At the end of the schedule every request has been answered; only clients that do not read
+        // their responses can be left.
         if (isQuiescent || Clock.now() >= schedule.exitAtNanos()) {
             recordUnanswered();
             onQuiescent.run();
--- a/node/src/test/java/frostrelay/node/BalancerProcess.java
+++ b/node/src/test/java/frostrelay/node/BalancerProcess.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 
-/** Starts the balancer as a process of its own, for tests of its log, signals and exit code. */
+/** Starts the balancer as a separate process, for tests of its log, signals and exit code. */
 final class BalancerProcess {
     static final String SERVING_EVENT = "\"event\":\"serving\"";
 
--- a/node/src/test/java/frostrelay/node/ClassArchiveTrainingTest.java
+++ b/node/src/test/java/frostrelay/node/ClassArchiveTrainingTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The build archives the classes that the training run loads; a failed run would go unnoticed and
- * leave the start slow.
+ * The build creates its CDS archive from the training run; a failed run would not be noticed and
+ * would make starts slow.
  */
 class ClassArchiveTrainingTest {
     @Test
--- a/node/src/test/java/frostrelay/node/NodeProcessTest.java
+++ b/node/src/test/java/frostrelay/node/NodeProcessTest.java
@@ -18,7 +18,7 @@
 
     /** Without a handler, SIGHUP would end the JVM and lose all accepted requests. */
     @Test
-    void theProgramReadsItsConfigurationAgainOnSighup() throws Exception {
+    void sighupReloadsTheConfiguration() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             int port = BalancerProcess.freePort();
             Path config =
@@ -50,11 +50,11 @@
     }
 
     /**
-     * Under nohup and some supervisors SIGHUP is ignored, and the JVM silently leaves it so: new
-     * configurations must be found without the signal.
+     * Under nohup and some supervisors SIGHUP is ignored, and the JVM silently keeps it ignored:
+     * new configurations must be detected without the signal.
      */
     @Test
-    void whereSighupIsIgnoredTheFileIsLookedAtInstead() throws Exception {
+    void theFileIsPolledIfSighupIsIgnored() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             int port = BalancerProcess.freePort();
             Path config =
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void withoutConfigurationTheProgramReportsWhyInOneLineAndFails() throws Exception {
+    void withoutAValidConfigurationTheProcessLogsOneLineAndFails() throws Exception {
         Path broken = Files.writeString(folder.resolve("broken.json"), "{\"listen\":");
         for (String config :
                 new String[] {null, folder.resolve("missing.json").toString(), broken.toString()}) {
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void anAddressInUseEndsTheProgram() throws Exception {
+    void theProcessFailsIfItsAddressIsInUse() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture();
                 ServerSocket occupiedSocket =
                         new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/node/src/test/java/frostrelay/node/StopTest.java
+++ b/node/src/test/java/frostrelay/node/StopTest.java
@@ -26,7 +26,7 @@
 
 /** A graceful shutdown loses no request that was accepted. */
 class StopTest {
-    /** SIGKILL may follow SIGTERM this long after the longest deadline. */
+    /** SIGKILL may follow SIGTERM after the longest deadline plus this delay. */
     private static final int KILL_AFTER_LONGEST_MILLIS = 700;
 
     private static final int[] LATE_REQUEST_DELAYS_MILLIS = {
@@ -35,7 +35,7 @@
     @TempDir Path folder;
 
     @Test
-    void aStopServesOnForAWhileThenFinishesWhatIsOpen() throws Exception {
+    void aStopAcceptsRequestsForSomeTimeAndCompletesOpenOnes() throws Exception {
         String value = "v".repeat(MetaFrame.MAX_BUFFERED_VALUE_BYTES);
         FakeServer[] fakeServer = new FakeServer[1];
         fakeServer[0] =
@@ -66,7 +66,7 @@
                 assertEquals(
                         "VA 65536 O1",
                         lateClient.request(NodeTestFixture.READ),
-                        "clients still come for a while");
+                        "new clients are accepted for some time after the stop");
                 lateClient.readData(value.length());
                 assertEquals(null, lateClient.readLine(), "closed when idle");
             }
@@ -76,7 +76,7 @@
             assertEquals(
                     value,
                     busyClient.readData(value.length()),
-                    "whole, though the connection closes behind it");
+                    "the value is complete although the connection closes after it");
             assertEquals(null, busyClient.readLine());
             assertTrue(stopped.await(TestConnection.TIMEOUT_MILLIS));
             assertThrows(IOException.class, fixture::client);
@@ -84,11 +84,11 @@
     }
 
     /**
-     * After the time in which requests can still be answered, all of the commands that were read
-     * together must be rejected, not only the first.
+     * Requests that arrive too late to be answered must be rejected, including all commands of one
+     * read, not only the first.
      */
     @Test
-    void allThatIsReadTooLateBeforeTheExitIsRejected() throws Exception {
+    void allRequestsThatArriveTooLateAreRejected() throws Exception {
         BlockingQueue<String> gate = new LinkedBlockingQueue<>();
         FakeServer fakeServer =
                 FakeServer.respondingWith(
@@ -105,15 +105,15 @@
             client.write(NodeTestFixture.NON_IDEMPOTENT_WRITE.replace("O2", "Oheld") + "\r\n");
             assertTrue(fakeServer.awaitCommand() != null);
             fixture.loop.submit(() -> fixture.node.stop(false, Clock.now())).get();
-            // With deadlines of 10 s, a request that arrives more than 600 ms after the call could
-            // not be answered in time.
+            // With deadlines of 10 s, a request that arrives more than 600 ms after the stop cannot
+            // be answered in time.
             Thread.sleep(800);
             client.write(
                     NodeTestFixture.NON_IDEMPOTENT_WRITE
                             + "\r\n"
                             + NodeTestFixture.IDEMPOTENT_WRITE
                             + "\r\n");
-            gate.add("go on");
+            gate.add("continue");
             assertEquals("HD Oheld c77", client.readLine());
             assertEquals("SERVER_ERROR busy", client.readLine());
             assertEquals("SERVER_ERROR busy", client.readLine());
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void theProgramServesAndEndsWithZeroOnSigterm() throws Exception {
+    void theProcessServesAndExitsWithZeroOnSigterm() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             int port = freePort();
             Path config =
@@ -153,7 +153,7 @@
                     assertEquals(
                             "HD O2 c77",
                             client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE),
-                            "served after SIGTERM too");
+                            "served after SIGTERM");
                     client.awaitClose();
                 }
             } finally {
@@ -164,10 +164,10 @@
 
     /**
      * With unresponsive caches, a request that arrives at any time during the shutdown must be
-     * answered before SIGKILL may follow.
+     * answered before the earliest possible SIGKILL.
      */
     @Test
-    void everyRequestThatComesDuringAShutdownIsAnsweredBeforeTheKill() throws Exception {
+    void everyRequestDuringAShutdownIsAnsweredBeforeSigkill() throws Exception {
         FakeServer unresponsiveServer = FakeServer.respondingWith(command -> null);
         try (NodeTestFixture fixture = new NodeTestFixture(unresponsiveServer)) {
             fixture.deadlineMillis = 1_500;
@@ -189,7 +189,9 @@
                     client.write(nonIdempotentWrite("early" + i));
                 }
                 for (int i = 0; i < LATE_REQUEST_DELAYS_MILLIS.length; i++) {
-                    assertTrue(unresponsiveServer.awaitCommand() != null, "all early ones are out");
+                    assertTrue(
+                            unresponsiveServer.awaitCommand() != null,
+                            "all early requests were forwarded");
                 }
                 process.destroy();
                 long signalledAtNanos = System.nanoTime();
@@ -233,12 +235,12 @@
     }
 
     /**
-     * A burst of connections must not be accepted as a whole before any of it is handled, as that
-     * would exhaust the file descriptors and end the event loop.
+     * Accepting a whole burst of connections before handling any would exhaust the file descriptors
+     * and end the event loop.
      */
     @Test
-    void aFloodOfConnectionsDoesNotRunOutOfDescriptors() throws Exception {
-        List<TestConnection> floodConnections = new ArrayList<>();
+    void aBurstOfConnectionsDoesNotExhaustDescriptors() throws Exception {
+        List<TestConnection> burstConnections = new ArrayList<>();
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             fixture.socketLimit = 96;
             int port = freePort();
@@ -261,7 +263,7 @@
                 BalancerProcess.awaitLine(
                         BalancerProcess.openLog(process), BalancerProcess.SERVING_EVENT);
                 for (int i = 0; i < 600; i++) {
-                    floodConnections.add(
+                    burstConnections.add(
                             new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port)));
                 }
                 String response = null;
@@ -278,7 +280,7 @@
                 assertEquals("HD O2 c77", response);
                 process.destroy();
             } finally {
-                for (TestConnection connection : floodConnections) {
+                for (TestConnection connection : burstConnections) {
                     connection.close();
                 }
                 assertEquals(0, BalancerProcess.awaitExitCode(process));
@@ -291,7 +293,7 @@
      * rejected in the meantime.
      */
     @Test
-    void aSecondProcessTakesOverWithoutALoss() throws Exception {
+    void aSecondProcessTakesOverWithoutLosingRequests() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             int port = freePort();
             Path config =
@@ -310,7 +312,8 @@
                     oldProcess.destroy();
                     while (oldProcess.isAlive()) {
                         String response = requestOnce(port);
-                        // Connections pending at the old socket's close are retried, as by clients.
+                        // Connections pending when the old socket closes are retried, as clients
+                        // do.
                         assertEquals("HD O2 c77", response == null ? requestOnce(port) : response);
                     }
                     assertEquals(0, BalancerProcess.awaitExitCode(oldProcess));
