--- a/node/src/main/java/frostrelay/node/config/Config.java
+++ b/node/src/main/java/frostrelay/node/config/Config.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * The configuration that the deployment gives this balancer.
+ * The configuration of this balancer, as provided by the deployment.
  *
  * @param name this balancer's name in the log
- * @param listenAddress where clients connect
- * @param adminAddress where administrators connect, or null for none
- * @param discoveryAddress where the endpoint list is watched
+ * @param listenAddress the address on which clients connect
+ * @param adminAddress the address on which administrators connect, or null for none
+ * @param discoveryAddress the address of the discovery, which provides the endpoint list
  * @param seed seed of the decision module's random numbers
  * @param descriptorLimit file descriptors that all processes of this balancer may use together
  * @param settings the settings of the deployment
@@ -41,7 +41,7 @@
     }
 
     /**
-     * The configuration that replaces this one, with the numbers that this one assigned to names.
+     * Returns the configuration that replaces this one; names keep the numbers assigned here.
      *
      * @throws ConfigException if it is invalid or lacks a key that this one has
      */
@@ -52,14 +52,14 @@
                 settings.replacedBy(Json.get(newJson, "settings", Map.class), Clock.now()));
     }
 
-    /** The version number assigned by operators, or {@link AppliedVersions#NO_NUMBER}. */
+    /** Returns the version number set by operators, or {@link AppliedVersions#NO_NUMBER}. */
     public long version() {
         return Json.get(json, "version", Number.class, AppliedVersions.NO_NUMBER).longValue();
     }
 
     /**
-     * The digest of the settings that all balancers of a tier share; independent of the order of
-     * the keys.
+     * Returns the digest of the settings that all balancers of a tier share; independent of the
+     * order of the keys.
      */
     public long settingsDigest() {
         return Digests.of(DeploymentSettings.sharedText(Json.get(json, "settings", Map.class)));
@@ -91,7 +91,8 @@
                     EndpointList.parse(endpointsJson, settings),
                     json);
         } catch (NumberFormatException e) {
-            throw new ConfigException("'seed' is no hexadecimal number", e);
+            throw new ConfigException(
+                    "'seed' is not a hexadecimal number of up to 64 bits: " + json.get("seed"), e);
         }
     }
 }
--- a/node/src/main/java/frostrelay/node/config/ConfigException.java
+++ b/node/src/main/java/frostrelay/node/config/ConfigException.java
@@ -1,8 +1,8 @@
 package frostrelay.node.config;
 
 /**
- * The configuration, settings of a peer or an endpoint list is invalid. The message is one line
- * that says what is wrong and, where there is one, names the key.
+ * Thrown if the configuration, settings of a peer or an endpoint list is invalid. The message is
+ * one line that describes the error and names the key, if there is one.
  */
 public final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
--- a/node/src/main/java/frostrelay/node/config/ConfigFile.java
+++ b/node/src/main/java/frostrelay/node/config/ConfigFile.java
@@ -10,7 +10,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * The configuration file, and which version of it was loaded last. Blocks on file I/O; thread-safe.
+ * The configuration file and the state of its version that was loaded last. Blocks on file I/O;
+ * thread-safe.
  */
 public final class ConfigFile {
     private record FileVersion(FileTime modified, long size) {}
@@ -18,14 +19,14 @@
     private final Path path;
     private long loadedChecksum;
 
-    /** The version seen by the last check; null if the file could not be read. */
+    /** The version found by the last check; null if the file could not be read. */
     private FileVersion lastSeenVersion;
 
-    /** The last version whose content was compared with what was loaded. */
+    /** The last version whose content was compared with the loaded content. */
     private FileVersion lastCheckedVersion;
 
     /**
-     * Names the file without reading it.
+     * Sets the path without reading the file.
      *
      * @throws ConfigException if the path is null or empty
      */
@@ -54,9 +55,9 @@
     }
 
     /**
-     * Whether the content differs from what was loaded last. To be called periodically: a change is
-     * reported once two calls in a row have found the file the same, so that a file is not read
-     * while it is being written.
+     * Returns whether the content differs from the content loaded last. To be called periodically:
+     * a change is reported when two consecutive calls find the same version, so that a file is not
+     * read while it is being written.
      */
     public synchronized boolean hasChanged() {
         try {
@@ -70,7 +71,8 @@
             lastCheckedVersion = version;
             return checksum(Files.readAllBytes(path)) != loadedChecksum;
         } catch (IOException e) {
-            // It is being replaced or temporarily missing: what was loaded stays in effect.
+            // The file is being replaced or temporarily missing; the loaded content stays in
+            // effect.
             lastSeenVersion = null;
             return false;
         }
--- a/node/src/main/java/frostrelay/node/config/ConfigValidator.java
+++ b/node/src/main/java/frostrelay/node/config/ConfigValidator.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * Validates configurations. One that replaces a running one must contain all of its keys, since a
- * default in place of a key that was left out would hardly be intended.
+ * Validates configurations. A replacement must contain all keys of the running configuration, as an
+ * omitted key is more likely a mistake than a request for the default.
  */
 final class ConfigValidator {
-    /** Only used at the start and independent of the rest: its content is not compared. */
+    /** Used only at the start and independent of other keys, so its content is not compared. */
     private static final String INITIAL_ENDPOINTS_KEY = "known";
 
     private static final List<String> EFFECTS = List.of("retryable", "dedup", "fragile");
@@ -78,7 +78,13 @@
 
     private static <T> T requireType(Class<T> type, String path, Object value) {
         if (!type.isInstance(value)) {
-            throw new ConfigException("'" + path + "' is no " + type.getSimpleName());
+            throw new ConfigException(
+                    "'"
+                            + path
+                            + "' must be a "
+                            + type.getSimpleName()
+                            + ", found "
+                            + Json.typeName(value));
         }
         return type.cast(value);
     }
@@ -108,18 +114,21 @@
             String name = Json.get(category, "name", String.class);
             if (name.isEmpty() || names.contains(name)) {
                 throw new ConfigException(
-                        "'"
-                                + path
-                                + ".name': a class has no name, or that of another: '"
-                                + name
-                                + "'");
+                        "'" + path + ".name' must be unique and not empty: '" + name + "'");
             }
             names.add(name);
             // The strictest effect is the default.
             String effect = Json.get(category, "effect", String.class, "fragile");
             if (!EFFECTS.contains(effect)) {
                 throw new ConfigException(
-                        "'" + path + ".effect': unknown effect of class " + name + ": " + effect);
+                        "'"
+                                + path
+                                + ".effect' of class "
+                                + name
+                                + " must be one of "
+                                + EFFECTS
+                                + ": "
+                                + effect);
             }
         }
     }
@@ -129,7 +138,12 @@
             Number number = Json.get(object, name, Number.class, 1);
             if (!(number.doubleValue() >= 1) || Double.isInfinite(number.doubleValue())) {
                 throw new ConfigException(
-                        "'" + path + "." + name + "' is no positive number: " + number);
+                        "'"
+                                + path
+                                + "."
+                                + name
+                                + "' must be a finite number of at least 1: "
+                                + number);
             }
         }
     }
--- a/node/src/main/java/frostrelay/node/config/DeploymentSettings.java
+++ b/node/src/main/java/frostrelay/node/config/DeploymentSettings.java
@@ -53,7 +53,8 @@
     private final Map<?, ?> json;
 
     /**
-     * Until when removed classes are still accepted, by name: clients learn of new settings later.
+     * End of the grace period of each removed class, by name. Removed classes are accepted until
+     * then, as clients receive new settings later than balancers.
      */
     private final Map<String, Long> removedClassUntilNanos;
 
@@ -91,8 +92,8 @@
     }
 
     /**
-     * The settings that replace these: names keep their numbers, and removed classes are accepted
-     * for a grace period.
+     * Returns the settings that replace these; names keep their numbers, and removed classes are
+     * accepted for a grace period.
      *
      * @param now clock reading in nanoseconds, from which the grace period counts
      * @throws ConfigException if the new settings are invalid
@@ -122,7 +123,7 @@
         return text.toString();
     }
 
-    /** The settings that all balancers of a tier share, as sorted lines. */
+    /** Returns the settings that all balancers of a tier share, as sorted lines. */
     static String sharedText(Map<?, ?> json) {
         Map<String, String> lines = toLines(json);
         lines.keySet().removeAll(LOCAL_KEYS);
@@ -160,7 +161,8 @@
             String value = lines.get(path);
             return value == null ? defaultValue : (long) Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new ConfigException("setting " + path + " is no number", e);
+            throw new ConfigException(
+                    "setting " + path + " is not a number: " + lines.get(path), e);
         }
     }
 
@@ -194,8 +196,8 @@
     }
 
     /**
-     * The number of a request class, or null for an unknown name or a class removed longer ago than
-     * the grace period.
+     * Returns the number of a request class, or null for an unknown name or a class whose grace
+     * period after removal is over.
      */
     public Integer classNumber(String line) {
         String name = decodeName(line);
@@ -205,7 +207,7 @@
                 : null;
     }
 
-    /** The longest deadline of all classes in the settings, in nanoseconds. */
+    /** Returns the longest deadline of all classes in the settings, in nanoseconds. */
     public long longestDeadlineNanos() {
         return classNames().stream()
                 .mapToLong(
@@ -218,7 +220,7 @@
                 .orElse(0);
     }
 
-    /** The names of all classes in the settings, sorted; without removed ones. */
+    /** Returns the sorted names of all classes in the settings, without removed ones. */
     public List<String> classNames() {
         return classNumbers.keySet().stream()
                 .filter(name -> !removedClassUntilNanos.containsKey(name))
@@ -226,13 +228,13 @@
                 .toList();
     }
 
-    /** The number of a tenant, or null for an unknown one; 0 for all if there are no tenants. */
+    /** Returns a tenant's number, or null for an unknown one; always 0 if no tenants are set. */
     public Integer tenantNumber(String line) {
         return tenantNumbers.isEmpty() ? Integer.valueOf(0) : tenantNumbers.get(decodeName(line));
     }
 
     /**
-     * The number of a zone. An unknown zone gets a new number, which no balancer has as its own.
+     * Returns the number of a zone. An unknown zone gets a new number, which is no balancer's zone.
      */
     public int zoneNumber(String name) {
         return zoneNumbers.computeIfAbsent(name, n -> zoneNumbers.size());
--- a/node/src/main/java/frostrelay/node/config/Digests.java
+++ b/node/src/main/java/frostrelay/node/config/Digests.java
@@ -12,7 +12,7 @@
 public final class Digests {
     private Digests() {}
 
-    /** The digest of the bytes. */
+    /** Returns the digest of the bytes. */
     public static long of(byte[] bytes) {
         try {
             return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(bytes)).getLong();
@@ -22,7 +22,7 @@
         }
     }
 
-    /** The digest of the text's UTF-8 bytes. */
+    /** Returns the digest of the text's UTF-8 bytes. */
     public static long of(String text) {
         return of(text.getBytes(StandardCharsets.UTF_8));
     }
--- a/node/src/main/java/frostrelay/node/config/EndpointList.java
+++ b/node/src/main/java/frostrelay/node/config/EndpointList.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 
 /**
- * A list of cache servers from the discovery.
+ * A list of cache servers, as provided by the discovery.
  *
  * @param revision the discovery's version number of the list
  * @param isFull whether the list contains all servers, or only those that changed
@@ -31,7 +31,7 @@
      *
      * @param uid the discovery's id of the server
      * @param server the server as the decision module knows it
-     * @param address where this balancer connects to it
+     * @param address the address at which this balancer connects to it
      */
     public record Endpoint(String uid, Server server, InetSocketAddress address) {}
 
@@ -77,7 +77,7 @@
         return new Endpoint(uid, server, parseAddress(Json.get(json, "endpoint", String.class)));
     }
 
-    /** The 64-bit FNV-1a hash of the text's UTF-8 bytes, the same at every balancer. */
+    /** Returns the 64-bit FNV-1a hash of the text's UTF-8 bytes, the same at every balancer. */
     public static long serverId(String text) {
         long hash = FNV_OFFSET;
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
@@ -103,8 +103,8 @@
                 return new InetSocketAddress(InetAddress.getByAddress(address), port);
             }
         } catch (NumberFormatException | UnknownHostException e) {
-            // Reported by the exception below, like all other invalid texts.
+            // Reported by the exception below, like any other invalid text.
         }
-        throw new ConfigException("no address and port: " + text);
+        throw new ConfigException("not a numeric ADDRESS:PORT with a port of 0 to 65535: " + text);
     }
 }
--- a/node/src/main/java/frostrelay/node/config/Json.java
+++ b/node/src/main/java/frostrelay/node/config/Json.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /**
- * Typed access to parsed JSON. What is missing or has another type is reported as {@link
+ * Typed access to parsed JSON. Missing values and values of another type are reported as {@link
  * ConfigException} with a one-line message that names the key.
  */
 public final class Json {
@@ -18,7 +18,7 @@
     /**
      * Parses a JSON object.
      *
-     * @throws ConfigException if the bytes are no JSON object
+     * @throws ConfigException if the bytes are not a JSON object
      */
     public static Map<?, ?> parse(byte[] utf8) {
         try {
@@ -26,25 +26,31 @@
         } catch (IOException e) {
             String reason = String.valueOf(e.getMessage());
             throw new ConfigException(
-                    "no JSON object: " + reason.lines().findFirst().orElse(""), e);
+                    "not a JSON object: " + reason.lines().findFirst().orElse(""), e);
         }
     }
 
     /**
-     * The value of a required key.
+     * Returns the value of a required key.
      *
      * @throws ConfigException if it is missing or has another type
      */
     public static <T> T get(Map<?, ?> object, String name, Class<T> type) {
         Object value = object.get(name);
         if (!type.isInstance(value)) {
-            throw new ConfigException("'" + name + "' is missing or no " + type.getSimpleName());
+            throw new ConfigException(
+                    "'"
+                            + name
+                            + "' must be a "
+                            + type.getSimpleName()
+                            + ", found "
+                            + typeName(value));
         }
         return type.cast(value);
     }
 
     /**
-     * The value of an optional key, or the default if it is missing or null.
+     * Returns the value of an optional key, or the default if it is missing or null.
      *
      * @throws ConfigException if it has another type
      */
@@ -53,19 +59,19 @@
     }
 
     /**
-     * An item of a list of objects.
+     * Returns an item of a list of objects.
      *
-     * @throws ConfigException if it is no object
+     * @throws ConfigException if it is not an object
      */
     public static Map<?, ?> object(Object value) {
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new ConfigException("a list holds something else than objects");
+        throw new ConfigException("a list of objects contains another value: " + typeName(value));
     }
 
     /**
-     * The value of an optional key that is a list; an empty list if it is missing or null.
+     * Returns the list of an optional key; an empty list if it is missing or null.
      *
      * @throws ConfigException if it has another type
      */
@@ -73,7 +79,12 @@
         return get(object, name, List.class, List.of());
     }
 
-    /** A shallow, mutable copy of an object, in the same order. */
+    /** Returns the type of a value for messages, or "nothing" if the value is missing or null. */
+    static String typeName(Object value) {
+        return value == null ? "nothing" : value.getClass().getSimpleName();
+    }
+
+    /** Returns a shallow, mutable copy of an object, in the same order. */
     static Map<String, Object> copy(Map<?, ?> object) {
         Map<String, Object> copy = new LinkedHashMap<>();
         object.forEach((name, value) -> copy.put(String.valueOf(name), value));
--- a/node/src/main/java/frostrelay/node/config/SettingsMerge.java
+++ b/node/src/main/java/frostrelay/node/config/SettingsMerge.java
@@ -29,7 +29,7 @@
         return merged;
     }
 
-    /** Names in a list of the current settings that the new ones do not contain. */
+    /** Returns names in a list of the current settings that the new settings do not contain. */
     static Set<String> removedNames(Map<?, ?> current, Map<?, ?> replacement, String list) {
         Set<String> removed = new HashSet<>(names(Json.list(current, list)));
         names(Json.list(replacement, list)).forEach(removed::remove);
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Puts the merged list into an object, and adjusts the index into that list which the object
-     * has at {@code indexKey}, if any.
+     * Puts the merged list into an object and adjusts the object's index into that list at {@code
+     * indexKey}, if present.
      */
     private static void renumber(
             Map<String, Object> object,
@@ -79,8 +79,8 @@
     }
 
     /**
-     * The index in the merged list of the value at an index of the new list; an index outside the
-     * new list is kept.
+     * Converts an index into the new list to the merged list; an index outside the new list is
+     * kept.
      */
     private static Object mergedIndex(
             Map<?, ?> current, Map<?, ?> replacement, String list, Object oldIndex) {
--- a/node/src/main/java/frostrelay/node/config/SharedSettingsCodec.java
+++ b/node/src/main/java/frostrelay/node/config/SharedSettingsCodec.java
@@ -16,7 +16,7 @@
  * the settings without the keys of a single balancer. A peer can decode and apply it.
  */
 public final class SharedSettingsCodec {
-    /** A hundred times the size of a configuration; anything larger is rejected. */
+    /** Limit on inflated settings, a hundred times the size of a usual configuration. */
     private static final int MAX_INFLATED_BYTES = 512 * 1024;
 
     private static final int BUFFER_BYTES = 4096;
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Returns the running configuration with the shared part replaced by one that a peer encoded.
+     * Returns the running configuration with its shared part replaced by a peer's encoded settings.
      *
      * @param digest the expected digest of the peer's shared settings
      * @throws ConfigException if the bytes cannot be decoded or have another digest
--- a/node/src/main/java/frostrelay/node/config/package-info.java
+++ b/node/src/main/java/frostrelay/node/config/package-info.java
@@ -8,7 +8,7 @@
  * decision module knows classes, tenants, zones and kinds by number. Invalid input is reported as
  * {@link frostrelay.node.config.ConfigException} with a one-line message that names the key.
  *
- * <p>Only {@link frostrelay.node.config.ConfigFile} does I/O, and is synchronized; all else belongs
- * to the event loop.
+ * <p>Only {@link frostrelay.node.config.ConfigFile} does I/O, and is synchronized; all other
+ * classes belong to the event loop.
  */
 package frostrelay.node.config;
--- a/node/src/test/java/frostrelay/node/EndpointListTest.java
+++ b/node/src/test/java/frostrelay/node/EndpointListTest.java
@@ -12,14 +12,14 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Endpoint lists are parsed to the same server ids at every balancer. */
+/** Parsing of endpoint lists yields the same server ids at every balancer. */
 class EndpointListTest {
     /**
      * Rendezvous hashing needs the same id for a server at all balancers, whose addresses for it
      * differ.
      */
     @Test
-    void aServersIdComesFromItsUidAlone() throws Exception {
+    void aServerIdDependsOnlyOnTheUid() throws Exception {
         DeploymentSettings settings;
         try (NodeTestFixture fixture = new NodeTestFixture()) {
             settings = fixture.deploymentSettings();
--- a/node/src/test/java/frostrelay/node/ReloadTest.java
+++ b/node/src/test/java/frostrelay/node/ReloadTest.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import java.util.function.UnaryOperator;
 
-/** New settings are applied completely or not at all, and open requests keep the former ones. */
+/** New settings are applied completely or not at all; open requests keep the previous ones. */
 class ReloadTest {
     private static Map<?, ?> json(String text) {
         return Json.parse(text.getBytes(StandardCharsets.UTF_8));
@@ -37,13 +37,13 @@
     }
 
     @Test
-    void aNewClassIsServedAndADroppedOneForAWhile() throws Exception {
+    void newClassesAreServedAndRemovedOnesForAGracePeriod() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
                 TestConnection client = fixture.client()) {
             assertEquals(
                     "CLIENT_ERROR unknown class",
                     client.request(NodeTestFixture.READ.replace("c=read", "c=fetch")));
-            // The new name comes first in the file: numbers must not move.
+            // The new name is first in the file: the numbers of other names must not change.
             reload(
                     fixture,
                     text ->
@@ -63,7 +63,7 @@
             assertEquals(
                     "HD O2 c77",
                     client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE),
-                    "clients hear of new settings later");
+                    "a removed class is accepted for a grace period");
             assertEquals("HD O3 c77", client.request(NodeTestFixture.IDEMPOTENT_WRITE));
             assertEquals(
                     "CLIENT_ERROR unknown class",
@@ -72,10 +72,11 @@
     }
 
     /**
-     * Lines are read as bytes and settings as UTF-8: names beyond ASCII must be known all the same.
+     * Lines are read as bytes and settings as UTF-8; names with other than ASCII characters must
+     * still match.
      */
     @Test
-    void namesMayHaveAnyLetters() throws Exception {
+    void namesMayContainNonAsciiCharacters() throws Exception {
         FakeServer fakeServer = FakeServer.servingAnyCommand();
         try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
                 TestConnection client = fixture.client()) {
@@ -99,7 +100,7 @@
     }
 
     @Test
-    void namesKeepTheirNumbersAndWhatTheyStandForChanges() {
+    void namesKeepTheirNumbersWhenTheirSettingsChange() {
         Config runningConfig = runningConfig(new NodeTestFixture());
         String swappedText =
                 new NodeTestFixture()
@@ -122,7 +123,7 @@
     }
 
     @Test
-    void aDroppedClassIsForgottenAfterItsTime() {
+    void aRemovedClassIsUnknownAfterItsGracePeriod() {
         Config runningConfig = runningConfig(new NodeTestFixture());
         Map<?, ?> settingsWithoutCopy =
                 json(
@@ -134,7 +135,8 @@
                         .settings()
                         .replacedBy(settingsWithoutCopy, Clock.now() - 60 * Clock.NANOS_PER_SECOND);
         assertEquals(null, expiredSettings.classNumber("copy"));
-        assertEquals(4, expiredSettings.policySettings.classes().size(), "its number stays taken");
+        assertEquals(
+                4, expiredSettings.policySettings.classes().size(), "its number is not reused");
         assertEquals(List.of("other", "put", "read"), expiredSettings.classNames());
         DeploymentSettings restoredSettings =
                 expiredSettings.replacedBy(json(new NodeTestFixture().settings()), Clock.now());
@@ -143,7 +145,7 @@
     }
 
     @Test
-    void nothingIsAppliedFromABrokenFile() throws Exception {
+    void nothingIsAppliedFromAnInvalidFile() throws Exception {
         String completeText = new NodeTestFixture().config("127.0.0.1:0");
         Config runningConfig = Config.parse(json(completeText));
         List<String> broken =
@@ -191,8 +193,8 @@
     }
 
     /**
-     * At the start as well: an unknown effect must not be treated as the strictest, nor a missing
-     * deadline as one second.
+     * Validation at the start must not replace an unknown effect by the strictest one, nor a
+     * missing deadline by one second.
      */
     @Test
     void anInvalidValueIsRejectedWithItsKey() {
@@ -226,7 +228,7 @@
     }
 
     @Test
-    void aBrokenFileChangesNothingWhereItServes() throws Exception {
+    void anInvalidFileDoesNotAffectARunningNode() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
                 TestConnection client = fixture.client()) {
             reload(
