--- a/node/src/main/java/frostrelay/node/memcache/MetaCommand.java
+++ b/node/src/main/java/frostrelay/node/memcache/MetaCommand.java
@@ -10,8 +10,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A client's read or write, checked by {@link MetaCommandParser}, with what is needed to forward it
- * unchanged but for the remaining timeout.
+ * A client's read or write, validated by {@link MetaCommandParser}, with the data needed to forward
+ * it unchanged except for the remaining timeout.
  */
 public final class MetaCommand implements ClientRequest {
     private static final int MAX_HEX_KEY_LENGTH = 16;
@@ -100,8 +100,8 @@
     }
 
     /**
-     * The key as a number for the policy: a hexadecimal key is taken as it is, any other one is
-     * hashed, by a function that all balancers share.
+     * Returns the key as a number for the policy: the value of a hexadecimal key, or the hash of
+     * any other key, by a function that all balancers share.
      */
     @Override
     public long numericKey() {
@@ -115,7 +115,7 @@
         return EndpointList.serverId(key);
     }
 
-    /** Encodes the command for a cache server: as received, but for the remaining timeout. */
+    /** Encodes the command for a cache server, as received except for the remaining timeout. */
     @Override
     public ByteBuf encode(ByteBufAllocator alloc, long remainingMillis) {
         String[] forwardedParameters = parameters.clone();
@@ -131,8 +131,8 @@
     }
 
     /**
-     * Encodes a line, which ends in CRLF, and the data block behind it, which does not yet; {@code
-     * data} is null where there is none. The caller releases the buffer.
+     * Encodes a line and its data block, if {@code data} is not null. The line must end in CRLF;
+     * the CRLF after the data block is added here. The caller releases the buffer.
      */
     public static ByteBuf encodeLine(ByteBufAllocator alloc, String line, byte[] data) {
         ByteBuf bytes = alloc.buffer(line.length() + (data == null ? 0 : data.length + 2));
--- a/node/src/main/java/frostrelay/node/memcache/MetaCommandParser.java
+++ b/node/src/main/java/frostrelay/node/memcache/MetaCommandParser.java
@@ -8,14 +8,16 @@
 import java.util.List;
 
 /**
- * Checks a client's {@code mg} or {@code ms} line and makes a {@link MetaCommand} of it. Runs for
- * each request, so it uses plain loops: streams are slow for a long time after a start.
+ * Validates a client's {@code mg} or {@code ms} line and converts it to a {@link MetaCommand}. Runs
+ * for each request, so it uses plain loops: streams are slow for a long time after a start.
  */
 public final class MetaCommandParser {
     private static final int MAX_KEY_LENGTH = 250;
     private static final int MAX_OPAQUE_LENGTH = 32;
 
-    /** A larger estimate of the work is reduced to this: no client means it. */
+    /**
+     * Limit on the estimate of the work, one hour; larger values are reduced to it as implausible.
+     */
     private static final long MAX_WORK_MICROS = 3_600_000_000L;
 
     private static final long NANOS_PER_MICROSECOND = 1000;
@@ -70,7 +72,7 @@
         long clientTimeoutMillis = parseTimeoutMillis(parameters, classSettings);
         if (classSettings.idempotency() == Idempotency.IDEMPOTENCY_KEY
                 && parameter(parameters, IDEMPOTENCY_KEY_PARAMETER) == null) {
-            // Without it servers cannot recognise a retry.
+            // Without this key servers cannot recognize a retry.
             throw new MalformedCommandException("missing k");
         }
         boolean isClientRetry = "1".equals(parameter(parameters, RETRY_PARAMETER));
@@ -100,8 +102,8 @@
     }
 
     /**
-     * Refuses flags that are not served, and repeated ones: those could be forwarded in a form that
-     * no client sent. Returns whether the value is asked for.
+     * Rejects unsupported flags and repeated ones, which could be forwarded in a form that no
+     * client sent. Returns whether the client requested the value.
      */
     private static boolean checkFlags(List<String> tokens, int firstFlagIndex)
             throws MalformedCommandException {
@@ -132,8 +134,8 @@
     }
 
     /**
-     * The client's timeout, at most the deadline of the request's class: a longer one would hold
-     * resources for no client of that class.
+     * Returns the client's timeout, limited to the deadline of the request's class, as a longer one
+     * would hold resources without benefit to any client of that class.
      */
     private static long parseTimeoutMillis(String[] parameters, RequestClass classSettings)
             throws MalformedCommandException {
@@ -156,7 +158,7 @@
         return null;
     }
 
-    /** The number behind a parameter's name, or the default value where the parameter is absent. */
+    /** Returns the value of a numeric parameter, or the default if the parameter is absent. */
     private static long nonNegativeParameter(String[] parameters, String name, long defaultValue)
             throws MalformedCommandException {
         String text = parameter(parameters, name);
@@ -172,7 +174,7 @@
     }
 
     /**
-     * Refuses parameters without a name and repeated ones. Returns the index of the timeout, which
+     * Rejects parameters without a name and repeated ones. Returns the index of the timeout, which
      * is replaced when the command is forwarded.
      */
     private static int checkParameters(String[] parameters) throws MalformedCommandException {
--- a/node/src/main/java/frostrelay/node/memcache/MetaDecoder.java
+++ b/node/src/main/java/frostrelay/node/memcache/MetaDecoder.java
@@ -13,9 +13,10 @@
 import java.util.Set;
 
 /**
- * Cuts a byte stream into {@link MetaFrame}s, strictly and within bounds. A framing error (a line
- * that is too long, an impossible length, a data block without its end) ends the stream: parsing
- * further would take data for commands or responses, so all later bytes are skipped.
+ * Splits a byte stream into {@link MetaFrame}s, strictly and with bounded memory. A framing error
+ * (a line over the length limit, an invalid data length or a data block without its final CRLF)
+ * ends the stream: further parsing would mistake data for commands or responses, so all later bytes
+ * are skipped.
  *
  * <p>A short data block is buffered and delivered with its frame. A long one is delivered as a
  * streamed frame, retained {@link ByteBuf} chunks and {@link MetaFrame#END_OF_VALUE}.
@@ -34,8 +35,8 @@
     private static final String BAD_CHUNK_RESPONSE = "CLIENT_ERROR bad data chunk";
 
     /**
-     * Commands of the classic protocol that carry a data block. They are not served, and end the
-     * stream so that their data are not parsed as commands.
+     * Commands of the classic protocol that carry a data block. They are not supported and end the
+     * stream, so that their data are not parsed as commands.
      */
     private static final Set<String> CLASSIC_STORAGE_COMMANDS =
             Set.of("set", "add", "replace", "append", "prepend", "cas");
@@ -47,7 +48,7 @@
         BUFFERED_DATA,
         /** Within a data block that is delivered in chunks. */
         STREAMED_DATA,
-        /** Behind a framing error. */
+        /** After a framing error. */
         FAILED
     }
 
@@ -88,7 +89,7 @@
         return new MetaDecoder("VA", 1, MetaFrame.MAX_VALUE_BYTES, memoryLimiter);
     }
 
-    /** Whether the last frame is complete and no byte of the next one has been received. */
+    /** Returns whether the last frame is complete and no byte of the next one was received. */
     public boolean isAtFrameBoundary() {
         return state == State.LINE && actualReadableBytes() == 0;
     }
@@ -146,7 +147,7 @@
         }
     }
 
-    /** The words of a line; null if it contains a control character. */
+    /** Splits a line at spaces; returns null if it contains a control character. */
     private static List<String> splitTokens(String line) {
         List<String> tokens = new ArrayList<>();
         int tokenStart = 0;
@@ -236,7 +237,7 @@
         endDataBlock();
     }
 
-    /** Enlarges the buffer; false if the memory limit does not allow it. */
+    /** Enlarges the buffer; returns false if the memory limit does not allow it. */
     private boolean grow(int minBytes) {
         int newBytes =
                 Math.min(
@@ -249,7 +250,7 @@
         return true;
     }
 
-    /** Releases the buffer of the present data block, if there is one. */
+    /** Releases the buffer of the current data block, if any. */
     private void endDataBlock() {
         if (pendingTokens != null) {
             memoryLimiter.release(data.length);
--- a/node/src/main/java/frostrelay/node/memcache/MetaFrame.java
+++ b/node/src/main/java/frostrelay/node/memcache/MetaFrame.java
@@ -8,10 +8,10 @@
 /**
  * One line of the meta protocol with its data block, in either direction. Immutable.
  *
- * @param tokens the words of the line; empty where the line broke the protocol
- * @param data the complete data block; null where there is none or it is streamed
- * @param errorResponse the response to the sender of a line that broke the protocol; else null
- * @param endsStream whether the next frame boundary is unknown, so that nothing behind this frame
+ * @param tokens the words of the line; empty if the line violated the protocol
+ * @param data the complete data block; null if there is none or it is streamed
+ * @param errorResponse the response to a line that violated the protocol; otherwise null
+ * @param endsStream whether the next frame boundary is unknown, so that no bytes after this frame
  *     may be parsed
  * @param streamed whether the data block follows in chunks, up to {@link #END_OF_VALUE}
  */
@@ -22,7 +22,7 @@
         boolean endsStream,
         boolean streamed)
         implements UpstreamResponse {
-    /** The largest value that is served. */
+    /** The size of the largest supported value. */
     public static final int MAX_VALUE_BYTES = 4 * 1024 * 1024;
 
     /** Values up to this size are received completely before they are forwarded. */
@@ -31,7 +31,7 @@
     /** Follows the last chunk of a streamed frame's data. */
     public static final MetaFrame END_OF_VALUE = new MetaFrame(List.of(), null, null, false, false);
 
-    /** A correct line; {@code data} is null where it has no data block. */
+    /** Returns the frame of a valid line; {@code data} is null if it has no data block. */
     public static MetaFrame of(List<String> tokens, byte[] data) {
         return new MetaFrame(tokens, data, null, false, false);
     }
@@ -67,14 +67,14 @@
         return flagToken(1, 'L');
     }
 
-    /** Whether the line has a token at this index that equals the given one. */
+    /** Returns whether the line has this token at this index. */
     public boolean tokenEquals(int index, String token) {
         return index < tokens.size() && tokens.get(index).equals(token);
     }
 
     /**
-     * The argument of the first flag with this letter, at {@code fromIndex} or behind it; null if
-     * the flag is absent.
+     * Returns the argument of the first flag with this letter at or after {@code fromIndex}; null
+     * if the flag is absent.
      */
     public String flagToken(int fromIndex, char letter) {
         for (int i = fromIndex; i < tokens.size(); i++) {
