--- a/node/src/main/java/frostrelay/node/log/Event.java
+++ b/node/src/main/java/frostrelay/node/log/Event.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Everything that the balancer logs, with the fields of each line in their order. {@code
- * docs/events.md} is generated from this, and a test keeps the two the same.
+ * The log events of the balancer, with the fields of each line in order. {@code docs/events.md} is
+ * generated from this, and a test compares the two.
  */
 public enum Event {
     SERVING(Level.INFO, "The balancer accepts clients from now on.", "listen", "admin"),
@@ -178,7 +178,7 @@
     /** The severity. */
     public final Level level;
 
-    /** What the event means, for the documentation. */
+    /** The meaning of the event, for the documentation. */
     public final String meaning;
 
     /** The names of the fields, in their order. */
@@ -190,7 +190,7 @@
         this.fields = List.of(fields);
     }
 
-    /** The name in the log, in kebab case. */
+    /** Returns the name in the log, in kebab case. */
     public String logName() {
         return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
     }
--- a/node/src/main/java/frostrelay/node/log/LineEncoder.java
+++ b/node/src/main/java/frostrelay/node/log/LineEncoder.java
@@ -22,8 +22,8 @@
 
 /**
  * Encodes each event as one line of JSON or text. Logback's own JSON encoder writes fields as a
- * list of pairs, and its patterns open a time zone file at the first line, which would fail if that
- * line reports a lack of file descriptors.
+ * list of pairs, and its patterns open a time zone file for the first line, which would fail if
+ * that line reports a lack of file descriptors.
  */
 final class LineEncoder extends EncoderBase<ILoggingEvent> {
     private static final int MAX_TEXT_LENGTH = 2_000;
@@ -126,7 +126,7 @@
     private static String text(
             String time, String level, String name, String balancer, Map<String, Object> fields) {
         List<String> pairs = new ArrayList<>();
-        // Text from a peer must not end a line or forge another one.
+        // Text from a peer must not end a line or forge another line.
         fields.forEach(
                 (key, value) -> pairs.add(key + "=" + format(value).replaceAll("\\p{Cntrl}", "?")));
         return time
--- a/node/src/main/java/frostrelay/node/log/Log.java
+++ b/node/src/main/java/frostrelay/node/log/Log.java
@@ -12,8 +12,8 @@
     private Log() {}
 
     /**
-     * Whether lines of this event are written at the current level; lets callers skip costly field
-     * values.
+     * Returns whether this event is written at the current level, so that callers can skip
+     * computing costly field values.
      */
     public static boolean isEnabled(Event event) {
         return LOGGER.isEnabledForLevel(event.level);
--- a/node/src/main/java/frostrelay/node/log/LogSetup.java
+++ b/node/src/main/java/frostrelay/node/log/LogSetup.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Configures Logback in code, since parsing an XML file would dominate the start-up cost of
- * logging. Logback finds this class as a service.
+ * Configures Logback in code, as parsing an XML file would dominate the start-up cost of logging.
+ * Logback loads this class as a service.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
     /** The form of log lines. */
@@ -32,8 +32,8 @@
     static final String BALANCER_PROPERTY = "balancer";
 
     /**
-     * Lines that libraries may write during the life of a process; later ones are assumed to repeat
-     * them.
+     * Limit on the lines of libraries during the lifetime of a process; later lines are assumed to
+     * be repetitions.
      */
     private static final int MAX_LIBRARY_LINES = 100;
 
--- a/node/src/test/java/frostrelay/node/log/LogTest.java
+++ b/node/src/test/java/frostrelay/node/log/LogTest.java
@@ -21,8 +21,7 @@
 import java.util.Map;
 
 /**
- * Log lines stay well-formed whatever peers put into them, and the page on events documents all of
- * them.
+ * Log lines are well-formed with any input from peers, and the page on events documents all events.
  */
 class LogTest {
     private static String encodeLine(
@@ -37,11 +36,14 @@
     }
 
     @Test
-    void aPeerCannotBreakALineOrForgeOne() throws Exception {
-        String hostile = "x\"}\n{\"level\":\"error\"\u001b[31m" + "y".repeat(10_000);
+    void peersCannotBreakOrForgeLines() throws Exception {
+        String maliciousText = "x\"}\n{\"level\":\"error\"\u001b[31m" + "y".repeat(10_000);
         String json =
                 encodeLine(
-                        true, Log.NAME, "protocol-violation", new KeyValuePair("detail", hostile));
+                        true,
+                        Log.NAME,
+                        "protocol-violation",
+                        new KeyValuePair("detail", maliciousText));
         assertEquals(1, json.lines().count());
         Map<String, Object> parsed = JSON.std.mapFrom(json);
         assertEquals("protocol-violation", parsed.get("event"));
@@ -49,11 +51,14 @@
         assertEquals("1970-01-01T00:00:00Z", parsed.get("time"));
         assertTrue(
                 ((String) parsed.get("detail")).startsWith("x\"}\n{"),
-                "as it came, but for its length");
+                "unchanged except for truncation");
         assertTrue(json.length() < 2_200);
         String text =
                 encodeLine(
-                        false, Log.NAME, "protocol-violation", new KeyValuePair("detail", hostile));
+                        false,
+                        Log.NAME,
+                        "protocol-violation",
+                        new KeyValuePair("detail", maliciousText));
         assertEquals(1, text.lines().count());
         assertFalse(text.contains("\u001b"));
     }
@@ -90,7 +95,7 @@
 
     /** {@code -Dfrostrelay.write-pages=true} regenerates the page. */
     @Test
-    void thePageNamesEveryEvent() throws Exception {
+    void thePageDocumentsEveryEvent() throws Exception {
         Path page = Path.of("../docs/events.md");
         if (Boolean.getBoolean("frostrelay.write-pages")) {
             Files.writeString(page, Event.renderDocumentation());
