--- a/node/src/main/java/frostrelay/node/metrics/CloseReason.java
+++ b/node/src/main/java/frostrelay/node/metrics/CloseReason.java
@@ -1,6 +1,6 @@
 package frostrelay.node.metrics;
 
-/** Why a client's connection was closed. The names are logged. */
+/** The reasons for closing a client's connection. The names are logged. */
 public enum CloseReason {
     /** The client closed or reset it. */
     CLIENT_CLOSED,
@@ -10,19 +10,19 @@
     SHUTTING_DOWN,
     /** This balancer is draining. */
     DRAINING,
-    /** It was evicted in favour of another connection. */
+    /** It was evicted in favor of another connection. */
     EVICTED,
     /** It was opened over the connection limit, and closed after its request was rejected. */
     OVER_CONNECTION_LIMIT,
     /** It was opened while there was no capacity even to reject its requests. */
     CONNECTION_REJECTED,
-    /** It was idle for too long. */
+    /** It exceeded the idle timeout. */
     IDLE,
-    /** No command was received in time, or one was not completed. */
+    /** No complete command was received in time. */
     INCOMPLETE_COMMAND,
     /**
-     * The client violated the protocol too often, or in a way after which the start of the next
-     * command cannot be found.
+     * The client violated the protocol too often, or so that the start of the next command is
+     * unknown.
      */
     PROTOCOL_ERROR,
     /** The client left too many responses unread. */
@@ -34,7 +34,7 @@
     /** Reading or writing failed. */
     CONNECTION_ERROR;
 
-    /** Whether this side chose to close, and must answer the requests it has read before that. */
+    /** Returns whether this side chose to close and must answer the requests read before. */
     public boolean isInitiatedLocally() {
         return switch (this) {
             case SHUTTING_DOWN,
--- a/node/src/main/java/frostrelay/node/metrics/Counters.java
+++ b/node/src/main/java/frostrelay/node/metrics/Counters.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 
 /**
- * Counters for the log, to diagnose faults by: how requests and attempts end, and how late timers
- * run. Also limits the lines that peers can cause between two reports. Owned by the event loop; not
- * thread-safe.
+ * Counters for the log, used to diagnose faults: outcomes of requests and attempts, and lateness of
+ * timers. Also limits the lines that peers can cause between two reports. Owned by the event loop;
+ * not thread-safe.
  */
 public final class Counters {
     private static final long NANOS_PER_MICROSECOND = 1_000L;
@@ -23,13 +23,13 @@
     /** A timer that runs later than this counts as late. */
     private static final long LATE_TIMER_NANOS = 5 * Clock.NANOS_PER_MILLISECOND;
 
-    /** Lines that peers may cause between two reports. */
+    /** Limit on the log lines that peers can cause between two reports. */
     private static final int MAX_WARNINGS_PER_REPORT = 20;
 
     private static final int MAX_WARNING_LENGTH = 200;
     private static final int MAX_STACK_FRAMES = 6;
 
-    /** Twice a large tier: every peer of it may fail and recover between two reports. */
+    /** Twice the size of a large tier, as every peer may fail and recover between two reports. */
     private static final int MAX_PEER_STATES_PER_REPORT = 200;
 
     private final long[] outcomes = new long[AttemptResult.values().length];
@@ -60,7 +60,7 @@
     public long lastCalls;
     public long connects;
 
-    /** Attempts for which there was neither a connection to a cache nor capacity for a new one. */
+    /** Attempts without a free connection to a cache or the capacity to open a new connection. */
     public long noConnectionCapacity;
 
     private long timers;
@@ -81,7 +81,7 @@
         closes[reason.ordinal()]++;
     }
 
-    /** Counts an attempt that the action guard kept from being written. */
+    /** Counts an attempt that the action guard prevented from being written. */
     public void recordDenial(ActionGuard.SendDecision decision) {
         denials[decision.ordinal()]++;
     }
@@ -115,7 +115,7 @@
         return sum;
     }
 
-    /** The number of rejected requests. */
+    /** Returns the number of rejected requests. */
     public long rejected() {
         return sum(rejections);
     }
@@ -124,7 +124,7 @@
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** The counts above 0, by the names of their constants. */
+    /** Returns the counts above 0 by the names of their constants. */
     private static Map<String, Object> byName(Enum<?>[] constants, long[] values) {
         Map<String, Object> named = new LinkedHashMap<>();
         for (Enum<?> constant : constants) {
@@ -151,8 +151,8 @@
     }
 
     /**
-     * Logs the counters. Those that explain unanswered requests come first and those that are 0 are
-     * left out, as long lines may be truncated where logs are displayed.
+     * Logs the counters. Counters that explain unanswered requests come first and counters that are
+     * 0 are omitted, as log viewers may truncate long lines.
      *
      * @param gauges current values to log along with the counters
      */
@@ -210,7 +210,9 @@
         }
     }
 
-    /** Whether one more change of a peer's state may be logged before the next report. */
+    /**
+     * Counts a change of a peer's state; returns whether it may be logged before the next report.
+     */
     public boolean mayLogPeerState() {
         return ++loggedPeerStates <= MAX_PEER_STATES_PER_REPORT;
     }
--- a/node/src/main/java/frostrelay/node/metrics/InvariantViolation.java
+++ b/node/src/main/java/frostrelay/node/metrics/InvariantViolation.java
@@ -4,7 +4,7 @@
 public enum InvariantViolation {
     /** A request had no final answer when it was due, or when this process ended. */
     UNANSWERED,
-    /** A connection was closed by this side with an unanswered request on it. */
+    /** This side closed a connection with an unanswered request. */
     CLOSED_UNANSWERED,
     /**
      * An attempt was written although its request was complete, its deadline had passed, its server
--- a/node/src/main/java/frostrelay/node/metrics/RejectionReason.java
+++ b/node/src/main/java/frostrelay/node/metrics/RejectionReason.java
@@ -1,6 +1,6 @@
 package frostrelay.node.metrics;
 
-/** Why a request was rejected. The names are logged. */
+/** The reasons for rejecting a request. The names are logged. */
 public enum RejectionReason {
     /** The decision module rejected it. */
     BY_POLICY,
@@ -11,8 +11,8 @@
     /** Its connection is over the connection limit. */
     NO_CONNECTION_CAPACITY,
     /**
-     * Its client may have disconnected: more input is pending than is read ahead, so that the end
-     * of the connection would go unnoticed.
+     * Its client may have disconnected: more input is pending than the read-ahead limit, so that
+     * the end of the connection cannot be detected.
      */
     CLIENT_UNOBSERVED,
     /** The limit of open requests is reached. */
--- a/node/src/main/java/frostrelay/node/net/Connector.java
+++ b/node/src/main/java/frostrelay/node/net/Connector.java
@@ -16,8 +16,8 @@
      * Connects and returns the channel, which need not be connected yet.
      *
      * @param onFailure called on {@code loop} with the cause if the connection fails, possibly
-     *     before this method returns. Without a free file descriptor Netty reports the failure on a
-     *     thread of its own; it is handed to the loop then.
+     *     before this method returns. Without a free file descriptor Netty reports the failure on
+     *     another thread; the call is then passed to the loop.
      */
     public static Channel connect(
             Bootstrap bootstrap,
--- a/node/src/main/java/frostrelay/node/net/MemoryLimiter.java
+++ b/node/src/main/java/frostrelay/node/net/MemoryLimiter.java
@@ -2,8 +2,8 @@
 
 /**
  * Limits the bytes of values in memory at one time, of open requests and of values still being
- * received. Announced lengths cost nothing; received bytes count, so that no number of peers can
- * fill the heap. Owned by the event loop; not thread-safe.
+ * received. Counts received bytes, not announced lengths, so that peers cannot fill the heap,
+ * however many there are. Owned by the event loop; not thread-safe.
  */
 public final class MemoryLimiter {
     private final long limitBytes;
--- a/node/src/test/java/frostrelay/node/net/ConnectorTest.java
+++ b/node/src/test/java/frostrelay/node/net/ConnectorTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** How a failed connection is reported. */
+/** Failed connections are reported on the event loop. */
 class ConnectorTest {
     private static boolean isReportedOnTheLoop(EventLoop loop, Bootstrap bootstrap)
             throws Exception {
@@ -37,10 +37,10 @@
 
     /**
      * Without a file descriptor there is no channel and Netty reports the failure on another
-     * thread: it must be handed to the loop, as the pool and the policy belong to one thread.
+     * thread; it must be passed to the loop, as the pool and the policy belong to one thread.
      */
     @Test
-    void aFailureIsReportedOnTheLoopAlsoWhereNoDescriptorIsLeft() throws Exception {
+    void aFailureIsReportedOnTheLoopEvenWithoutAFreeDescriptor() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try {
             assertTrue(
@@ -54,7 +54,7 @@
             assertTrue(
                     isReportedOnTheLoop(
                             group.next(), new Bootstrap().channel(NioSocketChannel.class)),
-                    "refused");
+                    "connection refused");
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
         }
