--- a/node/src/main/java/frostrelay/node/cluster/AppliedVersionTracker.java
+++ b/node/src/main/java/frostrelay/node/cluster/AppliedVersionTracker.java
@@ -25,32 +25,36 @@
 
 /**
  * Derives the versions that this balancer acts on from its endpoint list, configuration and
- * administrative drains, and has each change recorded. Also passes decisions to the audit log and
- * the cluster counters.
+ * administrative drains, and records each change in the audit log. Also passes decisions to the
+ * audit log and the cluster counters.
  */
 final class AppliedVersionTracker implements DecisionObserver {
     private record ListedCache(int number, boolean ready, long serverStartMillis, long digest) {}
 
-    /** Is notified of changes. */
+    /** A listener for changes of the applied versions and for observations. */
     interface Listener {
-        /** The balancer acts on these versions from now on. */
+        /** Called when the balancer has started to act on these versions. */
         void onVersionsApplied(AppliedVersions versions);
 
-        /** Operators drain these caches, by ID; {@code digest}: as in the applied versions. */
+        /**
+         * Called when operators have changed the set of drained caches, which are given by ID;
+         * {@code digest}: as in the applied versions.
+         */
         void onAdminDrains(long digest, Set<Long> caches);
 
         /**
-         * The endpoint list has changed: start times in ms, and names, of its ready caches by ID.
+         * Called when the endpoint list has changed, with the start times in ms and the names of
+         * its ready caches, by ID.
          */
         void onReadyCaches(Map<Long, Long> ready, Map<Long, String> names);
 
-        /** An attempt at a cache, sent at {@code sentAtNanos}, ended with this observation. */
+        /** Called when an attempt that was sent at {@code sentAtNanos} ended. */
         void onAttemptObserved(long cache, AttemptObservation observation, long sentAtNanos);
 
-        /** Counts requests and attempts. */
+        /** Returns the observer that counts requests and attempts. */
         DecisionObserver trafficObserver();
 
-        /** By this revision of the list a cache, by ID, has become ready or stopped being so. */
+        /** Called when a cache, by ID, becomes ready or not ready with this list revision. */
         void onCacheReadiness(long revision, long cache, boolean ready);
     }
 
@@ -61,7 +65,8 @@
     private long listDigest;
 
     /**
-     * {@code audit}: was created with the initial versions; the listener is notified of later ones.
+     * Creates a tracker. {@code audit} was created with the initial versions; the listener is
+     * notified of later ones.
      */
     AppliedVersionTracker(AuditLog audit, LongSupplier wallClock, Listener listener) {
         this.audit = audit;
@@ -69,7 +74,7 @@
         this.listener = listener;
     }
 
-    /** The versions that a balancer acts on before it has applied any list. */
+    /** Returns the versions that a balancer acts on before it has applied any list. */
     static AppliedVersions initialVersions(Config config, int build) {
         return new AppliedVersions(build, config.version(), config.settingsDigest(), 0, 0, 0, 0);
     }
@@ -121,7 +126,10 @@
                 mode == EndpointUpdateMode.CACHED ? Cause.START : Cause.DISCOVERY);
     }
 
-    /** The list's digest is a sum, so that it does not depend on the order of changes. */
+    /**
+     * Applies one entry of a list. The list's digest is a sum, so that it does not depend on the
+     * order of changes.
+     */
     private void applyEntry(
             long revision, String uid, EndpointState state, long serverStartMillis) {
         ListedCache previous = listedCaches.get(uid);
@@ -150,7 +158,7 @@
         }
     }
 
-    /** IDs of the caches that are ready by the current list. */
+    /** Returns the IDs of the caches that are ready in the current list. */
     Set<Long> readyCaches() {
         Set<Long> ready = new HashSet<>();
         listedCaches.forEach(
--- a/node/src/main/java/frostrelay/node/cluster/AuditStorage.java
+++ b/node/src/main/java/frostrelay/node/cluster/AuditStorage.java
@@ -11,8 +11,8 @@
 import java.util.Locale;
 
 /**
- * Where a balancer's audit record is stored: in memory, in a folder as well if one is configured,
- * or nowhere. Used on the event loop; the folder reports failures from its own thread.
+ * The storage of a balancer's audit record: memory, also a folder if one is configured, or none if
+ * auditing is off. Used on the event loop; the folder reports failures from its own thread.
  */
 final class AuditStorage implements Recorder, AutoCloseable {
     private final boolean enabled;
@@ -56,12 +56,12 @@
         }
     }
 
-    /** The record in memory; null if auditing is off. */
+    /** Returns the record in memory, or null if auditing is off. */
     byte[] record() {
         return enabled ? ringBuffer.record() : null;
     }
 
-    /** Where the record is stored, and the latest failure, for operators. */
+    /** Returns the kind of storage and the latest failure, for operators. */
     String describe() {
         if (folder == null) {
             return "memory";
--- a/node/src/main/java/frostrelay/node/cluster/BuildDigest.java
+++ b/node/src/main/java/frostrelay/node/cluster/BuildDigest.java
@@ -8,13 +8,16 @@
 import java.nio.file.Path;
 import java.util.zip.CRC32;
 
-/** Identifies the build that runs. */
+/** A digest that identifies the running build. */
 final class BuildDigest {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
 
     private BuildDigest() {}
 
-    /** CRC-32 of the jar, so that two builds of one version differ; 0 if it cannot be read. */
+    /**
+     * Returns the CRC-32 of the jar, so that two builds of one version differ; 0 if it cannot be
+     * read.
+     */
     static int ofRunningProgram() {
         CRC32 crc = new CRC32();
         try {
@@ -26,7 +29,7 @@
                                     .getLocation()
                                     .toURI());
             if (Files.isRegularFile(source)) {
-                // In pieces: reading it at once would grow the heap for good.
+                // In chunks: a buffer for the whole jar would enlarge the heap permanently.
                 try (InputStream in = Files.newInputStream(source)) {
                     byte[] buffer = new byte[READ_BUFFER_BYTES];
                     for (int length = in.read(buffer); length >= 0; length = in.read(buffer)) {
@@ -37,7 +40,7 @@
                 crc.update(source.toString().getBytes(StandardCharsets.UTF_8));
             }
         } catch (IOException | URISyntaxException | RuntimeException e) {
-            // The digest only tells builds apart for operators; a balancer serves without it.
+            // Only operators need the digest, to distinguish builds; serving does not depend on it.
             return 0;
         }
         return (int) crc.getValue();
--- a/node/src/main/java/frostrelay/node/cluster/ClusterCounterService.java
+++ b/node/src/main/java/frostrelay/node/cluster/ClusterCounterService.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.function.UnaryOperator;
 
-/** Counts this balancer's decisions in {@link ClusterCounters}, and shows the cluster's totals. */
+/** Counts this balancer's decisions in {@link ClusterCounters}, and reports cluster totals. */
 final class ClusterCounterService implements DecisionObserver {
     private final ClusterCounters counters;
     private final TestHooks.CounterTotals totals;
@@ -37,9 +37,9 @@
                         clusterSize,
                         Clock.now(),
                         incarnation,
-                        number ->
+                        peerRank ->
                                 transport.node() != null
-                                        && transport.node().snapshot(Clock.now(), number).state()
+                                        && transport.node().snapshot(Clock.now(), peerRank).state()
                                                 == MemberState.ALIVE,
                         transport::sendSection);
         totals = testHook.apply(counters::total);
@@ -93,7 +93,7 @@
         counters.tick(now);
     }
 
-    /** Adds each total with its coverage, and each peer's latest counters. */
+    /** Adds each total with its coverage, and each peer's latest counters, to the status. */
     void describe(Map<String, Object> target) {
         long now = Clock.now();
         Map<String, Object> totalsByCounter = new LinkedHashMap<>();
--- a/node/src/main/java/frostrelay/node/cluster/ClusterMember.java
+++ b/node/src/main/java/frostrelay/node/cluster/ClusterMember.java
@@ -28,7 +28,7 @@
 
 /**
  * A balancer with gossip, auditing or both: forwards events between the gossip node, the audit log
- * and the services that share state. On the event loop.
+ * and the services that share state. Runs on the event loop.
  */
 final class ClusterMember extends ClusterMembership
         implements GossipNode.Listener, AppliedVersionTracker.Listener {
@@ -65,7 +65,8 @@
         this.options = options;
         this.testHooks = testHooks;
         this.counters = counters;
-        // Both clocks are read together: class loading in between would shift the whole record.
+        // Both clocks are read together: class loading between the two reads would shift all times
+        // of the audit record.
         startNanos = Clock.now();
         long startUnixMillis = testHooks.wallClock().getAsLong();
         incarnation = Incarnation.fromUnixMillis(startUnixMillis);
@@ -149,7 +150,7 @@
     private void addSections(long now, int to, PayloadBuffer buffer) {
         services.writeSections(now, to, buffer);
         if (testHooks.datagramFormat() > GossipSettings.STANDARD.wireVersion()) {
-            // Tests: stands for a section of a later build that this one does not know.
+            // For tests: simulates a section of a later build that this one does not know.
             buffer.add(FUTURE_SECTION_TYPE, ByteBuffer.wrap(new byte[] {1, 2, 3}));
         }
     }
@@ -196,7 +197,7 @@
         transport.schedule();
     }
 
-    /** The state of a peer may have changed. */
+    /** Passes a peer's state, which may have changed, to staleness detection. */
     private void onPeerUpdated(int peerRank) {
         // While the gossip node is being created it cannot be queried yet.
         if (services.detectsStaleness() && transport.node() != null && peerRank != rank) {
@@ -224,7 +225,7 @@
         if (active && serving) {
             transport.open();
         } else if (!active) {
-            // Another process goes on under this name: peers are not to see this one leave.
+            // Another process continues as this balancer, so its departure is not announced.
             transport.close(false);
         }
     }
@@ -241,7 +242,8 @@
     public void tick() {
         long now = Clock.now();
         if (now >= nextTickNanos) {
-            // Called four times a second: counting from now would make a second one and a quarter.
+            // Called four times a second: an interval that started at the current time would last
+            // up to 1.25 s.
             nextTickNanos = Math.max(nextTickNanos + TICK_NANOS, now + TICK_NANOS / 2);
             auditLog.tick(now, testHooks.wallClock().getAsLong());
             services.tick(now);
@@ -298,14 +300,14 @@
     @Override
     public void onCacheUnavailable(long now, int from, long revision, long cache) {
         if (services.detectsStaleness()) {
-            services.staleInstances().onAway(now, from, revision, cache);
+            services.staleInstances().onCacheUnavailable(now, from, revision, cache);
         }
     }
 
     @Override
     public void onCacheRestored(long now, int from, long revision, long cache) {
         if (services.detectsStaleness()) {
-            services.staleInstances().onBack(now, from, revision, cache);
+            services.staleInstances().onCacheRestored(now, from, revision, cache);
         }
     }
 
@@ -341,7 +343,7 @@
     @Override
     public void onAppliedVersions(long now, int versionsRef, AppliedVersions versions) {
         // Not recorded: the balancer that acts on the versions records them. Peers may have
-        // announced them before their content was received.
+        // referred to them before their content was received.
         for (int i = 0;
                 services.detectsStaleness() && transport.node() != null && i < clusterSize;
                 i++) {
--- a/node/src/main/java/frostrelay/node/cluster/ClusterMembership.java
+++ b/node/src/main/java/frostrelay/node/cluster/ClusterMembership.java
@@ -10,7 +10,7 @@
 
 /**
  * This balancer's membership in its cluster: gossip with its peers, and its audit record. Either
- * may be off; with both off this class itself does nothing.
+ * may be switched off; with both off this base class does nothing.
  */
 public class ClusterMembership {
     private static final ClusterMembership STANDALONE = new ClusterMembership();
@@ -24,25 +24,25 @@
         void rereadConfig();
 
         /**
-         * Exactly these caches are avoided because of peers: by their endpoint lists, and by their
-         * operators' administrative drains.
+         * Replaces the sets of caches that are avoided because of peers: those that newer endpoint
+         * lists of peers have dropped, and those that operators of peers drain.
          */
         void setAvoidedCaches(Set<Long> caches, Set<Long> drainedByPeers);
 
-        /** This balancer drains itself as stale, or ends that. */
+        /** Starts or ends the drain of this balancer by itself because it is stale. */
         void setWithdrawn(boolean withdrawn);
 
-        /** Exactly these caches are outliers by health reports. */
+        /** Replaces the set of caches that are outliers by health reports. */
         void setOutliers(Set<Long> outliers);
 
-        /** The shared settings in force, encoded for a peer. */
+        /** Returns the shared settings in effect, encoded for a peer. */
         byte[] encodeSettings();
 
-        /** Applies a peer's settings; false if they do not have that digest or are not valid. */
-        boolean applySettings(long digest, byte[] packed);
+        /** Applies a peer's settings; returns false if the digest differs or they are invalid. */
+        boolean applySettings(long digest, byte[] encoded);
     }
 
-    /** Creates what the options ask for and the platform allows. */
+    /** Creates a membership with the functions that options and configuration both enable. */
     public static ClusterMembership of(
             Config config,
             ClusterOptions options,
@@ -56,34 +56,34 @@
         return new ClusterMember(config, options, testHooks, loop, counters, actions);
     }
 
-    /** Is to be notified of all decisions. */
+    /** Returns the observer that is to be notified of all decisions. */
     public DecisionObserver observer() {
         return DecisionObserver.NONE;
     }
 
-    /** The process serves from now on; gossip starts. */
+    /** Starts gossip when the process has begun to serve. */
     public void onServing() {}
 
-    /** Whether this process, of those of one balancer, takes part in gossip. */
+    /** Sets whether this process, among those of one balancer, takes part in gossip. */
     public void setGossipActive(boolean active) {}
 
-    /** Shutdown begins; {@code replaced}: another process goes on as the same balancer. */
+    /** Stops gossip at shutdown; {@code replaced}: another process continues as this balancer. */
     public void onShutdown(boolean replaced) {}
 
-    /** To be called a few times a second. */
+    /** Runs periodic work; to be called a few times a second. */
     public void tick() {}
 
-    /** The status for the admin server as JSON; null if gossip and auditing are off. */
+    /** Returns the status for the admin server as JSON; null if gossip and auditing are off. */
     public byte[] statusJson() {
         return null;
     }
 
-    /** The audit record so far; null if auditing is off. */
+    /** Returns the audit record so far; null if auditing is off. */
     public byte[] auditRecord() {
         return null;
     }
 
-    /** Whether it detects that it is stale, which operators may override. */
+    /** Returns whether this balancer detects its own staleness, which operators may override. */
     public boolean detectsStaleness() {
         return false;
     }
@@ -91,7 +91,7 @@
     /** Sets operators' overrides, see {@link frostrelay.staleness.OperatorOverrides}. */
     public void setOverrides(Set<String> overrides) {}
 
-    /** A configuration with this version number was read and rejected. */
+    /** Notifies staleness detection of a rejected configuration with this version number. */
     public void onConfigRejected(long configVersion) {}
 
     /** Records the shutdown and closes the audit record. */
--- a/node/src/main/java/frostrelay/node/cluster/ClusterOptions.java
+++ b/node/src/main/java/frostrelay/node/cluster/ClusterOptions.java
@@ -6,24 +6,25 @@
 import java.util.function.Function;
 
 /**
- * What a balancer does together with its peers; everything is off by default.
+ * Options of the functions that a balancer shares with its peers, and of its audit record; all are
+ * off by default.
  *
  * @param gossipEnabled whether it takes part in gossip, if the platform allows it
  * @param maxBytesPerSecond bandwidth limit for gossip in any second
- * @param stalenessDetection whether it refreshes itself when behind its peers, avoids caches that
- *     their lists have dropped, and drains itself while stale; needs gossip
+ * @param stalenessDetection whether it refreshes its versions when peers have newer ones, avoids
+ *     caches that their lists have dropped, and drains itself while stale; needs gossip
  * @param sharesAdminDrains whether it shares its operators' drains and follows those that operators
  *     of several peers have set; needs staleness detection
  * @param transfersConfig whether it sends settings to peers that lack them and applies theirs;
  *     needs staleness detection
  * @param sharesHealthReports whether it shares health reports and ejects outliers; needs gossip
  * @param sharesCounters whether it shares counters and computes cluster totals; needs gossip
- * @param auditEnabled whether it records what it acts on
+ * @param auditEnabled whether it keeps an audit record of its versions and decisions
  * @param ringBytes size of the record in memory
- * @param recordsEachSend whether each send gets an entry of its own
- * @param recordFolder where the record is stored on disk as well, or null; a relative path is below
+ * @param recordsEachSend whether each send is recorded in a separate entry
+ * @param recordFolder folder in which the record is also stored, or null; a relative path is below
  *     {@code $TMPDIR}
- * @param maxFolderBytes bound on the size of that folder
+ * @param maxFolderBytes upper limit for the size of that folder
  */
 public record ClusterOptions(
         boolean gossipEnabled,
@@ -43,7 +44,7 @@
     /** Lower limit of all options that are a number of bytes. */
     private static final int MIN_BYTES = 256;
 
-    /** Everything off; the sizes are the defaults. */
+    /** All functions off; the sizes are the defaults. */
     public static final ClusterOptions OFF =
             new ClusterOptions(
                     false,
@@ -83,7 +84,8 @@
     private static boolean isOn(Function<String, String> properties, String name) {
         String value = properties.apply(PREFIX + name);
         if (value != null && !value.equals("on") && !value.equals("off")) {
-            throw new ConfigException("-D" + PREFIX + name + " is on or off, not " + value);
+            throw new ConfigException(
+                    "-D" + PREFIX + name + " must be 'on' or 'off', but is '" + value + "'");
         }
         return "on".equals(value);
     }
@@ -100,6 +102,11 @@
             // Reported below.
         }
         throw new ConfigException(
-                "-D" + PREFIX + name + " is a number of bytes, 256 or more, not " + value);
+                "-D"
+                        + PREFIX
+                        + name
+                        + " must be a number of bytes, 256 or more, but is '"
+                        + value
+                        + "'");
     }
 }
--- a/node/src/main/java/frostrelay/node/cluster/ClusterStatus.java
+++ b/node/src/main/java/frostrelay/node/cluster/ClusterStatus.java
@@ -17,7 +17,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The JSON that the admin server shows of the cluster; its keys are an interface to scripts. */
+/** The cluster status in JSON for the admin server; operators' scripts depend on its keys. */
 final class ClusterStatus {
     private final String balancer;
     private final int rank;
@@ -45,7 +45,7 @@
     }
 
     /**
-     * The status as of now.
+     * Returns the current status.
      *
      * @param startIncarnation shown while gossip does not run
      * @param wallMillis Unix milliseconds
@@ -102,28 +102,30 @@
             if (i == rank) {
                 continue;
             }
-            MemberSnapshot known = node.snapshot(now, i);
+            MemberSnapshot snapshot = node.snapshot(now, i);
             Map<String, Object> row = new LinkedHashMap<>();
             row.put("number", i);
-            row.put("state", known.state().name().toLowerCase(Locale.ROOT));
-            row.put("incarnation", known.incarnation());
-            row.put("stamps", known.sequence());
-            // Only a living peer is taken to act on what it sent last; of others that is shown as
-            // last known, with its age.
+            row.put("state", snapshot.state().name().toLowerCase(Locale.ROOT));
+            row.put("incarnation", snapshot.incarnation());
+            row.put("stamps", snapshot.sequence());
+            // Only a living peer is assumed to act on the versions it sent last; those of other
+            // peers are shown as last known, with their age.
             row.put(
                     "actsOn",
-                    known.appliedVersions() == null || known.state() != MemberState.ALIVE
+                    snapshot.appliedVersions() == null || snapshot.state() != MemberState.ALIVE
                             ? "unknown"
-                            : describeVersions(known.appliedVersions()));
-            if (known.appliedVersions() != null && known.state() != MemberState.ALIVE) {
-                row.put("lastKnown", describeVersions(known.appliedVersions()));
+                            : describeVersions(snapshot.appliedVersions()));
+            if (snapshot.appliedVersions() != null && snapshot.state() != MemberState.ALIVE) {
+                row.put("lastKnown", describeVersions(snapshot.appliedVersions()));
             }
             if (services.detectsStaleness()) {
                 row.put("heeded", services.staleInstances().freshnessLabel(i));
             }
             row.put(
                     "ageMs",
-                    known.ageNanos() < 0 ? -1 : known.ageNanos() / Clock.NANOS_PER_MILLISECOND);
+                    snapshot.ageNanos() < 0
+                            ? -1
+                            : snapshot.ageNanos() / Clock.NANOS_PER_MILLISECOND);
             rows.add(row);
         }
         return rows;
--- a/node/src/main/java/frostrelay/node/cluster/GossipTransport.java
+++ b/node/src/main/java/frostrelay/node/cluster/GossipTransport.java
@@ -23,7 +23,7 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** The UDP socket and the timer of a {@link GossipNode}. On the event loop. */
+/** The UDP socket and the timer of a {@link GossipNode}. Runs on the event loop. */
 final class GossipTransport extends SimpleChannelInboundHandler<DatagramPacket>
         implements GossipNode.Actions {
     /** One byte more than the longest valid datagram, so that longer ones are recognized. */
@@ -41,8 +41,10 @@
     private long foreignDatagrams;
 
     /**
-     * {@code addresses}: of all balancers of the cluster, by rank; {@code nodeFactory}: creates a
-     * node each time that gossip is started.
+     * Creates a transport that is closed.
+     *
+     * @param addresses of all balancers of the cluster, by rank
+     * @param nodeFactory creates a node each time that gossip is started
      */
     GossipTransport(
             EventLoop loop,
@@ -68,8 +70,8 @@
                 new Bootstrap()
                         .group(loop)
                         .channel(NioDatagramChannel.class)
-                        // During an upgrade the older process has the address until it sees the
-                        // younger one.
+                        // During an upgrade the old process keeps the address bound until it
+                        // detects the new one.
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .option(
                                 ChannelOption.RCVBUF_ALLOCATOR,
@@ -108,12 +110,12 @@
         }
     }
 
-    /** The running gossip node, or null. */
+    /** Returns the running gossip node, or null. */
     GossipNode node() {
         return node;
     }
 
-    /** A payload provider has something new, which is sent when due, not on the next datagram. */
+    /** Notifies the node of new sections, which are sent when due, not on the next datagram. */
     void onPayloadChanged() {
         if (node != null) {
             node.announcePayloadChange(Clock.now());
@@ -121,17 +123,17 @@
         }
     }
 
-    /** Sends one section to a peer now; false if stopped or over the bandwidth limit. */
+    /** Sends one section to a peer; returns false if stopped or over the bandwidth limit. */
     boolean sendSection(int to, int type, ByteBuffer section) {
         return node != null && node.send(Clock.now(), to, type, section);
     }
 
-    /** Datagrams received from addresses that are no peer's, or while stopped. */
+    /** Returns the number of datagrams received from unknown addresses or while stopped. */
     long foreignDatagrams() {
         return foreignDatagrams;
     }
 
-    /** Sets the timer by the node; to be called after anything that may change its next time. */
+    /** Sets the timer to the node's next time; to be called after any event that may change it. */
     void schedule() {
         if (node == null) {
             return;
--- a/node/src/main/java/frostrelay/node/cluster/HealthReportService.java
+++ b/node/src/main/java/frostrelay/node/cluster/HealthReportService.java
@@ -22,8 +22,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Connects {@link HealthReportAggregator} with attempts, gossip and the selection of caches. On the
- * event loop.
+ * Connects {@link HealthReportAggregator} with attempts, gossip and the selection of caches. Runs
+ * on the event loop.
  */
 final class HealthReportService implements HealthReportAggregator.Actions {
     private final WakeupTimer timer;
@@ -63,7 +63,7 @@
         return aggregator;
     }
 
-    /** The ready caches of a new endpoint list: start times in ms, and names, by ID. */
+    /** Applies a new endpoint list: start times in ms and names of its ready caches, by ID. */
     void onReadyCaches(Map<Long, Long> caches, Map<Long, String> names) {
         cacheNames.clear();
         cacheNames.putAll(names);
@@ -135,7 +135,7 @@
         return transport.sendSection(to, type, section);
     }
 
-    /** Each cache that peers report on: the reports with their ages, and whether it is ejected. */
+    /** Describes each cache that peers report on: the reports, their ages, and its ejection. */
     List<Object> describe() {
         long now = Clock.now();
         List<Object> caches = new ArrayList<>();
--- a/node/src/main/java/frostrelay/node/cluster/PeerAddresses.java
+++ b/node/src/main/java/frostrelay/node/cluster/PeerAddresses.java
@@ -17,7 +17,7 @@
 
     private PeerAddresses() {}
 
-    /** The addresses of all balancers, by rank; none if gossip is not configured or not allowed. */
+    /** Returns all balancers' addresses by rank; empty if gossip is unconfigured or disallowed. */
     static List<InetSocketAddress> of(Config config) {
         Map<?, ?> ceilings =
                 Json.get(
@@ -37,7 +37,13 @@
             }
             int rank = config.settings().policySettings.instanceIndex();
             if (rank >= addresses.size() || addresses.size() < 2 || addresses.size() > MAX_PEERS) {
-                reason = "number " + rank + " of " + addresses.size() + " peers";
+                reason =
+                        "'peers' must have 2 to "
+                                + MAX_PEERS
+                                + " entries, more than this balancer's number "
+                                + rank
+                                + ", but has "
+                                + addresses.size();
             }
         }
         if (reason != null) {
--- a/node/src/main/java/frostrelay/node/cluster/StaleInstanceService.java
+++ b/node/src/main/java/frostrelay/node/cluster/StaleInstanceService.java
@@ -30,7 +30,7 @@
 
 /**
  * Connects {@link StalenessDetector} and {@link ConfigTransfer} with gossip and the balancer, and
- * carries out what they decide. On the event loop.
+ * carries out their decisions. Runs on the event loop.
  */
 final class StaleInstanceService
         implements StalenessDetector.Actions, StalenessCodec.Listener, ConfigTransfer.Actions {
@@ -46,7 +46,7 @@
     private final StalenessCodec codec;
     private final ConfigTransfer configTransfer;
 
-    /** How long recovery is announced: within it most peers send a probe. */
+    /** Time for which recovery is announced, in which most peers send a probe. */
     private static final long RECOVERY_NOTICE_NANOS = 10 * Clock.NANOS_PER_SECOND;
 
     private final Set<VersionKind> reportedFailing = EnumSet.noneOf(VersionKind.class);
@@ -94,7 +94,7 @@
         return versions != null && versions.adminDrainsDigest() == digest;
     }
 
-    /** Its sections on gossip datagrams. */
+    /** Returns the provider of this service's gossip sections. */
     PayloadProvider payloadProvider() {
         return codec;
     }
@@ -104,7 +104,7 @@
         schedule();
     }
 
-    /** Operators drain these caches here; {@code digest}: as in the applied versions. */
+    /** Sets the caches that operators drain here; {@code digest}: as in the applied versions. */
     void onAdminDrains(long digest, Set<Long> caches) {
         detector.onLocalAdminDrains(Clock.now(), caches);
         schedule();
@@ -114,23 +114,23 @@
         }
     }
 
-    void onPeerUpdated(MemberSnapshot known) {
+    void onPeerUpdated(MemberSnapshot snapshot) {
         detector.onPeerState(
                 Clock.now(),
-                known.rank(),
-                known.state(),
-                known.appliedVersions(),
-                Incarnation.toUnixMillis(known.incarnation()),
-                known.ageNanos());
+                snapshot.rank(),
+                snapshot.state(),
+                snapshot.appliedVersions(),
+                Incarnation.toUnixMillis(snapshot.incarnation()),
+                snapshot.ageNanos());
         schedule();
     }
 
-    void onAway(long now, int from, long revision, long cache) {
+    void onCacheUnavailable(long now, int from, long revision, long cache) {
         detector.onCacheUnavailable(now, from, revision, cache);
         schedule();
     }
 
-    void onBack(long now, int from, long revision, long cache) {
+    void onCacheRestored(long now, int from, long revision, long cache) {
         detector.onCacheRestored(now, from, revision, cache);
         schedule();
     }
@@ -150,7 +150,7 @@
         schedule();
     }
 
-    /** To be called about once a second. */
+    /** Runs periodic work; to be called about once a second. */
     void tick(long now, boolean isolated) {
         detector.onIsolation(now, isolated);
         detector.onServiceCounts(
@@ -254,8 +254,8 @@
     }
 
     @Override
-    public void setSelfDraining(boolean withdrawn, String why) {
-        Log.write(withdrawn ? Event.STALE_DRAIN_STARTED : Event.STALE_DRAIN_ENDED, why);
+    public void setSelfDraining(boolean withdrawn, String reason) {
+        Log.write(withdrawn ? Event.STALE_DRAIN_STARTED : Event.STALE_DRAIN_ENDED, reason);
         actions.setWithdrawn(withdrawn);
     }
 
@@ -286,15 +286,15 @@
     }
 
     @Override
-    public void onVersionNotFollowed(VersionKind kind, long number, String why) {
-        Log.write(Event.VERSION_NOT_FOLLOWED, kind.displayName(), number, why);
+    public void onVersionNotFollowed(VersionKind kind, long number, String reason) {
+        Log.write(Event.VERSION_NOT_FOLLOWED, kind.displayName(), number, reason);
         auditLog.recordRejection(
-                Clock.now(), kind.displayName() + ' ' + number + " is not followed: " + why);
+                Clock.now(), kind.displayName() + ' ' + number + " is not followed: " + reason);
     }
 
     @Override
-    public void notifyOperators(String what) {
-        Log.write(Event.STALE_INSTANCE, what);
+    public void notifyOperators(String message) {
+        Log.write(Event.STALE_INSTANCE, message);
     }
 
     void describe(Map<String, Object> target) {
@@ -327,7 +327,7 @@
         return detector.freshnessOf(Clock.now(), peer) == PeerFreshness.CURRENT;
     }
 
-    /** Whether a peer is current, for operators. */
+    /** Returns the freshness of a peer as shown to operators. */
     String freshnessLabel(int peer) {
         return detector.freshnessOf(Clock.now(), peer)
                 .name()
--- a/node/src/main/java/frostrelay/node/cluster/StateSharingServices.java
+++ b/node/src/main/java/frostrelay/node/cluster/StateSharingServices.java
@@ -14,7 +14,7 @@
 
 /**
  * The services that share state with peers over gossip: staleness detection, health reports and
- * counters. Each may be switched off; without peers all are. On the event loop.
+ * counters. Each may be switched off; without peers all are. Runs on the event loop.
  */
 final class StateSharingServices {
     /** Null without peers. */
@@ -29,7 +29,7 @@
     /** Null if switched off. */
     private final ClusterCounterService clusterCounters;
 
-    /** A balancer among its peers; {@code seed}: of its random decisions. */
+    /** The identity of a balancer among its peers; {@code seed}: of its random decisions. */
     record Identity(int rank, int clusterSize, long incarnation, long seed) {}
 
     private StateSharingServices() {
@@ -87,7 +87,7 @@
                                 testHooks.counterTotals());
     }
 
-    /** The services of a balancer without peers. */
+    /** Returns the services of a balancer without peers. */
     static StateSharingServices none() {
         return new StateSharingServices();
     }
@@ -96,19 +96,22 @@
         return staleInstances != null;
     }
 
-    /** Null unless {@link #detectsStaleness}. */
+    /** Returns null unless {@link #detectsStaleness}. */
     StaleInstanceService staleInstances() {
         return staleInstances;
     }
 
-    /** Whether a peer's health reports count: it is alive, and not known to act on an old list. */
+    /**
+     * Returns whether a peer's health reports count: it must be alive and, with staleness
+     * detection, act on a current list.
+     */
     private boolean isTrusted(long now, int peerRank) {
         return transport.node() != null
                 && transport.node().snapshot(now, peerRank).state() == MemberState.ALIVE
                 && (staleInstances == null || staleInstances.isCurrent(peerRank));
     }
 
-    /** Writes the services' sections on a datagram to a peer. */
+    /** Writes the services' sections into a datagram to a peer. */
     void writeSections(long now, int to, PayloadBuffer buffer) {
         if (staleInstances != null) {
             staleInstances.payloadProvider().writeSections(now, to, buffer);
@@ -140,7 +143,7 @@
         }
     }
 
-    /** The ready caches of a new endpoint list: start times in ms, and names, by ID. */
+    /** Applies a new endpoint list: start times in ms and names of its ready caches, by ID. */
     void onReadyCaches(Map<Long, Long> ready, Map<Long, String> names) {
         if (healthReports != null) {
             healthReports.onReadyCaches(ready, names);
@@ -163,7 +166,7 @@
         return clusterCounters == null ? DecisionObserver.NONE : clusterCounters;
     }
 
-    /** To be called about once a second. */
+    /** Runs periodic work; to be called about once a second. */
     void tick(long now) {
         if (staleInstances != null && transport.node() != null) {
             staleInstances.tick(now, transport.node().isIsolated(now));
--- a/node/src/main/java/frostrelay/node/cluster/TestHooks.java
+++ b/node/src/main/java/frostrelay/node/cluster/TestHooks.java
@@ -11,13 +11,14 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Hooks by which tests put defects into a balancer, to prove that the project's checkers find them.
+ * Hooks with which tests inject defects into a balancer, to verify that the project's checkers
+ * detect them.
  *
  * @param recorder wraps the storage of audit entries
  * @param stalenessActions wraps the effects of staleness detection
  * @param healthReportActions wraps the effects of health reports
  * @param counterTotals wraps the reading of cluster totals
- * @param wallClock Unix milliseconds
+ * @param wallClock returns Unix milliseconds
  * @param buildNumber identifies the build; 0 to compute it from the jar
  * @param datagramFormat wire version of the gossip datagrams that are written
  */
@@ -31,7 +32,7 @@
         int datagramFormat) {
     /** Reads cluster totals. */
     public interface CounterTotals {
-        /** The total of a counter at this moment. */
+        /** Returns the total of a counter at this moment. */
         CounterTotal total(long now, ClusterCounter counter);
     }
 
--- a/node/src/main/java/frostrelay/node/cluster/WakeupTimer.java
+++ b/node/src/main/java/frostrelay/node/cluster/WakeupTimer.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Wakes a state machine at the earliest time that it has asked for. On the event loop, which also
- * runs the task.
+ * A timer that runs the task of a state machine at the earliest of the scheduled times. Used on the
+ * event loop, which also runs the task.
  */
 final class WakeupTimer {
     private static final long NOT_SCHEDULED = Long.MAX_VALUE;
@@ -20,20 +20,20 @@
     private Future<?> timer;
     private long wakeAtNanos = NOT_SCHEDULED;
 
-    /** {@code task}: is expected to schedule the next wakeup itself. */
+    /** Creates a timer; {@code task} is expected to schedule the next wakeup itself. */
     WakeupTimer(EventLoop loop, Runnable task) {
         this.loop = loop;
         this.task = task;
     }
 
-    /** Whether a time is earlier than that of the pending wakeup, or none is pending. */
+    /** Returns whether no wakeup is pending, or only one that is later than this time. */
     boolean isEarlier(long atNanos) {
         return atNanos < wakeAtNanos;
     }
 
     /**
-     * Schedules a wakeup unless one is pending by that time. A later one that was scheduled before
-     * still runs the task, unless it is cancelled.
+     * Schedules a wakeup unless one is pending for the same time or earlier. A wakeup that is
+     * already scheduled for a later time still runs the task unless it is cancelled.
      */
     void schedule(long atNanos) {
         if (isEarlier(atNanos)) {
