--- a/node/src/main/java/frostrelay/node/discovery/DiscoveryClient.java
+++ b/node/src/main/java/frostrelay/node/discovery/DiscoveryClient.java
@@ -52,12 +52,12 @@
     }
 
     /**
-     * How long a watch may wait for an update, per instance of the tier. An update that an
+     * Time that a watch may wait for an update, per instance of the tier. An update that an
      * unresponsive watch misses becomes binding 6 s after the watch stopped responding, or 2 s
      * after its wait, so short waits are better; but each call uses capacity of the discovery,
      * which all instances share. All instances together make at most two calls a second that return
-     * nothing, until {@link #MAX_WATCH_WAIT_MILLIS} is reached. An agent that lists are pushed to
-     * serves this balancer alone, so that the minimum applies.
+     * nothing, until {@link #MAX_WATCH_WAIT_MILLIS} is reached. An agent, to which lists are
+     * pushed, serves this balancer only, so the minimum applies.
      */
     private static final long WATCH_WAIT_PER_INSTANCE_MILLIS = 500;
 
@@ -65,8 +65,8 @@
     private static final long MAX_WATCH_WAIT_MILLIS = 20_000;
 
     /**
-     * A watch without an answer for this long past its wait is unresponsive: half of the 2 s, so
-     * that one more call can be answered within them.
+     * Time after its wait from which a watch without an answer is unresponsive. It is half of the 2
+     * s after which a missed update becomes binding, so that one more call can be answered in time.
      */
     private static final long RESPONSE_GRACE_MILLIS = 1_000;
 
@@ -99,13 +99,13 @@
     /** The address has changed and the discovery there has not answered yet. */
     private boolean isAddressNew;
 
-    /** The call in progress or about to start; null while there is no watch. */
+    /** The call in progress or about to start; null without a watch. */
     private WatchCall currentCall;
 
     /**
      * Creates a client that does nothing until {@link #subscribe}.
      *
-     * @param currentSettings the settings in effect, which the lists are parsed by
+     * @param currentSettings the settings in effect, with which the lists are parsed
      * @param listener called on {@code loop}
      */
     public DiscoveryClient(
@@ -151,8 +151,8 @@
 
     /**
      * Changes the address of the discovery. The call to the old address is cancelled silently, as
-     * its end is no failure that requires a backoff, and the new address is called at once: the old
-     * one sends no more updates, and those of the new one are needed within seconds.
+     * its end is no failure that requires a backoff, and the new address is called at once, because
+     * the old one sends no more updates and those of the new one are needed within seconds.
      */
     public void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -170,7 +170,7 @@
     }
 
     /**
-     * One call, on a connection of its own: if a reused connection broke, it would be unknown
+     * One call, on a separate connection: if a reused connection failed, it would be unknown
      * whether the request in flight was processed.
      */
     private final class WatchCall extends SimpleChannelInboundHandler<FullHttpResponse> {
@@ -291,7 +291,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            fail("the call broke");
+            fail("connection closed before the end of the answer");
         }
 
         @Override
@@ -315,8 +315,8 @@
         }
 
         /**
-         * The discovery may be healthy and only this call's connection dead, so another one is
-         * opened at once, without a backoff.
+         * Restarts the watch at once, without a backoff: the discovery may be healthy and only this
+         * call's connection dead.
          */
         private void onTimeout() {
             Log.write(Event.DISCOVERY_FAILED, "silence");
--- a/node/src/main/java/frostrelay/node/discovery/ServerStartTimes.java
+++ b/node/src/main/java/frostrelay/node/discovery/ServerStartTimes.java
@@ -9,13 +9,14 @@
 /**
  * Converts the start times of servers, which the discovery reports in Unix time, to this process's
  * monotonic clock. Without the conversion, after a step of the wall clock a server that has just
- * started would count as warm, or one as warming up for an hour. Reads no clock; not thread-safe.
+ * started would count as warm, or a server would count as warming up for an hour. Reads no clock;
+ * not thread-safe.
  */
 public final class ServerStartTimes {
     /** A smaller change of the wall clock's offset is drift, not a step. */
     private static final long MIN_CLOCK_STEP_NANOS = 500 * Clock.NANOS_PER_MILLISECOND;
 
-    /** How long after a step starts from before it may still be reported. */
+    /** Time after a step in which starts from before it may still be reported. */
     private static final long CLOCK_STEP_GRACE_NANOS = 300 * Clock.NANOS_PER_SECOND;
 
     /** A start as reported, in Unix time, and on this process's clock. */
@@ -23,10 +24,10 @@
 
     private final Map<Long, Start> starts = new HashMap<>();
 
-    /** When the last list was received; 0 before the first. */
+    /** Time at which the last list was received; 0 before the first. */
     private long lastListAtNanos;
 
-    /** By how much the wall clock was ahead of the process's clock at the last list. */
+    /** Difference of the wall clock to the process's clock at the last list. */
     private long wallClockOffsetNanos;
 
     /**
@@ -57,11 +58,11 @@
     }
 
     /**
-     * The start of a server of the current list on this process's clock, in nanoseconds. The first
-     * conversion of a reported start is kept.
+     * Returns the start of a server of the current list on this process's clock, in nanoseconds.
+     * The first conversion of a reported start is kept.
      *
-     * @param unixNanos the reported start, Unix time in nanoseconds; 0 or less for long ago, which
-     *     returns 0
+     * @param unixNanos the reported start, Unix time in nanoseconds; 0 or less means long ago, for
+     *     which 0 is returned
      */
     public long toLocalStart(long server, long unixNanos) {
         if (unixNanos <= 0) {
@@ -70,13 +71,13 @@
         }
         Start known = starts.get(server);
         if (known == null || known.unixNanos != unixNanos) {
-            known = new Start(unixNanos, translate(unixNanos));
+            known = new Start(unixNanos, convert(unixNanos));
             starts.put(server, known);
         }
         return known.localNanos;
     }
 
-    private long translate(long unixNanos) {
+    private long convert(long unixNanos) {
         long localNanos = Math.min(unixNanos - wallClockOffsetNanos, nowNanos);
         return nowNanos < earliestStartUntilNanos
                 ? Math.max(localNanos, earliestStartNanos)
--- a/node/src/test/java/frostrelay/node/DiscoveryAgentTest.java
+++ b/node/src/test/java/frostrelay/node/DiscoveryAgentTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** With an agent, to which endpoint lists are pushed, its list is in effect from the start. */
+/** Checks that the list of an agent, to which lists are pushed, is in effect from the start. */
 class DiscoveryAgentTest {
     private final FakeDiscovery fakeDiscovery = new FakeDiscovery();
 
@@ -19,7 +19,7 @@
      * subscribe; otherwise drained servers would be used.
      */
     @Test
-    void aPushedListIsAppliedBeforeClientsAreServedAndFollowedFromThenOn() throws Exception {
+    void aPushedListIsAppliedBeforeClientsAreServedAndIsWatchedAfterwards() throws Exception {
         FakeServer[] fakeServers = {FakeServer.servingAnyCommand(), FakeServer.servingAnyCommand()};
         try (FakeServer agent = fakeDiscovery.start();
                 NodeTestFixture fixture = new NodeTestFixture(fakeServers)) {
@@ -37,11 +37,11 @@
             assertEquals(
                     "GET /catalog/members HTTP/1.1",
                     FakeDiscovery.awaitNext(fakeDiscovery.requests),
-                    "the whole list, at once");
+                    "the first call requests the full list without waiting");
             assertThrows(
                     TimeoutException.class,
                     () -> started.get(500, TimeUnit.MILLISECONDS),
-                    "the old list is not to be gone by");
+                    "the node must not start with the configuration's list");
             fakeDiscovery.responses.add(
                     FakeDiscovery.listResponse(
                             8,
@@ -77,9 +77,9 @@
         }
     }
 
-    /** Without an agent at the start, the balancer serves with the configuration's list. */
+    /** If the agent is down at the start, the balancer serves with the configuration's list. */
     @Test
-    void anAgentThatIsDownKeepsNobodyWaiting() throws Exception {
+    void anAgentThatIsDownDoesNotDelayTheStart() throws Exception {
         FakeServer agent = fakeDiscovery.start();
         agent.stopListening();
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
--- a/node/src/test/java/frostrelay/node/DiscoveryClientTest.java
+++ b/node/src/test/java/frostrelay/node/DiscoveryClientTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** The watch resumes from the latest version after every update and every failure. */
+/** Checks that the watch resumes from the latest version after every update and failure. */
 class DiscoveryClientTest {
     private static final String HEADERS_WITHOUT_LENGTH = "HTTP/1.1 200 OK\r\n\r\n";
     @TempDir Path folder;
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void theWatchGoesOnFromTheLatestVersionAndOnAfterFailures() throws Exception {
+    void theWatchContinuesFromTheLatestVersionAfterUpdatesAndFailures() throws Exception {
         try (FakeServer discovery = fakeDiscovery.start();
                 NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             fixture.discovery = discovery.endpoint();
@@ -98,11 +98,11 @@
     }
 
     /**
-     * Lists may be indented, without a length, chunked, or full in place of changes. One that is
-     * followed by a reset is not accepted, however complete it looks.
+     * Lists may be indented, without a length, chunked, or full instead of changes. A list followed
+     * by a reset is rejected, even if its JSON is complete.
      */
     @Test
-    void anAnswerMayHaveAnyFormAndAResetIsNoEnd() throws Exception {
+    void anAnswerMayHaveAnyFormButIsRejectedAfterAReset() throws Exception {
         String target = NodeTestFixture.target("s-9", "127.0.0.1:9", "Ready");
         String indented =
                 "{\n  \"rev\" : 41,\n  \"all\" : true,\n  \"targets\" : [\n    "
@@ -149,13 +149,12 @@
     }
 
     /**
-     * Administrators restart the servers that they drain, so that the discovery may report a server
-     * as removed just before the drain call: the call must succeed all the same, or the server
-     * would be used as soon as it is back. That happened 23 times on one day.
+     * Administrators restart the servers that they drain, so the discovery may report a server as
+     * removed just before the drain call. The call must still succeed; otherwise the server would
+     * be used as soon as it returns, which happened 23 times on one day.
      */
     @Test
-    void aServerThatTheListHasJustDroppedCanBeDrainedAndStaysDrainedWhenItIsBack()
-            throws Exception {
+    void aServerJustRemovedFromTheListCanBeDrainedAndStaysDrainedOnItsReturn() throws Exception {
         FakeServer[] fakeServers = {FakeServer.servingAnyCommand(), FakeServer.servingAnyCommand()};
         try (FakeServer discovery = fakeDiscovery.start();
                 NodeTestFixture fixture = new NodeTestFixture(fakeServers)) {
@@ -171,10 +170,10 @@
             Thread.sleep(600);
             assertTrue(
                     fixture.loop.submit(() -> fixture.node.setAdminDrain("s-0", true)).get().get(),
-                    "it was named a moment ago");
+                    "the server was listed until a moment ago");
             assertFalse(
                     fixture.loop.submit(() -> fixture.node.setAdminDrain("s-7", true)).get().get(),
-                    "nobody ever had this id");
+                    "no server has ever had this id");
             fakeDiscovery.responses.add(
                     FakeDiscovery.listResponse(
                             9,
@@ -194,8 +193,8 @@
     }
 
     /**
-     * A refused connection can fail within the call that opens it, which must not end the watch for
-     * good.
+     * A refused connection can fail within the call that opens it; this must not end the watch
+     * permanently.
      */
     @Test
     void aRefusedConnectionIsAFailureAndIsRetried() throws Exception {
@@ -235,11 +234,11 @@
     }
 
     /**
-     * A new configuration contains another address: the watch moves there at once and requests the
-     * full list, as versions may differ, and the end of the old call is no failure.
+     * When a new configuration contains another address, the watch moves there at once and requests
+     * the full list, as versions may differ; the end of the old call is not reported as a failure.
      */
     @Test
-    void aMovedDiscoveryIsPolledAtOnceAndTheOldCallsEndIsNoFailure() throws Exception {
+    void aNewDiscoveryAddressIsCalledAtOnceWithoutAFailure() throws Exception {
         BlockingQueue<String> newRequests = new LinkedBlockingQueue<>();
         try (FakeServer discovery = fakeDiscovery.start();
                 FakeServer newDiscovery = startMovedDiscovery(newRequests);
@@ -258,7 +257,10 @@
             reload(fixture, config);
             reload(fixture, config);
             assertEquals("GET /catalog/members HTTP/1.1", FakeDiscovery.awaitNext(newRequests));
-            assertEquals("FULL 1", FakeDiscovery.awaitNext(listUpdates), "not FAILED");
+            assertEquals(
+                    "FULL 1",
+                    FakeDiscovery.awaitNext(listUpdates),
+                    "the end of the old call is not reported as a failure");
             assertTrue(
                     FakeDiscovery.awaitNext(newRequests)
                             .startsWith("GET /catalog/members?since=3&timeout_ms="));
@@ -274,21 +276,21 @@
             assertEquals(
                     "FULL 0",
                     FakeDiscovery.awaitNext(listUpdates),
-                    "of the two services that of the file");
+                    "the list comes from the discovery that the file names");
             assertEquals(
                     null,
                     newRequests.poll(),
-                    "signals for an address that has not changed ask nothing");
+                    "a reload without a change of the address sends no request");
         }
     }
 
     /**
      * An update that an unresponsive watch misses becomes binding 2 s after its wait, or 6 s after
-     * it stopped responding: by then another call must have returned it. With a wait of 20 s, 2.5 s
-     * of silence and then a pause, drains were 23 s late.
+     * it stopped responding; another call must return it before that. With a wait of 20 s, a
+     * timeout 2.5 s after it and then a backoff, drains were applied 23 s late.
      */
     @Test
-    void anUnresponsiveWatchIsOpenedAnewInTimeAndIsNoFailure() throws Exception {
+    void anUnresponsiveWatchIsRestartedInTimeWithoutAFailure() throws Exception {
         try (FakeServer discovery = fakeDiscovery.start();
                 NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             fixture.discovery = discovery.endpoint();
@@ -306,7 +308,8 @@
             long unresponsiveMillis = (System.nanoTime() - startNanos) / 1_000_000;
             assertTrue(
                     unresponsiveMillis < 4_500,
-                    "of the 6 s, some are the second call's: " + unresponsiveMillis);
+                    "the second call needs part of the 6 s; milliseconds used: "
+                            + unresponsiveMillis);
             // Both calls get a response: the first one's connection is closed, so that its response
             // must be ignored.
             fakeDiscovery.responses.add(FakeDiscovery.listResponse(8, false));
@@ -314,7 +317,7 @@
             assertEquals(
                     "DELTA 0",
                     FakeDiscovery.awaitNext(listUpdates),
-                    "a silent connection is no failure to wait after");
+                    "an unresponsive connection is not a failure and causes no backoff");
         }
     }
 
--- a/node/src/test/java/frostrelay/node/ServerStartTimesTest.java
+++ b/node/src/test/java/frostrelay/node/ServerStartTimesTest.java
@@ -21,8 +21,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Steps of the wall clock neither make a server that has just started count as warm, nor one that
- * has run for long as warming up.
+ * Checks that a step of the wall clock does not make a server that has just started count as warm,
+ * nor one that started long ago as warming up.
  */
 class ServerStartTimesTest {
     private static final long NANOS_PER_SECOND = Clock.NANOS_PER_SECOND;
@@ -35,7 +35,7 @@
     private final ServerStartTimes startTimes = new ServerStartTimes();
 
     @Test
-    void withoutAStepAStartIsWhereItWas() {
+    void aStartIsConvertedExactlyWithoutAStep() {
         startTimes.onEndpointList(START_NANOS, START_WALL_CLOCK_NANOS);
         assertEquals(
                 START_NANOS - 5 * NANOS_PER_SECOND,
@@ -47,15 +47,15 @@
         assertEquals(
                 START_NANOS - 5 * NANOS_PER_SECOND,
                 startTimes.toLocalStart(1, START_WALL_CLOCK_NANOS - 5 * NANOS_PER_SECOND),
-                "told again");
+                "reported again");
         assertEquals(
                 START_NANOS + 8 * NANOS_PER_SECOND,
                 startTimes.toLocalStart(1, START_WALL_CLOCK_NANOS + 8 * NANOS_PER_SECOND),
-                "started anew");
+                "restarted");
     }
 
     @Test
-    void afterAStepOfAnHourAKnownStartStays() {
+    void aKnownStartIsKeptAfterAStepOfAnHour() {
         for (long step : new long[] {NANOS_PER_HOUR, -NANOS_PER_HOUR}) {
             ServerStartTimes steppedTimes = new ServerStartTimes();
             steppedTimes.onEndpointList(START_NANOS, START_WALL_CLOCK_NANOS);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aStartAfterAStepIsWhereItWas() {
+    void aStartAfterAStepIsConvertedExactly() {
         for (long step : new long[] {NANOS_PER_HOUR, -NANOS_PER_HOUR}) {
             ServerStartTimes steppedTimes = new ServerStartTimes();
             steppedTimes.onEndpointList(START_NANOS, START_WALL_CLOCK_NANOS);
@@ -85,11 +85,11 @@
     }
 
     /**
-     * A start reported in the old time but received after the step: the server did not run when the
-     * last list before the step was received.
+     * A start that was reported in the old time is received after the step. The server did not run
+     * when the last list before the step was received.
      */
     @Test
-    void aStartShortlyBeforeAStepIsNeverTakenForAnOldOne() {
+    void aStartShortlyBeforeAStepIsNotConvertedToAnEarlyOne() {
         for (long step : new long[] {NANOS_PER_HOUR, -NANOS_PER_HOUR}) {
             ServerStartTimes steppedTimes = new ServerStartTimes();
             steppedTimes.onEndpointList(START_NANOS, START_WALL_CLOCK_NANOS);
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void whatIsListedNoMoreIsForgotten() {
+    void serversNoLongerListedAreForgotten() {
         startTimes.onEndpointList(START_NANOS, START_WALL_CLOCK_NANOS);
         startTimes.toLocalStart(1, START_WALL_CLOCK_NANOS - 5 * NANOS_PER_SECOND);
         startTimes.retainOnly(Set.of(2L));
@@ -173,6 +173,6 @@
         assertEquals(
                 START_NANOS,
                 startTimes.toLocalStart(1, START_WALL_CLOCK_NANOS - 5 * NANOS_PER_SECOND),
-                "told as if for the first time, behind a step");
+                "treated as first reported after the step");
     }
 }
