--- a/node/src/main/java/frostrelay/node/admin/AdminOperations.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminOperations.java
@@ -7,16 +7,18 @@
  * are idempotent.
  */
 public interface AdminOperations {
-    /** Whether this process is ready to serve. */
+    /** Returns whether this process is ready to serve. */
     boolean isReady();
 
     /**
-     * The versions that this balancer uses and its view of its peers, as JSON; null if auditing is
-     * off.
+     * Returns the versions that this balancer uses and its view of its peers, as JSON; null if
+     * auditing is off.
      */
     byte[] auditStatement();
 
-    /** The audit record so far, in the format of the audit's files; null if there is none. */
+    /**
+     * Returns the audit record so far, in the format of the audit's files; null if there is none.
+     */
     byte[] auditRecord();
 
     /**
--- a/node/src/main/java/frostrelay/node/admin/AdminResponse.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminResponse.java
@@ -21,18 +21,18 @@
         byte[] body,
         CharSequence contentType,
         HttpMethod allowedMethod) {
-    /** A JSON object with one text, as its status or error; the text needs no escaping in JSON. */
+    /** Returns a JSON object with one field, status or error; {@code text} is not escaped. */
     static AdminResponse of(HttpResponseStatus status, String text) {
         return new AdminResponse(
                 status, json(status, text), HttpHeaderValues.APPLICATION_JSON, null);
     }
 
-    /** A successful response with this body. */
+    /** Returns a successful response with this body. */
     static AdminResponse of(byte[] body, CharSequence contentType) {
         return new AdminResponse(HttpResponseStatus.OK, body, contentType, null);
     }
 
-    /** Rejects the method of a call and names the allowed one. */
+    /** Returns a response that rejects the method of a call and names the allowed one. */
     static AdminResponse methodNotAllowed(HttpMethod allowedMethod) {
         HttpResponseStatus status = HttpResponseStatus.METHOD_NOT_ALLOWED;
         return new AdminResponse(
--- a/node/src/main/java/frostrelay/node/admin/AdminRoute.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminRoute.java
@@ -28,7 +28,7 @@
         return method;
     }
 
-    /** The route with this path, or null. */
+    /** Returns the route with this path, or null. */
     static AdminRoute ofPath(String path) {
         for (AdminRoute route : values()) {
             if (route.path.equals(path)) {
--- a/node/src/main/java/frostrelay/node/admin/AdminRoutes.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminRoutes.java
@@ -21,7 +21,7 @@
  * responses. Makes no decisions of its own.
  */
 final class AdminRoutes {
-    /** What a version can be of that a balancer is made to follow. */
+    /** Kinds of versions that a balancer can be made to follow. */
     private static final List<String> VERSION_KINDS = List.of("list", "config");
 
     private final AdminOperations operations;
@@ -97,7 +97,7 @@
                 : AdminResponse.of(body, type);
     }
 
-    /** The parsed body; null if it is no JSON. */
+    /** Returns the parsed body, or null if it is not JSON. */
     private static Object parseBody(FullHttpRequest request) {
         try {
             return JSON.std.anyFrom(request.content().toString(StandardCharsets.UTF_8));
--- a/node/src/main/java/frostrelay/node/admin/AdminServer.java
+++ b/node/src/main/java/frostrelay/node/admin/AdminServer.java
@@ -50,7 +50,7 @@
     /**
      * Creates a server that does not listen yet.
      *
-     * @param callTimeoutMillis how long a caller may take to send its call, and again to read the
+     * @param callTimeoutMillis time that a caller may take to send its call, and again to read the
      *     response
      */
     public AdminServer(EventLoop loop, AdminOperations operations, long callTimeoutMillis) {
--- a/node/src/main/java/frostrelay/node/admin/OverrideDecision.java
+++ b/node/src/main/java/frostrelay/node/admin/OverrideDecision.java
@@ -1,12 +1,15 @@
 package frostrelay.node.admin;
 
 /**
- * An administrators' decision that overrides the staleness detection of a balancer.
+ * A decision of administrators that overrides the staleness detection of a balancer.
  *
  * @param word the form in which the decision is stored and reported; empty for {@link #CLEAR_ALL}
  */
 public record OverrideDecision(String word) {
-    /** Keeps the balancer serving however stale it is; takes precedence over {@link #SHUT_OUT}. */
+    /**
+     * Keeps the balancer serving regardless of its staleness; takes precedence over {@link
+     * #SHUT_OUT}.
+     */
     public static final OverrideDecision KEEP_IN = new OverrideDecision("keep-in");
 
     /** Drains the balancer until the decision is cleared. */
@@ -18,14 +21,14 @@
     /**
      * Makes the balancer follow a version that it has refused to follow.
      *
-     * @param kind what the version is of: {@code list} or {@code config}
+     * @param kind the kind of version, {@code list} or {@code config}
      * @param number the version number
      */
     public static OverrideDecision followVersion(String kind, long number) {
         return new OverrideDecision("follow:" + kind + ':' + number);
     }
 
-    /** Whether this clears all decisions rather than adding one. */
+    /** Returns whether this clears all decisions rather than adding one. */
     public boolean clearsAll() {
         return word.isEmpty();
     }
--- a/node/src/test/java/frostrelay/node/AdminOperationsTest.java
+++ b/node/src/test/java/frostrelay/node/AdminOperationsTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Administrators' operations take effect on clients and cache servers. */
+/** Checks that administrators' operations take effect on clients and cache servers. */
 class AdminOperationsTest {
     private static boolean isReady(NodeTestFixture fixture) throws Exception {
         return fixture.loop.submit(fixture.node::isReady).get();
@@ -24,9 +24,9 @@
             assertEquals(
                     "HD O2 c77",
                     busyClient.request(NodeTestFixture.NON_IDEMPOTENT_WRITE),
-                    "served once more");
-            assertEquals(null, busyClient.readLine(), "and closed behind the answer");
-            assertEquals(null, idleClient.readLine(), "closed though it asked for nothing");
+                    "a request during the drain is still served");
+            assertEquals(null, busyClient.readLine(), "the connection is closed after the answer");
+            assertEquals(null, idleClient.readLine(), "an idle connection is closed too");
             try (TestConnection clientDuringDrain = fixture.client()) {
                 assertEquals("SERVER_ERROR draining", clientDuringDrain.request("mn"));
                 assertEquals(null, clientDuringDrain.readLine());
@@ -38,13 +38,16 @@
                 assertEquals(
                         "HD O2 c77",
                         clientAfterDrain.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
-                assertEquals("MN", clientAfterDrain.request("mn"), "kept open again");
+                assertEquals(
+                        "MN",
+                        clientAfterDrain.request("mn"),
+                        "connections stay open after the drain");
             }
         }
     }
 
     @Test
-    void aDrainAnswersWhatIsOpen() throws Exception {
+    void aDrainAnswersRequestsInProgress() throws Exception {
         FakeServer[] fakeServer = new FakeServer[1];
         java.util.concurrent.CountDownLatch draining = new java.util.concurrent.CountDownLatch(1);
         fakeServer[0] =
@@ -68,23 +71,25 @@
         }
     }
 
-    /** Another server gets the requests that the drained one would have got. */
+    /** Another server receives the requests that the drained one would have received. */
     @Test
     void aDrainedServerIsNotUsedUntilItIsRestored() throws Exception {
         FakeServer[] fakeServers = {FakeServer.servingAnyCommand(), FakeServer.servingAnyCommand()};
         try (NodeTestFixture fixture = new NodeTestFixture(fakeServers).start();
                 TestConnection client = fixture.client()) {
-            assertFalse(setAdminDrain(fixture, "s-9", true), "nobody has this id");
+            assertFalse(setAdminDrain(fixture, "s-9", true), "no server has this id");
             assertFalse(setAdminDrain(fixture, "s-9", false));
             assertTrue(setAdminDrain(fixture, "s-0", true));
-            assertTrue(setAdminDrain(fixture, "s-0", true), "twice does no harm");
+            assertTrue(setAdminDrain(fixture, "s-0", true), "a repeated call succeeds too");
             for (int i = 0; i < 50; i++) {
                 assertEquals(
                         "HD O" + i + " c77",
                         client.request("ms " + i + " 1 O" + i + " Pc=copy,t=acme,d=5000\r\nx"));
             }
             assertEquals(0, fakeServers[0].connections.get());
-            assertTrue(setAdminDrain(fixture, "s-0", false), "one call back is enough");
+            assertTrue(
+                    setAdminDrain(fixture, "s-0", false),
+                    "one call ends a drain that two calls requested");
             assertTrue(setAdminDrain(fixture, "s-0", false));
             for (int i = 0; fakeServers[0].connections.get() == 0; i++) {
                 client.request("ms " + i + " 1 O" + i + " Pc=copy,t=acme,d=5000\r\nx");
@@ -98,7 +103,7 @@
     }
 
     @Test
-    void callsComeInOverHttp() throws Exception {
+    void operationsAreCalledOverHttp() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             fixture.adminAddress = "127.0.0.1:" + StopTest.freePort();
             fixture.start();
--- a/node/src/test/java/frostrelay/node/admin/AdminServerTest.java
+++ b/node/src/test/java/frostrelay/node/admin/AdminServerTest.java
@@ -24,8 +24,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Each call gets one response; callers who send nothing, an incomplete call or too much get a 4xx
- * and do not affect others.
+ * Checks that each call gets one response, and that callers who send nothing, an incomplete call or
+ * too much get a 4xx and do not affect others.
  */
 class AdminServerTest {
     private static final int READ_TIMEOUT_MILLIS = 20_000;
@@ -70,7 +70,7 @@
         @Override
         public Future<Boolean> setAdminDrain(String id, boolean isDrained) {
             if (id.equals("broken")) {
-                return group.next().newFailedFuture(new IOException("no room"));
+                return group.next().newFailedFuture(new IOException("no space left on device"));
             }
             calls.add((isDrained ? "down " : "up ") + id);
             return group.next().newSucceededFuture(id.startsWith("s-"));
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void readinessIsYesOnlyOnceThisProcessIsReady() throws Exception {
+    void readinessIsReportedOnlyOnceThisProcessIsReady() throws Exception {
         InetSocketAddress adminAddress = startServer(LONG_CALL_TIMEOUT_MILLIS);
         assertStatus(503, call(adminAddress, requestHead("GET", "/ops/readiness") + "\r\n"));
         operations.ready = true;
@@ -217,7 +217,7 @@
     }
 
     @Test
-    void oneCallAConnection() throws Exception {
+    void eachConnectionServesOneCall() throws Exception {
         InetSocketAddress adminAddress = startServer(LONG_CALL_TIMEOUT_MILLIS);
         String response =
                 call(
@@ -230,7 +230,7 @@
     }
 
     @Test
-    void aCallerMayEndItsSendingBehindTheCall() throws Exception {
+    void aCallerMayShutDownItsOutputAfterTheCall() throws Exception {
         InetSocketAddress adminAddress = startServer(LONG_CALL_TIMEOUT_MILLIS);
         operations.ready = true;
         try (Socket socket = connect(adminAddress)) {
@@ -257,7 +257,7 @@
     }
 
     @Test
-    void manyIdleCallersKeepNobodyOut() throws Exception {
+    void manyIdleConnectionsDoNotBlockOtherCallers() throws Exception {
         InetSocketAddress adminAddress = startServer(LONG_CALL_TIMEOUT_MILLIS);
         operations.ready = true;
         List<Socket> idleConnections = new ArrayList<>();
@@ -266,7 +266,7 @@
                 idleConnections.add(connect(adminAddress));
             }
             assertStatus(200, call(adminAddress, requestHead("GET", "/ops/readiness") + "\r\n"));
-            assertEquals("", read(idleConnections.get(0)), "closed to make room");
+            assertEquals("", read(idleConnections.get(0)), "the oldest idle connection is closed");
         } finally {
             for (Socket socket : idleConnections) {
                 socket.close();
