--- a/node/src/main/java/frostrelay/node/lifecycle/ActionGuard.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/ActionGuard.java
@@ -3,50 +3,48 @@
 import frostrelay.node.time.Clock;
 
 /**
- * Decides whether a request may be accepted, sent or retried, and a connection closed, at a given
- * moment, from the remaining time of the request, its client, the server and this process. Callers
- * check immediately before acting, with a fresh clock reading, regardless of any earlier decision.
- * Reads no clock and does no I/O.
+ * A guard that decides whether a request may be accepted, sent or retried, or a connection closed,
+ * at a given time. Decisions depend on the remaining time of the request, its client, the server
+ * and this process. Callers check immediately before acting, with a fresh clock reading, regardless
+ * of any earlier decision. Reads no clock and does no I/O.
  */
 public final class ActionGuard {
-    /**
-     * The longest pause of this process that is allowed for between a clock reading and a write.
-     */
+    /** The longest tolerated pause of this process between a clock reading and a write. */
     public static final long MAX_PROCESS_STALL_NANOS = 150 * Clock.NANOS_PER_MILLISECOND;
 
-    /** A moment that never comes. */
+    /** A time that is never reached. */
     public static final long NEVER = Long.MAX_VALUE;
 
     /**
      * While draining, a new connection is not closed within this time: its first request may be in
-     * transit and would cross the close. A slow network path takes 60 ms, a busy client some more.
+     * transit and would cross the close. A slow network path takes 60 ms, a busy client longer.
      */
     private static final long NEW_CONNECTION_GRACE_NANOS = 300 * Clock.NANOS_PER_MILLISECOND;
 
     /**
-     * A client's disconnect must be acted on within 100 ms; the rest of that time is for the
-     * transmission of what is sent.
+     * A client's disconnect must take effect within 100 ms; the remaining 25 ms are for
+     * transmission.
      */
     private static final long MAX_UNOBSERVED_NANOS = 75 * Clock.NANOS_PER_MILLISECOND;
 
     /**
      * The protocol allows a forwarded timeout to be overstated by 150 ms, which covers a pause of
      * this process before it writes. This margin covers the rest, such as the client's network
-     * path; of short timeouts only a fraction is subtracted.
+     * path; for short timeouts, only a fraction of the remaining time is subtracted.
      */
     private static final long MAX_TIMEOUT_MARGIN_NANOS = 60 * Clock.NANOS_PER_MILLISECOND;
 
     private static final long TIMEOUT_MARGIN_DIVISOR = 8;
 
-    /** Whether an attempt may be written, or the reason why not. */
+    /** The decision whether an attempt may be written, with the reason if it may not. */
     public enum SendDecision {
         /** The attempt may be written. */
         ALLOWED,
         /** The request has its final answer, or its client has disconnected. */
         REQUEST_OVER,
         /**
-         * The client's connection has not been read for so long that a disconnect may have gone
-         * unnoticed.
+         * The client's connection has not been read for longer than allowed, so that a disconnect
+         * may have remained undetected.
          */
         CLIENT_UNOBSERVED,
         /** The request's deadline or the attempt's timeout has passed. */
@@ -62,7 +60,7 @@
      * nanoseconds.
      *
      * @param isRequestOver whether the request has its final answer or its client has disconnected
-     * @param unobservedSinceNanos since when a disconnect of the client could have gone unnoticed;
+     * @param unobservedSinceNanos time since which a disconnect of the client may be undetected;
      *     {@link #NEVER} while its connection is being read
      * @param attemptDeadlineNanos when the attempt times out; the remaining time is forwarded to
      *     the server
@@ -84,8 +82,8 @@
     private DrainSchedule schedule;
 
     /**
-     * Starts to drain by this schedule, or returns to serving if it is null. Ignored once this
-     * process is shutting down.
+     * Starts to drain by this schedule, or resumes serving if it is null. Ignored once this process
+     * is shutting down.
      */
     public void setSchedule(DrainSchedule newSchedule) {
         if (!isShuttingDown()) {
@@ -93,29 +91,29 @@
         }
     }
 
-    /** Whether clients are being drained, for a drain or a shutdown. */
+    /** Returns whether clients are being drained, for a drain or a shutdown. */
     public boolean isDraining() {
         return schedule != null;
     }
 
-    /** Whether this process is shutting down. */
+    /** Returns whether this process is shutting down. */
     public boolean isShuttingDown() {
         return schedule != null && schedule.isShutdown();
     }
 
     /**
-     * Whether a request that has been received completely may be accepted at {@code now}. A
-     * rejected one has no effect.
+     * Returns whether a completely received request may be accepted at {@code now}. A rejected
+     * request has no effect.
      */
     public boolean mayAccept(long now) {
         return schedule == null || now < schedule.acceptUntilNanos();
     }
 
     /**
-     * Whether the client could have disconnected too long ago: no work may start for a client that
-     * disconnected more than 100 ms before.
+     * Returns whether the client may have disconnected too long ago: no work may start for a client
+     * that disconnected more than 100 ms before.
      *
-     * @param unobservedSinceNanos since when a disconnect could have gone unnoticed; {@link #NEVER}
+     * @param unobservedSinceNanos time since which a disconnect may be undetected; {@link #NEVER}
      *     while its connection is being read
      */
     public boolean isClientUnobserved(long now, long unobservedSinceNanos) {
@@ -123,8 +121,8 @@
     }
 
     /**
-     * When the final answer is due of a request that arrived at {@code arrivedAtNanos} with a
-     * timeout of {@code timeoutNanos}; no later than a shutdown allows.
+     * Returns the deadline of the final answer to a request that arrived at {@code arrivedAtNanos}
+     * with a timeout of {@code timeoutNanos}; no later than a shutdown allows.
      */
     public long requestDeadlineNanos(long arrivedAtNanos, long timeoutNanos) {
         long clientDeadlineNanos = arrivedAtNanos + timeoutNanos;
@@ -134,8 +132,8 @@
     }
 
     /**
-     * The timeout in nanoseconds that is forwarded to the server if the attempt is written now:
-     * never more than the client's remaining time less a margin for a pause of this process and for
+     * Returns the timeout in nanoseconds to forward to the server if the attempt is written now. It
+     * never exceeds the client's remaining time less a margin for a pause of this process and for
      * transmission.
      */
     public long forwardedTimeoutNanos(
@@ -146,7 +144,7 @@
         return Math.min(attemptDeadlineNanos - now, clientRemainingNanos - marginNanos);
     }
 
-    /** Whether an attempt may be written now. */
+    /** Returns whether an attempt may be written now. */
     public SendDecision checkSend(long now, PendingSend send) {
         if (send.isRequestOver) {
             return SendDecision.REQUEST_OVER;
@@ -164,11 +162,11 @@
     }
 
     /**
-     * Whether a client's connection without open requests may be closed because of a drain or a
-     * shutdown.
+     * Returns whether a client's connection without open requests may be closed because of a drain
+     * or a shutdown.
      *
      * @param hasAcceptedRequest whether a request was ever accepted on it
-     * @param idleSinceNanos when it was opened or became idle
+     * @param idleSinceNanos time at which it was opened or became idle
      * @param hasPartialRequest whether part of a request has been received
      */
     public boolean mayCloseIdle(
--- a/node/src/main/java/frostrelay/node/lifecycle/AdminStateStore.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/AdminStateStore.java
@@ -20,12 +20,12 @@
 
 /**
  * A persistent set of strings set by administrators, such as the ids of drained servers, in one
- * small JSON file that outlasts the process. Every process of the balancer may change it; a lock
- * file serializes the changes, and each replaces the file atomically, so that no reader sees a
- * partial one. Blocks on file I/O; not thread-safe within a process.
+ * small JSON file that persists after the process has ended. Every process of the balancer may
+ * change it; a lock file serializes the changes, and each replaces the file atomically, so that no
+ * reader sees a partial one. Blocks on file I/O; not thread-safe within a process.
  */
 final class AdminStateStore {
-    /** A longer file was not written by a balancer. */
+    /** Maximum file length; longer files cannot have been written by a balancer. */
     private static final long MAX_FILE_BYTES = 1024 * 1024;
 
     private final String name;
@@ -46,7 +46,7 @@
         temporaryFile = directory.resolve(name + ".draft");
     }
 
-    /** The stored values, or the last known ones if the file is corrupt or foreign. */
+    /** Returns the stored values, or the last known ones if the file is corrupt or foreign. */
     Set<String> read() {
         try {
             lastKnown = parse();
@@ -63,13 +63,16 @@
     }
 
     private Set<String> parse() throws IOException {
-        if (Files.size(file) > MAX_FILE_BYTES) {
-            throw new IOException("it is too long");
+        long size = Files.size(file);
+        if (size > MAX_FILE_BYTES) {
+            throw new IOException(
+                    "file has " + size + " bytes; at most " + MAX_FILE_BYTES + " are allowed");
         }
         Object json = JSON.std.anyFrom(Files.readString(file, StandardCharsets.UTF_8));
         if (!(json instanceof Map<?, ?> object && object.get(name) instanceof List<?> ids)
                 || !ids.stream().allMatch(String.class::isInstance)) {
-            throw new IOException("it holds no list of ids");
+            throw new IOException(
+                    "file contains no list of strings under the key \"" + name + "\"");
         }
         Set<String> read = new TreeSet<>();
         ids.forEach(id -> read.add((String) id));
@@ -80,7 +83,7 @@
      * Adds or removes a value and returns all values stored afterwards. Removing the empty string
      * removes all of them.
      *
-     * @throws IOException if the file cannot be locked or written; it is unchanged then
+     * @throws IOException if the file cannot be locked or written, and is therefore unchanged
      */
     Set<String> change(String id, boolean isPresent) throws IOException {
         try (FileChannel lockChannel =
--- a/node/src/main/java/frostrelay/node/lifecycle/DescriptorUsage.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/DescriptorUsage.java
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Decodes what {@link #encode} wrote. Returns {@link #NONE} for too few bytes, since the writer
-     * may not have written yet; negative counts become 0.
+     * Decodes the result of {@link #encode}. Returns {@link #NONE} for too few bytes, since the
+     * writer may not have written yet; negative counts become 0.
      */
     static DescriptorUsage decode(ByteBuffer bytes) {
         if (bytes.remaining() < ENCODED_BYTES) {
--- a/node/src/main/java/frostrelay/node/lifecycle/ProcessRegistry.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/ProcessRegistry.java
@@ -15,10 +15,10 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The serving processes of one balancer; during an upgrade there are two, which share a directory.
- * Each process locks a file of its own, and the operating system releases that lock however the
- * process ends: a file without a lock belongs to a dead process. The file contains the descriptor
- * usage of its process. Blocks on file I/O.
+ * A registry of the serving processes of one balancer, in a directory that two processes share
+ * during an upgrade. Each process locks its own file, and the operating system releases the lock
+ * when the process ends for any reason; an unlocked file therefore belongs to a dead process. The
+ * file contains the descriptor usage of its process. Blocks on file I/O.
  */
 final class ProcessRegistry implements AutoCloseable {
     /** The number of the other serving processes and their total usage. */
@@ -36,7 +36,7 @@
     private final Path ownFile;
     private FileChannel ownChannel;
 
-    /** The directory could not be read, and this has been logged. */
+    /** Whether the directory could not be read and this has been logged. */
     private boolean isUnreadable;
 
     /** {@code name} identifies this process among those that share the directory. */
@@ -52,7 +52,9 @@
                     FileChannel.open(ownFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
             ownChannel.lock();
         } catch (IOException e) {
-            Log.write(Event.PEER_PROCESSES_UNREADABLE, "they cannot see this one: " + e);
+            Log.write(
+                    Event.PEER_PROCESSES_UNREADABLE,
+                    "cannot register this process for detection by others: " + e);
         }
     }
 
@@ -63,7 +65,7 @@
         }
     }
 
-    /** The other processes of this balancer that serve now. */
+    /** Returns the other processes of this balancer that are serving. */
     PeerProcesses servingPeers() {
         PeerProcesses peers = PeerProcesses.NONE;
         try (DirectoryStream<Path> files = Files.newDirectoryStream(directory, PREFIX + "*")) {
@@ -81,7 +83,7 @@
         return peers;
     }
 
-    /** The usage of the process that owns the file; null if that process is dead. */
+    /** Returns the usage of the process that owns the file; null if that process is dead. */
     private static DescriptorUsage read(Path file) throws IOException {
         try (FileChannel channel =
                 FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
@@ -101,7 +103,7 @@
         try (FileLock lock = channel.tryLock()) {
             return lock != null;
         } catch (OverlappingFileLockException e) {
-            // The lock belongs to this JVM: a test runs several balancers in one.
+            // The lock is held by this JVM, in which a test runs several balancers.
             return false;
         }
     }
--- a/node/src/main/java/frostrelay/node/lifecycle/SharedDirectory.java
+++ b/node/src/main/java/frostrelay/node/lifecycle/SharedDirectory.java
@@ -17,12 +17,12 @@
 
 /**
  * The state that the processes of one balancer share through {@code $TMPDIR}: the administrators'
- * drains and overrides and, during an upgrade, which processes serve. All file I/O runs on a thread
- * of its own, since an event loop must not block; callbacks are invoked on that thread.
+ * drains and overrides and, during an upgrade, the serving processes. All file I/O runs on a
+ * dedicated thread, since an event loop must not block; callbacks are invoked on that thread.
  */
 public final class SharedDirectory implements AutoCloseable {
     /**
-     * The shared state at one moment.
+     * A snapshot of the shared state.
      *
      * @param adminDrains ids of the servers that administrators drained
      * @param overrides the administrators' override decisions
@@ -35,7 +35,7 @@
             int peerProcessCount,
             DescriptorUsage peerUsage) {}
 
-    /** Receives the state after every poll, changed or not, on the directory's thread. */
+    /** Receives the state after every poll, even if unchanged, on the directory's thread. */
     public interface Listener {
         /** Called in the order of the polls and of the changes. */
         void onSnapshot(Snapshot snapshot);
@@ -43,14 +43,14 @@
 
     /** The outcome of a change to the administrators' state. */
     public sealed interface ChangeResult {
-        /** The change is on disk; {@code values} are all values stored now. */
+        /** The change was stored; {@code values} are all stored values after it. */
         record Saved(Set<String> values) implements ChangeResult {}
 
         /** The change could not be stored. */
         record Failed(Exception cause) implements ChangeResult {}
     }
 
-    /** Far below the time within which a drain set at another process must take effect. */
+    /** Much shorter than the time within which a drain set at another process must take effect. */
     private static final long POLL_INTERVAL_MILLIS = 100;
 
     private static final long CLOSE_TIMEOUT_MILLIS = 500;
@@ -61,9 +61,9 @@
     private final ScheduledExecutorService executor =
             Executors.newSingleThreadScheduledExecutor(
                     task -> {
-                        Thread fresh = new Thread(task, "folder");
-                        fresh.setDaemon(true);
-                        return fresh;
+                        Thread thread = new Thread(task, "folder");
+                        thread.setDaemon(true);
+                        return thread;
                     });
 
     /** {@code name} identifies this process among those that share the directory. */
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Whether other processes of this balancer serve now; false if the directory cannot be read
-     * within the timeout.
+     * Returns whether other processes of this balancer are serving; false if the directory cannot
+     * be read within the timeout.
      */
     public boolean hasServingPeers(long timeoutMillis)
             throws InterruptedException, ExecutionException {
@@ -90,7 +90,9 @@
                             .count()
                     > 0;
         } catch (TimeoutException e) {
-            Log.write(Event.SHARED_DIRECTORY_FAILED, "no answer within " + timeoutMillis + " ms");
+            Log.write(
+                    Event.SHARED_DIRECTORY_FAILED,
+                    "reading took longer than " + timeoutMillis + " ms");
             return false;
         }
     }
@@ -158,7 +160,7 @@
 
     @Override
     public void close() throws IOException {
-        // Not shutdownNow: an interrupt would close the files that a poll has open.
+        // shutdownNow is not used, as its interrupt would close files that a poll has open.
         executor.shutdown();
         try {
             executor.awaitTermination(CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
--- a/node/src/test/java/frostrelay/node/lifecycle/ActionGuardTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/ActionGuardTest.java
@@ -9,19 +9,29 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Each condition that forbids an action does so on its own, from its time on. */
+/** Tests that each condition alone prevents an action from its time on. */
 class ActionGuardTest {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
     private static final long NEVER = ActionGuard.NEVER;
     private final ActionGuard guard = new ActionGuard();
 
     private static PendingSend pendingSend(
-            long unseenSince, long abandonAt, long answerBy, long serverUntil, long repeatUntil) {
-        return new PendingSend(false, unseenSince, abandonAt, answerBy, serverUntil, repeatUntil);
+            long unobservedSince,
+            long attemptDeadline,
+            long requestDeadline,
+            long serverUsableUntil,
+            long retryUntil) {
+        return new PendingSend(
+                false,
+                unobservedSince,
+                attemptDeadline,
+                requestDeadline,
+                serverUsableUntil,
+                retryUntil);
     }
 
     @Test
-    void anAttemptIsWrittenOnlyWhileAllAllowIt() {
+    void attemptIsAllowedOnlyIfNoConditionPreventsIt() {
         assertEquals(SendDecision.ALLOWED, guard.checkSend(0, pendingSend(NEVER, 1, 1, 1, 1)));
         assertEquals(
                 SendDecision.REQUEST_OVER,
@@ -49,7 +59,7 @@
     }
 
     @Test
-    void aServerIsSentAShorterTimeoutThanTheClientHasLeft() {
+    void forwardedTimeoutIsShorterThanTheRemainingTimeOfTheClient() {
         assertEquals(
                 1_940 * NANOS_PER_MILLISECOND,
                 guard.forwardedTimeoutNanos(
@@ -60,16 +70,16 @@
                 140 * NANOS_PER_MILLISECOND,
                 guard.forwardedTimeoutNanos(
                         0, 160 * NANOS_PER_MILLISECOND, 160 * NANOS_PER_MILLISECOND),
-                "of a short wait an eighth is taken off");
+                "an eighth is subtracted from a short timeout");
         assertEquals(
                 500 * NANOS_PER_MILLISECOND,
                 guard.forwardedTimeoutNanos(
                         0, 500 * NANOS_PER_MILLISECOND, 3_000 * NANOS_PER_MILLISECOND),
-                "an attempt that is cut earlier is waited for until then");
+                "the timeout of the attempt is forwarded if it is earlier");
     }
 
     @Test
-    void aShutdownCutsWhatIsPromisedAndNothingEndsIt() {
+    void shutdownShortensDeadlinesAndCannotBeReverted() {
         assertEquals(
                 9_000 * NANOS_PER_MILLISECOND,
                 guard.requestDeadlineNanos(0, 9_000 * NANOS_PER_MILLISECOND));
@@ -77,7 +87,7 @@
         assertEquals(
                 9_000 * NANOS_PER_MILLISECOND,
                 guard.requestDeadlineNanos(0, 9_000 * NANOS_PER_MILLISECOND),
-                "a drain leaves the process running");
+                "a drain does not end the process and shortens no deadline");
         DrainSchedule shutdown = DrainSchedule.forShutdown(0, 1_000 * NANOS_PER_MILLISECOND);
         guard.setSchedule(shutdown);
         assertEquals(
@@ -94,24 +104,24 @@
     }
 
     @Test
-    void anIdleConnectionIsClosedWhenNothingIsOnItsWay() {
-        assertFalse(guard.mayCloseIdle(NEVER - 1, true, 0, false), "clients are welcome");
+    void idleConnectionIsClosedOnlyIfNoRequestIsInTransit() {
+        assertFalse(guard.mayCloseIdle(NEVER - 1, true, 0, false), "not closed while serving");
         DrainSchedule shutdown = DrainSchedule.forShutdown(0, 3_000 * NANOS_PER_MILLISECOND);
         guard.setSchedule(shutdown);
         long idleUntil = shutdown.idleUntilNanos();
         assertFalse(guard.mayCloseIdle(idleUntil - 1, true, 0, false));
         assertTrue(guard.mayCloseIdle(idleUntil, true, 0, false));
-        assertFalse(guard.mayCloseIdle(idleUntil, true, 0, true), "a request has come in part");
+        assertFalse(guard.mayCloseIdle(idleUntil, true, 0, true), "part of a request was received");
         assertFalse(
                 guard.mayCloseIdle(
                         idleUntil, false, idleUntil - 299 * NANOS_PER_MILLISECOND, false),
-                "its first request is on its way");
+                "the first request may be in transit");
         assertTrue(
                 guard.mayCloseIdle(
                         idleUntil, false, idleUntil - 300 * NANOS_PER_MILLISECOND, false));
         assertTrue(
                 guard.mayCloseIdle(
                         shutdown.answerUntilNanos(), false, shutdown.answerUntilNanos(), true),
-                "the end");
+                "every connection may be closed when all answers are due");
     }
 }
--- a/node/src/test/java/frostrelay/node/lifecycle/AdminStateStoreTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/AdminStateStoreTest.java
@@ -12,14 +12,14 @@
 import java.util.Set;
 
 /**
- * The administrators' state outlasts the process, is visible to other processes, and survives a
- * corrupt or foreign file.
+ * Tests that the administrators' state persists, is visible to other processes, and is kept if the
+ * file is corrupt or foreign.
  */
 class AdminStateStoreTest {
     @TempDir Path folder;
 
     @Test
-    void anotherProcessReadsAndChangesTheAdminDrains() throws Exception {
+    void adminDrainsAreSharedWithOtherProcesses() throws Exception {
         AdminStateStore oldStore = new AdminStateStore(folder, "holds");
         assertEquals(Set.of(), oldStore.read());
         oldStore.change("s-1", true);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aTornOrForeignFileIsNoHarm() throws Exception {
+    void lastKnownValuesAreUsedIfFileIsCorruptOrForeign() throws Exception {
         AdminStateStore store = new AdminStateStore(folder, "holds");
         store.change("s-1", true);
         for (String text :
@@ -47,11 +47,11 @@
         assertEquals(
                 Set.of("s-1", "s-2"),
                 new AdminStateStore(folder, "holds").read(),
-                "replaced by the next change");
+                "the next change replaces the corrupt file");
     }
 
     @Test
-    void aFailedWriteIsReported() {
+    void failedWriteThrows() {
         AdminStateStore store = new AdminStateStore(folder.resolve("missing"), "holds");
         assertThrows(IOException.class, () -> store.change("s-1", true));
     }
--- a/node/src/test/java/frostrelay/node/lifecycle/DrainScheduleTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/DrainScheduleTest.java
@@ -10,31 +10,31 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The schedules keep within the times that administrators and the platform allow. */
+/** Tests that schedules stay within the times that administrators and the platform allow. */
 class DrainScheduleTest {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
 
     @Test
-    void aDrainIsOverBeforeOperatorsLook() {
+    void drainCompletesBeforeAdministratorsCheckIt() {
         DrainSchedule drain = DrainSchedule.forDrain(100 * NANOS_PER_MILLISECOND);
         assertFalse(drain.isShutdown());
         assertTrue(
                 drain.acceptUntilNanos()
                         <= 100 * NANOS_PER_MILLISECOND + 2_000 * NANOS_PER_MILLISECOND,
-                "no request of the last 2 s at 4 s");
+                "at 4 s, no request of the last 2 s remains");
         assertTrue(drain.idleUntilNanos() < drain.acceptUntilNanos());
         assertTrue(
                 drain.partialRequestUntilNanos()
                         <= 100 * NANOS_PER_MILLISECOND + 3_000 * NANOS_PER_MILLISECOND,
-                "and a second to linger");
+                "waiting for partial requests ends 1 s before the check at 4 s");
     }
 
     /**
-     * For every longest deadline, all answers are due before SIGKILL, with a margin for a pause of
-     * the process.
+     * Checks for any longest deadline that all answers are due before SIGKILL, with a margin for a
+     * pause of the process.
      */
     @Property
-    void whatIsAcceptedBeforeShutdownCanBeAnsweredBeforeTheKill(
+    void acceptedRequestsCanBeAnsweredBeforeSigkill(
             @ForAll @LongRange(min = 1, max = 60_000) long longestDeadlineMillis,
             @ForAll @LongRange(min = -1_000_000_000, max = 1_000_000_000) long signalNanos) {
         long killAtNanos =
@@ -48,20 +48,21 @@
         assertTrue(shutdown.acceptUntilNanos() <= shutdown.answerUntilNanos());
         assertTrue(
                 shutdown.acceptUntilNanos() < signalNanos + 700 * NANOS_PER_MILLISECOND,
-                "what SIGKILL finds of later requests is lost");
+                "requests accepted later would be lost at SIGKILL");
         assertTrue(shutdown.partialRequestUntilNanos() <= shutdown.answerUntilNanos());
         assertTrue(
-                shutdown.exitAtNanos() > killAtNanos, "it does not end while it may still serve");
+                shutdown.exitAtNanos() > killAtNanos,
+                "the process does not exit before SIGKILL is due");
     }
 
     @Test
-    void clientsComeOnForAWhileInAnyCase() {
+    void requestsAreAcceptedForTheSameTimeWithAnyDeadline() {
         for (long longestDeadlineMillis : new long[] {300, 1_000, 1_670, 3_000, 10_000}) {
             assertEquals(
                     600 * NANOS_PER_MILLISECOND,
                     DrainSchedule.forShutdown(0, longestDeadlineMillis * NANOS_PER_MILLISECOND)
                             .acceptUntilNanos(),
-                    "deadline " + longestDeadlineMillis);
+                    "longest deadline in ms: " + longestDeadlineMillis);
         }
     }
 }
--- a/node/src/test/java/frostrelay/node/lifecycle/FormerVersionStateTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/FormerVersionStateTest.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 
 /**
- * The files of version 0.7.0 in the shared directory are read as that version meant them: an
- * upgrade keeps the administrators' state, and both versions' processes detect each other.
+ * Compatibility with the files of version 0.7.0 in the shared directory: an upgrade keeps the
+ * administrators' state, and processes of both versions detect each other.
  */
 class FormerVersionStateTest {
     private static final String RESOURCES = "version-0.7.0/";
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aSnapshotContainsTheFormerVersionsState() throws Exception {
+    void snapshotContainsTheStateOfTheFormerVersion() throws Exception {
         copyResource("holds.json");
         copyResource("overrides.json");
         try (SharedDirectory sharedDirectory = new SharedDirectory(folder, "1")) {
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aServingProcessOfTheFormerVersionIsCountedWithItsUsage() throws Exception {
+    void servingProcessOfTheFormerVersionIsCountedWithItsUsage() throws Exception {
         Path servingFile = copyResource("serving-41");
         assertEquals(
                 new DescriptorUsage(70, 30),
@@ -76,6 +76,6 @@
                     registry.servingPeers());
         }
         assertEquals(0, registry.servingPeers().count());
-        assertFalse(Files.exists(servingFile), "without its lock it belongs to a dead process");
+        assertFalse(Files.exists(servingFile), "an unlocked file belongs to a dead process");
     }
 }
--- a/node/src/test/java/frostrelay/node/lifecycle/ProcessRegistryTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/ProcessRegistryTest.java
@@ -9,12 +9,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Processes of one balancer detect each other through the directory that they share. */
+/** Tests that processes of one balancer detect each other through their shared directory. */
 class ProcessRegistryTest {
     @TempDir Path folder;
 
     @Test
-    void onlyPeerProcessesThatServeAreCounted() throws Exception {
+    void onlyServingPeerProcessesAreCounted() throws Exception {
         ProcessRegistry oldProcess = new ProcessRegistry(folder, "1");
         try (ProcessRegistry newProcess = new ProcessRegistry(folder, "2")) {
             assertEquals(0, newProcess.servingPeers().count());
@@ -33,7 +33,7 @@
             assertEquals(
                     0,
                     oldProcess.servingPeers().count(),
-                    "not itself, and not one that only starts");
+                    "excludes the process itself and a process that has not announced itself");
             newProcess.announce();
             assertEquals(1, oldProcess.servingPeers().count());
             oldProcess.close();
@@ -42,9 +42,9 @@
     }
 
     @Test
-    void whatADeadProcessLeftIsClearedAway() throws Exception {
+    void filesOfDeadProcessesAreDeleted() throws Exception {
         Path leftoverFile = Files.createFile(folder.resolve("serving-99"));
-        Files.createFile(folder.resolve("else"));
+        Files.createFile(folder.resolve("unrelated"));
         try (ProcessRegistry newProcess = new ProcessRegistry(folder, "2")) {
             assertEquals(0, newProcess.servingPeers().count());
             assertFalse(Files.exists(leftoverFile));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void withoutADirectoryThereAreNoPeers() throws Exception {
+    void missingDirectoryMeansNoPeers() throws Exception {
         try (ProcessRegistry loneProcess = new ProcessRegistry(folder.resolve("missing"), "1")) {
             loneProcess.announce();
             assertEquals(0, loneProcess.servingPeers().count());
--- a/node/src/test/java/frostrelay/node/lifecycle/SharedDirectoryTest.java
+++ b/node/src/test/java/frostrelay/node/lifecycle/SharedDirectoryTest.java
@@ -10,12 +10,12 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Slow file I/O does not delay a shutdown, whose time counts from its signal. */
+/** Tests that slow file I/O does not delay a shutdown, whose time is counted from its signal. */
 class SharedDirectoryTest {
     @TempDir private Path folder;
 
     @Test
-    void anUnresponsiveDirectoryDelaysNoShutdown() throws Exception {
+    void unresponsiveDirectoryDoesNotDelayShutdown() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch announcing = new CountDownLatch(1);
         try (SharedDirectory sharedDirectory = new SharedDirectory(folder, "hung")) {
@@ -25,7 +25,7 @@
                         awaitQuietly(release);
                         return DescriptorUsage.NONE;
                     },
-                    look -> {});
+                    snapshot -> {});
             assertTrue(announcing.await(10, TimeUnit.SECONDS));
             long startNanos = System.nanoTime();
             assertFalse(sharedDirectory.hasServingPeers(100));
@@ -35,12 +35,12 @@
     }
 
     @Test
-    void anotherProcessThatServesIsSeen() throws Exception {
+    void otherServingProcessIsDetected() throws Exception {
         try (SharedDirectory older = new SharedDirectory(folder, "older");
                 SharedDirectory younger = new SharedDirectory(folder, "younger")) {
             assertFalse(older.hasServingPeers(5_000));
             CountDownLatch announced = new CountDownLatch(1);
-            younger.announceAndPoll(() -> DescriptorUsage.NONE, look -> announced.countDown());
+            younger.announceAndPoll(() -> DescriptorUsage.NONE, snapshot -> announced.countDown());
             assertTrue(announced.await(10, TimeUnit.SECONDS));
             assertTrue(older.hasServingPeers(5_000));
         }
