--- a/config/src/main/java/frostrelay/config/Key.java
+++ b/config/src/main/java/frostrelay/config/Key.java
@@ -5,11 +5,11 @@
 /**
  * One key of a table: its allowed values and its purpose.
  *
- * @param defaultValue the value if the file has none, in the kind's unit; null if it is required
+ * @param defaultValue the default in the kind's unit; null if the key is required
  * @param min lower bound in the kind's unit, for ordered kinds
  * @param max upper bound in the kind's unit, for ordered kinds
  * @param choices the allowed texts, for {@link Kind#CHOICE}
- * @param purpose description for the people who write the file
+ * @param purpose description for the users who write the file
  */
 record Key(
         String name,
@@ -48,7 +48,7 @@
         return kind.format(typedValue).replace("\"", "");
     }
 
-    /** Whether a value of this kind is within the bounds, or one of the choices. */
+    /** Returns whether a value of this kind satisfies the key's bounds or choices. */
     boolean isAllowed(Object value) {
         if (kind == Kind.CHOICE) {
             return choices.contains(value);
--- a/config/src/main/java/frostrelay/config/Kind.java
+++ b/config/src/main/java/frostrelay/config/Kind.java
@@ -8,7 +8,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The kinds of values of keys, each with its form in a file and the unit of the parsed value. */
+/** Types of values, each with its form in a file and the unit of the parsed value. */
 enum Kind {
     /** Parsed to nanoseconds; written with a unit. */
     DURATION(
@@ -58,7 +58,7 @@
     /** Seconds of the time spans of rates. */
     private static final Map<String, Integer> SPANS = Map.of("s", 1, "min", 60, "h", 3_600);
 
-    /** The sum of a few larger values would overflow. */
+    /** Largest duration or size, chosen so that the sum of a few values does not overflow. */
     private static final BigDecimal MAX_QUANTITY = BigDecimal.valueOf(Long.MAX_VALUE / 4);
 
     final String description;
@@ -77,7 +77,7 @@
         return units;
     }
 
-    /** The value in the unit of this kind; null if the raw value is of another kind. */
+    /** Returns the value in the unit of this kind; null if the raw value is of another kind. */
     Object parse(Object raw) {
         return switch (this) {
             case DURATION, BYTES -> raw instanceof String text ? parseQuantity(text.trim()) : null;
@@ -143,7 +143,7 @@
                 : Double.toString(value);
     }
 
-    /** Whether values have an order, so that they can have bounds. */
+    /** Returns whether values are ordered and may therefore have bounds. */
     boolean isOrdered() {
         return !List.of(TEXT, CHOICE, BOOL).contains(this);
     }
--- a/config/src/main/java/frostrelay/config/Problem.java
+++ b/config/src/main/java/frostrelay/config/Problem.java
@@ -1,13 +1,13 @@
 package frostrelay.config;
 
 /**
- * One problem of a file.
+ * One problem in a configuration file.
  *
- * @param file the file as named by the user
+ * @param file name of the file as given by the user
  * @param line line number from 1; 0 for the file as a whole
- * @param key path of the key; empty if the text is no TOML
- * @param found what the file contains
- * @param allowed what it may contain instead
+ * @param key path of the key; empty if the text is not valid TOML
+ * @param found description of the invalid content
+ * @param allowed description of the allowed content
  */
 public record Problem(String file, int line, String key, String found, String allowed) {
     @Override
--- a/config/src/main/java/frostrelay/config/TableSchema.java
+++ b/config/src/main/java/frostrelay/config/TableSchema.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * The schema of a table: its keys and nested tables, which are single or lists. The methods that
- * add a key or table return this schema; a null default makes a key required.
+ * The schema of a table: its keys, nested tables and lists of tables. The methods that add a key or
+ * table return this schema; a null default makes a key required.
  */
 public final class TableSchema {
     /**
      * A table within a table.
      *
-     * @param isList written as [[name]], at most {@code max} times
+     * @param isList whether it is a list, written as [[name]] at most {@code max} times
      */
     record Nested(TableSchema table, boolean isList, int max) {}
 
@@ -21,24 +21,28 @@
     final Map<String, Key> keys = new LinkedHashMap<>();
     final Map<String, Nested> tables = new LinkedHashMap<>();
 
-    /** {@code purpose}: one sentence for the people who write the file. */
+    /**
+     * Creates an empty schema.
+     *
+     * @param purpose one sentence for the users who write the file
+     */
     public TableSchema(String purpose) {
         this.purpose = purpose;
     }
 
-    /** Adds a duration; default and bounds are given as in a file. */
+    /** Adds a duration; the default and bounds have the same form as in a file. */
     public TableSchema duration(
             String name, String defaultValue, String min, String max, String purpose) {
         return quantity(name, Kind.DURATION, defaultValue, min, max, purpose);
     }
 
-    /** Adds a number of bytes; default and bounds are given as in a file. */
+    /** Adds a number of bytes; the default and bounds have the same form as in a file. */
     public TableSchema bytes(
             String name, String defaultValue, String min, String max, String purpose) {
         return quantity(name, Kind.BYTES, defaultValue, min, max, purpose);
     }
 
-    /** Adds a number per second; default and bounds are given as in a file. */
+    /** Adds a number per second; the default and bounds have the same form as in a file. */
     public TableSchema rate(
             String name, String defaultValue, String min, String max, String purpose) {
         return quantity(name, Kind.RATE, defaultValue, min, max, purpose);
@@ -62,7 +66,7 @@
         return add(new Key(name, Kind.WHOLE, defaultValue, min, max, List.of(), purpose));
     }
 
-    /** Adds a number, whole or not. */
+    /** Adds a number, which may have a fraction. */
     public TableSchema number(
             String name, Double defaultValue, double min, double max, String purpose) {
         return add(new Key(name, Kind.NUMBER, defaultValue, min, max, List.of(), purpose));
@@ -73,7 +77,7 @@
         return add(new Key(name, Kind.TEXT, defaultValue, 0, 0, List.of(), purpose));
     }
 
-    /** Adds a text that must be one of the choices. */
+    /** Adds a text with a fixed set of allowed values. */
     public TableSchema choice(
             String name, String defaultValue, List<String> choices, String purpose) {
         return add(new Key(name, Kind.CHOICE, defaultValue, 0, 0, choices, purpose));
--- a/config/src/main/java/frostrelay/config/TableValues.java
+++ b/config/src/main/java/frostrelay/config/TableValues.java
@@ -11,8 +11,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The effective values of one table: those of the file, or else the defaults. Immutable. Access by
- * a name or kind that the schema does not have is a programming error and throws a
+ * The effective values of one table: those of the file, or the defaults. Immutable. Access with a
+ * name or type that does not match the schema is a programming error and throws a
  * NullPointerException or ClassCastException.
  */
 public final class TableValues {
@@ -34,27 +34,27 @@
         this.line = line;
     }
 
-    /** The line number from 1 at which the table begins; 0 if the file does not contain it. */
+    /** Returns the line number from 1 at which the table begins; 0 if the file does not have it. */
     public int line() {
         return line;
     }
 
-    /** A duration in nanoseconds, a size in bytes, or a whole number. */
+    /** Returns a duration in nanoseconds, a size in bytes, or a whole number. */
     public long whole(String name) {
         return (Long) value(name);
     }
 
-    /** A number, or a rate per second. */
+    /** Returns a number, or a rate per second. */
     public double number(String name) {
         return (Double) value(name);
     }
 
-    /** A text or a choice. */
+    /** Returns a text or a choice. */
     public String text(String name) {
         return (String) value(name);
     }
 
-    /** A boolean. */
+    /** Returns a boolean. */
     public boolean bool(String name) {
         return (Boolean) value(name);
     }
@@ -63,22 +63,22 @@
         return Objects.requireNonNull(values.get(name), name);
     }
 
-    /** The nested table of this name. */
+    /** Returns the nested table of this name. */
     public TableValues table(String name) {
         return list(name).get(0);
     }
 
-    /** All nested tables of this name, in the order of the file. */
+    /** Returns all nested tables of this name, in the order of the file. */
     public List<TableValues> list(String name) {
         return Objects.requireNonNull(tables.get(name), name);
     }
 
     /**
-     * A copy with one value replaced.
+     * Returns a copy with one value replaced.
      *
      * @param path path of the key as in problems: {@code clients.rate} or {@code class[0].aim}
-     * @param literal the value as in a file; quotes may be left out
-     * @param file where the replacement was requested, for problems
+     * @param literal the value as in a file; quotes may be omitted
+     * @param file file that requests the replacement, for problems
      * @param line line in that file, for problems
      * @throws BadConfigException if there is no such key or the value is not allowed
      */
@@ -95,12 +95,7 @@
         List<TableValues> list = step.matches() ? tables.get(step.group(1)) : null;
         int index = list == null || step.group(2) == null ? 0 : Integer.parseInt(step.group(2));
         if (list == null || index >= list.size()) {
-            throw invalid(
-                    file,
-                    line,
-                    path,
-                    "a table that is not there",
-                    String.join(", ", tables.keySet()));
+            throw invalid(file, line, path, "an unknown table", String.join(", ", tables.keySet()));
         }
         List<TableValues> updated = new ArrayList<>(list);
         updated.set(index, list.get(index).with(path.substring(dot + 1), literal, file, line));
@@ -132,14 +127,14 @@
         return new BadConfigException(List.of(new Problem(file, line, path, found, allowed)));
     }
 
-    /** A copy in which the list of this name is empty. */
+    /** Returns a copy in which the list of this name is empty. */
     public TableValues without(String list) {
         Map<String, List<TableValues>> remainingTables = new HashMap<>(tables);
         remainingTables.put(list, List.of());
         return new TableValues(schema, values, remainingTables, line);
     }
 
-    /** All effective values as a TOML file. */
+    /** Returns all effective values as the text of a TOML file. */
     public String toToml() {
         StringBuilder text = new StringBuilder();
         toToml("", false, text);
--- a/config/src/main/java/frostrelay/config/TomlFile.java
+++ b/config/src/main/java/frostrelay/config/TomlFile.java
@@ -18,8 +18,8 @@
 import java.util.Map;
 
 /**
- * Reads a TOML file and validates it against a schema. A file is accepted as a whole or rejected
- * with all of its problems. Parsed by tomlj, which reports the position of each key.
+ * Reads a TOML file and validates it against a schema. A file is either accepted as a whole or
+ * rejected with all of its problems. The parser is tomlj, which reports the position of each key.
  */
 public final class TomlFile {
     /** A larger file is rejected without being read. */
@@ -54,12 +54,12 @@
                                         0,
                                         "",
                                         Files.size(path) + " bytes",
-                                        "at most " + MAX_FILE_BYTES)));
+                                        "at most " + MAX_FILE_BYTES + " bytes")));
             }
             text = Files.readString(path);
         } catch (CharacterCodingException e) {
             throw new BadConfigException(
-                    List.of(new Problem(name, 0, "", "bytes that are no UTF-8", "UTF-8 text")));
+                    List.of(new Problem(name, 0, "", "bytes that are not UTF-8", "UTF-8 text")));
         } catch (IOException e) {
             throw new BadConfigException(
                     List.of(
@@ -67,10 +67,8 @@
                                     name,
                                     0,
                                     "",
-                                    "nothing that can be read ("
-                                            + e.getClass().getSimpleName()
-                                            + ")",
-                                    "a file")));
+                                    "an unreadable file (" + e.getClass().getSimpleName() + ")",
+                                    "a readable file")));
         }
         return parse(name, text, schema);
     }
@@ -78,7 +76,7 @@
     /**
      * Parses a text and returns its effective values.
      *
-     * @param file the name of the file in problems
+     * @param file name of the file for problems
      * @throws BadConfigException with all problems, if the text is invalid
      */
     public static TableValues parse(String file, String text, TableSchema schema) {
@@ -93,7 +91,7 @@
         return values;
     }
 
-    /** The parsed text; null after a syntax error, which is added to the problems. */
+    /** Parses a text; after a syntax error, adds it to the problems and returns null. */
     private TomlParseResult parse(String text) {
         try {
             TomlParseResult toml = Toml.parse(text);
@@ -104,14 +102,14 @@
             addSyntaxError(e);
             return null;
         } catch (RuntimeException | AssertionError e) {
-            // A quote that ends within an escape makes the parser itself fail, without a position.
+            // tomlj itself fails, without a position, on a string that ends within an escape.
             problems.add(
                     new Problem(
                             file,
                             0,
                             "",
-                            "no TOML",
-                            "text that can be parsed, as no escape cut short"));
+                            "invalid TOML",
+                            "TOML text without incomplete escape sequences"));
             return null;
         }
     }
@@ -122,7 +120,7 @@
                         file,
                         error.position().line(),
                         "",
-                        "no TOML",
+                        "invalid TOML",
                         String.valueOf(error.getMessage()).replaceAll("\\p{Cntrl}", " ")));
     }
 
@@ -182,7 +180,7 @@
         return values == null ? emptyValues(schema) : values;
     }
 
-    /** A placeholder for an invalid table, so that the rest of the file can be validated. */
+    /** Returns a placeholder for an invalid table, so that the rest of the file is validated. */
     private static TableValues emptyValues(TableSchema schema) {
         return new TableValues(schema, Map.of(), Map.of(), 0);
     }
@@ -200,7 +198,7 @@
             return list;
         }
         if (array.size() > inner.max()) {
-            addProblem(line, path, array.size() + " tables", "at most " + inner.max());
+            addProblem(line, path, array.size() + " tables", "at most " + inner.max() + " tables");
             return list;
         }
         for (int i = 0; i < array.size(); i++) {
--- a/config/src/test/java/frostrelay/config/TomlFileTest.java
+++ b/config/src/test/java/frostrelay/config/TomlFileTest.java
@@ -61,7 +61,7 @@
             """;
 
     @Example
-    void valuesHaveTheirUnitsAndStandards() {
+    void valuesAreConvertedToTheirUnitsAndDefaults() {
         TableValues values = TomlFile.parse("f", VALID_FILE, SCHEMA);
         assertEquals(7, values.whole("seed"));
         assertEquals(1_500_000_000L, values.table("log").whole("counts-every"));
@@ -72,7 +72,9 @@
         assertEquals(10, values.list("class").get(1).line());
         TableValues reparsed = TomlFile.parse("f", values.toToml(), SCHEMA);
         assertEquals(
-                values.toToml(), reparsed.toToml(), "what is printed as in force can be read back");
+                values.toToml(),
+                reparsed.toToml(),
+                "parsing the printed values yields the same values");
     }
 
     /** Line and key of the expected problem, a text that its message must contain, and the file. */
@@ -185,11 +187,11 @@
                             "name = \"c\"",
                             "[[class]]",
                             "name = \"d\""),
-                    invalidFile(2, "", "no TOML", "seed = 1", "seed = 2"),
-                    invalidFile(2, "", "no TOML", "[log]", "format = json"),
-                    invalidFile(1, "", "no TOML", "[log"),
-                    invalidFile(2, "", "no TOML", "seed = 1", "= 3"),
-                    invalidFile(1, "", "no TOML", "\u0000"));
+                    invalidFile(2, "", "invalid TOML", "seed = 1", "seed = 2"),
+                    invalidFile(2, "", "invalid TOML", "[log]", "format = json"),
+                    invalidFile(1, "", "invalid TOML", "[log"),
+                    invalidFile(2, "", "invalid TOML", "seed = 1", "= 3"),
+                    invalidFile(1, "", "invalid TOML", "\u0000"));
 
     @Example
     void eachInvalidFileIsRejectedWithItsKeyAndLine() {
@@ -208,7 +210,7 @@
                     first.toString());
             assertTrue(
                     first.toString().contains(invalidFile.expectedText),
-                    first + " should say " + invalidFile.expectedText);
+                    "expected '" + invalidFile.expectedText + "' in: " + first);
             assertEquals(1, first.toString().lines().count());
         }
     }
@@ -238,7 +240,7 @@
     }
 
     @Example
-    void aFileThatCannotBeReadIsOneProblem() {
+    void unreadableFileIsReportedAsOneProblem() {
         assertEquals(
                 1,
                 assertThrows(
@@ -251,11 +253,9 @@
                         .size());
     }
 
-    /**
-     * Whatever happens to a file, it is read or refused: no other error, and nothing in between.
-     */
+    /** A damaged file must be accepted or rejected with problems, without any other exception. */
     @Property(tries = 2_000, seed = "20261201")
-    void noDamageLeadsToAnythingElse(@ForAll("damaged") String text) {
+    void damagedFileIsAcceptedOrRejected(@ForAll("damaged") String text) {
         try {
             TomlFile.parse("f", text, SCHEMA).toToml();
         } catch (BadConfigException e) {
@@ -293,14 +293,14 @@
     }
 
     @Property(seed = "20261201")
-    void durationsAreWrittenAsTheyAreRead(
+    void formattedDurationsParseToTheSameValue(
             @ForAll @LongRange(min = 1, max = 3_600_000_000L) long micros) {
         long nanos = micros * 1_000;
         assertEquals(nanos, Kind.DURATION.parse(Kind.DURATION.format(nanos).replace("\"", "")));
     }
 
     @Property(seed = "20261201")
-    void sizesAreWrittenAsTheyAreRead(@ForAll @IntRange(min = 1) int bytes) {
+    void formattedSizesParseToTheSameValue(@ForAll @IntRange(min = 1) int bytes) {
         assertEquals(
                 (long) bytes, Kind.BYTES.parse(Kind.BYTES.format((long) bytes).replace("\"", "")));
     }
