--- a/adapter/src/main/java/frostrelay/adapter/Adapter.java
+++ b/adapter/src/main/java/frostrelay/adapter/Adapter.java
@@ -16,8 +16,8 @@
 import java.util.Map;
 
 /**
- * Reads frames of events, hands them to one {@link Router} per balancer, and replies with their
- * actions. Decides nothing.
+ * Reads frames of events, passes them to one {@link Router} per balancer, and replies with the
+ * routers' actions.
  */
 final class Adapter {
     /** Number of server lists that events can refer to. */
@@ -26,9 +26,9 @@
     /**
      * One balancer hosted here.
      *
-     * @param router its decision module
-     * @param classCount number of request classes in its settings
-     * @param gossip its gossip with peers, or null
+     * @param router the balancer's decision module
+     * @param classCount number of request classes in the balancer's settings
+     * @param gossip the balancer's gossip with peers, or null if it is disabled
      */
     private record Instance(Router router, int classCount, SimulatedGossip gossip) {}
 
@@ -57,7 +57,7 @@
     /**
      * Serves until the end of input.
      *
-     * @throws WireException if the input breaks the rules of the wire
+     * @throws WireException if the input violates the wire protocol
      * @throws IOException if reading or writing fails
      */
     void run() throws IOException {
@@ -148,7 +148,8 @@
         String text = frame.startSettings(offset);
         PolicySettings settings = parseSettings(text);
         if (settings.classes().isEmpty()) {
-            throw new WireException("settings of balancer " + balancer + " name no request class");
+            throw new WireException(
+                    "settings of balancer " + balancer + " define no request class");
         }
         long seed = frame.startSeed(offset);
         Router router = new Router(settings, seed, reply.actionsOf(balancer));
@@ -182,14 +183,15 @@
     private List<Server> storedServerList(int number) {
         List<Server> servers = serverLists.get(checkedListNumber(number));
         if (servers == null) {
-            throw new WireException("list " + number + " was never sent");
+            throw new WireException("server list " + number + " has not been sent");
         }
         return servers;
     }
 
     private static int checkedListNumber(int number) {
         if (number >= MAX_LISTS) {
-            throw new WireException("impossible list number " + number);
+            throw new WireException(
+                    "list number " + number + " is out of range: allowed 0 to " + (MAX_LISTS - 1));
         }
         return number;
     }
--- a/adapter/src/main/java/frostrelay/adapter/EventFrame.java
+++ b/adapter/src/main/java/frostrelay/adapter/EventFrame.java
@@ -18,14 +18,14 @@
 import java.util.List;
 
 /**
- * One frame of events: a header, event records of fixed size, and a tail that they refer to. All
- * numbers are little-endian. Records are addressed by their offset in the frame; the field offsets
- * below are relative to that.
+ * One frame of events: a header, event records of fixed size, and a tail with data that the records
+ * refer to. All numbers are little-endian. Records are addressed by their offset in the frame, and
+ * the fields below by their offset in the record.
  */
 final class EventFrame {
     static final int EVENT_BYTES = 56;
 
-    /** A longer frame indicates a damaged length. */
+    /** Longest accepted frame; a larger length indicates corrupt input. */
     static final int MAX_FRAME_BYTES = 1 << 28;
 
     private static final int LENGTH_PREFIX_BYTES = 4;
@@ -36,17 +36,17 @@
     private static final int NOW_NANOS = 4;
     private static final int HEADER_BYTES = 12;
 
-    /** Fields of all events. */
+    /** Offsets of fields that all events have. */
     private static final int EVENT_CODE = 0;
 
     private static final int BALANCER = 1;
 
-    /** Server list: number of the list and the range of its entries in the tail. */
+    /** Offsets in a server list event: the list's number and the tail range of its entries. */
     private static final int LIST_NUMBER = 1;
 
     private static final int LIST_ENTRIES = 2;
 
-    /** An entry of a server list. */
+    /** Size and offsets of an entry of a server list. */
     private static final int LIST_ENTRY_BYTES = 24;
 
     private static final int ENTRY_SERVER_ID = 0;
@@ -57,31 +57,31 @@
     private static final int ENTRY_WEIGHT = 12;
     private static final int ENTRY_STARTED_AT = 16;
 
-    /** Timer. */
+    /** Offset in a timer event. */
     private static final int TIMER_TOKEN = 5;
 
-    /** Peer message. */
+    /** Offsets in a peer message event. */
     private static final int MESSAGE_SENDER = 5;
 
     private static final int MESSAGE_DATA = 7;
 
-    /** Endpoint update. */
+    /** Offsets in an endpoint update event. */
     private static final int UPDATE_MODE = 5;
 
     private static final int UPDATE_REVISION = 6;
     private static final int UPDATE_LIST_NUMBER = 14;
 
-    /** Start of a balancer. */
+    /** Offsets in a balancer's start event. */
     private static final int START_SEED = 5;
 
     private static final int START_SETTINGS = 13;
 
-    /** Fields of the events of a request. */
+    /** Offsets in all events that refer to a request. */
     private static final int REQUEST_ID = 5;
 
     private static final int ATTEMPT = 13;
 
-    /** Attempt outcome. */
+    /** Offsets in an attempt outcome event, and the most values of its load report. */
     private static final int OUTCOME_RESULT = 21;
 
     private static final int OUTCOME_DURATION = 23;
@@ -91,7 +91,7 @@
     private static final int OUTCOME_REPORT = 37;
     private static final int MAX_REPORT_LENGTH = 4;
 
-    /** Request. */
+    /** Offsets in a request event, and the bits of its attributes. */
     private static final int REQUEST_CLASS = 13;
 
     private static final int REQUEST_TENANT = 15;
@@ -107,7 +107,7 @@
     private static final EndpointState[] STATES = EndpointState.values();
     private static final float[] NO_REPORT = new float[0];
 
-    /** Part of the frame, checked against its end; {@code count} is in items. */
+    /** A range within the frame, validated against the frame's end; {@code count} is in items. */
     private record TailRange(int offset, int count) {}
 
     private final ByteBuffer frame;
@@ -130,7 +130,7 @@
     /**
      * Reads the next frame; returns null at the end of input.
      *
-     * @throws WireException if the frame is cut off or its length is impossible
+     * @throws WireException if the frame is truncated or its length is out of range
      * @throws IOException if reading fails
      */
     static EventFrame read(InputStream in) throws IOException {
@@ -143,7 +143,14 @@
         }
         int length = ByteBuffer.wrap(lengthPrefix).order(ByteOrder.LITTLE_ENDIAN).getInt();
         if (length < HEADER_BYTES || length > MAX_FRAME_BYTES) {
-            throw new WireException("impossible frame length " + Integer.toUnsignedString(length));
+            throw new WireException(
+                    "frame length "
+                            + Integer.toUnsignedString(length)
+                            + " is out of range: allowed "
+                            + HEADER_BYTES
+                            + " to "
+                            + MAX_FRAME_BYTES
+                            + " bytes");
         }
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
@@ -190,7 +197,7 @@
     private Server server(int offset) {
         int state = frame.get(offset + ENTRY_STATE);
         if (state < 0 || state >= STATES.length) {
-            throw new WireException("unknown server condition " + state);
+            throw new WireException("unknown endpoint state " + state);
         }
         return new Server(
                 serverId(offset + ENTRY_SERVER_ID),
@@ -218,7 +225,7 @@
     EndpointUpdateMode updateMode(int offset) {
         int mode = frame.get(offset + UPDATE_MODE) & 0xff;
         if (mode >= UPDATE_MODES.length) {
-            throw new WireException("unknown list mode " + mode);
+            throw new WireException("unknown endpoint update mode " + mode);
         }
         return UPDATE_MODES[mode];
     }
@@ -251,7 +258,7 @@
     /**
      * Reads a client request.
      *
-     * @param classCount number of request classes that the balancer's settings define
+     * @param classCount number of request classes in the balancer's settings
      */
     Request request(int offset, int classCount) {
         int attributes = frame.get(offset + REQUEST_ATTRIBUTES);
@@ -294,7 +301,7 @@
             case 502 -> AttemptResult.ERROR;
             case 520 -> AttemptResult.RESET;
             case 521 -> AttemptResult.CONNECT_FAILED;
-            default -> throw new WireException("unknown outcome " + code);
+            default -> throw new WireException("unknown attempt outcome " + code);
         };
     }
 
@@ -326,8 +333,11 @@
             throw new WireException(
                     "a record points past the end of its frame: offset "
                             + start
-                            + ", length "
-                            + count);
+                            + " bytes, length "
+                            + count
+                            + " items of "
+                            + itemBytes
+                            + " bytes");
         }
         return new TailRange((int) (tailOffset + start), (int) count);
     }
--- a/adapter/src/main/java/frostrelay/adapter/Main.java
+++ b/adapter/src/main/java/frostrelay/adapter/Main.java
@@ -9,18 +9,18 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 
-/** Runs the decision module on the simulator's wire: standard input to standard output. */
+/** Runs the decision module for the simulator, between standard input and standard output. */
 public final class Main {
     private static final int BUFFER_BYTES = 1 << 16;
 
-    /** System property that enables gossip between hosted balancers when it is "on". */
+    /** System property that enables gossip between hosted balancers if its value is "on". */
     private static final String GOSSIP_PROPERTY = "frostrelay.peers";
 
     private Main() {}
 
     /**
-     * Exits with 0 at a regular end of input, and with 1 on malformed input, a failure to read or
-     * write, or a wrong argument.
+     * Exits with 0 at the end of input, and with 1 on malformed input, a read or write failure, or
+     * a wrong argument.
      */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("adapter")) {
@@ -44,7 +44,9 @@
         } catch (WireException e) {
             err.println("frostrelay: malformed input: " + e.getMessage());
         } catch (IOException e) {
-            err.println("frostrelay: cannot read or write the wire: " + e.getMessage());
+            err.println(
+                    "frostrelay: cannot read standard input or write standard output: "
+                            + e.getMessage());
         }
         return 1;
     }
--- a/adapter/src/main/java/frostrelay/adapter/ReplyWriter.java
+++ b/adapter/src/main/java/frostrelay/adapter/ReplyWriter.java
@@ -56,7 +56,7 @@
         tailLength = 0;
     }
 
-    /** Completes the frame and writes it out. */
+    /** Completes the frame and writes it to the stream. */
     void finish(OutputStream out) throws IOException {
         int length = HEADER_BYTES + recordCount * ACTION_BYTES;
         buffer.putInt(FRAME_LENGTH, length + tailLength - LENGTH_PREFIX_BYTES);
@@ -78,7 +78,7 @@
         return offset;
     }
 
-    /** Sends bytes to another balancer, by its number. */
+    /** Adds an action that sends bytes to another balancer. */
     void sendMessage(int balancer, int receiver, byte[] data, int length) {
         if (tailLength + length > tail.length) {
             tail = Arrays.copyOf(tail, Math.max(2 * tail.length, tailLength + length));
@@ -97,7 +97,7 @@
         buffer.putShort(offset + Integer.BYTES, (short) (serverId >>> Integer.SIZE));
     }
 
-    /** Returns the actions of one balancer, to be collected here. */
+    /** Returns the interface through which one balancer adds its actions to the frame. */
     PolicyActions actionsOf(int balancer) {
         return new PolicyActions() {
             @Override
--- a/adapter/src/main/java/frostrelay/adapter/SimulatedGossip.java
+++ b/adapter/src/main/java/frostrelay/adapter/SimulatedGossip.java
@@ -24,19 +24,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * One hosted balancer's gossip with its peers over the simulator's wire, with the same {@link
- * GossipNode} and {@link StalenessDetector} as on sockets. The wire has no unscheduled poll of the
- * endpoint list, no configuration file and no readiness: a balancer with a stale list only avoids
- * the caches that its peers know as draining.
+ * Gossip of one hosted balancer with its peers through the simulator, with the same {@link
+ * GossipNode} and {@link StalenessDetector} as over sockets. The simulator supports no unscheduled
+ * poll of the endpoint list, no configuration file and no readiness: a balancer with a stale list
+ * can only avoid the caches that its peers report as draining.
  */
 final class SimulatedGossip
         implements GossipNode.Actions, GossipNode.Listener, StalenessDetector.Actions {
-    /** Timer token that the decision module does not use. */
+    /** Token of the gossip timer, which the decision module does not use. */
     static final int TIMER_TOKEN = Integer.MIN_VALUE;
 
     private static final String ENABLING_SETTING = "ceilings.peer-messages=true";
 
-    /** Wall clock time that stands for the simulator's time 0, for numbering incarnations. */
+    /** Wall clock time at the simulator's time 0, from which incarnations are numbered. */
     private static final long WALL_CLOCK_START_MILLIS = 1_790_000_000_000L;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -89,7 +89,7 @@
         schedule();
     }
 
-    /** Starts gossip if it is requested and the settings allow it; returns null otherwise. */
+    /** Starts gossip if it is requested and enabled in the settings; returns null otherwise. */
     static SimulatedGossip createIfEnabled(
             boolean isRequested,
             ReplyWriter reply,
@@ -106,7 +106,7 @@
                 : null;
     }
 
-    /** The balancer has applied this revision of the endpoint list, or changes to it. */
+    /** Records that the balancer has applied this revision of the endpoint list. */
     void onListApplied(long atNanos, long listRevision, boolean isDelta, List<Server> servers) {
         now = atNanos;
         Set<Long> previouslyReady = new HashSet<>(readyCaches);
@@ -173,12 +173,12 @@
         }
     }
 
-    /** Returns what is known of a peer. */
+    /** Returns the state of a peer as known to this balancer. */
     MemberSnapshot snapshot(long atNanos, int rank) {
         return gossip.snapshot(atNanos, rank);
     }
 
-    /** Passes on what is known of a peer, which may have changed. */
+    /** Passes a peer's current state to the staleness detector. */
     private void refreshPeerState(int rank) {
         // The gossip node calls back from its constructor, before it is assigned.
         if (gossip != null && rank != gossip.rank()) {
@@ -194,23 +194,24 @@
     }
 
     @Override
-    public void onMemberState(long moment, int rank, long incarnation, MemberState state, int by) {
+    public void onMemberState(long atNanos, int rank, long incarnation, MemberState state, int by) {
         refreshPeerState(rank);
     }
 
     @Override
-    public void onMemberEntry(long moment, int rank, long incarnation, int row, int ref, long age) {
+    public void onMemberEntry(
+            long atNanos, int rank, long incarnation, int row, int ref, long age) {
         refreshPeerState(rank);
     }
 
     @Override
-    public void onCacheUnavailable(long moment, int from, long rev, long cache) {
-        stalenessDetector.onCacheUnavailable(moment, from, rev, cache);
+    public void onCacheUnavailable(long atNanos, int from, long listRevision, long cache) {
+        stalenessDetector.onCacheUnavailable(atNanos, from, listRevision, cache);
     }
 
     @Override
-    public void onCacheRestored(long moment, int from, long rev, long cache) {
-        stalenessDetector.onCacheRestored(moment, from, rev, cache);
+    public void onCacheRestored(long atNanos, int from, long listRevision, long cache) {
+        stalenessDetector.onCacheRestored(atNanos, from, listRevision, cache);
     }
 
     @Override
@@ -258,7 +259,7 @@
     }
 
     @Override
-    public void setSelfDraining(boolean on, String why) {
+    public void setSelfDraining(boolean on, String reason) {
         // Not available on this wire.
     }
 
@@ -268,12 +269,12 @@
     }
 
     @Override
-    public void onVersionNotFollowed(VersionKind kind, long number, String why) {
+    public void onVersionNotFollowed(VersionKind kind, long number, String reason) {
         // There is no log here.
     }
 
     @Override
-    public void notifyOperators(String what) {
+    public void notifyOperators(String message) {
         // There is no log here.
     }
 
--- a/adapter/src/main/java/frostrelay/adapter/WireException.java
+++ b/adapter/src/main/java/frostrelay/adapter/WireException.java
@@ -1,6 +1,6 @@
 package frostrelay.adapter;
 
-/** The input breaks the rules of the wire; the message says how. */
+/** Reports input that violates the wire protocol. */
 final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/adapter/src/test/java/frostrelay/adapter/AdapterTest.java
+++ b/adapter/src/test/java/frostrelay/adapter/AdapterTest.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** The wire of the adapter: replies, rejected input, and gossip between hosted balancers. */
+/** The adapter's wire protocol: replies, rejected input, and gossip between hosted balancers. */
 class AdapterTest {
     private static final String SETTINGS =
             """
@@ -53,7 +53,7 @@
         return frame.putInt(0, length).putInt(4, records).putLong(8, NOW_NANOS);
     }
 
-    /** One batch: a start, a list of one server, and a request. */
+    /** Returns one frame with a balancer's start, a list of one server, and a request. */
     private static byte[] session() {
         byte[] settings = SETTINGS.getBytes(StandardCharsets.UTF_8);
         ByteBuffer frame = frame(4, settings.length + 24);
@@ -87,17 +87,17 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() {
+    void emptyFrameGetsAnEmptyReply() {
         assertEquals(0, serve(frame(0, 0).array()));
         assertArrayEquals(new byte[] {4, 0, 0, 0, 0, 0, 0, 0}, out.toByteArray());
     }
 
     @Test
-    void aRequestIsForwardedToTheListedServer() {
+    void requestIsForwardedToTheListedServer() {
         assertEquals(0, serve(session()));
         ByteBuffer reply = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(out.size() - 4, reply.getInt(0));
-        assertEquals(2, reply.getInt(4), "the send and a timer");
+        assertEquals(2, reply.getInt(4), "one send action and one timer action");
         assertEquals(67, reply.get(8));
         assertEquals(3, reply.getInt(9));
         assertEquals(4242, reply.getLong(13));
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void outcomesAndTimersOfUnknownRequestsArePassedOver() {
+    void outcomesAndTimersOfUnknownRequestsAreIgnored() {
         ByteBuffer frame = frame(2, 0);
         frame.put(16, (byte) 2).putInt(17, 3).putLong(21, 999).putShort(37, (short) 200);
         frame.put(16 + EventFrame.EVENT_BYTES, (byte) 1).putInt(17 + EventFrame.EVENT_BYTES, 3);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void impossibleLengthsCodesAndOffsetsAreErrors() {
+    void invalidLengthsCodesAndOffsetsAreErrors() {
         assertMalformed(frame(0, 0).putInt(0, -1).array(), "length");
         assertMalformed(frame(0, 0).putInt(0, 5).array(), "length");
         assertMalformed(frame(1, 0).putInt(4, 1_000_000).array(), "cannot hold");
@@ -148,7 +148,7 @@
                         .order(ByteOrder.LITTLE_ENDIAN)
                         .put(16 + 2 * EventFrame.EVENT_BYTES + 5, (byte) 9)
                         .array(),
-                "list mode");
+                "endpoint update mode 9");
         assertMalformed(
                 ByteBuffer.wrap(session())
                         .order(ByteOrder.LITTLE_ENDIAN)
@@ -164,9 +164,9 @@
         assertTrue(message.contains("malformed") && message.contains(word), message);
     }
 
-    /** Damaged bytes end in a clean exit or a clear error, never in a hang or another exception. */
+    /** Random damage must lead to a clean exit or an error text, never a hang or an exception. */
     @Test
-    void randomDamageNeverEscapes() {
+    void randomlyDamagedInputIsHandled() {
         assertTimeoutPreemptively(
                 Duration.ofSeconds(30),
                 () -> {
@@ -185,34 +185,33 @@
     }
 
     @Test
-    void unknownConditionsAndOutcomesAreErrors() {
+    void unknownEndpointStatesAndOutcomesAreErrors() {
         byte[] start = session();
         start[16 + 4 * EventFrame.EVENT_BYTES + SETTINGS.length() + 11] = 9;
-        assertMalformed(start, "condition 9");
+        assertMalformed(start, "endpoint state 9");
         ByteBuffer frame = frame(1, 0);
         frame.put(16, (byte) 2).putInt(17, 3).putLong(21, 4242).putShort(37, (short) 299);
         byte[] first = session();
         byte[] both = Arrays.copyOf(first, first.length + frame.capacity());
         System.arraycopy(frame.array(), 0, both, first.length, frame.capacity());
-        assertMalformed(both, "outcome 299");
+        assertMalformed(both, "attempt outcome 299");
     }
 
-    /**
-     * Two hosted balancers whose settings allow it exchange gossip; nothing is sent unless gossip
-     * is enabled.
-     */
+    /** Two hosted balancers exchange gossip if both their settings and the adapter enable it. */
     @Test
-    void hostedBalancersGossipOnTheWire() throws Exception {
-        for (boolean wanted : new boolean[] {false, true}) {
-            PipedRounds rounds = new PipedRounds(wanted);
+    void hostedBalancersGossipThroughTheSimulator() throws Exception {
+        for (boolean gossipEnabled : new boolean[] {false, true}) {
+            PipedRounds rounds = new PipedRounds(gossipEnabled);
             int messageCount = rounds.play(400);
-            assertEquals(wanted, messageCount > 0);
+            assertEquals(gossipEnabled, messageCount > 0);
             assertEquals(
-                    wanted, rounds.lateMessageCount > 0, "messages go on for as long as both live");
+                    gossipEnabled,
+                    rounds.lateMessageCount > 0,
+                    "gossip continues while both balancers run");
         }
     }
 
-    /** The simulator's side for two balancers: delivers timers and messages, 10 ms per batch. */
+    /** A simulator of two balancers that delivers timers and messages in frames 10 ms apart. */
     private static final class PipedRounds {
         private record Timer(int balancer, long atNanos, int token) {}
 
@@ -225,14 +224,14 @@
         private long now = NOW_NANOS;
         int lateMessageCount;
 
-        PipedRounds(boolean wanted) throws Exception {
+        PipedRounds(boolean gossipEnabled) throws Exception {
             PipedInputStream in = new PipedInputStream(to, 1 << 16);
             PipedOutputStream out = new PipedOutputStream(from);
             Thread thread =
                     new Thread(
                             () -> {
                                 try {
-                                    new Adapter(in, out, wanted).run();
+                                    new Adapter(in, out, gossipEnabled).run();
                                 } catch (IOException e) {
                                     // The test has ended.
                                 }
