--- a/emulator/src/main/java/frostrelay/emulator/Emulation.java
+++ b/emulator/src/main/java/frostrelay/emulator/Emulation.java
@@ -15,8 +15,8 @@
 import java.util.function.ToLongFunction;
 
 /**
- * One day of a plant, from its first request until the last has ended. The same plant gives the
- * same figures.
+ * A simulation run of one system model, from the first request until the last one has ended. The
+ * same model gives the same results.
  */
 public final class Emulation {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -24,14 +24,14 @@
     private static final long DEDUPLICATION_WINDOW_NANOS = 8 * NANOS_PER_SECOND;
     private static final long CONNECT_TIMEOUT_NANOS = NANOS_PER_SECOND / 4;
 
-    /** What tenants may ask for, for each request that they ask on the mean. */
+    /** Tenant quota as a multiple of the tenant's mean request rate. */
     private static final double TENANT_QUOTA_HEADROOM = 1.35;
 
     /**
-     * What a day came to. {@code receivedRequests}: tries that came to balancers, also while the
-     * plant settled; {@code listEntriesSent}: entries of lists that were told; {@code
-     * wastedWorkFraction}: the part of caches' work that nobody waited for when it was done; {@code
-     * wallNanos}: nanoseconds that it took to emulate.
+     * The results of a run. {@code receivedRequests}: attempts received by balancers, including the
+     * warm-up; {@code listEntriesSent}: endpoint list entries sent by discovery; {@code
+     * wastedWorkFraction}: fraction of the caches' work whose attempt was already cancelled on
+     * completion; {@code wallNanos}: wall-clock duration of the run.
      */
     public record Result(
             RunStatistics statistics,
@@ -49,22 +49,22 @@
             double wastedWorkFraction,
             Map<String, Long> violations,
             long wallNanos) {
-        /** How often any of the operators' rules was broken. */
+        /** Returns the total number of invariant violations. */
         public long violationCount() {
             return violations.values().stream().mapToLong(Long::longValue).sum();
         }
 
-        /** The share of reads at caches that were served from memory. */
+        /** Returns the fraction of cache reads served from memory. */
         public double hitRatio() {
             return hits + misses == 0 ? 0 : hits / (double) (hits + misses);
         }
 
-        /** A count for each first try. */
+        /** Returns a count per client request, retries not counted. */
         public double perRequest(long count) {
             return count / (double) Math.max(1, statistics.asked());
         }
 
-        /** Sends beyond the first, for each try. */
+        /** Returns the attempts after the first, per client attempt. */
         public double additionalAttemptRatio() {
             return statistics.attemptCount() == 0
                     ? 0
@@ -72,8 +72,8 @@
         }
 
         /**
-         * Seconds from the end of a trigger until a whole span of five seconds is served as well as
-         * 95% of what was before it; -1 if that does not come.
+         * Returns the seconds from the end of a trigger until the fraction served in time over five
+         * seconds reaches 95% of that in the ten seconds before the trigger; -1 if it never does.
          */
         public int recoverySeconds(int triggerSecond, int triggerEndSecond) {
             double baseline = statistics.served(Math.max(0, triggerSecond - 10), triggerSecond);
@@ -146,7 +146,7 @@
                 }
             }
         }
-        // What answers at each cache's address: another one may take it over.
+        // The cache that answers at each address; a replacement may take an address over.
         List<SimCache> cacheAtAddress = new ArrayList<>(caches);
         for (int i = 0; i < model.balancerCount(); i++) {
             balancers.add(
@@ -197,20 +197,20 @@
         return all.stream().mapToLong(value).sum();
     }
 
-    /** Plays a day with the real decision module. */
+    /** Runs the model with the real decision module. */
     public static Result simulate(SystemModel model) {
         return simulate(model, Router::new);
     }
 
     /**
-     * Plays a day with a module that passes each request on and decides nothing: shows what the
-     * emulator itself costs.
+     * Runs the model with a policy that sends each request once, to measure the emulator's own
+     * cost.
      */
     public static Result simulateSingleAttempt(SystemModel model) {
         return simulate(model, (settings, seed, actions) -> new SingleAttemptPolicy(actions));
     }
 
-    /** Plays a day with another module, to compare. */
+    /** Runs the model with another decision module, for comparison. */
     static Result simulate(SystemModel model, SimBalancer.RouterFactory routerFactory) {
         long wallStartNanos = System.nanoTime();
         return new Emulation(model, routerFactory).run(wallStartNanos);
--- a/emulator/src/main/java/frostrelay/emulator/Event.java
+++ b/emulator/src/main/java/frostrelay/emulator/Event.java
@@ -1,7 +1,7 @@
 package frostrelay.emulator;
 
-/** Something that happens at a moment of simulated time. */
+/** An action at a point in simulated time. */
 interface Event {
-    /** {@code now}: nanoseconds from the day's start. */
+    /** Runs the event; {@code now} is in nanoseconds since the start of the run. */
     void run(long now);
 }
--- a/emulator/src/main/java/frostrelay/emulator/EventHeap.java
+++ b/emulator/src/main/java/frostrelay/emulator/EventHeap.java
@@ -2,10 +2,7 @@
 
 import java.util.Arrays;
 
-/**
- * Events in the order of their moments, those of one moment in the order of adding. Four children a
- * node, over arrays.
- */
+/** A heap of events ordered by time, then by insertion order. A 4-ary heap in arrays. */
 final class EventHeap {
     private static final int CHILDREN = 4;
 
@@ -32,7 +29,7 @@
         put(position, time, order, event);
     }
 
-    /** Takes the first out; there must be one. */
+    /** Removes and returns the first event; the heap must not be empty. */
     Event poll() {
         Event first = events[0];
         int last = --size;
@@ -75,12 +72,12 @@
         return size == 0;
     }
 
-    /** The first one's moment; there must be one. */
+    /** Returns the time of the first event; the heap must not be empty. */
     long firstTime() {
         return times[0];
     }
 
-    /** The first one's place among all that were added. */
+    /** Returns the insertion order of the first event; the heap must not be empty. */
     long firstOrder() {
         return orders[0];
     }
--- a/emulator/src/main/java/frostrelay/emulator/NetworkDelays.java
+++ b/emulator/src/main/java/frostrelay/emulator/NetworkDelays.java
@@ -2,7 +2,7 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** How long messages take on their way, and which never come. Machines stand in zones. */
+/** A model of message delay and loss between machines in zones. */
 final class NetworkDelays {
     private final SystemModel.Network spec;
     private final UniformRandomProvider random;
@@ -16,13 +16,13 @@
         this.isPartitioned = new boolean[zones];
     }
 
-    /** One way within a zone. */
+    /** Samples a one-way delay within a zone. */
     long sampleDelayNanos() {
         return spec.delayNanos()
                 + (spec.jitterNanos() == 0 ? 0 : (long) (random.nextDouble() * spec.jitterNanos()));
     }
 
-    /** One way from one zone to another. */
+    /** Samples a one-way delay from one zone to another. */
     long sampleDelayNanos(int from, int to) {
         return sampleDelayNanos() + (from == to ? 0 : spec.crossZoneDelayNanos());
     }
@@ -31,32 +31,32 @@
         return spec.lossFraction() > 0 && random.nextDouble() < spec.lossFraction();
     }
 
-    /** Whether an answer is lost on its way. */
+    /** Samples whether a response is lost. */
     boolean isResponseLost() {
         return responseLossFraction > 0 && random.nextDouble() < responseLossFraction;
     }
 
-    /** Whether a connection is reset under a request. */
+    /** Samples whether the connection of a request is reset. */
     boolean isConnectionReset() {
         return resetFraction > 0 && random.nextDouble() < resetFraction;
     }
 
-    /** From now on this part of answers is lost. */
+    /** Sets the fraction of responses that are lost. */
     void setResponseLoss(double fraction) {
         responseLossFraction = fraction;
     }
 
-    /** From now on this part of requests has its connection reset. */
+    /** Sets the fraction of requests whose connection is reset. */
     void setResetFraction(double fraction) {
         resetFraction = fraction;
     }
 
-    /** Whether anything passes between two zones. */
+    /** Returns whether messages pass between two zones. */
     boolean isConnected(int from, int to) {
         return from == to || !isPartitioned[from] && !isPartitioned[to];
     }
 
-    /** Nothing passes between a zone and the others, or everything again. */
+    /** Starts or ends the partition of a zone from all others. */
     void setPartitioned(int zone, boolean partitioned) {
         isPartitioned[zone] = partitioned;
     }
--- a/emulator/src/main/java/frostrelay/emulator/RandomStreams.java
+++ b/emulator/src/main/java/frostrelay/emulator/RandomStreams.java
@@ -4,8 +4,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Generators for a day's parts, each with a stream of its own: one part that draws more does not
- * move the others.
+ * Creates an independent random generator for each component of a run: additional draws in one do
+ * not affect the others.
  */
 final class RandomStreams {
     private static final long MIX = 0x9E3779B97F4A7C15L;
--- a/emulator/src/main/java/frostrelay/emulator/RunStatistics.java
+++ b/emulator/src/main/java/frostrelay/emulator/RunStatistics.java
@@ -4,17 +4,17 @@
 
 import java.util.Arrays;
 
-/** What clients got, by first tries: a client's retries belong to its first try. */
+/** The results that clients observed, by client request; retries belong to their first attempt. */
 public final class RunStatistics {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long MAX_LATENCY_MICROS = 120_000_000L;
 
-    /** What an answer after its aim is worth, as a part. */
+    /** Weight of an answer after the latency objective, relative to one in time. */
     static final double LATE_WEIGHT = 0.3;
 
     /**
-     * What the whole day, its worst ten seconds, its worst class and its worst tenant weigh for the
-     * operators.
+     * The operators' weights of the whole run, its worst ten seconds, its worst class and its worst
+     * tenant.
      */
     private static final double[] OBJECTIVE_WEIGHTS = {0.45, 0.15, 0.3, 0.1};
 
@@ -22,18 +22,18 @@
 
     private final Histogram latencyMicros = new Histogram(MAX_LATENCY_MICROS, 3);
 
-    /** Of the second that runs. */
+    /** Latencies since the last {@link #resetRecent}. */
     private final Histogram recentLatencyMicros = new Histogram(MAX_LATENCY_MICROS, 2);
 
-    /** What began before is not counted. */
+    /** Requests that started earlier are not counted. */
     private final long measureFromNanos;
 
-    /** By the second in which first tries were made. */
+    /** Counts by the second in which the first attempt was made. */
     private final int[] requestedBySecond;
 
     private final int[] inTimeBySecond;
 
-    /** Worth asked for and earned, answers after the aim included: by second, class and tenant. */
+    /** Requested and earned weight by second, class and tenant. Late answers earn a fraction. */
     private final double[][] requestedWeight;
 
     private final double[][] earnedWeight;
@@ -61,44 +61,56 @@
         inTimeBySecond = new int[seconds];
     }
 
-    void asked(long at, int requestClass, int tenant, double worth) {
-        if (at < measureFromNanos) {
+    void asked(long requestedAtNanos, int requestClass, int tenant, double weight) {
+        if (requestedAtNanos < measureFromNanos) {
             return;
         }
-        add(requestedWeight, at, requestClass, tenant, worth);
+        add(requestedWeight, requestedAtNanos, requestClass, tenant, weight);
         requestCount++;
-        totalWeight += worth;
-        requestedBySecond[(int) ((at - measureFromNanos) / NANOS_PER_SECOND)]++;
+        totalWeight += weight;
+        requestedBySecond[(int) ((requestedAtNanos - measureFromNanos) / NANOS_PER_SECOND)]++;
     }
 
-    void recordAttempt(long at) {
-        attemptCount += at < measureFromNanos ? 0 : 1;
+    void recordAttempt(long requestedAtNanos) {
+        attemptCount += requestedAtNanos < measureFromNanos ? 0 : 1;
     }
 
-    private void add(double[][] sums, long at, int requestClass, int tenant, double worth) {
-        sums[0][(int) ((at - measureFromNanos) / NANOS_PER_SECOND)] += worth;
-        sums[1][requestClass] += worth;
-        sums[2][tenant] += worth;
+    private void add(
+            double[][] sums, long requestedAtNanos, int requestClass, int tenant, double weight) {
+        sums[0][(int) ((requestedAtNanos - measureFromNanos) / NANOS_PER_SECOND)] += weight;
+        sums[1][requestClass] += weight;
+        sums[2][tenant] += weight;
     }
 
-    void served(long at, long took, boolean good, int requestClass, int tenant, double worth) {
-        if (at < measureFromNanos) {
+    void served(
+            long requestedAtNanos,
+            long latencyNanos,
+            boolean isInTime,
+            int requestClass,
+            int tenant,
+            double weight) {
+        if (requestedAtNanos < measureFromNanos) {
             return;
         }
-        add(earnedWeight, at, requestClass, tenant, good ? worth : LATE_WEIGHT * worth);
-        latencyMicros.recordValue(Math.min(MAX_LATENCY_MICROS, took / 1_000));
-        recentLatencyMicros.recordValue(Math.min(MAX_LATENCY_MICROS, took / 1_000));
-        if (good) {
+        add(
+                earnedWeight,
+                requestedAtNanos,
+                requestClass,
+                tenant,
+                isInTime ? weight : LATE_WEIGHT * weight);
+        latencyMicros.recordValue(Math.min(MAX_LATENCY_MICROS, latencyNanos / 1_000));
+        recentLatencyMicros.recordValue(Math.min(MAX_LATENCY_MICROS, latencyNanos / 1_000));
+        if (isInTime) {
             inTime++;
-            inTimeWeight += worth;
-            inTimeBySecond[(int) ((at - measureFromNanos) / NANOS_PER_SECOND)]++;
+            inTimeWeight += weight;
+            inTimeBySecond[(int) ((requestedAtNanos - measureFromNanos) / NANOS_PER_SECOND)]++;
         } else {
             late++;
         }
     }
 
-    void recordFailure(long at, boolean wasRejected) {
-        if (at < measureFromNanos) {
+    void recordFailure(long requestedAtNanos, boolean wasRejected) {
+        if (requestedAtNanos < measureFromNanos) {
             return;
         }
         if (wasRejected) {
@@ -108,44 +120,44 @@
         }
     }
 
-    /** First tries. */
+    /** Returns the number of client requests, retries not counted. */
     public long asked() {
         return requestCount;
     }
 
-    /** All tries, clients' retries included. */
+    /** Returns the number of client attempts, retries included. */
     public long attemptCount() {
         return attemptCount;
     }
 
-    /** First tries answered within their aim. */
+    /** Returns the number of requests answered within their latency objective. */
     public long inTime() {
         return inTime;
     }
 
-    /** First tries answered after their aim. */
+    /** Returns the number of requests answered after their latency objective. */
     public long late() {
         return late;
     }
 
-    /** First tries that ended refused. */
+    /** Returns the number of requests whose last attempt was rejected. */
     public long rejected() {
         return rejected;
     }
 
-    /** First tries that ended failed or unanswered. */
+    /** Returns the number of requests that failed or remained unanswered. */
     public long failed() {
         return failed;
     }
 
-    /** Worth answered in time over worth asked for. */
+    /** Returns the weight answered in time as a fraction of the requested weight. */
     public double inTimeFraction() {
         return totalWeight == 0 ? 0 : inTimeWeight / totalWeight;
     }
 
     /**
-     * The operators' goal: whole day, worst ten seconds, worst class and worst tenant weighed,
-     * before any price.
+     * Returns the operators' objective: the weighted sum for the whole run, its worst ten seconds,
+     * worst class and worst tenant, before costs are deducted.
      */
     public double objective() {
         double overall =
@@ -184,7 +196,10 @@
         return minimum;
     }
 
-    /** A percentile of served latencies from the first try on, in milliseconds. */
+    /**
+     * Returns a percentile of the latency of served requests, from the first attempt, in
+     * milliseconds.
+     */
     public double latencyMillis(double percentile) {
         return latencyMicros.getTotalCount() == 0
                 ? 0
@@ -192,7 +207,8 @@
     }
 
     /**
-     * A percentile of what was served since it was last forgotten, in milliseconds; 0 for nothing.
+     * Returns a percentile of the latency of requests served since {@link #resetRecent}, in
+     * milliseconds; 0 if there are none.
      */
     double recentLatencyMillis(double percentile) {
         return recentLatencyMicros.getTotalCount() == 0
@@ -205,15 +221,15 @@
     }
 
     /**
-     * The share of a span's first tries that were served in time; seconds from the start, the last
-     * one not included.
+     * Returns the fraction of requests made from second {@code from} until before second {@code to}
+     * that were served in time; 1 if there are none.
      */
     public double served(int from, int to) {
         long all = Arrays.stream(requestedBySecond, from, to).sum();
         return all == 0 ? 1 : Arrays.stream(inTimeBySecond, from, to).sum() / (double) all;
     }
 
-    /** Whole seconds of the day. */
+    /** Returns the number of seconds of the run, rounded up. */
     public int seconds() {
         return requestedBySecond.length;
     }
--- a/emulator/src/main/java/frostrelay/emulator/RunTimeSeries.java
+++ b/emulator/src/main/java/frostrelay/emulator/RunTimeSeries.java
@@ -8,8 +8,9 @@
 import java.util.function.ToLongFunction;
 
 /**
- * How a day went, second by second: what was counted in each, and how busy caches were. Many caches
- * share a row, so that what is kept grows with the day's length and not with the plant.
+ * Time series of a run with one value per second: counters and cache utilization. In large models
+ * several caches share a row, so memory grows with the length of the run, not with the number of
+ * machines.
  */
 public final class RunTimeSeries {
     private static final int MAX_ROWS = 64;
@@ -39,14 +40,14 @@
         previousServed = new long[unservedFraction.length];
     }
 
-    /** A number that only grows. */
+    /** Adds a monotonic counter. */
     void addCounter(String name, LongSupplier counter) {
         counters.put(name, counter);
         countsBySecond.put(name, new long[p50Millis.length]);
         previousTotals.put(name, 0L);
     }
 
-    /** What was counted so far belongs to no second. */
+    /** Starts the series; counts up to now are excluded. */
     void start() {
         counters.forEach((name, counter) -> previousTotals.put(name, counter.getAsLong()));
         for (int i = 0; i < utilization.length; i++) {
@@ -70,12 +71,12 @@
         return all.stream().mapToLong(value).sum();
     }
 
-    /** What a day came to under a name. */
+    /** Returns the total of a counter over the run. */
     long total(String name) {
         return Arrays.stream(countsBySecond.get(name)).sum();
     }
 
-    /** A second has passed. */
+    /** Records the values of the second that has just ended. */
     void recordSecond(int second, RunStatistics statistics, int cores) {
         counters.forEach(
                 (name, counter) -> {
@@ -97,7 +98,8 @@
             List<SimBalancer> row = row(balancers, i, unservedFraction.length);
             long receivedTotal = sum(row, SimBalancer::receivedRequests);
             long servedTotal = sum(row, SimBalancer::servedRequests);
-            // What came in one second may be served in the next: more than all is none.
+            // A request may be served in the second after its arrival, so the fraction served can
+            // exceed 1.
             unservedFraction[i][second] =
                     receivedTotal == previousReceived[i]
                             ? 0
@@ -112,34 +114,37 @@
         }
     }
 
-    /** What was counted in each second, by name. */
+    /** Returns the counts per second by counter name. */
     public Map<String, long[]> counts() {
         Map<String, long[]> all = new LinkedHashMap<>();
         countsBySecond.forEach((name, counts) -> all.put(name, counts.clone()));
         return all;
     }
 
-    /** The median of latencies served in each second, in milliseconds; 0 where there were none. */
+    /**
+     * Returns the median latency of requests served in each second, in milliseconds; 0 if there
+     * were none.
+     */
     public double[] p50Millis() {
         return p50Millis.clone();
     }
 
-    /** Likewise the 99th percentile. */
+    /**
+     * Returns the 99th percentile latency of requests served in each second, in milliseconds; 0 if
+     * there were none.
+     */
     public double[] p99Millis() {
         return p99Millis.clone();
     }
 
-    /**
-     * Work of caches' cores in each second as a part of what they can do; a row for one cache or
-     * for several.
-     */
+    /** Returns core utilization in each second; each row covers one or several caches. */
     public float[][] utilization() {
         return copy(utilization);
     }
 
     /**
-     * The part of tries that came in each second and were not served; a row for one balancer or for
-     * several.
+     * Returns the fraction of attempts received in each second that were not served; each row
+     * covers one or several balancers.
      */
     public float[][] unservedFraction() {
         return copy(unservedFraction);
--- a/emulator/src/main/java/frostrelay/emulator/SimBalancer.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimBalancer.java
@@ -21,16 +21,16 @@
 import java.util.Set;
 
 /**
- * One balancer: the real decision module with a ledger of open requests round it, as the real
- * balancer has one. Its one core takes a while for each event; what comes meanwhile waits.
+ * A simulated balancer: the real decision module with a table of open requests, as in the real
+ * balancer. Its single core takes a fixed time for each event; later events queue.
  */
 final class SimBalancer implements PolicyActions, SimDiscovery.Subscriber {
-    /** Makes the decision module. */
+    /** Creates the decision module. */
     interface RouterFactory {
         PolicyEvents create(PolicySettings settings, long seed, PolicyActions actions);
     }
 
-    /** A request as a client made it; hears its one final answer. */
+    /** A client's request, which receives exactly one final answer. */
     interface IncomingRequest {
         Request createRequest(long id, long deadlineNanos);
 
@@ -38,19 +38,19 @@
 
         int key();
 
-        /** Nanoseconds of a cache's core. */
+        /** Returns the work in nanoseconds of a cache core. */
         double workNanos();
 
         boolean isWrite();
 
-        /** It took effect at a cache. */
+        /** Notifies that a cache executed the request. */
         void onExecuted(long now);
 
-        /** {@code retryAfterNanos}: nanoseconds to wait, for a refusal. */
+        /** Delivers the final answer; {@code retryAfterNanos} is the wait after a rejection. */
         void onAnswer(long now, Answer answer, long retryAfterNanos);
     }
 
-    /** A final answer; LOST where the balancer died with it. */
+    /** A final answer; LOST if the balancer was killed with the request open. */
     enum Answer {
         SERVED,
         REJECTED,
@@ -71,7 +71,7 @@
         int pendingAttempts;
         boolean isCompleted;
 
-        /** Its end at the latest, on the timeline. */
+        /** Timer that ends the request after its deadline. */
         long deadlineTimer = Timeline.NO_TIMER;
 
         Exchange(long id, IncomingRequest incomingRequest, long deadlineNanos) {
@@ -92,15 +92,15 @@
         int cacheIndex;
 
         /**
-         * In which life of the cache its connection came up, {@link #NO_CONNECTION} while it has
-         * none.
+         * Incarnation of the cache at which the connection was established; {@link #NO_CONNECTION}
+         * without one.
          */
         int connectionIncarnation = NO_CONNECTION;
 
-        /** The first on its connection bears the handshake's work. */
+        /** The first attempt on a connection also carries the work of the handshake. */
         boolean isFirstOnConnection;
 
-        /** It is on its way: it may run. */
+        /** Set once the attempt has been sent and so may be executed. */
         boolean isSent;
 
         boolean isIntendedCache = true;
@@ -176,7 +176,7 @@
     private final NetworkDelays networkDelays;
     private final SimDiscovery discovery;
 
-    /** What answers at the address that a place's id is listed with. */
+    /** The cache that currently answers at the address of each cache index. */
     private final List<SimCache> cacheAtAddress;
 
     private final Long2LongHashMap indexByServerId;
@@ -187,16 +187,16 @@
     private final long seed;
     private final Long2ObjectHashMap<Exchange> exchanges = new Long2ObjectHashMap<>();
 
-    /** Caches that nothing sent from here reaches. */
+    /** Caches that messages from this balancer do not reach. */
     private final BitSet partitionedCaches = new BitSet();
 
     private final SimInvariantChecker invariantChecker;
 
-    /** Connections; null where they are not part of the model. */
+    /** Null if connections are not modelled. */
     private final SimConnectionPool connections;
 
     /**
-     * Since when this balancer has been told that a cache drains or is gone; 0 where it has not.
+     * Time at which this balancer learned that a cache drains or was removed; 0 for other caches.
      */
     private final long[] drainingSinceNanos;
 
@@ -212,7 +212,7 @@
     private long additionalAttempts;
     private long servedRequests;
 
-    /** {@code seed}: of its module; its zone is that of its settings. */
+    /** Creates a started balancer; {@code seed} seeds its decision module. */
     SimBalancer(
             SystemModel model,
             Timeline timeline,
@@ -249,7 +249,7 @@
         return cacheIndex % zoneCount;
     }
 
-    /** Begins anew, knowing the list as it was last. */
+    /** Starts with a new decision module and the cached endpoint list. */
     void start(long at) {
         isDown = false;
         isShuttingDown = false;
@@ -282,7 +282,7 @@
                                 : drainingSinceNanos[cacheIndex];
     }
 
-    /** Operators hold these caches out of use, all of them and no others. */
+    /** Replaces the set of administratively drained caches. */
     void applyAdminDrains(long at, Set<Long> serverIds) {
         adminDrainedServers.forEach(
                 id ->
@@ -296,7 +296,7 @@
         }
     }
 
-    /** A planned restart: nothing new comes, what is open is served, and then it begins anew. */
+    /** Restarts gracefully: accepts no new requests, completes the open ones, then starts again. */
     void restart(long at, long maxDeadlineNanos) {
         isShuttingDown = true;
         int startIncarnation = incarnation;
@@ -310,7 +310,7 @@
                 });
     }
 
-    /** Dies with everything it holds. */
+    /** Stops at once; all open requests are lost. */
     void kill(long at) {
         isDown = true;
         incarnation++;
@@ -326,12 +326,12 @@
                 .forEach(exchange -> exchange.incomingRequest.onAnswer(at, Answer.LOST, 0));
     }
 
-    /** A partition: what is sent to these caches is lost on the way. */
+    /** Sets whether messages to a cache are lost. */
     void setPartitioned(int cacheIndex, boolean isPartitioned) {
         partitionedCaches.set(cacheIndex, isPartitioned);
     }
 
-    /** Whether nothing new is to come here. */
+    /** Returns whether the balancer accepts no new requests. */
     boolean isUnavailable() {
         return isDown || isShuttingDown;
     }
@@ -340,7 +340,7 @@
         return zone;
     }
 
-    /** Runs an action once the core is free for it. */
+    /** Runs an action once the core is free. */
     private void runOnCore(long at, Event action) {
         if (spec.eventCostNanos() == 0) {
             now = at;
@@ -359,7 +359,7 @@
                 });
     }
 
-    /** A request arrives; returns under which number it can be taken back. */
+    /** Accepts a request and returns the id by which it can be cancelled. */
     long acceptRequest(long at, IncomingRequest incomingRequest) {
         long id = ++lastRequestId;
         if (isDown) {
@@ -378,8 +378,8 @@
                         exchange.deadlineNanos + NANOS_PER_MILLI,
                         then -> {
                             if (startIncarnation == incarnation && !exchange.isCompleted) {
-                                // The module has left it open past its deadline: one answer is owed
-                                // all the same.
+                                // The decision module left the request open past its deadline; the
+                                // client still gets one answer.
                                 invariantChecker.recordViolation(
                                         SimInvariantChecker.Rule.LEFT_OPEN);
                                 now = then;
@@ -390,7 +390,7 @@
         runOnCore(
                 at,
                 then -> {
-                    // Its client may have left while it waited for the core.
+                    // The client may have disconnected while the request waited for the core.
                     if (!exchange.isCompleted) {
                         router.onRequest(
                                 then, incomingRequest.createRequest(id, exchange.deadlineNanos));
@@ -399,7 +399,7 @@
         return id;
     }
 
-    /** Its client waits no longer. */
+    /** Cancels a request whose client has disconnected. */
     void onClientDisconnect(long at, long id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.isCompleted) {
@@ -463,8 +463,8 @@
         }
     }
 
-    // What the module asks for. Outcomes that come at once are events of their own: the module is
-    // not reentrant.
+    // Actions of the decision module. Immediate outcomes are scheduled as separate events because
+    // the module is not reentrant.
 
     @Override
     public void send(long requestId, long serverId, long abandonAtNanos) {
@@ -486,7 +486,7 @@
                 abandonAtNanos <= 0
                         ? exchange.deadlineNanos
                         : Math.min(abandonAtNanos, exchange.deadlineNanos);
-        // What never left cannot have run: its connection did not come up in time.
+        // An unsent attempt cannot have been executed: its connection was not established in time.
         attempt.timeoutTimer =
                 timeline.schedule(
                         timeoutAtNanos,
@@ -547,7 +547,8 @@
                     } else {
                         connections.onConnected(then, cacheIndex);
                         if (attempt.isCompleted) {
-                            // Cancelled while it came up: nothing was written, and it is kept.
+                            // The attempt ended during the handshake. Nothing was written, so the
+                            // connection is kept.
                             connections.release(
                                     then, cacheIndex, connections.incarnation(cacheIndex));
                         } else {
@@ -585,7 +586,7 @@
                                                 zone(attempt.cacheIndex), zone),
                                 back -> completeAttempt(back, attempt, AttemptResult.RESET));
                     }
-                    // Of those that are reset every other one has come, and may run.
+                    // Every other reset request reaches the cache first and may be executed.
                     if (!isReset || (attempt.exchange.id & 1) == 0) {
                         cache.accept(then, attempt);
                     }
@@ -593,8 +594,8 @@
     }
 
     /**
-     * A connection is free after an answer; given up under a request it is closed, as the answer
-     * may still come.
+     * Returns the connection to the pool after an answer. Without one it is closed, because the
+     * answer may still arrive.
      */
     private void releaseConnection(long at, Attempt attempt, AttemptResult reason) {
         if (attempt.connectionIncarnation == NO_CONNECTION) {
@@ -667,7 +668,7 @@
         discovery.subscribe(now, this);
     }
 
-    /** Requests that came here, also while it was down. */
+    /** Returns the number of requests received, including those received while down. */
     long receivedRequests() {
         return lastRequestId;
     }
@@ -676,17 +677,17 @@
         return attemptsSent;
     }
 
-    /** Requests that were served from here. */
+    /** Returns the number of requests served. */
     long servedRequests() {
         return servedRequests;
     }
 
-    /** Connections that were begun. */
+    /** Returns the number of handshakes started. */
     long handshakes() {
         return connections == null ? 0 : connections.handshakeCount();
     }
 
-    /** Sends beyond the first of a request. */
+    /** Returns the number of attempts after the first of each request. */
     long additionalAttempts() {
         return additionalAttempts;
     }
--- a/emulator/src/main/java/frostrelay/emulator/SimCache.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimCache.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /**
- * A cache: cores that serve in the order of arrival, a bounded queue, memory, misses to the origin,
- * a cold start.
+ * A simulated cache with FIFO service on several cores, a bounded queue, an object store, fetches
+ * from the origin on misses, and a slow start.
  */
 final class SimCache {
-    /** How work at a cache ends. */
+    /** The outcome of a job. */
     enum Outcome {
         SERVED,
         HIT,
@@ -23,30 +23,31 @@
         RESET
     }
 
-    /** Work for a cache. */
+    /** A request to be processed by a cache. */
     interface Job {
         int key();
 
-        /** Nanoseconds of a core at full speed. */
+        /** Returns the work in nanoseconds of a core at full speed. */
         double workNanos();
 
         boolean isWrite();
 
-        /** Whether nobody waits any more: waiting work is dropped then. */
+        /** Returns whether the sender has abandoned the job; queued jobs are then dropped. */
         boolean isCancelled();
 
         /**
-         * Whether who sent it has been told of the cache: it may think that another one is there.
+         * Returns whether the sender addressed this cache. False if its list names another cache at
+         * the same address.
          */
         boolean isIntendedCache();
 
         void onCompleted(long now, Outcome outcome);
 
-        /** It took effect. */
+        /** Notifies that the job has been executed. */
         void onExecuted(long now);
     }
 
-    /** A job from its coming to its end. */
+    /** A linked-list node of a job that has arrived and not completed. */
     private static final class JobNode {
         final Job job;
         JobNode previous = this;
@@ -63,7 +64,7 @@
             previous = other;
         }
 
-        /** False if it had left before. */
+        /** Removes the node; returns false if it was not linked. */
         boolean unlink() {
             boolean wasLinked = next != this;
             previous.next = next;
@@ -74,10 +75,13 @@
         }
     }
 
-    /** Lives of a newcomer are none of those that the cache before it at the same address had. */
+    /**
+     * Keeps the incarnations of a replacement distinct from those of the previous cache at the same
+     * address.
+     */
     private static final int REPLACEMENT_INCARNATION_OFFSET = 1 << 20;
 
-    /** Numbers without a pattern, out of a counter. */
+    /** Multiplier that spreads a counter evenly, to choose the requests that fail. */
     private static final int GOLDEN_RATIO = 0x9E3779B9;
 
     private final SystemModel.Cache spec;
@@ -86,7 +90,7 @@
     private final Timeline timeline;
     private final SimOrigin origin;
 
-    /** How often each key was written, over all caches. */
+    /** Number of writes to each key, over all caches. */
     private final int[] versionByKey;
 
     private final SlowStartGuard slowStartGuard;
@@ -94,7 +98,7 @@
     private final Deque<JobNode> queue = new ArrayDeque<>();
     private final Int2ObjectHashMap<List<JobNode>> waitersByKey = new Int2ObjectHashMap<>();
 
-    /** All that has come and not ended is linked behind this, in the order in which it came. */
+    /** List head of all jobs that have not completed, in order of arrival. */
     private final JobNode openJobs = new JobNode(null);
 
     private int busyCores;
@@ -102,24 +106,24 @@
     private double slowdownFactor = 1;
     private long startedAtNanos = Long.MIN_VALUE / 2;
 
-    /** Counts lives: what belongs to a former one ends in nothing. */
+    /** Number of process starts; events of former incarnations are ignored. */
     private int incarnation;
 
     private long hits;
     private long misses;
     private long busyNanos;
 
-    /** Takes what comes and answers nothing. */
+    /** Set while the cache answers nothing. */
     private boolean isUnresponsive;
 
-    /** The part of requests that fails for a cause of its own. */
+    /** Fraction of requests that fail because of an injected fault. */
     private double failureFraction;
 
     private int connectionCount;
     private long wastedNanos;
     private int failureCounter;
 
-    /** {@code maxConnections}: connections that it holds. */
+    /** Creates a cache that accepts up to {@code maxConnections} connections. */
     SimCache(
             SystemModel.Cache spec,
             int index,
@@ -138,7 +142,7 @@
         this.memory = new SimCacheMemory(spec.maxObjects(), spec.eviction());
     }
 
-    /** Holds a key from the start. */
+    /** Stores a key in its initial version. */
     void preload(int key) {
         memory.put(key, 0);
     }
@@ -186,8 +190,8 @@
     private void startWork(long now, JobNode jobNode) {
         busyCores++;
         int startIncarnation = incarnation;
-        // Crowding: each that waits slows the one in work, as context switches and lost cache lines
-        // do.
+        // Contention: each queued job slows the running one, as context switches and CPU cache
+        // misses do.
         long durationNanos =
                 (long)
                         (jobNode.job.workNanos()
@@ -281,7 +285,7 @@
                 });
     }
 
-    /** The process dies with all it holds. */
+    /** Stops the process; open jobs are reset and memory is lost. */
     void kill(long now) {
         isDown = true;
         incarnation++;
@@ -295,37 +299,34 @@
         }
     }
 
-    /** It starts empty and cold. */
+    /** Starts the process with empty memory, in slow start. */
     void start(long now) {
         isDown = false;
         startedAtNanos = now;
     }
 
-    /** It comes in the place of another for the first time. */
+    /** Starts this cache for the first time, as the replacement of another. */
     void startAsReplacement(long now) {
         incarnation += REPLACEMENT_INCARNATION_OFFSET;
         start(now);
     }
 
-    /** Work takes so many times as long from now on. */
+    /** Multiplies the duration of work. */
     void setSlowdownFactor(double factor) {
         slowdownFactor = factor;
     }
 
-    /** Its machine is cut off: nothing comes in and nothing goes out, and nobody is told. */
+    /** Isolates the machine from the network without any notification, or reconnects it. */
     void setUnresponsive(boolean unresponsive) {
         isUnresponsive = unresponsive;
     }
 
-    /** Fails this part of its requests from now on. */
+    /** Sets the fraction of requests that fail. */
     void setFailureFraction(double fraction) {
         failureFraction = fraction;
     }
 
-    /**
-     * Whether a new connection comes up: null while nothing answers, as from a machine that is cut
-     * off.
-     */
+    /** Accepts or refuses a new connection; returns null if the machine does not answer. */
     Boolean acceptConnection() {
         if (isUnresponsive) {
             return null;
@@ -337,40 +338,37 @@
         return true;
     }
 
-    /** A connection that came up in that life of it is closed. */
+    /** Closes a connection that was established in the given incarnation. */
     void closeConnection(int connectionIncarnation) {
         connectionCount -= connectionIncarnation == incarnation ? 1 : 0;
     }
 
-    /** Counts lives: connections end with the process. */
+    /** Returns the incarnation, which identifies the process that connections belong to. */
     int incarnation() {
         return incarnation;
     }
 
-    /** Where it is listed. */
+    /** Returns the cache's index. */
     int index() {
         return index;
     }
 
-    /** Connections that it holds. */
+    /** Returns the number of open connections. */
     int connectionCount() {
         return connectionCount;
     }
 
-    /**
-     * Nanoseconds of its cores' time that were given to work that nobody waited for when it was
-     * done.
-     */
+    /** Returns the core time in nanoseconds spent on jobs that were abandoned before completion. */
     long wastedNanos() {
         return wastedNanos;
     }
 
-    /** Nanoseconds of its cores' time that were given to work. */
+    /** Returns the core time in nanoseconds spent on jobs. */
     long worked() {
         return busyNanos;
     }
 
-    /** All that is kept goes void, as a release of new templates does. */
+    /** Invalidates all objects, as the release of new templates does. */
     void invalidateAll() {
         memory.clear();
     }
--- a/emulator/src/main/java/frostrelay/emulator/SimCacheMemory.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimCacheMemory.java
@@ -5,8 +5,9 @@
 import java.util.Arrays;
 
 /**
- * What a cache keeps: so many objects, those used or kept longest ago go first. An object is void
- * once its key was written. Places in arrays, linked by age; they grow with what is kept.
+ * The bounded object store of a cache, with LRU or FIFO eviction. An object is invalid once its key
+ * has been written. Entries are array slots linked by age; the arrays grow with the number of
+ * entries.
  */
 final class SimCacheMemory {
     private static final int NONE = -1;
@@ -27,7 +28,10 @@
         isLru = eviction == SystemModel.Eviction.LRU;
     }
 
-    /** Whether the key is kept in this version; using it makes it the youngest. */
+    /**
+     * Returns whether the key is stored in this version; with LRU, also marks it as most recently
+     * used.
+     */
     boolean contains(int key, int version) {
         int slot = slotByKey.get(key);
         if (slot != NONE && isLru) {
@@ -51,7 +55,7 @@
         versions[slot] = version;
     }
 
-    /** One that is free, or that of the object which goes first. */
+    /** Returns a free slot, evicting the oldest entry if the store is full. */
     private int allocateSlot() {
         if (slotByKey.size() == maxEntries) {
             int evictedSlot = oldest;
--- a/emulator/src/main/java/frostrelay/emulator/SimClients.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimClients.java
@@ -12,12 +12,17 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Clients in an open loop, with patience, retries and back-off, behind a plain front. */
+/**
+ * Open-loop clients with time-outs, retries and back-off that connect through a simple front end.
+ */
 final class SimClients {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final int MAX_BACKOFF_SHIFT = 10;
 
-    /** With less time left than this no client asks again: the answer could not come. */
+    /**
+     * Clients do not retry with less time left than this, because no answer could arrive before the
+     * deadline.
+     */
     private static final long MIN_RETRY_WINDOW_NANOS = 20_000_000L;
 
     private final SystemModel model;
@@ -59,7 +64,7 @@
                         : zipfMandelbrotSampler(random, model.clients());
     }
 
-    /** Zipf and Mandelbrot's law, ranks from 1 on. */
+    /** Returns a sampler of the Zipf-Mandelbrot distribution; ranks start at 1. */
     private static SharedStateDiscreteSampler zipfMandelbrotSampler(
             UniformRandomProvider random, SystemModel.Clients clients) {
         double[] weights =
@@ -98,7 +103,7 @@
         }
     }
 
-    /** Where the day stands in its rise and fall: 1 on the mean. */
+    /** Returns the periodic factor of the request rate; its mean is 1. */
     private double rateFactorAt(long now) {
         double amplitude = model.clients().rateAmplitude();
         return amplitude == 0
@@ -107,20 +112,20 @@
     }
 
     /**
-     * Popularity drifts: ranks move through the keys, so that the most popular ones are others
-     * after a while.
+     * Returns a random key. Popularity drifts: ranks move through the keys over time, so the set of
+     * popular keys changes.
      */
     private int sampleKey(long now) {
         long rankShift = (long) (model.clients().driftKeysPerSecond() * now / NANOS_PER_SECOND);
         return (int) ((keySampler.sample() - 1 + rankShift) % model.clients().keyCount());
     }
 
-    /** From now on so many times the usual rate. */
+    /** Multiplies the request rate. */
     void setRateFactor(double factor) {
         rateFactor = factor;
     }
 
-    /** First tries that have not ended. */
+    /** Returns the number of client requests without a final answer. */
     long openRequests() {
         return openRequests;
     }
@@ -129,17 +134,20 @@
         return frontend;
     }
 
-    /** From now on the first tenant asks for so many times its part. */
+    /** Multiplies the request rate of the first tenant. */
     void setFirstTenantFactor(double factor) {
         firstTenantFactor = factor;
     }
 
-    /** From now on they come again at once, so many times as often. */
+    /**
+     * Makes clients retry without delay and multiplies their number of retries; 1 restores the
+     * back-off.
+     */
     void setRetryFactor(double factor) {
         retryFactor = factor;
     }
 
-    /** From now on they give up so many times as early. */
+    /** Divides the clients' time-outs. */
     void setImpatienceFactor(double factor) {
         impatienceFactor = factor;
     }
@@ -171,7 +179,7 @@
         return model.requestClasses().size() - 1;
     }
 
-    /** A first try with all that follows from it. */
+    /** A client request with all of its attempts. */
     private final class UserRequest {
         private final long startedAtNanos;
         private final int classIndex;
@@ -216,8 +224,8 @@
                         requestClass.priorityWeight());
                 return;
             }
-            // What may have run is made again only where a repeat does no harm or is dropped by its
-            // key.
+            // An attempt that may have been executed is retried only if a repeat is harmless or is
+            // deduplicated by its key.
             boolean isRetryable =
                     answer == SimBalancer.Answer.REJECTED
                             || requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
@@ -257,7 +265,7 @@
         private long balancerRequestId;
         private boolean isCompleted;
 
-        /** The end of its patience, on the timeline. */
+        /** Timer of the client's time-out. */
         private final long timeoutTimer;
 
         ClientAttempt(UserRequest userRequest, long now) {
--- a/emulator/src/main/java/frostrelay/emulator/SimConnectionPool.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimConnectionPool.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * One balancer's connections to caches: counted for each cache, not held one by one. Idle ones are
- * closed a while before the cache would; those to a process that died are gone with it.
+ * A balancer's connections to caches, kept as counts per cache. Idle connections are closed before
+ * the cache's own idle time-out; connections to a process that died are dropped.
  */
 final class SimConnectionPool {
-    /** Part of the caches' idle time after which the real balancer gives a connection up. */
+    /** Fraction of the caches' idle time-out after which the real balancer closes a connection. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.6;
 
     private final SystemModel.Connections spec;
@@ -28,7 +28,7 @@
         lastUsedNanos = new long[caches.size()];
     }
 
-    /** Forgets what a cache has closed or what died with it. */
+    /** Drops connections to a former process of the cache and closes those idle for too long. */
     private void removeStale(long now, int cacheIndex) {
         if (incarnations[cacheIndex] != caches.get(cacheIndex).incarnation()) {
             incarnations[cacheIndex] = caches.get(cacheIndex).incarnation();
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Takes an idle connection; false if there is none. */
+    /** Acquires an idle connection; returns false if there is none. */
     boolean tryAcquireIdle(long now, int cacheIndex) {
         removeStale(now, cacheIndex);
         if (idleConnections[cacheIndex] == 0) {
@@ -53,7 +53,7 @@
         return true;
     }
 
-    /** Makes room for one more; false if all are in use. */
+    /** Frees capacity for one more connection; returns false if all are in use. */
     boolean ensureCapacity(long now) {
         for (int cacheIndex = 0;
                 totalConnections >= spec.maxPerBalancer() && cacheIndex < openConnections.length;
@@ -78,30 +78,30 @@
         return leastRecentlyUsed >= 0;
     }
 
-    /** A handshake begins. */
+    /** Counts the start of a handshake. */
     void onConnectStarted() {
         handshakeCount++;
         totalConnections++;
     }
 
-    /** It came to nothing. */
+    /** Releases the capacity of a failed handshake. */
     void onConnectFailed() {
         totalConnections--;
     }
 
-    /** It is up and in use; {@code totalConnections} has it already. */
+    /** Adds an established connection in use, which {@code totalConnections} already includes. */
     void onConnected(long now, int cacheIndex) {
         removeStale(now, cacheIndex);
         openConnections[cacheIndex]++;
         lastUsedNanos[cacheIndex] = now;
     }
 
-    /** In whose life at the cache a connection that is taken now stands. */
+    /** Returns the cache incarnation to which a connection acquired now belongs. */
     int incarnation(int cacheIndex) {
         return incarnations[cacheIndex];
     }
 
-    /** One in use is free again, unless the process that it led to is gone. */
+    /** Returns a connection to the pool unless its cache process has ended. */
     void release(long now, int cacheIndex, int incarnation) {
         removeStale(now, cacheIndex);
         if (incarnation == incarnations[cacheIndex]) {
@@ -110,7 +110,10 @@
         }
     }
 
-    /** One in use, or an idle one that the caller takes off, is closed. */
+    /**
+     * Closes a connection that is in use, or an idle one that the caller removes from the idle
+     * count.
+     */
     void close(int cacheIndex, int incarnation) {
         if (incarnation == incarnations[cacheIndex] && openConnections[cacheIndex] > 0) {
             openConnections[cacheIndex]--;
@@ -125,7 +128,7 @@
         }
     }
 
-    /** The process that held them is gone. */
+    /** Closes all connections, as when the balancer's process ends. */
     void closeAll() {
         for (int cacheIndex = 0; cacheIndex < openConnections.length; cacheIndex++) {
             for (int remaining = openConnections[cacheIndex]; remaining > 0; remaining--) {
@@ -136,13 +139,13 @@
         totalConnections = 0;
     }
 
-    /** To one cache, in use or idle. */
+    /** Returns the number of connections to a cache, in use or idle. */
     int openConnections(long now, int cacheIndex) {
         removeStale(now, cacheIndex);
         return openConnections[cacheIndex];
     }
 
-    /** All, those that come up included. */
+    /** Returns the number of all connections, including those in the handshake. */
     int totalConnections() {
         return totalConnections;
     }
--- a/emulator/src/main/java/frostrelay/emulator/SimDiscovery.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimDiscovery.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 
 /**
- * Discovery: tells subscribers of changes, late, and at times not at all. One service for all
- * balancers that works through calls in turn; each answer to a watch is followed by its next call.
- * Stands outside of all zones.
+ * The simulated discovery service, which notifies subscribers of changes with a delay and can fail.
+ * One instance serves all balancers and processes calls in sequence; each watch response is
+ * followed by the next watch call. It belongs to no zone.
  */
 final class SimDiscovery {
-    /** Hears lists. */
+    /** Receives endpoint lists. */
     interface Subscriber {
         void onList(long now, EndpointUpdateMode mode, List<Server> servers);
     }
@@ -29,7 +29,7 @@
     private final SystemModel.Discovery spec;
     private final int zoneCount;
 
-    /** By place; null for a cache that is not there yet. */
+    /** Servers by cache index; null for a cache that has not started yet. */
     private final Server[] servers;
 
     private final Set<Subscriber> subscribers = new LinkedHashSet<>();
@@ -40,7 +40,7 @@
     private long entriesSent;
     private long failedCalls;
 
-    /** {@code listedCount} of {@code slotCount} are there from the start. */
+    /** Lists the first {@code listedCount} of {@code slotCount} caches from the start. */
     SimDiscovery(
             Timeline timeline,
             SystemModel.Discovery spec,
@@ -56,7 +56,7 @@
         }
     }
 
-    /** The id of the cache at a place, spread over all numbers. */
+    /** Returns the server id of a cache index; ids are spread over all values. */
     static long serverId(int index) {
         return (index + 1) * ID_MULTIPLIER;
     }
@@ -65,22 +65,19 @@
         return new Server(serverId(index), index % zoneCount, 0, 0, state, 1, startedAtNanos);
     }
 
-    /** What is listed now. */
+    /** Returns the current endpoint list. */
     List<Server> currentServers() {
         return Arrays.stream(servers).filter(Objects::nonNull).toList();
     }
 
-    /** A cache's state changes; it is told once the lateness has passed. */
+    /** Publishes a change of a cache's state after the notification delay. */
     void scheduleUpdate(long now, int index, EndpointState state, long startedAtNanos) {
         timeline.schedule(
                 now + (long) (spec.delayNanos() * delayFactor),
                 then -> publish(then, index, server(index, state, startedAtNanos)));
     }
 
-    /**
-     * A cache is listed as gone, or again as it is, though nothing has happened to it: told at
-     * once.
-     */
+    /** Lists a healthy cache as removed, or as ready again. Published without delay. */
     void setFalselyRemoved(long now, int index, boolean isRemoved) {
         publish(
                 now,
@@ -96,7 +93,7 @@
         for (Subscriber subscriber : List.copyOf(subscribers)) {
             entriesSent++;
             subscriber.onList(now, EndpointUpdateMode.DELTA, List.of(update));
-            // The watch goes on with another call, which waits in turn as all do.
+            // The watch continues with another call, which queues like all others.
             long completedAtNanos = reserveCall(now);
             if (completedAtNanos < 0) {
                 subscribers.remove(subscriber);
@@ -105,7 +102,7 @@
         }
     }
 
-    /** When a call that comes now is through, -1 if it waits in vain. */
+    /** Queues a call and returns its completion time, or -1 if it would time out first. */
     private long reserveCall(long now) {
         if (spec.callsPerSecond() == 0) {
             return now + CALL_NANOS;
@@ -150,7 +147,7 @@
         subscribers.remove(subscriber);
     }
 
-    /** Out of reach: watches end and calls fail. */
+    /** Starts or ends an outage, in which watches end and calls fail. */
     void setOutage(long now, boolean isOutage) {
         isDown = isOutage;
         if (isOutage) {
@@ -160,22 +157,22 @@
         }
     }
 
-    /** Changes are told so many times as late from now on. */
+    /** Multiplies the notification delay. */
     void setDelayFactor(double factor) {
         delayFactor = factor;
     }
 
-    /** Calls take so many times as long from now on. */
+    /** Multiplies the processing time of a call. */
     void setCallCostFactor(double factor) {
         callCostFactor = factor;
     }
 
-    /** Entries told so far, over all balancers. */
+    /** Returns the number of list entries sent to all balancers. */
     long entriesSent() {
         return entriesSent;
     }
 
-    /** Calls that failed. */
+    /** Returns the number of failed calls. */
     long failedCalls() {
         return failedCalls;
     }
--- a/emulator/src/main/java/frostrelay/emulator/SimFaults.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimFaults.java
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** Brings a plant's faults about, and undoes them. */
+/** Injects the faults of a system model and ends them. */
 final class SimFaults {
-    /** What is replaced is told to drain first. */
+    /** Time for which a replaced cache drains before it is stopped. */
     private static final long DRAIN_NANOS = 2_000_000_000L;
 
-    /** One newcomer in so many takes over the address of the one that it replaces. */
+    /** One replacement out of this many takes over the address of the cache it replaces. */
     private static final int ADDRESS_REUSE_INTERVAL = 3;
 
-    /** The part of its reads that a failing cache fails. */
+    /** Fraction of its requests that a failing cache fails. */
     private static final double FAILURE_FRACTION = 0.9;
 
     private final SystemModel model;
@@ -33,7 +33,7 @@
     private final UniformRandomProvider random;
     private final Set<Long> adminDrainedServers = new HashSet<>();
 
-    /** The place of the next newcomer. */
+    /** Index of the next replacement cache. */
     private int nextReplacementIndex;
 
     SimFaults(
@@ -59,7 +59,7 @@
         nextReplacementIndex = model.cacheCount();
     }
 
-    /** Each comes at its time from now on. */
+    /** Schedules each fault at its start time. */
     void scheduleAll() {
         model.faults()
                 .forEach(
@@ -123,7 +123,10 @@
                 .orElse(0);
     }
 
-    /** It drains and goes; another one under a new id comes at once, some at its address. */
+    /**
+     * Drains and then removes a cache; a replacement with a new id starts at once. Some
+     * replacements take over its address.
+     */
     private void replaceCache(long now, int index) {
         int replacementIndex = nextReplacementIndex++;
         discovery.scheduleUpdate(now, index, EndpointState.DRAINING, 0);
@@ -140,7 +143,10 @@
                 });
     }
 
-    /** Without zones a part of the caches stands for one. */
+    /**
+     * Fails all caches and balancers of a zone. In a model with one zone, a fraction of the caches
+     * fails instead.
+     */
     private void failZone(long now, SystemModel.Fault fault, int zone) {
         if (model.zoneCount() == 1) {
             int[] targets =
@@ -205,7 +211,10 @@
         }
     }
 
-    /** Operators take caches out of use, restart them and put them back: they come back cold. */
+    /**
+     * Drains caches administratively, or restarts them and ends the drain; they restart with empty
+     * memory.
+     */
     private void setAdminDrains(long now, int[] targets, boolean isActive) {
         for (int index : targets) {
             if (isActive) {
@@ -227,7 +236,8 @@
             case CACHE_SILENT -> cache.setUnresponsive(isActive);
             case CACHE_FAILING -> cache.setFailureFraction(isActive ? FAILURE_FRACTION : 0);
             case WRONG_ENTRIES -> discovery.setFalselyRemoved(now, index, isActive);
-            // Half of the balancers lose sight of these caches: the two sides see different plants.
+            // Half of the balancers cannot reach these caches, so the two halves observe different
+            // states.
             case PARTITION ->
                     balancers
                             .subList(0, (balancers.size() + 1) / 2)
--- a/emulator/src/main/java/frostrelay/emulator/SimFrontend.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimFrontend.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * The plain front: deals clients out over the balancers of their zone, some of which are given
- * several times the mean.
+ * A simple front end that distributes clients over the balancers of their zone; some balancers
+ * receive several times the mean.
  */
 final class SimFrontend {
     private final List<SimBalancer> balancers;
     private final int zoneCount;
     private final boolean isUniform;
 
-    /** Sums of what balancers are given, by place, for each zone. */
+    /** Cumulative weights by balancer index, for each zone. */
     private final double[][] cumulativeWeights;
 
     private int crowdedZone = -1;
@@ -45,13 +45,16 @@
         }
     }
 
-    /** From now on this part of all clients comes to one zone, beside its own. */
+    /** Directs this fraction of all clients to one zone, in addition to its own clients. */
     void shiftTraffic(int zone, double fraction) {
         crowdedZone = zone;
         shiftedFraction = fraction;
     }
 
-    /** Where a client's next try goes; to one that is down only where all are. */
+    /**
+     * Chooses the balancer for a client's next attempt; an unavailable one only if all are
+     * unavailable.
+     */
     SimBalancer choose(UniformRandomProvider random) {
         int startIndex = isUniform ? random.nextInt(balancers.size()) : chooseWeighted(random);
         SimBalancer preferred = balancers.get(startIndex);
@@ -75,8 +78,8 @@
         int found =
                 Arrays.binarySearch(
                         zoneWeights, random.nextDouble() * zoneWeights[zoneWeights.length - 1]);
-        // Sums stand still where others' balancers are: the first place past the draw is one of
-        // this zone.
+        // The sum does not grow at balancers of other zones, so the first index above the draw
+        // belongs to this zone.
         return Math.min(zoneWeights.length - 1, found < 0 ? -found - 1 : found);
     }
 }
--- a/emulator/src/main/java/frostrelay/emulator/SimGossip.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimGossip.java
@@ -19,41 +19,43 @@
 import java.util.Set;
 
 /**
- * A tier of balancers that talk, in simulated time, each with the real {@link GossipNode}: a
- * network between them that loses datagrams, takes its time and can be cut. The same seed gives the
- * same day.
+ * A simulated tier of balancers that gossip, each with the real {@link GossipNode}, over a network
+ * with loss, delay and partitions. The same seed reproduces the same run.
  */
 public final class SimGossip {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long CHANGED_LIST_REVISION = 1_000_000L;
 
-    /** A call of discovery, there and back. */
+    /** Round-trip time of a discovery call. */
     private static final long DISCOVERY_CALL_NANOS = 50 * NANOS_PER_MILLI;
 
     private static final long WALL_CLOCK_START_MILLIS = 1_790_000_000_000L;
 
-    /** Discovery is down for some of them for so long. */
+    /** Delay of the list update for balancers whose discovery is late. */
     public static final long DISCOVERY_DELAY_NANOS = 30_000_000_000L;
 
     /**
-     * What is played.
+     * Parameters of a run. *
      *
-     * @param balancers in the tier
-     * @param loss part of the datagrams that are lost
-     * @param minDelayNanos and {@code maxDelayNanos}: a datagram's way, nanoseconds
-     * @param maxBytesPerSecond bytes that each may send in any second
-     * @param seconds how long, behind all of the others
-     * @param changes balancers that change what they act on, one every four seconds from {@link
-     *     #warmupSeconds} on
-     * @param together whether, besides, all of them change within 300 ms once, in the middle
-     * @param killed balancers that die at {@link #warmupSeconds}
-     * @param late part of the balancers whose discovery tells them of the change together only
-     *     {@link #DISCOVERY_DELAY_NANOS} later
-     * @param askable whether a call of discovery out of turn brings the list to those that are told
-     *     late: only their watches are lost
-     * @param partition part of the balancers that is cut from the others for ten seconds from the
-     *     middle on
+     * @param balancers number of balancers in the tier
+     * @param loss fraction of datagrams lost
+     * @param minDelayNanos shortest one-way delay of a datagram; {@code maxDelayNanos} is the
+     *     longest
+     * @param maxBytesPerSecond bytes that each balancer may send in any second
+     * @param seconds length of the measured period, which follows the warm-up and the single
+     *     changes
+     * @param changes number of single changes of a balancer's applied list, one every four seconds
+     *     from {@link #warmupSeconds} on
+     * @param together whether all balancers also change their list within 300 ms at the start of
+     *     the measured period
+     * @param killed number of balancers killed at {@link #warmupSeconds}
+     * @param late fraction of balancers that receive the common change from discovery {@link
+     *     #DISCOVERY_DELAY_NANOS} later
+     * @param askable whether an unscheduled discovery call returns the new list to the late
+     *     balancers, as when only their watches are lost
+     * @param partition fraction of balancers partitioned from the others for the first ten seconds
+     *     of the measured period
      */
     public record Plan(
             int balancers,
@@ -70,8 +72,8 @@
             boolean askable,
             long seed) {
         /**
-         * Seconds from the start until everybody has heard of everybody: the flood of a start is
-         * not measured with the rest.
+         * Returns the length of the warm-up, in which all members discover each other. The traffic
+         * burst of the start is excluded from the measurements.
          */
         public int warmupSeconds() {
             return 15 + balancers / 5;
@@ -81,7 +83,7 @@
             return warmupSeconds() + 4L * changes + 10;
         }
 
-        /** The site's own ways: 2.1 to 30 ms. */
+        /** Returns a plan with the one-way delays of the site's network, 2.1 to 30 ms. */
         public static Plan of(int balancers, double loss, int seconds, int changes, long seed) {
             return new Plan(
                     balancers,
@@ -103,7 +105,7 @@
     private final Plan plan;
     private final Timeline timeline = new Timeline();
     private final SimNetwork network;
-    private final UniformRandomProvider events;
+    private final UniformRandomProvider eventRandom;
     private final Node[] nodes;
     private final List<Long> propagationNanos = new ArrayList<>();
     private final List<Long> commonChangePropagationNanos = new ArrayList<>();
@@ -122,8 +124,8 @@
     private int maxSelfDraining;
 
     /**
-     * By seconds from the change together on: calls out of turn, balancers that are behind, and
-     * those that are aside.
+     * Samples by second since the common change: unscheduled discovery calls so far, balancers with
+     * an outdated list, and self-draining balancers.
      */
     private final List<int[]> samples = new ArrayList<>();
 
@@ -144,26 +146,26 @@
                         plan.maxDelayNanos);
         int side = (int) (plan.partition * plan.balancers);
         network.isPartitioned = (from, to) -> isPartitioned && from < side != to < side;
-        events = RandomStreams.create(plan.seed, "events");
+        eventRandom = RandomStreams.create(plan.seed, "events");
         nodes = new Node[plan.balancers];
     }
 
-    /** Plays it and returns its figures. */
+    /** Runs the plan and returns its results. */
     public static Map<String, Object> run(Plan plan) {
         return new SimGossip(plan).run();
     }
 
-    private static AppliedVersions stamp(long number) {
-        return new AppliedVersions(1, 0, 7, number, number * 0x9E3779B97F4A7C15L, 0, 0);
+    private static AppliedVersions versions(long listRevision) {
+        return new AppliedVersions(1, 0, 7, listRevision, listRevision * 0x9E3779B97F4A7C15L, 0, 0);
     }
 
     private Map<String, Object> run() {
         for (int i = 0; i < nodes.length; i++) {
-            int place = i;
-            // They do not start in the same moment, nor a day apart.
+            int nodeIndex = i;
+            // Starts are spread over one second.
             timeline.schedule(
-                    events.nextLong(NANOS_PER_SECOND),
-                    now -> (nodes[place] = new Node(place, now)).join(now));
+                    eventRandom.nextLong(NANOS_PER_SECOND),
+                    now -> (nodes[nodeIndex] = new Node(nodeIndex, now)).join(now));
         }
         for (int i = 0; i < plan.changes; i++) {
             timeline.schedule((plan.warmupSeconds() + 4L * i) * NANOS_PER_SECOND, this::change);
@@ -171,13 +173,13 @@
         if (plan.together) {
             commonChangeAtNanos = plan.measureFromSeconds() * NANOS_PER_SECOND;
             for (int i = 0; i < nodes.length; i++) {
-                int place = i;
+                int nodeIndex = i;
                 boolean late = i < plan.late * nodes.length;
                 timeline.schedule(
                         commonChangeAtNanos
-                                + events.nextLong(300 * NANOS_PER_MILLI)
+                                + eventRandom.nextLong(300 * NANOS_PER_MILLI)
                                 + (late ? DISCOVERY_DELAY_NANOS : 0),
-                        now -> nodes[place].onListUpdate(now));
+                        now -> nodes[nodeIndex].onListUpdate(now));
             }
             for (long second = 0; plan.late > 0 && second < plan.seconds; second++) {
                 timeline.schedule(
@@ -203,11 +205,11 @@
     }
 
     private void recordSample(long now) {
-        int behind = 0;
+        int outdatedCount = 0;
         for (Node node : nodes) {
-            behind += node.number != CHANGED_LIST_REVISION ? 1 : 0;
+            outdatedCount += node.listRevision != CHANGED_LIST_REVISION ? 1 : 0;
         }
-        samples.add(new int[] {pollCount, behind, selfDrainingCount});
+        samples.add(new int[] {pollCount, outdatedCount, selfDrainingCount});
     }
 
     private Map<String, Object> summarize() {
@@ -230,10 +232,10 @@
             all.put("mostAskedInASecond", maxPollsInSecond);
             all.put("calmCallsASecond", plan.balancers / 20.0);
             all.put("mostAside", maxSelfDraining);
-            // Unknown where one is neither current nor aside at the end.
+            // Null if a balancer is neither current nor self-draining at the end.
             boolean settled = true;
             for (Node node : nodes) {
-                settled &= node.number == CHANGED_LIST_REVISION || node.isSelfDraining;
+                settled &= node.listRevision == CHANGED_LIST_REVISION || node.isSelfDraining;
             }
             all.put("lastStragglerMs", settled ? lastCatchUpNanos / NANOS_PER_MILLI : null);
             all.put("asked", samples.stream().map(one -> one[0]).toList());
@@ -246,14 +248,16 @@
         all.put("bytesASecondEach", idleBytes / (double) plan.seconds / plan.balancers);
         all.put("datagramsASecondEach", idleDatagrams / (double) plan.seconds / plan.balancers);
         all.put("mostBytesInASecond", network.maxBytesInSecond);
-        // What the platform asks for it where each balancer has ten requests a second.
+        // The platform's charge for this traffic if each balancer has ten requests a second.
         all.put(
                 "price",
                 0.01 * (idleBytes / (double) plan.seconds) / (256 * 10.0 * plan.balancers));
         return all;
     }
 
-    /** Median, 99th percentile and maximum, milliseconds; null for none. */
+    /**
+     * Adds the median, 99th percentile and maximum in milliseconds; null if there are no values.
+     */
     static void putPercentiles(Map<String, Object> all, String name, List<Long> values) {
         long[] sorted = values.stream().mapToLong(Long::longValue).sorted().toArray();
         for (double part : new double[] {0.5, 0.99, 1}) {
@@ -270,28 +274,28 @@
         }
     }
 
-    /** One balancer acts on something new: everybody is to know. */
+    /** Applies a new list at one balancer and expects all others to learn of it within 10 s. */
     private void change(long now) {
-        int place = events.nextInt(nodes.length);
-        Node node = nodes[place];
+        int nodeIndex = eventRandom.nextInt(nodes.length);
+        Node node = nodes[nodeIndex];
         if (node.isDead) {
             return;
         }
-        node.applyList(now, node.number + 1);
+        node.applyList(now, node.listRevision + 1);
         int sequence = node.sequence;
         boolean[] knows = new boolean[nodes.length];
         for (Node other : nodes) {
             if (other != node && !other.isDead) {
-                other.waiting.put(place, new PendingChange(now, sequence, knows));
+                other.pendingChanges.put(nodeIndex, new PendingChange(now, sequence, knows));
             }
         }
         timeline.schedule(
                 now + 10 * NANOS_PER_SECOND,
                 then -> {
                     for (Node other : nodes) {
-                        PendingChange left = other.waiting.get(place);
+                        PendingChange left = other.pendingChanges.get(nodeIndex);
                         if (left != null && left.sequence == sequence && !other.isDead) {
-                            other.waiting.remove(place);
+                            other.pendingChanges.remove(nodeIndex);
                             missedChanges++;
                         }
                     }
@@ -299,7 +303,7 @@
     }
 
     private void kill(long now) {
-        Node node = nodes[events.nextInt(nodes.length)];
+        Node node = nodes[eventRandom.nextInt(nodes.length)];
         if (!node.isDead) {
             node.isDead = true;
             node.diedAtNanos = now;
@@ -310,9 +314,9 @@
 
     private final class Node extends SimNetwork.Station implements StalenessDetector.Actions {
         private final GossipNode peers;
-        private final Map<Integer, PendingChange> waiting = new LinkedHashMap<>();
-        private final boolean[] newer;
-        private long number = 1;
+        private final Map<Integer, PendingChange> pendingChanges = new LinkedHashMap<>();
+        private final boolean[] knowsCommonChange;
+        private long listRevision = 1;
         private int sequence;
         private long diedAtNanos;
         private boolean isDeathDetected;
@@ -321,19 +325,19 @@
         private boolean isSelfDraining;
         private long lagTimerAtNanos = Long.MAX_VALUE;
 
-        Node(int place, long now) {
-            network.super(place);
-            newer = plan.together ? new boolean[plan.balancers] : new boolean[0];
+        Node(int nodeIndex, long now) {
+            network.super(nodeIndex);
+            knowsCommonChange = plan.together ? new boolean[plan.balancers] : new boolean[0];
             peers =
                     new GossipNode(
                             GossipSettings.STANDARD.withMaxBytesPerSecond(plan.maxBytesPerSecond),
-                            place,
+                            nodeIndex,
                             plan.balancers,
                             now,
                             Incarnation.fromUnixMillis(
                                     WALL_CLOCK_START_MILLIS + now / NANOS_PER_MILLI),
-                            plan.seed * 31 + place,
-                            stamp(1),
+                            plan.seed * 31 + nodeIndex,
+                            versions(1),
                             0,
                             this,
                             this);
@@ -341,15 +345,15 @@
                     plan.late > 0
                             ? new StalenessDetector(
                                     StalenessSettings.STANDARD,
-                                    place,
+                                    nodeIndex,
                                     plan.balancers,
-                                    plan.seed + place,
-                                    stamp(1),
+                                    plan.seed + nodeIndex,
+                                    versions(1),
                                     this)
                             : null;
         }
 
-        /** What is known of another may have changed. */
+        /** Passes the gossiped state of a peer to the staleness detector. */
         private void refreshPeerState(long now, int rank) {
             if (stalenessDetector == null || peers == null || rank == index) {
                 return;
@@ -369,7 +373,7 @@
             if (!hasDetectedLag
                     && now >= commonChangeAtNanos
                     && stalenessDetector.listStanding() != StalenessDetector.Standing.CURRENT
-                    && number != CHANGED_LIST_REVISION
+                    && listRevision != CHANGED_LIST_REVISION
                     && stalenessDetector.newestListRevision() == CHANGED_LIST_REVISION) {
                 hasDetectedLag = true;
                 lagDetectionNanos.add(now - commonChangeAtNanos);
@@ -401,27 +405,27 @@
 
         @Override
         public void rereadConfig() {
-            // All have one configuration.
+            // All balancers share one configuration.
         }
 
         @Override
         public void fetchConfig(long digest, List<Integer> holders) {
-            // Likewise.
+            // All balancers share one configuration.
         }
 
         @Override
         public void announceFailingVersions() {
-            // It serves nobody here.
+            // The model serves no requests.
         }
 
         @Override
         public void onVersionNotFollowed(VersionKind kind, long number, String why) {
-            // Likewise.
+            // The model serves no requests.
         }
 
         @Override
         public void avoidCaches(Set<Long> caches) {
-            // No cache is in this model.
+            // The model has no caches.
         }
 
         @Override
@@ -434,18 +438,21 @@
 
         @Override
         public void notifyOperators(String what) {
-            // Nobody reads along.
+            // The model has no operators.
         }
 
-        /** Discovery tells it the list. */
+        /** Receives the changed list from discovery. */
         void onListUpdate(long now) {
-            if (number != CHANGED_LIST_REVISION) {
+            if (listRevision != CHANGED_LIST_REVISION) {
                 applyList(now, CHANGED_LIST_REVISION);
                 recordCatchUp();
             }
         }
 
-        /** It is current, or out: the last one counts. */
+        /**
+         * Records when a late balancer caught up or changed its self-draining state; the latest
+         * time counts.
+         */
         private void recordCatchUp() {
             if (timeline.now() >= commonChangeAtNanos
                     && plan.late > 0
@@ -454,12 +461,12 @@
             }
         }
 
-        void applyList(long now, long fresh) {
-            number = fresh;
-            peers.updateAppliedVersions(now, stamp(fresh), ++sequence);
+        void applyList(long now, long revision) {
+            listRevision = revision;
+            peers.updateAppliedVersions(now, versions(revision), ++sequence);
             schedule(now);
             if (stalenessDetector != null) {
-                stalenessDetector.onLocalVersions(now, stamp(fresh), Set.of());
+                stalenessDetector.onLocalVersions(now, versions(revision), Set.of());
                 updateLag(now);
             }
         }
@@ -473,21 +480,21 @@
         public void onMemberState(long now, int rank, long incarnation, MemberState state, int by) {
             refreshPeerState(now, rank);
             Node other = nodes[rank];
-            boolean lost =
+            boolean isExcused =
                     other == null
                             || other.isDead
                             || isPartitioned
                             || now < partitionEndsAtNanos + 5 * NANOS_PER_SECOND
                                     && plan.partition > 0
                                     && now > partitionEndsAtNanos - 10 * NANOS_PER_SECOND;
-            if (state == MemberState.SUSPECTED && !lost && by == index) {
+            if (state == MemberState.SUSPECTED && !isExcused && by == index) {
                 falseSuspicions++;
             }
             if (state == MemberState.GONE && other != null) {
                 if (other.isDead && !other.isDeathDetected) {
                     other.isDeathDetected = true;
                     detectionNanos.add(now - other.diedAtNanos);
-                } else if (!lost) {
+                } else if (!isExcused) {
                     falseDeaths++;
                 }
             }
@@ -497,20 +504,20 @@
         public void onMemberEntry(
                 long now, int rank, long incarnation, int row, int ref, long age) {
             refreshPeerState(now, rank);
-            PendingChange waited = waiting.get(rank);
-            if (waited != null && row >= waited.sequence) {
-                waiting.remove(rank);
-                propagationNanos.add(now - waited.sinceNanos);
+            PendingChange pending = pendingChanges.get(rank);
+            if (pending != null && row >= pending.sequence) {
+                pendingChanges.remove(rank);
+                propagationNanos.add(now - pending.sinceNanos);
             }
             if (plan.together
                     && now >= commonChangeAtNanos
-                    && !newer[rank]
+                    && !knowsCommonChange[rank]
                     && ref == CHANGED_FINGERPRINT) {
-                newer[rank] = true;
+                knowsCommonChange[rank] = true;
                 commonChangePropagationNanos.add(now - commonChangeAtNanos);
             }
         }
     }
 
-    private static final int CHANGED_FINGERPRINT = stamp(CHANGED_LIST_REVISION).fingerprint();
+    private static final int CHANGED_FINGERPRINT = versions(CHANGED_LIST_REVISION).fingerprint();
 }
--- a/emulator/src/main/java/frostrelay/emulator/SimHealthReports.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimHealthReports.java
@@ -23,10 +23,10 @@
 import java.util.Set;
 
 /**
- * A tier of balancers in simulated time that tell each other what they see of their caches, each
- * with the real {@link GossipNode} and {@link HealthReportAggregator}, and how many requests each
- * takes, with the real {@link ClusterCounters}: some caches fall silent for a while, all others
- * fail now and then by chance. The same seed gives the same day.
+ * A simulated tier of balancers that exchange health reports about their caches and request
+ * counters. Each balancer runs the real {@link GossipNode}, {@link HealthReportAggregator} and
+ * {@link ClusterCounters}. Some caches stop responding for the length of an outage; attempts at all
+ * others fail at random. The same seed reproduces the same run.
  */
 public final class SimHealthReports {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -35,27 +35,25 @@
     private static final long MIN_DELAY_NANOS = 2_100_000L;
     private static final long MAX_DELAY_NANOS = 30 * NANOS_PER_MILLI;
 
-    /**
-     * When a copy goes out for what is not answered, and so when silence is seen; and when an
-     * answer is.
-     */
+    /** Time after which an unanswered attempt is hedged and reported as unresponsive. */
     private static final long NO_RESPONSE_NANOS = 250 * NANOS_PER_MILLI;
 
+    /** Response time of a healthy cache. */
     private static final long RESPONSE_NANOS = 40 * NANOS_PER_MILLI;
 
-    /** One read in so many goes to a lowered cache all the same. */
+    /** One read out of this many is still sent to an ejected cache. */
     private static final int EJECTED_READ_INTERVAL = 8;
 
     /**
-     * What is played.
+     * Parameters of a run. *
      *
-     * @param balancers in the tier
-     * @param caches that all of them list
-     * @param readsPerSecond of each balancer a second
-     * @param lossFraction part of the datagrams that are lost
-     * @param failedCacheFraction part of the caches that fall silent, {@code outageSeconds} seconds
-     *     long, from ten seconds behind the settling on
-     * @param randomFailureFraction part of the attempts at a healthy cache that fail
+     * @param balancers number of balancers in the tier
+     * @param caches number of caches on every balancer's endpoint list
+     * @param readsPerSecond read rate of each balancer
+     * @param lossFraction fraction of datagrams lost
+     * @param failedCacheFraction fraction of caches that stop responding for {@code outageSeconds},
+     *     starting ten seconds after the warm-up
+     * @param randomFailureFraction fraction of attempts at a healthy cache that fail
      */
     public record Plan(
             int balancers,
@@ -89,7 +87,10 @@
     private final UniformRandomProvider readRandom;
     private final Node[] nodes;
 
-    /** Who found a dead cache bad itself, in this order of moments. */
+    /**
+     * For each cache, the times at which balancers detected its failure from their own attempts, in
+     * order.
+     */
     private final List<List<Long>> detectionTimesNanos = new ArrayList<>();
 
     private final long[] quorumAtNanos;
@@ -100,8 +101,8 @@
     private long previousTotalRequests;
 
     /**
-     * Of each look at a balancer's count of the tier's requests: how far off its rate is, what it
-     * covers, how old its oldest word is.
+     * Relative error of the estimated request rate of the tier, one entry per sampled balancer; the
+     * next two lists hold the fraction of members covered and the age of the oldest report.
      */
     private final List<Double> rateErrors = new ArrayList<>();
 
@@ -110,8 +111,8 @@
     private int boundViolations;
 
     /**
-     * By seconds from the death on: balancers that lower a dead cache, of all, and mean error of
-     * the count.
+     * Percentage of balancers that eject a failed cache, by second since the outage began; the next
+     * list holds the mean error of the request rate.
      */
     private final List<Double> ejectedPercentBySecond = new ArrayList<>();
 
@@ -135,7 +136,10 @@
         }
     }
 
-    /** Plays it and returns its figures; times in milliseconds, null where nothing was seen. */
+    /**
+     * Runs the plan and returns its results; times are in milliseconds, null if there were no
+     * samples.
+     */
     public static Map<String, Object> run(Plan plan) {
         return new SimHealthReports(plan).run();
     }
@@ -167,8 +171,8 @@
     }
 
     /**
-     * Looks once a second at what up to a hundred balancers make of the tier's requests, against
-     * what clients asked.
+     * Compares, once a second, the tier's request count as estimated by a sample of the balancers
+     * (every one in small tiers) with the requests actually made.
      */
     private void recordSample(long now) {
         double rate = totalRequests - previousTotalRequests;
--- a/emulator/src/main/java/frostrelay/emulator/SimInvariantChecker.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimInvariantChecker.java
@@ -4,26 +4,26 @@
 import java.util.Map;
 
 /**
- * Holds a day to the operators' rules, from what clients, caches and balancers' ledgers see,
- * whatever the module says of itself. Counts breaks by rule.
+ * Counts violations of the operators' rules, as observed by clients, caches and the balancers'
+ * request tables, independently of the decision module's own figures.
  */
 final class SimInvariantChecker {
-    /** What must hold. */
+    /** The rules, each named after its violation. */
     enum Rule {
-        /** A class that must never run twice ran twice. */
+        /** A request that is not idempotent was executed twice. */
         RAN_TWICE,
         /** The module gave a second final answer. */
         ANSWERED_TWICE,
         /** The module left a request open past its deadline. */
         LEFT_OPEN,
-        /** A first try had no end by the end of the day. */
+        /** A client request had no final answer at the end of the run. */
         UNANSWERED,
         /**
-         * A cache was sent something though it had been told to be draining or gone for longer than
-         * the grace.
+         * An attempt was sent to a cache that the balancer had known to be draining or removed for
+         * longer than the grace period.
          */
         SENT_TO_DRAINING,
-        /** A cache that was cold got more than it can stand. */
+        /** A cache in slow start received more load than its overload limit. */
         COLD_PUSHED_OVER
     }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /** How often each rule was broken, by its name. */
+    /** Returns the number of violations by rule name. */
     Map<String, Long> violations() {
         Map<String, Long> all = new LinkedHashMap<>();
         violations.forEach((rule, times) -> all.put(rule.name(), times));
--- a/emulator/src/main/java/frostrelay/emulator/SimNetwork.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimNetwork.java
@@ -7,10 +7,7 @@
 import java.util.Arrays;
 import java.util.function.BiPredicate;
 
-/**
- * What lies between balancers that talk: it loses datagrams, takes its time, can be cut, and counts
- * what is sent.
- */
+/** A datagram network between balancers, with loss, delay, partitions and traffic counters. */
 final class SimNetwork {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
@@ -23,16 +20,18 @@
     private final long[] currentSecond;
     private final long[] bytesInSecond;
 
-    /** Whether no way leads from one to the other now. */
+    /** Tests whether datagrams from the first balancer cannot reach the second. */
     BiPredicate<Integer, Integer> isPartitioned = (from, to) -> false;
 
     long sentBytes;
     long sentDatagrams;
 
-    /** The most bytes that one sent in any second of the clock. */
+    /** Largest number of bytes that one balancer sent in any clock second. */
     long maxBytesInSecond;
 
-    /** {@code minDelayNanos}, {@code maxDelayNanos}: a datagram's way, nanoseconds. */
+    /**
+     * Creates a network with one-way delays from {@code minDelayNanos} to {@code maxDelayNanos}.
+     */
     SimNetwork(
             Timeline timeline,
             UniformRandomProvider random,
@@ -50,7 +49,7 @@
         bytesInSecond = new long[count];
     }
 
-    /** One balancer's place in it: its talk goes out here and is woken here. */
+    /** A balancer's attachment to the network, which sends its gossip and runs its timers. */
     abstract class Station implements GossipNode.Actions, GossipNode.Listener {
         final int index;
         boolean isDead;
@@ -61,7 +60,7 @@
             this.index = index;
         }
 
-        /** To be called once its talk can be. */
+        /** Attaches the station; to be called once {@link #peers} is available. */
         final void join(long now) {
             stations[index] = this;
             schedule(now);
--- a/emulator/src/main/java/frostrelay/emulator/SimOrigin.java
+++ b/emulator/src/main/java/frostrelay/emulator/SimOrigin.java
@@ -5,9 +5,11 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The one origin behind all caches: some places, a queue, and a fall when it is overdriven. */
+/**
+ * The origin shared by all caches: limited concurrency, a bounded queue, and an outage on overload.
+ */
 final class SimOrigin {
-    /** Hears how a call ended: true if it was carried out. */
+    /** Receives the result of a call; {@code succeeded} if it was executed. */
     interface Callback {
         void onCompleted(long now, boolean succeeded);
     }
@@ -33,7 +35,7 @@
         this.random = RandomStreams.create(seed, "origin");
     }
 
-    /** Until then every call is carried out at once. */
+    /** Completes every call at once until the given time. */
     void setInstantUntil(long untilNanos) {
         instantUntilNanos = untilNanos;
     }
@@ -71,7 +73,7 @@
 
     private void startCall(long now, Callback callback) {
         inFlight++;
-        // Half of a fetch is the same for all, the other half varies.
+        // Half of the mean duration is fixed, the other half is exponentially distributed.
         double durationFactor = 0.5 - 0.5 * Math.log(1 - random.nextDouble());
         timeline.schedule(
                 now + (long) (spec.meanFetchNanos() * durationFactor * slowdownFactor),
@@ -84,7 +86,7 @@
                 });
     }
 
-    /** It carries nothing out for so long. */
+    /** Fails all calls for the given duration. */
     void startOutage(long now, long durationNanos) {
         downUntilNanos = Math.max(downUntilNanos, now + durationNanos);
         Deque<Callback> rejectedCalls = new ArrayDeque<>(queue);
@@ -92,7 +94,7 @@
         rejectedCalls.forEach(callback -> callback.onCompleted(now, false));
     }
 
-    /** Fetches take so many times as long from now on. */
+    /** Multiplies the duration of fetches. */
     void setSlowdownFactor(double factor) {
         slowdownFactor = factor;
     }
--- a/emulator/src/main/java/frostrelay/emulator/SingleAttemptPolicy.java
+++ b/emulator/src/main/java/frostrelay/emulator/SingleAttemptPolicy.java
@@ -13,13 +13,13 @@
 import java.util.Set;
 
 /**
- * Sends each request once, to the cache that its key names, and fails it if that fails. It costs
- * next to nothing: what a day takes with it is the emulator's own time.
+ * A policy that sends each request once, to the cache selected by its key, and fails the request if
+ * the attempt fails. Its own cost is negligible, so the run time is that of the emulator.
  */
 final class SingleAttemptPolicy implements PolicyEvents {
     @Override
     public void onPeerHealthReports(long now, java.util.Set<Long> outliers) {
-        // It knows no health.
+        // This policy does not track health.
     }
 
     private final PolicyActions actions;
@@ -38,7 +38,7 @@
 
     @Override
     public void onRequest(long now, Request request) {
-        // Keys may differ in their upper bits alone.
+        // Keys may differ only in their upper bits.
         long mixed = (request.key() ^ request.key() >>> 32) * 0x9E3779B97F4A7C15L;
         actions.send(request.id(), servers.get((int) ((mixed >>> 33) % servers.size())), 0);
     }
@@ -62,7 +62,7 @@
 
     @Override
     public void onTimer(long now, int token) {
-        // None was asked for.
+        // This policy schedules no timers.
     }
 
     @Override
--- a/emulator/src/main/java/frostrelay/emulator/SlowStartGuard.java
+++ b/emulator/src/main/java/frostrelay/emulator/SlowStartGuard.java
@@ -1,8 +1,8 @@
 package frostrelay.emulator;
 
 /**
- * Watches what one cold cache is sent: more than a multiple of what it can do, over a while, pushes
- * it over.
+ * A check that a cache in slow start is not overloaded: a window with more arrivals than a multiple
+ * of its capacity is a violation.
  */
 final class SlowStartGuard {
     static final double OVERLOAD_MULTIPLE = 4;
@@ -22,7 +22,7 @@
         this.meanWorkNanos = meanWorkNanos;
     }
 
-    /** Something arrives while the cache runs at this part of its full speed. */
+    /** Records an arrival while the cache runs at this fraction of its full speed. */
     void onArrival(long now, double speed) {
         if (now - windowStartNanos >= WINDOW_NANOS) {
             if (sent > OVERLOAD_MULTIPLE * capacity) {
@@ -32,7 +32,8 @@
             capacity = 0;
             sent = 0;
         }
-        // The mean of what it can do over the window; a window with few arrivals is no push.
+        // Mean capacity over the window, at least 1, so that a window with few arrivals is no
+        // overload.
         sent++;
         double currentCapacity = spec.cores() * speed * WINDOW_NANOS / meanWorkNanos;
         capacity += (Math.max(1, currentCapacity) - capacity) / sent;
--- a/emulator/src/main/java/frostrelay/emulator/SystemModel.java
+++ b/emulator/src/main/java/frostrelay/emulator/SystemModel.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * What is emulated: machines, clients and what goes wrong. Times in nanoseconds, rates a second.
- * The same {@code seed} gives the same day, whatever runs beside it. For {@code warmupNanos} before
- * the day requests come and origin fetches take no time, so that caches hold what they would hold;
- * nothing of it is counted. Machines are dealt out over {@code zoneCount} in turn. {@code
- * tenantShares}: the parts of all requests that each asks for; none where there are no tenants.
+ * The emulated system: machines, clients and faults. Times are in nanoseconds, rates per second.
+ * The same {@code seed} reproduces the same run, also with other runs in parallel. During the first
+ * {@code warmupNanos} clients send requests and origin fetches take no time, which fills the
+ * caches; this period is not counted. Machines are assigned to {@code zoneCount} zones in turn.
+ * {@code tenantShares}: fraction of all requests by tenant; empty without tenants.
  */
 public record SystemModel(
         long seed,
@@ -28,7 +28,7 @@
         List<Double> tenantShares,
         List<RequestClass> requestClasses,
         List<Fault> faults) {
-    /** The same plant with other draws. */
+    /** Returns the same model with another random seed. */
     public SystemModel withSeed(long newSeed) {
         return new SystemModel(
                 newSeed,
@@ -49,7 +49,7 @@
                 faults);
     }
 
-    /** The same plant with other faults. */
+    /** Returns the same model with other faults. */
     public SystemModel withFaults(List<Fault> newFaults) {
         return new SystemModel(
                 seed,
@@ -70,7 +70,7 @@
                 newFaults);
     }
 
-    /** Caches that come in the place of others during the day. */
+    /** Returns the number of replacement caches that start during the run. */
     int replacementCount() {
         return faults.stream()
                 .filter(fault -> fault.kind() == FaultKind.CACHE_REPLACE)
@@ -78,31 +78,32 @@
                 .sum();
     }
 
-    /** Nanoseconds of a cache's core that a request takes on the mean. */
+    /** Returns the mean work of a request in nanoseconds of a cache core. */
     double meanWorkNanos() {
         return requestClasses.stream()
                 .mapToDouble(requestClass -> requestClass.fraction() * requestClass.meanWorkNanos())
                 .sum();
     }
 
-    /** How work varies: an exponential, or always the mean. */
+    /** The distribution of work: exponential, or always the mean. */
     public enum WorkDistribution {
         EXPONENTIAL,
         FIXED
     }
 
-    /** Which of the kept objects goes first: the one used longest ago, or the one kept longest. */
+    /** The eviction order: least recently used, or first in, first out. */
     public enum Eviction {
         LRU,
         FIFO
     }
 
     /**
-     * A cache. {@code cores} serve one request each in the order of arrival, {@code queueCapacity}
-     * more wait, each of which makes work longer by {@code slowdownPerQueued} of it; {@code
-     * maxObjects}: objects kept, by {@code eviction}; it starts at {@code slowStartInitialFraction}
-     * of its speed and is warm {@code warmWithin} later; {@code coalescesFetches}: misses of one
-     * key share a fetch; {@code isPreloaded}: holds the most popular keys at the day's start.
+     * A cache. {@code cores} serve one request each in the order of arrival; up to {@code
+     * queueCapacity} more wait, each of which lengthens work by the fraction {@code
+     * slowdownPerQueued}; {@code maxObjects}: capacity, with {@code eviction} beyond it; it starts
+     * at {@code slowStartInitialFraction} of its speed and reaches full speed after {@code
+     * slowStartNanos}; {@code coalescesFetches}: misses of one key share a fetch; {@code
+     * isPreloaded}: holds the most popular keys at the start.
      */
     public record Cache(
             int cores,
@@ -116,9 +117,10 @@
             boolean isPreloaded) {}
 
     /**
-     * The origin. {@code maxConcurrentFetches} fetches at once, each {@code meanFetchNanos} long on
-     * the mean, {@code queueCapacity} more wait; sent {@code overloadMultiple} times what it can do
-     * over a second it stops for {@code fallTime}; 0 for never.
+     * The origin. It runs {@code maxConcurrentFetches} fetches at once with a mean duration of
+     * {@code meanFetchNanos}; up to {@code queueCapacity} more wait. If it receives more than
+     * {@code overloadMultiple} times its capacity within a second, it stops for {@code
+     * overloadOutageNanos}; 0 disables this.
      */
     public record Origin(
             int maxConcurrentFetches,
@@ -128,18 +130,20 @@
             long overloadOutageNanos) {}
 
     /**
-     * One way takes {@code delayNanos} and up to {@code jitterNanos} more, between zones {@code
-     * crossZoneDelayNanos} on top; {@code lossFraction}: the part of messages to caches lost.
+     * The network. The one-way delay is {@code delayNanos} plus up to {@code jitterNanos}, plus
+     * {@code crossZoneDelayNanos} between zones; {@code lossFraction}: fraction of messages to
+     * caches that are lost.
      */
     public record Network(
             long delayNanos, long jitterNanos, long crossZoneDelayNanos, double lossFraction) {}
 
     /**
      * Connections from balancers to caches, each with one request at a time. A new one takes {@code
-     * handshake} beside a round trip and {@code handshakeWorkNanos} of the cache; one that is not
-     * up after {@code timeout} has failed; idle ones are closed after {@code idleTimeoutNanos}. A
-     * cache holds {@code maxPerCache}, a balancer {@code maxPerBalancer}. {@code isModelled}:
-     * whether there are any; without, every cache takes everything at once.
+     * handshakeNanos} in addition to a round trip, and {@code handshakeWorkNanos} of work at the
+     * cache; it fails if not established after {@code connectTimeoutNanos}; idle ones are closed
+     * after {@code idleTimeoutNanos}. A cache holds at most {@code maxPerCache}, a balancer {@code
+     * maxPerBalancer}. {@code isModelled}: whether connections are modelled; if not, caches accept
+     * every request without a connection.
      */
     public record Connections(
             boolean isModelled,
@@ -151,21 +155,21 @@
             int maxPerBalancer) {}
 
     /**
-     * Discovery tells changes after {@code delayNanos}. It works through {@code callsPerSecond} a
-     * second in turn, 0 for any number; a call that waits longer than {@code callTimeoutNanos}
-     * fails.
+     * The discovery service. It publishes changes after {@code delayNanos} and processes {@code
+     * callsPerSecond} calls in sequence, 0 for no limit; a call that waits longer than {@code
+     * callTimeoutNanos} fails.
      */
     public record Discovery(long delayNanos, double callsPerSecond, long callTimeoutNanos) {}
 
     /**
-     * Clients. {@code requestsPerSecond} of first tries over all, which rises and falls by {@code
-     * rateAmplitude} of it once a {@code ratePeriodNanos}; {@code driftKeysPerSecond} keys a second
-     * lose their rank to new ones; {@code keyCount} with Zipf exponent {@code zipfExponent}, the
-     * first {@code zipfOffset} ranks left out; up to {@code retries} further tries after {@code
-     * initialBackoffNanos}, doubled each time; a try is given up after {@code callTimeoutNanos} of
-     * the deadline; {@code honorsRetryAfter}: whether they wait as long as a refusal says; {@code
-     * balancerSkew}: standard deviation of the logarithm of what a balancer is given, 0 for the
-     * same to each.
+     * The clients. {@code requestsPerSecond}: total request rate without retries, which varies by
+     * the fraction {@code rateAmplitude} with period {@code ratePeriodNanos}; {@code
+     * driftKeysPerSecond}: keys per second that lose their popularity rank to new ones; {@code
+     * keyCount} keys with Zipf exponent {@code zipfExponent} and rank offset {@code zipfOffset}; up
+     * to {@code maxRetries} retries after {@code initialBackoffNanos}, doubled each time; an
+     * attempt times out after {@code timeoutFraction} of the deadline; {@code honorsRetryAfter}:
+     * whether clients wait for the time given in a rejection; {@code balancerSkew}: standard
+     * deviation of the logarithm of a balancer's share of clients, 0 for equal shares.
      */
     public record Clients(
             double requestsPerSecond,
@@ -181,12 +185,15 @@
             boolean honorsRetryAfter,
             double balancerSkew) {}
 
-    /** {@code eventCostNanos}: nanoseconds of its one core for each request and each outcome. */
+    /**
+     * A balancer. {@code eventCostNanos}: time of its single core for each request and each
+     * outcome.
+     */
     public record Balancer(long eventCostNanos, int maxAttempts, boolean hedgingEnabled) {}
 
     /**
-     * A class. {@code fraction} of all; {@code handshakeWorkNanos}: mean nanoseconds of a cache's
-     * core.
+     * A request class. {@code fraction}: of all requests; {@code meanWorkNanos}: mean work in
+     * nanoseconds of a cache core.
      */
     public record RequestClass(
             double fraction,
@@ -198,14 +205,15 @@
             Idempotency idempotency) {}
 
     /**
-     * What can go wrong. CACHE_REPLACE, BALANCER_WAVE: in {@code factor} steps over the length;
-     * ZONE_LOST: caches and balancers of one zone; ZONE_CUT: nothing passes between one zone and
-     * the others; ANSWERS_LOST, LINKS_RESET: that part of requests; DISCOVERY_LATE,
-     * DISCOVERY_SHORT: lateness times, or calls a second divided by, {@code factor}; CLIENTS_EAGER:
-     * they come again at once, {@code factor} times as often; CLIENTS_HASTY: they give up that much
-     * earlier; ZONE_SHIFT: that part of all clients comes to one zone; TENANT_SURGE: the first
-     * tenant asks that much more; HOLD: operators hold caches and restart them meanwhile;
-     * CACHE_FAILING: that part of caches fails nine of ten requests.
+     * The kinds of fault. CACHE_REPLACE, BALANCER_WAVE: in {@code factor} steps over the duration;
+     * ZONE_LOST: stops the caches and balancers of one zone; ZONE_CUT: partitions one zone from the
+     * others; ANSWERS_LOST, LINKS_RESET: affect {@code machineFraction} of requests;
+     * DISCOVERY_LATE, DISCOVERY_SHORT: notification delay multiplied by, or calls per second
+     * divided by, {@code factor}; CLIENTS_EAGER: clients retry without delay, {@code factor} times
+     * as often; CLIENTS_HASTY: client timeouts are divided by {@code factor}; ZONE_SHIFT: {@code
+     * machineFraction} of all clients are directed to one zone; TENANT_SURGE: the first tenant's
+     * rate is multiplied by {@code factor}; HOLD: caches are administratively drained and
+     * restarted; CACHE_FAILING: {@code machineFraction} of caches fail nine of ten requests.
      */
     public enum FaultKind {
         CACHE_KILL,
@@ -238,8 +246,8 @@
     }
 
     /**
-     * From {@code startNanos} for {@code durationNanos}; {@code machineFraction}: of the machines
-     * it meets; {@code factor}: how much.
+     * A fault from {@code startNanos} for {@code durationNanos}. {@code machineFraction}: fraction
+     * of the machines affected; {@code factor}: its strength.
      */
     public record Fault(
             long startNanos,
@@ -247,13 +255,13 @@
             FaultKind kind,
             double machineFraction,
             double factor) {
-        /** How many of all machines it meets, one at least. */
+        /** Returns the number of machines affected, at least one. */
         int targetCount(int machineCount) {
             return Math.min(
                     machineCount, Math.max(1, (int) Math.round(machineCount * machineFraction)));
         }
 
-        /** Steps of a fault that goes on bit by bit. */
+        /** Returns the number of steps of a fault that is applied in steps. */
         public int stepCount() {
             return Math.max(1, (int) Math.round(factor));
         }
--- a/emulator/src/main/java/frostrelay/emulator/Timeline.java
+++ b/emulator/src/main/java/frostrelay/emulator/Timeline.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * What is still to happen, in the order of time; what happens at the same moment goes in the order
- * in which it was added, so that a day is the same each time. A calendar queue (Brown 1988): a
- * wheel of short slots that are put in order only when their time comes; what lies past the wheel
- * waits in a heap. Most events are timers that are taken back: their places are used again at once,
- * so that what is touched stays small. Not safe for threads.
+ * A queue of pending events in time order. Simultaneous events run in insertion order, which makes
+ * runs reproducible. Implemented as a calendar queue (Brown 1988): a wheel of short slots, each
+ * sorted only when it becomes due; events beyond the wheel are kept in a heap. Most events are
+ * timers that are cancelled: their nodes are reused at once, which keeps the working set small. Not
+ * thread-safe.
  */
 final class Timeline {
     /** A slot is 65.5 µs long, the wheel 4.3 s. */
@@ -17,26 +17,31 @@
     private static final int SLOT_MASK = SLOT_COUNT - 1;
     private static final int NONE = -1;
 
-    /** Of a mark: the place is in the lower bits, the order in the others. */
+    /**
+     * A timer handle holds the node index in its lower bits and the insertion order in the others.
+     */
     private static final int NODE_BITS = 24;
 
     private static final long NODE_MASK = (1L << NODE_BITS) - 1;
 
-    /** A mark of nothing. */
+    /** The handle of no timer. */
     static final long NO_TIMER = -1;
 
-    /** Of the present slot, and of those before it. */
+    /** Events of the current slot and earlier ones. */
     private final EventHeap dueEvents = new EventHeap();
 
     private final EventHeap farEvents = new EventHeap();
 
-    /** The first event of each slot, in no order, and which slots have any. */
+    /**
+     * The first node of each slot, unsorted; {@code occupiedSlots} marks the slots that have
+     * events.
+     */
     private final int[] heads = new int[SLOT_COUNT];
 
     private final long[] occupiedSlots = new long[SLOT_COUNT / Long.SIZE];
     private int wheelSize;
 
-    /** Events of the wheel, linked by slot; free places are linked as well. */
+    /** Event nodes of the wheel, linked by slot; free nodes are linked as well. */
     private long[] times = new long[1024];
 
     private long[] orders = new long[1024];
@@ -55,8 +60,8 @@
     }
 
     /**
-     * At that moment, or now if it has passed. Returns a mark to {@link #cancel} it by, which is
-     * good for nothing once it has happened.
+     * Schedules an event at the given time, or now if that has passed. Returns a handle for {@link
+     * #cancel}, which is invalid once the event has run.
      */
     long schedule(long requestedNanos, Event event) {
         long atNanos = Math.max(now, requestedNanos);
@@ -74,8 +79,8 @@
     }
 
     /**
-     * Takes an event back that would do nothing. It may happen all the same, if it is due at once
-     * or far off: who cancels must bear that.
+     * Cancels an event that is no longer needed. An event of the current slot or beyond the wheel
+     * still runs, so callers must tolerate that.
      */
     void cancel(long timer) {
         int node = (int) (timer & NODE_MASK);
@@ -135,7 +140,7 @@
         return node > NODE_MASK ? NO_TIMER : order << NODE_BITS | node;
     }
 
-    /** Lets everything happen up to a moment. */
+    /** Runs all events up to and including the given time. */
     void runUntil(long untilNanos) {
         while (!dueEvents.isEmpty() || advanceToNextSlot(untilNanos)) {
             if (dueEvents.firstTime() > untilNanos) {
@@ -148,7 +153,9 @@
         now = Math.max(now, untilNanos);
     }
 
-    /** Goes on to the next slot that holds something; false if there is none up to that moment. */
+    /**
+     * Advances to the next slot with events; returns false if there is none up to the given time.
+     */
     private boolean advanceToNextSlot(long untilNanos) {
         long nextSlot =
                 Math.min(
@@ -177,7 +184,7 @@
         if (wheelSize == 0) {
             return Long.MAX_VALUE;
         }
-        // The present slot is empty: the search ends before it comes round.
+        // The current slot is empty, so the search ends before it wraps around to it.
         int firstIndex = (int) (currentSlot + 1) & SLOT_MASK;
         long word = occupiedSlots[firstIndex / Long.SIZE] & -1L << firstIndex;
         int wordIndex = firstIndex / Long.SIZE;
@@ -193,12 +200,12 @@
         return now;
     }
 
-    /** Events that have happened so far. */
+    /** Returns the number of events executed. */
     long executedEvents() {
         return executedEvents;
     }
 
-    /** Events still to come. */
+    /** Returns the number of events pending. */
     int pendingEvents() {
         return dueEvents.size() + wheelSize + farEvents.size();
     }
