--- a/emulator/src/test/java/frostrelay/emulator/EmulationTest.java
+++ b/emulator/src/test/java/frostrelay/emulator/EmulationTest.java
@@ -23,7 +23,7 @@
 import java.util.function.UnaryOperator;
 import java.util.stream.IntStream;
 
-/** Whole days with the real decision module. */
+/** Tests of complete runs with the real decision module. */
 class EmulationTest {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameDayAloneAndBesideOthers() {
+    void theSameSeedReproducesARunAloneAndInParallel() {
         List<Fault> faults =
                 List.of(
                         new Fault(
@@ -130,11 +130,11 @@
     }
 
     /**
-     * Every first try has one end, nothing that must not runs twice, and the module leaves nothing
-     * open.
+     * Through every fault, each client request ends exactly once, no request that is not idempotent
+     * runs twice, and the decision module leaves no request open.
      */
     @Test
-    void everyRuleIsKeptThroughEveryFault() {
+    void noFaultViolatesAnInvariant() {
         List<Fault> faults = new ArrayList<>();
         for (FaultKind kind : FaultKind.values()) {
             faults.add(
@@ -164,13 +164,13 @@
     }
 
     /**
-     * What measures the emulator alone decides nothing: one send for each try, no copies, one end
-     * for each request.
+     * The policy that measures the emulator's own cost sends each attempt once, without hedged
+     * requests, and each request ends once.
      */
     @Test
     void aSingleAttemptPolicySendsEachAttemptOnce() {
         Emulation.Result result = Emulation.simulateSingleAttempt(model(4, List.of()));
-        // Sends are counted up to the day's end, tries until the last has ended.
+        // Sends are counted up to the end of the run, received attempts until the last has ended.
         assertTrue(
                 result.attemptsSent() <= result.receivedRequests()
                         && result.attemptsSent() > 0.99 * result.receivedRequests(),
@@ -182,13 +182,13 @@
     }
 
     /**
-     * A quiet day is served, copies are few, and each fault costs something: the model feels what
-     * it plays.
+     * Almost all requests are served in time without faults, and each fault lowers that fraction:
+     * guards against a fault that has no effect.
      */
     @Test
-    void eachFaultCostsService() {
+    void eachFaultLowersTheFractionInTime() {
         double baseline = Emulation.simulate(model(3, List.of())).statistics().inTimeFraction();
-        assertTrue(baseline > 0.97, "quiet " + baseline);
+        assertTrue(baseline > 0.97, "fraction in time without faults: " + baseline);
         for (Fault fault :
                 List.of(
                         new Fault(
@@ -222,11 +222,13 @@
                     Emulation.simulate(model(3, List.of(fault))).statistics().inTimeFraction();
             assertTrue(
                     withFault < baseline - 0.002,
-                    fault.kind() + ": " + withFault + ", quiet " + baseline);
+                    fault.kind() + ": " + withFault + ", without faults " + baseline);
         }
     }
 
-    /** The real module with one habit that breaks a rule. */
+    /**
+     * Returns the violations of the real decision module with altered actions or endpoint lists.
+     */
     private static Map<String, Long> violations(
             SystemModel model,
             Class<?> apiType,
@@ -273,8 +275,8 @@
     }
 
     /**
-     * A module that breaks a rule is called for that rule, whatever it says of itself; the real one
-     * for none.
+     * Each violation of a rule is reported under that rule, independently of the module's own
+     * figures; the unaltered module has none.
      */
     @Test
     void theInvariantCheckerReportsEachRule() {
@@ -347,7 +349,10 @@
         assertTrue(violations.get("SENT_TO_DRAINING") > 0, violations.toString());
     }
 
-    /** A cache at 15% that can do 10 requests a second stands 39 of them in one and not 41. */
+    /**
+     * A cache at 15% of its speed with a capacity of 10 requests a second withstands 39 of them in
+     * one second, but not 41.
+     */
     @Test
     void aCacheInSlowStartIsOverloadedByMoreThanItsMultiple() {
         for (int sent : new int[] {39, 41}) {
--- a/emulator/src/test/java/frostrelay/emulator/FleetTest.java
+++ b/emulator/src/test/java/frostrelay/emulator/FleetTest.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.Random;
 
-/** What a hundred balancers that see little each do to caches, to discovery and to one another. */
+/** Tests of large tiers, in which each balancer observes only a small part of the traffic. */
 class FleetTest {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
@@ -106,11 +106,11 @@
     }
 
     /**
-     * What they held is asked again; all seventy call at once, some in vain, and nobody stays
-     * without a list.
+     * Seventy balancers restart at once while discovery is overloaded. Clients retry the lost
+     * requests. Some discovery calls time out, but all balancers must get a list again.
      */
     @Test
-    void seventyBalancersDieAtOnceWhileDiscoveryIsFull() {
+    void seventyBalancersRestartAtOnceWhileDiscoveryIsOverloaded() {
         Emulation.Result result =
                 simulate(
                         new Fault(
@@ -127,18 +127,15 @@
                                 1));
         assertTrue(
                 servedFraction(result, 8, 12) > 0.7,
-                "meanwhile " + result.statistics().served(8, 12));
+                "served in time during the fault: " + result.statistics().served(8, 12));
         assertTrue(
                 servedFraction(result, 18, 24) > 0.9,
-                "after it " + result.statistics().served(18, 24));
+                "served in time after the fault: " + result.statistics().served(18, 24));
     }
 
-    /**
-     * Lost and back cold, with all balancers eager for it: nothing cold is pushed over by them
-     * together.
-     */
+    /** All balancers together must not overload the restarted caches during slow start. */
     @Test
-    void aZoneIsLostAndComesBackCold() {
+    void aZoneFailsAndRestartsCold() {
         Emulation.Result result =
                 Emulation.simulate(
                         model(
@@ -161,15 +158,17 @@
         double before = servedFraction(result, 0, 6);
         assertTrue(
                 before > 0.9 && servedFraction(result, 6, 11) < before,
-                before + ", while it is lost " + result.statistics().served(6, 11));
+                before
+                        + " served in time before the zone failed, during the failure "
+                        + result.statistics().served(6, 11));
         assertTrue(
                 servedFraction(result, 20, 24) > 0.75,
-                "after both " + result.statistics().served(20, 24));
+                "served in time after both faults: " + result.statistics().served(20, 24));
     }
 
     /**
-     * No reset and no answer from a fifth of the caches: most reads are saved, and it is over when
-     * it is over.
+     * A fifth of the caches stops answering without resetting connections. Most reads must still be
+     * served, and service must recover after the fault.
      */
     @Test
     void aFifthOfTheCachesBecomesUnresponsive() {
@@ -183,28 +182,27 @@
                                 1));
         assertTrue(
                 servedFraction(result, 6, 12) > 0.65,
-                "meanwhile " + result.statistics().served(6, 12));
+                "served in time during the fault: " + result.statistics().served(6, 12));
         assertTrue(
                 servedFraction(result, 16, 24) > 0.95,
-                "after it " + result.statistics().served(16, 24));
+                "served in time after the fault: " + result.statistics().served(16, 24));
     }
 
-    /**
-     * A balancer with one request a second has no digest to speak of and knows no cache well; it
-     * serves all the same.
-     */
+    /** With too few samples for a useful latency digest, a balancer must still serve. */
     @Test
     void balancersWithOneRequestASecondServe() {
         Emulation.Result result = Emulation.simulate(model(300, 300, 1, List.of()));
-        assertTrue(servedFraction(result, 2, 24) > 0.93, "" + result.statistics().served(2, 24));
+        assertTrue(
+                servedFraction(result, 2, 24) > 0.93,
+                result.statistics().served(2, 24) + " in time");
     }
 
     /**
-     * Balancers go by a list that is late by seconds; at some addresses in it another cache answers
-     * by now.
+     * The endpoint list is late by several seconds, so at some of its addresses another cache
+     * already answers.
      */
     @Test
-    void anOldListNamesAnAddressThatAnotherCacheHas() {
+    void anOutdatedListNamesAnAddressReusedByAnotherCache() {
         Emulation.Result result =
                 simulate(
                         new Fault(
@@ -221,13 +219,10 @@
                                 12));
         assertTrue(
                 servedFraction(result, 0, 24) > 0.4 && result.listEntriesSent() > 100 * 36,
-                result.listEntriesSent() + " lines");
+                result.listEntriesSent() + " list entries sent");
     }
 
-    /**
-     * Refused clients that come again at once make the fleet's load their own; it does not outlast
-     * them.
-     */
+    /** The overload by rejected clients that retry without delay must end with the fault. */
     @Test
     void clientsThatRetryAtOnceDoNotKeepTheFleetDown() {
         Emulation.Result result =
@@ -246,15 +241,12 @@
                                 5));
         assertTrue(
                 servedFraction(result, 5, 10) < 0.9 && servedFraction(result, 17, 24) > 0.9,
-                "after it " + result.statistics().served(17, 24));
+                "served in time after the fault: " + result.statistics().served(17, 24));
     }
 
-    /**
-     * Caches under ids that come back, operators' holds, late answers and early leavers, one after
-     * another.
-     */
+    /** Applies administrative drains, lost answers, early disconnects and other faults in turn. */
     @Test
-    void everyFleetFaultKeepsTheRules() {
+    void noFaultViolatesAnInvariant() {
         List<Fault> faults = new ArrayList<>();
         for (FaultKind kind :
                 List.of(
@@ -279,11 +271,11 @@
     }
 
     /**
-     * A call waits its turn; those that would wait longer than discovery's callers do fail, at once
-     * known to nobody.
+     * Discovery processes calls in sequence. A call that would wait longer than the time-out fails,
+     * and its caller learns of it only at the time-out.
      */
     @Test
-    void discoveryWorksThroughCallsInTurn() {
+    void discoveryProcessesCallsInSequence() {
         Timeline timeline = new Timeline();
         SimDiscovery discovery =
                 new SimDiscovery(
@@ -309,11 +301,11 @@
     }
 
     /**
-     * Whatever happens in whatever order, a cache holds as many connections as balancers have to
-     * it, and no more than it may.
+     * After any sequence of operations, a cache must count as many connections as the balancers
+     * have to it, within its limit.
      */
     @Property(tries = 200, seed = "20261201")
-    void connectionsAreCountedTheSameOnBothSides(
+    void cacheAndBalancerConnectionCountsAgree(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 6) int maxPerCache,
             @ForAll @IntRange(min = 1, max = 8) int maxPerBalancer) {
@@ -377,7 +369,8 @@
                 }
                 default -> pool.closeIdle(cacheIndex);
             }
-            // Not each time: a look is when a balancer finds out that a process is gone.
+            // Checked only sometimes, because the check itself makes a balancer notice an ended
+            // process.
             if (random.nextInt(3) > 0) {
                 continue;
             }
@@ -385,7 +378,10 @@
                 one.ensureCapacity(now);
                 assertTrue(
                         one.totalConnections() <= maxPerBalancer && one.totalConnections() >= 0,
-                        "a balancer holds " + one.totalConnections());
+                        "connections of a balancer: "
+                                + one.totalConnections()
+                                + ", allowed 0 to "
+                                + maxPerBalancer);
             }
             for (int i = 0; i < 3; i++) {
                 int both =
--- a/emulator/src/test/java/frostrelay/emulator/SimPeersTest.java
+++ b/emulator/src/test/java/frostrelay/emulator/SimGossipTest.java
@@ -7,14 +7,14 @@
 
 import java.util.Map;
 
-/** Tiers that talk, at sizes that sockets do not reach: bounds that hold on every seed. */
-class SimPeersTest {
+/** Tests of gossip in tiers larger than socket tests can run. The bounds hold for every seed. */
+class SimGossipTest {
     private static double figure(Map<String, Object> summary, String name) {
         return ((Number) summary.get(name)).doubleValue();
     }
 
     @Test
-    void changesPropagateSoonAndTheRateLimitHoldsAtAnyLoss() {
+    void changesPropagateWithinTheRateLimitAtAnyLoss() {
         for (double loss : new double[] {0.01, 0.1, 0.3}) {
             Map<String, Object> summary = SimGossip.run(SimGossip.Plan.of(64, loss, 60, 10, 7));
             assertTrue(figure(summary, "knownP99Ms") <= 2_000, summary.toString());
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void theDeadAreMissedAndAHealedPartitionSuspectsNobodyForLong() {
+    void killedBalancersAreDetectedWithoutFalseDeaths() {
         SimGossip.Plan plan =
                 new SimGossip.Plan(
                         32, 0.1, 2_100_000L, 30_000_000L, 2048, 90, 4, true, 3, 0, 0, false, 5);
@@ -37,11 +37,11 @@
     }
 
     /**
-     * A third of the tier is told a list half a minute late: they know it soon, and discovery is
-     * not mobbed for it.
+     * A third of the tier receives a list from discovery 30 s late. The balancers must detect the
+     * lag soon without overloading discovery with unscheduled calls.
      */
     @Test
-    void manyThatAreBehindDoNotMobDiscovery() {
+    void manyLateBalancersDoNotOverloadDiscovery() {
         SimGossip.Plan plan =
                 new SimGossip.Plan(
                         100, 0.1, 2_100_000L, 30_000_000L, 2048, 60, 0, true, 0, 0, 0.33, false, 5);
@@ -54,11 +54,11 @@
     }
 
     /**
-     * The list changes while 40 of 100 are cut off, whose watches are lost: healed, they ask in
-     * turn and are current soon.
+     * The list changes while 40 of 100 balancers are partitioned and their watches lost. After the
+     * partition they must poll discovery at a limited rate and catch up soon.
      */
     @Test
-    void aPartIsBroughtUpBehindAPartitionWithoutAHerd() {
+    void balancersCatchUpAfterAPartitionAtALimitedPollRate() {
         SimGossip.Plan plan =
                 new SimGossip.Plan(
                         100, 0.1, 2_100_000L, 30_000_000L, 2048, 40, 0, true, 0, 0.4, 0.4, true, 6);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aSeedIsADay() {
+    void theSameSeedReproducesTheSameResults() {
         SimGossip.Plan plan = SimGossip.Plan.of(16, 0.3, 30, 4, 3);
         assertEquals(SimGossip.run(plan), SimGossip.run(plan));
     }
--- a/emulator/src/test/java/frostrelay/emulator/SimJudgementsTest.java
+++ b/emulator/src/test/java/frostrelay/emulator/SimHealthReportsTest.java
@@ -7,18 +7,18 @@
 
 import java.util.Map;
 
-/** What tiers of many sizes make of dead caches: bounds that hold on every seed. */
-class SimJudgementsTest {
+/** Tests of ejecting failed caches in tiers of several sizes. The bounds hold for every seed. */
+class SimHealthReportsTest {
     private static double figure(Map<String, Object> summary, String name) {
         return ((Number) summary.get(name)).doubleValue();
     }
 
     /**
-     * With nothing lost all others lower a dead cache at once behind the third who finds it so:
-     * word misses nobody by chance.
+     * Without datagram loss, all balancers must eject a failed cache within a second of the third
+     * report. Guards against random dissemination that skips a balancer.
      */
     @Test
-    void inASmallTierNobodyMissesWhatThreeFound() {
+    void everyBalancerOfASmallTierEjectsAfterThreeReports() {
         int lateEjections = 0;
         for (int seed = 1; seed <= 30; seed++) {
             Map<String, Object> summary =
@@ -30,18 +30,20 @@
     }
 
     @Test
-    void aHundredLowerTheDeadSoonAndTheHealthyHardlyEver() {
+    void aHundredBalancersEjectFailedCachesSoonAndHealthyOnesRarely() {
         Map<String, Object> summary =
                 SimHealthReports.run(
                         new SimHealthReports.Plan(100, 60, 10, 0.01, 0.2, 10, 0.005, 3));
         assertTrue(figure(summary, "loweredBehindDeathP50Ms") < 2_000, summary.toString());
         assertTrue(figure(summary, "loweredBehindDeathP99Ms") < 6_000, summary.toString());
         assertTrue(figure(summary, "healthyLost") < 0.01, summary.toString());
-        assertTrue(figure(summary, "readsAtTheDead") < 0.08, "a fifth is dead: " + summary);
+        assertTrue(
+                figure(summary, "readsAtTheDead") < 0.08,
+                "fraction of reads at failed caches too high, a fifth has failed: " + summary);
         assertEquals(
                 0,
                 figure(summary, "countsOutsideTheirBounds"),
-                "what all take lies within what each says of it");
+                "estimates of the tier's request count whose bounds exclude the true count");
         assertTrue(
                 figure(summary, "countErrorP50") < 0.1 && figure(summary, "countCoverP50") > 0.4,
                 summary.toString());
--- a/emulator/src/test/java/frostrelay/emulator/TheoryTest.java
+++ b/emulator/src/test/java/frostrelay/emulator/TheoryTest.java
@@ -19,11 +19,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** The model's parts against what is known of them in closed form. */
+/** Tests of model components against closed-form results of queueing and caching theory. */
 class TheoryTest {
     private static final double WORK_NANOS = 1e6;
 
-    /** What a cache made of a stream of jobs: mean wait in units of work, and the share of hits. */
+    /**
+     * The results of a cache for a stream of jobs: mean wait in units of mean work, and hit ratio.
+     */
     private record Measurement(double meanWait, double hitRatio) {}
 
     private static Measurement serve(
@@ -99,7 +101,7 @@
 
                         @Override
                         public void onExecuted(long now) {
-                            throw new AssertionError("a read has no effect");
+                            throw new AssertionError("a read must not be reported as executed");
                         }
                     });
         }
@@ -109,7 +111,7 @@
                 cache.hits() / (double) (cache.hits() + cache.misses()));
     }
 
-    /** Erlang's C: the chance to wait in M/M/c. */
+    /** Returns the probability of waiting in an M/M/c queue (Erlang C). */
     private static double erlangC(int cores, double load) {
         double offered = cores * load;
         double term = 1;
@@ -123,7 +125,7 @@
     }
 
     @Example
-    void waitsAreThoseOfMMc() {
+    void meanWaitMatchesMMc() {
         for (int cores : new int[] {1, 4, 16}) {
             double load = 0.8;
             double theory = erlangC(cores, load) / (cores * (1 - load));
@@ -132,9 +134,12 @@
         }
     }
 
-    /** Pollaczek and Khinchine: with fixed work one waits half as long as with exponential work. */
+    /**
+     * With fixed work the mean wait is half of that with exponential work (Pollaczek-Khinchine
+     * formula).
+     */
     @Example
-    void waitsAreThoseOfMD1() {
+    void meanWaitMatchesMD1() {
         double load = 0.7;
         double theory = load / (2 * (1 - load));
         double wait = serve(1, load, true, 1, 1, 1, 400_000).meanWait;
@@ -142,11 +147,11 @@
     }
 
     /**
-     * Che, Tung and Wang (2002): an LRU cache keeps what was asked for within one time that is the
-     * same for all keys.
+     * An LRU cache holds the objects requested within a characteristic time that is the same for
+     * all keys (Che, Tung and Wang 2002).
      */
     @Example
-    void hitsAreThoseOfChesApproximation() {
+    void hitRatioMatchesChesApproximation() {
         int keys = 5_000;
         for (int memory : new int[] {50, 500, 2_000}) {
             double zipf = 0.9;
@@ -171,19 +176,16 @@
             for (double one : chance) {
                 theory += one / norm * (1 - Math.exp(-one / norm * low));
             }
-            // So many jobs that the empty start weighs less than the bound.
+            // Enough jobs for the misses of the empty start to be within the tolerance.
             double hits = serve(1, 0.3, true, memory, keys, zipf, 600_000).hitRatio;
             assertEquals(theory, hits, 0.01, "memory " + memory);
         }
     }
 
     /**
-     * Whatever is added, and while time goes on, it happens in order, and what is equal in the
-     * order of adding.
-     */
-    /**
-     * Within a slot of the wheel, over many, more than once round, and past it; moved on in steps
-     * that end anywhere.
+     * Events run in time order, and simultaneous ones in insertion order, also if scheduled while
+     * time advances. The times lie within one slot, over many slots, over several turns of the
+     * wheel and beyond it; the steps end at arbitrary times.
      */
     @Property(tries = 300, seed = "20261201")
     void eventsRunInOrder(
@@ -206,7 +208,8 @@
                         }
                     });
         }
-        // Some are taken back, twice, and their places used again: the others must not notice.
+        // Some timers are cancelled, twice, and their nodes reused, which must not affect other
+        // events.
         for (int i = 0; i < times.size(); i++) {
             long timer = timeline.schedule(times.get(i) * unit, now -> {});
             timeline.cancel(timer);
@@ -228,12 +231,9 @@
         }
     }
 
-    /**
-     * Against the library's map: who goes first is the same by use and by age, through writes and
-     * releases.
-     */
+    /** Compares LRU and FIFO eviction with {@link LinkedHashMap}, through writes and releases. */
     @Property(tries = 200, seed = "20261201")
-    void aCacheKeepsWhatALinkedMapWould(
+    void evictionMatchesALinkedHashMap(
             @ForAll @Size(max = 300) List<@LongRange(min = 0, max = 400) Long> steps,
             @ForAll boolean isLru,
             @ForAll @LongRange(min = 1, max = 90) long maxEntries) {
