--- a/node/src/main/java/frostrelay/node/client/ClientConnection.java
+++ b/node/src/main/java/frostrelay/node/client/ClientConnection.java
@@ -272,10 +272,7 @@
         }
     }
 
-    /**
-     * Called when the long value of a response cannot be completed. The response then closes the
-     * connection.
-     */
+    /** Called when a long value cannot be completed; the response closes the connection. */
     void onValueTruncated() {
         counters.truncatedValues++;
         lifecycle.onValueTruncated();
@@ -293,10 +290,7 @@
         closeAfterResponses(CloseReason.CLIENT_QUIT);
     }
 
-    /**
-     * Stops starting commands, and closes the connection after the pending responses have been
-     * written.
-     */
+    /** Stops starting commands, and closes the connection after the pending responses. */
     void closeAfterResponses(CloseReason reason) {
         lifecycle.startClosing(reason);
     }
--- a/node/src/main/java/frostrelay/node/proxy/RequestDispatcher.java
+++ b/node/src/main/java/frostrelay/node/proxy/RequestDispatcher.java
@@ -178,10 +178,7 @@
         }
     }
 
-    /**
-     * Replaces the set of administratively drained servers, given by their names in the endpoint
-     * list.
-     */
+    /** Replaces the set of administratively drained servers, given by their listed names. */
     public void onAdminDrains(Set<String> names) {
         endpointUpdates.setAdminDrains(names);
     }
@@ -197,10 +194,7 @@
         endpointUpdates.setPeerDrains(servers, adminDrainedByPeers);
     }
 
-    /**
-     * Replaces the set of servers that are outliers according to the combined health reports of the
-     * peers.
-     */
+    /** Replaces the set of servers that are outliers by the peers' combined health reports. */
     public void onPeerHealthReports(Set<Long> outliers) {
         events.post(null, () -> policy.onPeerHealthReports(Clock.now(), outliers));
     }
@@ -210,10 +204,7 @@
         events.post(null, () -> policy.onSiblingProcesses(Clock.now(), siblingCount));
     }
 
-    /**
-     * Applies the parts of a new configuration that can change at run time: the settings and the
-     * address of discovery.
-     */
+    /** Applies the run-time changeable parts of a configuration: settings and discovery. */
     public void reload(Config newConfig) {
         observer.onConfig(newConfig);
         currentSettings.replace(newConfig.settings());
@@ -243,17 +234,12 @@
 
     // Periodic tasks and views.
 
-    /**
-     * Enables the delay of requests after a stall of this process until its sockets have been read.
-     */
+    /** Enables the delay of requests after a stall until the sockets have been read. */
     public void enableCatchUp() {
         stallDetector.enable();
     }
 
-    /**
-     * Closes connections to servers that have been idle for too long. Must be called four times a
-     * second.
-     */
+    /** Closes connections that are idle for too long. Must be called four times a second. */
     public void sweep() {
         stallDetector.onSweep();
         upstream.sweep();
@@ -274,10 +260,7 @@
         return requestTable.openCount();
     }
 
-    /**
-     * Returns up to {@code maxEntries} open requests: for each id the milliseconds until the
-     * deadline.
-     */
+    /** Returns the first open requests: for each id the milliseconds until the deadline. */
     public Map<String, Object> openRequests(int maxEntries) {
         return requestTable.openRequests(maxEntries);
     }
