--- a/node/src/main/java/frostrelay/node/upstream/ConnectionLimit.java
+++ b/node/src/main/java/frostrelay/node/upstream/ConnectionLimit.java
@@ -6,8 +6,9 @@
 import java.util.Set;
 
 /**
- * Limits how many connections to all cache servers together are open, and retires the least
- * recently used idle one where another is needed. Runs on the event loop.
+ * A limit on the total number of open connections to cache servers. At the limit, the least
+ * recently used idle connection is retired before a new connection is opened. Runs on the event
+ * loop.
  */
 final class ConnectionLimit {
     /** All idle connections, the least recently used first. */
@@ -20,16 +21,18 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Changes the limit; idle connections above it are retired, those in use stay. */
+    /** Changes the limit and retires idle connections above it. Connections in use stay open. */
     void setMaxConnections(int newMax) {
         maxConnections = newMax;
         while (connectionCount > maxConnections && evictLeastRecentlyUsed()) {
-            // Each turn retires one connection.
+            // Each iteration retires one connection.
         }
     }
 
-    /** Whether a connection may be opened, for which an idle one is retired if needed. */
-    boolean makeCapacity() {
+    /**
+     * Returns whether a connection may be opened; retires an idle connection if that is necessary.
+     */
+    boolean ensureCapacity() {
         return connectionCount < maxConnections || evictLeastRecentlyUsed();
     }
 
@@ -42,7 +45,7 @@
         return true;
     }
 
-    /** Retires all connections that have been idle since this moment or longer. */
+    /** Retires all connections that have been idle since the given time or longer. */
     void retireIdleSince(long idleCutoffNanos) {
         for (UpstreamConnection connection : List.copyOf(idleConnections)) {
             if (connection.idleSinceNanos() > idleCutoffNanos) {
@@ -57,7 +60,7 @@
         server.connectionCount++;
     }
 
-    /** To be called once for each connection that was opened. */
+    /** Must be called once for each connection that was opened. */
     void onClosed(PooledServer server) {
         connectionCount--;
         server.connectionCount--;
--- a/node/src/main/java/frostrelay/node/upstream/PooledServer.java
+++ b/node/src/main/java/frostrelay/node/upstream/PooledServer.java
@@ -7,36 +7,39 @@
 import java.util.Deque;
 import java.util.List;
 
-/** One cache server of the endpoint list with its connections. Runs on the event loop. */
+/** A cache server of the endpoint list and its connections. Runs on the event loop. */
 final class PooledServer {
-    /** The number that the listener gave this server, for events about its attempts. */
+    /** The number by which events about attempts identify this server, assigned by the listener. */
     final int number;
 
     InetSocketAddress endpoint;
 
-    /** Whether the endpoint list names it as removed, or no longer names it. */
+    /** Whether the endpoint list marks the server as removed or no longer contains it. */
     boolean removed;
 
-    /** When the endpoint list named it last. */
+    /** The time at which an endpoint list last contained the server. */
     long lastListedNanos;
 
-    /** Whether the endpoint list has it as ready, regardless of administrative drains. */
+    /** Whether the endpoint list marks the server as ready, regardless of administrative drains. */
     boolean listedReady;
 
-    /** The last moment at which a send may start; {@link ActionGuard#NEVER} while it is in use. */
+    /**
+     * The latest time at which a send may start; {@link ActionGuard#NEVER} while the server is not
+     * drained.
+     */
     long sendAllowedUntilNanos = ActionGuard.NEVER;
 
-    /** Connections that are being opened or are open. */
+    /** The number of connections that are being opened or are open. */
     int connectionCount;
 
-    /** Its idle connections, the least recently used first. */
+    /** The idle connections, the least recently used first. */
     final Deque<UpstreamConnection> idleConnections = new ArrayDeque<>();
 
     PooledServer(int number) {
         this.number = number;
     }
 
-    /** Whether sends may start without a time limit. */
+    /** Returns whether sends may start without a time limit. */
     boolean isUsable() {
         return sendAllowedUntilNanos == ActionGuard.NEVER;
     }
--- a/node/src/main/java/frostrelay/node/upstream/ResponseClassifier.java
+++ b/node/src/main/java/frostrelay/node/upstream/ResponseClassifier.java
@@ -4,14 +4,14 @@
 import frostrelay.node.proxy.ClientRequest;
 import frostrelay.policy.api.AttemptResult;
 
-/** Decides what a cache server's response to a request means. Stateless. */
+/** Maps a cache server's response to the result of the attempt. Stateless. */
 final class ResponseClassifier {
     private static final int FIRST_VALUE_FLAG_INDEX = 2;
     private static final int FIRST_STATUS_FLAG_INDEX = 1;
 
     private ResponseClassifier() {}
 
-    /** The result of the attempt; null for a response that the protocol does not allow. */
+    /** Returns the result of the attempt, or null if the response violates the protocol. */
     static AttemptResult classify(ClientRequest clientRequest, MetaFrame response) {
         if (response.errorResponse() != null) {
             return null;
@@ -35,7 +35,7 @@
         return response.tokenEquals(1, "failed") ? AttemptResult.ERROR : null;
     }
 
-    /** The id of the request that a response answers; null if it names none. */
+    /** Returns the request id in a response, or null if there is none. */
     static String opaque(MetaFrame response) {
         boolean hasValue = response.tokenEquals(0, "VA");
         return response.flagToken(hasValue ? FIRST_VALUE_FLAG_INDEX : FIRST_STATUS_FLAG_INDEX, 'O');
--- a/node/src/main/java/frostrelay/node/upstream/UpstreamConnection.java
+++ b/node/src/main/java/frostrelay/node/upstream/UpstreamConnection.java
@@ -24,9 +24,9 @@
 import java.io.IOException;
 
 /**
- * One connection to a cache server. It connects, then alternates between idle and carrying one
- * attempt, until it is closed. Idle, it is registered with the pool's {@link ConnectionLimit}; it
- * is counted there until its end is certain. Runs on the event loop.
+ * A connection to a cache server, which is either idle or carries one attempt until it is closed.
+ * An idle connection is registered with the pool's {@link ConnectionLimit}. That limit counts the
+ * connection from the start of its connect until it is retired or lost. Runs on the event loop.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<Object>
         implements ValueStream.Source, Upstream.AttemptConnection {
@@ -38,24 +38,36 @@
     private final MetaDecoder decoder;
     private Channel channel;
 
-    /** The attempt that it carries, or will once it is connected; null while it is idle. */
+    /**
+     * The attempt that the connection carries or will carry once it is connected; null if there is
+     * none.
+     */
     private Attempt attempt;
 
-    /** The write of the present attempt, done when its last byte was sent; null before. */
+    /**
+     * The write of the current attempt, completed when the last byte has been sent; null before the
+     * write.
+     */
     private ChannelFuture writeFuture;
 
     private long idleSinceNanos;
 
-    /** The long value that is being received, whose attempt has ended; null if there is none. */
+    /**
+     * The long value that is being received after its attempt has been completed; null if there is
+     * none.
+     */
     private ValueStream valueStream;
 
-    /** The id of the last response; null if there was none or it has already come twice. */
+    /**
+     * The request id of the last successful response; null if there is none or a duplicate of it
+     * has been received.
+     */
     private String lastAnsweredRequestId;
 
-    /** The response is complete and the read that brought it is not. */
+    /** Whether the response is complete but the read that delivered it is still in progress. */
     private boolean responseReceived;
 
-    /** Whether {@link ConnectionLimit} counts it as open. */
+    /** Whether {@link ConnectionLimit} counts the connection as open. */
     private boolean countedAsOpen;
 
     UpstreamConnection(UpstreamConnectionPool pool, PooledServer pooledServer) {
@@ -67,9 +79,9 @@
         this.decoder = MetaDecoder.forResponses(pool.memoryLimiter());
     }
 
-    /** Opens the connection and writes the attempt once it is open. To be called once. */
-    void connect(Attempt first, Bootstrap bootstrap, EventLoop loop) {
-        attachAttempt(first);
+    /** Opens the connection and writes the attempt once it is open. Must be called once. */
+    void connect(Attempt firstAttempt, Bootstrap bootstrap, EventLoop loop) {
+        attachAttempt(firstAttempt);
         counters.connects++;
         countedAsOpen = true;
         limit.onOpened(pooledServer);
@@ -80,8 +92,10 @@
                         .handler(
                                 new ChannelInitializer<>() {
                                     @Override
-                                    protected void initChannel(Channel fresh) {
-                                        fresh.pipeline().addLast(decoder, UpstreamConnection.this);
+                                    protected void initChannel(Channel newChannel) {
+                                        newChannel
+                                                .pipeline()
+                                                .addLast(decoder, UpstreamConnection.this);
                                     }
                                 });
         channel =
@@ -89,14 +103,17 @@
                         connectBootstrap, pooledServer.endpoint, loop, cause -> onConnectionLost());
     }
 
-    /** Writes an attempt on this connection, which is idle. */
+    /** Writes an attempt on this connection, which must be idle. */
     void sendNow(Attempt next) {
         leaveIdle();
         attachAttempt(next);
         write();
     }
 
-    /** Gives up the attempt that it carries; if it was written, the connection is closed. */
+    /**
+     * Detaches the attempt from the connection, and closes the connection if the attempt was
+     * written.
+     */
     void abandonAttempt() {
         detachAttempt();
         if (writeFuture != null) {
@@ -104,12 +121,15 @@
         }
     }
 
-    /** Whether this idle connection may carry another attempt. */
+    /**
+     * Returns whether this idle connection may carry another attempt: it is open and became idle
+     * after the given time.
+     */
     boolean isReusable(long idleCutoffNanos) {
         return channel.isActive() && idleSinceNanos > idleCutoffNanos;
     }
 
-    /** When it became idle last. */
+    /** Returns the time at which the connection last became idle. */
     long idleSinceNanos() {
         return idleSinceNanos;
     }
@@ -134,7 +154,8 @@
         channel = ctx.channel();
         completeIfSendDenied();
         if (attempt == null) {
-            // Abandoned or denied while connecting: nothing is written and the connection is kept.
+            // The attempt was abandoned or denied during the connect: the connection is kept for
+            // reuse.
             goIdle();
         } else {
             write();
@@ -186,7 +207,7 @@
             channel.config().setAutoRead(true);
             completedValue.complete();
         } else {
-            // The data block does not end where its length says.
+            // The data block does not end at the announced length.
             channel.close();
             failValue();
         }
@@ -213,31 +234,31 @@
 
     private void handleResponse(MetaFrame response) {
         if (attempt == null) {
-            // No request is open: later responses could not be matched to requests any more.
+            // No request is open, so later responses could not be matched to their requests.
             retire();
             return;
         }
         if (isDuplicateResponse(response)) {
             return;
         }
-        AttemptResult reason =
+        AttemptResult result =
                 ResponseClassifier.classify(attempt.activeRequest.clientRequest, response);
-        boolean isMalformed = reason == null;
+        boolean isMalformed = result == null;
         if (isMalformed) {
             counters.warn(
-                    "a cache server broke the protocol: "
+                    "closing the connection to a cache server after a protocol violation: "
                             + (response.errorResponse() != null
                                     ? response.errorResponse()
                                     : response.tokens()));
         }
         completeAttempt(
-                isMalformed ? AttemptResult.ERROR : reason, response, isMalformed || !isWritten());
+                isMalformed ? AttemptResult.ERROR : result, response, isMalformed || !isWritten());
     }
 
     /**
-     * A connection becomes idle only when all received bytes have been read and none came after the
-     * response: those would be taken for the response to the next request. Likewise any byte on an
-     * idle connection closes it.
+     * Makes the connection idle if all received bytes have been read and none followed the
+     * response. Further bytes would be taken for the response to the next request, so the
+     * connection is retired if there are any, and also if a byte arrives while it is idle.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -253,9 +274,9 @@
     }
 
     /**
-     * Whether this repeats the previous response, late: it must not fail the present request, which
-     * if it is a write might not be retried. Accepted only once, and never if the present request
-     * has the same id.
+     * Returns whether this is a late duplicate of the previous response. A duplicate must not fail
+     * the current request, which might be a write that cannot be retried. Only one duplicate is
+     * accepted, and none if the current request has the same id.
      */
     private boolean isDuplicateResponse(MetaFrame response) {
         String id = response.streamed() ? null : ResponseClassifier.opaque(response);
@@ -267,12 +288,12 @@
         return isDuplicate;
     }
 
-    private void completeAttempt(AttemptResult reason, MetaFrame response, boolean shouldClose) {
+    private void completeAttempt(AttemptResult result, MetaFrame response, boolean shouldClose) {
         Attempt completedAttempt = attempt;
         detachAttempt();
         writeFuture = null;
         lastAnsweredRequestId =
-                reason == AttemptResult.OK
+                result == AttemptResult.OK
                         ? completedAttempt.activeRequest.clientRequest.id()
                         : null;
         if (!shouldClose && response.streamed()) {
@@ -283,7 +304,7 @@
         if (shouldClose) {
             channel.close();
         }
-        listener.onAttemptCompleted(completedAttempt, reason, response, valueStream);
+        listener.onAttemptCompleted(completedAttempt, result, response, valueStream);
     }
 
     private void goIdle() {
@@ -299,16 +320,16 @@
         limit.removeIdle(this, pooledServer);
     }
 
-    /** Closes the connection, whose place is free at once. */
+    /** Closes the connection and stops counting it against the limit immediately. */
     void retire() {
         responseReceived = false;
         leaveIdle();
-        releasePlace();
+        stopCounting();
         channel.close();
     }
 
-    /** Frees its place, once, as soon as its end is certain. */
-    private void releasePlace() {
+    /** Stops counting the connection against the limit; further calls have no effect. */
+    private void stopCounting() {
         if (countedAsOpen) {
             countedAsOpen = false;
             limit.onClosed(pooledServer);
@@ -330,14 +351,15 @@
 
     private void onConnectionLost() {
         leaveIdle();
-        releasePlace();
+        stopCounting();
         failValue();
         if (attempt != null) {
-            // A request cannot run before its last byte was sent; after that it may have.
-            AttemptResult reason = isWritten() ? AttemptResult.RESET : AttemptResult.CONNECT_FAILED;
+            // A server cannot execute a request before its last byte has been sent; after that it
+            // may have.
+            AttemptResult result = isWritten() ? AttemptResult.RESET : AttemptResult.CONNECT_FAILED;
             Attempt completedAttempt = attempt;
             detachAttempt();
-            listener.onAttemptCompleted(completedAttempt, reason, null, null);
+            listener.onAttemptCompleted(completedAttempt, result, null, null);
         }
     }
 }
--- a/node/src/main/java/frostrelay/node/upstream/UpstreamConnectionPool.java
+++ b/node/src/main/java/frostrelay/node/upstream/UpstreamConnectionPool.java
@@ -25,31 +25,35 @@
 import java.util.Set;
 
 /**
- * The connections to all cache servers, each with one request at a time: an attempt that is
- * abandoned costs no other request its connection. There are never more than the deployment allows.
- * Runs on the event loop.
+ * A pool of connections to all cache servers. Each connection carries one request at a time, so
+ * that closing it for an abandoned attempt affects no other request. The number of connections is
+ * limited by the deployment. Runs on the event loop.
  */
 public final class UpstreamConnectionPool implements Upstream {
     /**
-     * Part of the servers' idle timeout after which a connection is retired: a request that crossed
-     * the server's close would end as a reset, after which a write cannot be retried.
+     * The fraction of the servers' idle timeout after which a connection is retired. A request sent
+     * while the server closes the connection would end with a reset, after which a write cannot be
+     * retried.
      */
     private static final double IDLE_TIMEOUT_FRACTION = 0.6;
 
     /**
-     * Subtracted from the drain grace, for the network delay of the last byte and for a process
-     * that stalls before it writes.
+     * Subtracted from the drain grace for the network delay of the last byte and for a stall of
+     * this process before the write.
      */
     private static final long DRAIN_GRACE_MARGIN_NANOS =
             100 * Clock.NANOS_PER_MILLISECOND + ActionGuard.MAX_PROCESS_STALL_NANOS;
 
     /**
-     * How long a removed server stays known: a restart takes 2 to 30 s, and an operator's command
-     * may arrive after the endpoint list without it.
+     * The time for which a removed server stays known: a restart takes 2 to 30 s, and an operator's
+     * command for a server may arrive after the endpoint list that no longer contains it.
      */
     private static final long REMOVED_SERVER_RETENTION_NANOS = 60 * Clock.NANOS_PER_SECOND;
 
-    /** The largest read, which bounds what a paused value leaves buffered. */
+    /**
+     * The largest read, which bounds the bytes that remain buffered when a streamed value is
+     * paused.
+     */
     private static final int MAX_READ_BYTES = 16 * 1024;
 
     private final CurrentSettings currentSettings;
@@ -60,16 +64,19 @@
     private final ConnectionLimit limit;
     private final Map<Long, PooledServer> pooledServers = new HashMap<>();
 
-    /** Unlimited: each connection buffers one value at most, so their number bounds it. */
+    /**
+     * Unlimited, because each connection buffers at most one value and the number of connections is
+     * limited.
+     */
     private final MemoryLimiter memoryLimiter = new MemoryLimiter(Long.MAX_VALUE);
 
-    /** Servers that operators have drained. */
+    /** The servers that are drained in addition to those drained by the endpoint list. */
     private Set<Long> drainedServers = Set.of();
 
     /**
-     * Creates an empty pool; no connection is opened before the first send.
+     * Creates an empty pool, which opens no connection before the first send.
      *
-     * @param maxConnections connections to all servers together
+     * @param maxConnections the limit on connections to all servers together
      */
     public UpstreamConnectionPool(
             CurrentSettings currentSettings,
@@ -92,7 +99,6 @@
                                 new AdaptiveRecvByteBufAllocator(512, 2048, MAX_READ_BYTES));
     }
 
-    /** Must run before the policy sees the list, so that every server it may choose is known. */
     @Override
     public void update(EndpointUpdateMode mode, List<EndpointList.Endpoint> members) {
         if (mode == EndpointUpdateMode.FAILED) {
@@ -133,7 +139,6 @@
         startDraining(pooledServer, now);
     }
 
-    /** Replaces the set of servers that operators have drained. */
     @Override
     public void setDrainedServers(Set<Long> serverIds) {
         drainedServers = serverIds;
@@ -160,7 +165,7 @@
                         0,
                         currentSettings.get().policySettings.drainGraceNanos()
                                 - DRAIN_GRACE_MARGIN_NANOS);
-        // Drained for a second reason, a server keeps the earlier limit.
+        // A server that is drained for a second reason keeps the earlier time limit.
         pooledServer.sendAllowedUntilNanos =
                 Math.min(pooledServer.sendAllowedUntilNanos, now + graceNanos);
         pooledServer.closeIdleConnections();
@@ -178,9 +183,9 @@
         UpstreamConnection connection = mostRecentlyUsed(pooledServer);
         if (connection != null) {
             connection.sendNow(attempt);
-        } else if (!limit.makeCapacity()) {
-            // A lack of connections is not the server's fault: reported as not sent, which counts
-            // against no server and rejects the request.
+        } else if (!limit.ensureCapacity()) {
+            // A lack of connections is not the server's fault. SUPERSEDED means that the attempt
+            // was not sent: it does not count against the server, and the request is rejected.
             counters.noConnectionCapacity++;
             listener.onAttemptCompleted(attempt, AttemptResult.SUPERSEDED, null, null);
         } else {
@@ -188,7 +193,9 @@
         }
     }
 
-    /** Whether an attempt may be written now; a denial is counted. */
+    /**
+     * Returns the guard's decision on whether an attempt may be written now, and counts a denial.
+     */
     ActionGuard.SendDecision checkMaySend(Attempt attempt, PooledServer pooledServer) {
         ActionGuard.SendDecision decision =
                 listener.maySend(attempt, pooledServer.sendAllowedUntilNanos);
@@ -199,9 +206,9 @@
     }
 
     /**
-     * The idle connection that was used last, or null. One that was idle for too long is not used
-     * even if no sweep has retired it yet, as after a pause of this process: its server may have
-     * closed it.
+     * Returns the most recently used idle connection, or null. Retires connections that have been
+     * idle for too long but that the sweep has not retired yet, for example after a pause of this
+     * process, because their servers may have closed them.
      */
     private UpstreamConnection mostRecentlyUsed(PooledServer pooledServer) {
         long idleCutoff = idleCutoffNanos();
@@ -224,8 +231,8 @@
     }
 
     /**
-     * Stops waiting for an attempt. One that was written costs its connection, as its response may
-     * still arrive.
+     * Stops waiting for an attempt. If the attempt was written, its connection is closed, because
+     * the response may still arrive.
      */
     @Override
     public void abandon(Attempt attempt) {
@@ -244,8 +251,8 @@
     }
 
     /**
-     * Retires connections well before their servers would close them, and forgets servers that were
-     * removed long ago.
+     * Retires connections well before their servers would close them, and drops servers whose
+     * retention after removal has ended.
      */
     @Override
     public void sweep() {
@@ -288,7 +295,7 @@
         return memoryLimiter;
     }
 
-    /** The settings' timeout for opening a connection, at least 1 ms. */
+    /** Returns the connect timeout from the settings, at least 1 ms. */
     int connectTimeoutMillis() {
         long timeoutNanos = currentSettings.get().policySettings.connectTimeoutNanos();
         return (int) Math.max(1, timeoutNanos / Clock.NANOS_PER_MILLISECOND);
--- a/node/src/test/java/frostrelay/node/BadInputTest.java
+++ b/node/src/test/java/frostrelay/node/BadInputTest.java
@@ -23,7 +23,7 @@
 import java.util.Map;
 import java.util.concurrent.Semaphore;
 
-/** Input that breaks the protocol is answered, and affects no other request. */
+/** Input that violates the protocol gets an error response and affects no other request. */
 class BadInputTest {
     private static void assertProtocolError(String response, String command) {
         assertTrue(
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void malformedCommandsAreAnsweredAndTheConnectionGoesOn() throws Exception {
+    void malformedCommandsGetAnErrorResponseAndTheConnectionStaysUsable() throws Exception {
         List<String> malformed =
                 List.of(
                         "",
@@ -79,13 +79,13 @@
             assertEquals(
                     malformed.size(),
                     fixture.fakeServers.get(0).commands.size(),
-                    "none of them was passed on");
+                    "no malformed command was forwarded");
         }
     }
 
     /**
-     * After a framing error the next frame boundary is unknown: what follows may be data, and must
-     * not be served as the request that it looks like.
+     * After a framing error the next frame boundary is unknown. The following bytes may be data and
+     * must not be served as a request, even if they look like one.
      */
     @Test
     void nothingIsServedAfterAFramingError() throws Exception {
@@ -109,7 +109,7 @@
                 try (TestConnection client = fixture.client()) {
                     client.write(command + "\r\n" + NodeTestFixture.NON_IDEMPOTENT_WRITE + "\r\n");
                     assertProtocolError(client.readLine(), command);
-                    assertNull(client.readLine(), "closed behind the answer to " + command);
+                    assertNull(client.readLine(), "closed after the response to " + command);
                 }
             }
             assertEquals(0, fixture.fakeServers.get(0).commands.size());
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Servers know requests by their ids: a second one with an open id could be served with the
-     * response to the first.
+     * Servers identify requests by their ids, so a second request with the id of an open one could
+     * be served with the response to the first.
      */
     @Test
     void theIdOfAnOpenRequestIsRejectedForOtherRequests() throws Exception {
@@ -145,11 +145,14 @@
             assertEquals(
                     "HD O2 c77",
                     otherClient.request(NodeTestFixture.NON_IDEMPOTENT_WRITE),
-                    "free again once it is answered");
+                    "the id can be reused after the response");
         }
     }
 
-    /** A timeout of an hour would occupy memory and a timer for an hour. */
+    /**
+     * Without the limit, a request with a timeout of one hour would occupy memory and a timer for
+     * one hour.
+     */
     @Test
     void aTimeoutIsBoundedByTheDeadlineOfItsClass() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.respondingWith(c -> null))) {
@@ -163,7 +166,10 @@
         }
     }
 
-    /** Silent connections and partial commands occupy descriptors; proven ones may idle longer. */
+    /**
+     * Connections without a command or with an incomplete one occupy descriptors. Connections that
+     * have sent a valid command may be idle for longer.
+     */
     @Test
     void clientsThatSendNothingOrAnIncompleteCommandAreClosed() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
@@ -184,8 +190,8 @@
     }
 
     /**
-     * A client that repeats a malformed command takes less and less time of the loop, and is closed
-     * in the end.
+     * A connection that repeats a malformed command is read less often, and is closed after a
+     * number of errors.
      */
     @Test
     void aClientThatKeepsSendingMalformedCommandsIsClosed() throws Exception {
@@ -197,7 +203,8 @@
                 assertEquals("ERROR", line);
                 responseCount++;
             }
-            assertTrue(responseCount > 0 && responseCount < 500, "answers: " + responseCount);
+            assertTrue(
+                    responseCount > 0 && responseCount < 500, "error responses: " + responseCount);
         }
     }
 
@@ -231,7 +238,7 @@
     }
 
     @Test
-    void commandsMayComeByteByByte() throws Exception {
+    void commandsMayArriveByteByByte() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
                 TestConnection client = fixture.client()) {
             for (byte b :
@@ -246,7 +253,7 @@
     }
 
     @Test
-    void quitClosesBehindTheAnswers() throws Exception {
+    void quitClosesTheConnectionAfterPendingResponses() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
                 TestConnection client = fixture.client()) {
             assertEquals(
@@ -263,7 +270,7 @@
     }
 
     @Test
-    void badConfigurationIsReportedAsSuch() throws Exception {
+    void invalidConfigurationIsRejected() throws Exception {
         String validConfig;
         try (NodeTestFixture fixture = new NodeTestFixture()) {
             validConfig = fixture.config("127.0.0.1:0");
--- a/node/src/test/java/frostrelay/node/ConnectingTest.java
+++ b/node/src/test/java/frostrelay/node/ConnectingTest.java
@@ -17,11 +17,12 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * Connections that are slow to open: an attempt that ended meanwhile must not be written on them.
- */
+/** An attempt that ends while its connection is being opened must not be written on it. */
 class ConnectingTest {
-    /** A listening socket whose backlog is full: connections to it open only when it accepts. */
+    /**
+     * A listening socket with a full backlog, to which connections open only after it accepts
+     * others.
+     */
     private static final class FullBacklogServer implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         final List<Socket> fillers = new ArrayList<>();
@@ -65,17 +66,19 @@
                 assertEquals(
                         "SERVER_ERROR busy 2000",
                         client.request("ms 1 1 O1 Pc=copy,t=acme,d=100\r\nx"),
-                        "never written, so never run: trying again is harmless");
+                        "the attempt was not written, so the client may safely retry");
                 try (TestConnection disconnectingClient = fixture.client()) {
                     disconnectingClient.write("ms 1 1 O2 Pc=copy,t=acme,d=9000\r\nx\r\n");
                     fixture.awaitGauge("links", 2);
                 }
-                // On a slow machine the policy may have retried before the disconnect was detected.
+                // On a slow machine, the policy may have retried before the disconnect was
+                // detected.
                 int connectionCount =
                         (int) fixture.loop.submit(fixture.node::gauges).get().get("links");
                 List<TestConnection> serverConnections = new ArrayList<>();
                 try {
-                    // All connections open now, and the first command on each is one sent later.
+                    // All connections open now. The first command on each must be one that is sent
+                    // below.
                     for (int i = 0; i < connectionCount; i++) {
                         serverConnections.add(fullServer.accept());
                     }
@@ -97,11 +100,11 @@
     }
 
     /**
-     * Where cancellation is not allowed, an attempt that waits for its connection must not be
+     * Even if cancellation is not allowed, an attempt that waits for its connection must not be
      * written seconds after its client disconnected.
      */
     @Test
-    void anAttemptWhoseClientDisconnectsWhileConnectingIsNotSentWhereCancellationIsNotAllowed()
+    void anAttemptWhoseClientDisconnectsWhileConnectingIsNotSentEvenWithoutCancellation()
             throws Exception {
         try (FullBacklogServer fullServer = new FullBacklogServer();
                 NodeTestFixture fixture = new NodeTestFixture()) {
@@ -126,7 +129,7 @@
     }
 
     @Test
-    void aConnectionThatNeverComesUpIsGivenUpInTime() throws Exception {
+    void aConnectionThatDoesNotOpenTimesOut() throws Exception {
         try (FullBacklogServer fullServer = new FullBacklogServer();
                 NodeTestFixture fixture = new NodeTestFixture()) {
             fixture.extraTargets.add(fullServer.target());
--- a/node/src/test/java/frostrelay/node/DeadlineFallbackTest.java
+++ b/node/src/test/java/frostrelay/node/DeadlineFallbackTest.java
@@ -40,7 +40,7 @@
 
 /** Requests that the policy leaves open past their deadline are answered without it. */
 class DeadlineFallbackTest {
-    /** Accepts attempts, for which no connection ever opens. */
+    /** An upstream that accepts attempts but never opens a connection. */
     private static final class NeverConnectingUpstream implements Upstream {
         @Override
         public void update(EndpointUpdateMode mode, List<EndpointList.Endpoint> members) {}
@@ -77,7 +77,10 @@
         public void collectGauges(Map<String, Object> into) {}
     }
 
-    /** Delays the attempt's timeout: asked between the start of the two timers. */
+    /**
+     * An observer that delays the attempt's timeout: the version is read after the fallback is
+     * scheduled and before the attempt's timeout is.
+     */
     private static final class SlowObserver implements DecisionObserver {
         @Override
         public int versionSequence() {
@@ -98,7 +101,7 @@
 
         @Override
         public void onRejected(long retryAfterMillis) {
-            responses.add("refused");
+            responses.add("rejected");
         }
 
         @Override
@@ -113,9 +116,9 @@
     }
 
     /**
-     * If the loop is late, the fallback of a request may run before the timeout of its attempt that
-     * was never written. Reported as cancelled, the attempt might have run, and the policy would
-     * fail the write instead of rejecting it.
+     * If the event loop is late, the fallback of a request may run before the timeout of an attempt
+     * that was never written. If the attempt were reported as cancelled, the policy would assume
+     * that it may have run, and fail the write instead of rejecting it.
      */
     @Test
     void anUnsentRequestIsRejectedEvenIfTheDeadlineFallbackRunsBeforeTheAttemptTimeout()
@@ -156,9 +159,9 @@
                                             .accept(command, Clock.now(), client))
                     .get();
             assertEquals(
-                    "refused",
+                    "rejected",
                     client.responses.poll(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
-            assertNull(client.responses.poll(100, TimeUnit.MILLISECONDS), "one answer");
+            assertNull(client.responses.poll(100, TimeUnit.MILLISECONDS), "only one response");
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
         }
--- a/node/src/test/java/frostrelay/node/FakeServer.java
+++ b/node/src/test/java/frostrelay/node/FakeServer.java
@@ -9,24 +9,26 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A server on an ephemeral port that runs the script of a test on each connection. */
+/** A server on an ephemeral port that runs a test's script on each connection. */
 public final class FakeServer implements AutoCloseable {
-    /** Handles one connection, from its start to its end. */
+    /** A script that handles one connection until it ends. */
     public interface ConnectionScript {
         void run(TestConnection connection) throws IOException;
     }
 
-    /** Gives the response to a command; null for none. */
+    /** A function that returns the response to a command, or null for none. */
     interface Responder {
         String respondTo(String command);
     }
 
     public final AtomicInteger connections = new AtomicInteger();
 
-    /** First lines of commands, in the order of their arrival. */
+    /**
+     * The received commands in the order of arrival, each as its line and, for a write, its data.
+     */
     public final BlockingQueue<String> commands = new LinkedBlockingQueue<>();
 
-    /** Contains an element for every connection that its far end has closed. */
+    /** Contains the element {@code "end"} for every connection that the peer has closed. */
     final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
 
     private final ServerSocket server;
@@ -70,7 +72,7 @@
         return thread;
     }
 
-    /** A server that answers every command. */
+    /** Returns a server that answers every command with the responder's response. */
     static FakeServer respondingWith(Responder responder) throws IOException {
         FakeServer[] fakeServer = new FakeServer[1];
         fakeServer[0] =
@@ -89,7 +91,10 @@
         return fakeServer[0];
     }
 
-    /** A server whose response to a read is its key, and to a write a fixed receipt. */
+    /**
+     * Returns a server that answers a read with its key as the value, and a write with a fixed
+     * receipt.
+     */
     public static FakeServer servingAnyCommand() throws IOException {
         return respondingWith(FakeServer::successResponse);
     }
--- a/node/src/test/java/frostrelay/node/LateWorkTest.java
+++ b/node/src/test/java/frostrelay/node/LateWorkTest.java
@@ -32,8 +32,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Nothing is accepted, begun, retried or given a timeout beyond what its client, its server or this
- * process has left.
+ * Requests are accepted, started, retried and given timeouts only within the time that remains for
+ * their client, their server and this process.
  */
 class LateWorkTest {
     private static final String NON_IDEMPOTENT_WRITE_HEAD = "ms 7f3a9c21e0b4d655 5 O";
@@ -62,8 +62,7 @@
      * response before the process is killed.
      */
     @Test
-    void requestsOpenBeforeAShutdownAreAnsweredBeforeTheKillHoweverLongTheirClientsWait()
-            throws Exception {
+    void openRequestsWithLongTimeoutsAreAnsweredBeforeTheKillAtAShutdown() throws Exception {
         try (NodeTestFixture fixture =
                         new NodeTestFixture(FakeServer.respondingWith(command -> null)).start();
                 TestConnection client = fixture.client()) {
@@ -71,11 +70,11 @@
             assertTrue(fixture.fakeServers.get(0).awaitCommand() != null);
             long startNanos = System.nanoTime();
             Future<Void> stopped = startShutdown(fixture);
-            assertEquals("SERVER_ERROR failed", client.readLine(), "it may have run");
+            assertEquals("SERVER_ERROR failed", client.readLine(), "the write may have run");
             assertTrue(millisSince(startNanos) < 3_700, "in " + millisSince(startNanos) + " ms");
             client.disconnect();
             assertTrue(stopped.await(TestConnection.TIMEOUT_MILLIS));
-            assertTrue(millisSince(startNanos) < 3_700, "and then the process is done");
+            assertTrue(millisSince(startNanos) < 3_700, "the process stops before the kill");
         }
     }
 
@@ -140,10 +139,11 @@
     }
 
     /**
-     * A class that a new configuration no longer contains does not count for its longest deadline.
+     * A class that a new configuration no longer contains is ignored when the longest deadline is
+     * determined.
      */
     @Test
-    void theKillIsExpectedByTheDeadlinesOfTheClassesThatAreNamed() throws Exception {
+    void longestDeadlineIgnoresClassesRemovedByANewConfiguration() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture()) {
             fixture.deadlineMillis = 1_000;
             Object before =
@@ -169,8 +169,8 @@
     // Queued commands.
 
     /**
-     * A client's timeout runs while its command is queued, so the server is given only what
-     * remains.
+     * A client's timeout keeps running while its command is queued, so the server is given only the
+     * remaining time.
      */
     @Test
     void queueingTimeIsSubtractedFromTheTimeoutSentToAServer() throws Exception {
@@ -219,8 +219,8 @@
     }
 
     /**
-     * Where more bytes wait than are read ahead, a disconnect is not detected: commands must not be
-     * begun long after it all the same.
+     * A disconnect is not detected while more bytes are waiting than are read ahead. Even then no
+     * command may be started long after the disconnect.
      */
     @Test
     void commandsBeyondTheReadAheadOfADisconnectedClientAreNotStarted() throws Exception {
@@ -236,7 +236,7 @@
                         });
         try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
                 TestConnection first = fixture.client()) {
-            // Opens connections and warms up the program.
+            // Opens connections and warms up the code.
             first.write(NodeTestFixture.pipelinedReads(64, ""));
             for (int i = 0; i < 64; i++) {
                 first.readLine();
@@ -258,14 +258,14 @@
                                                 startedAtNanos - disconnectedAtNanos
                                                         > 100 * Clock.NANOS_PER_MILLISECOND)
                                 .count();
-                assertEquals(0, lateStarts, "of " + startTimesNanos.size() + " begun");
+                assertEquals(0, lateStarts, "of " + startTimesNanos.size() + " commands started");
             }
         }
     }
 
     // Sends and retries.
 
-    /** Sends each request a second time after a while, whatever its class. */
+    /** A policy that sends each request again after 700 ms, regardless of its class. */
     private static final class ResendingPolicy extends NoOpPolicy {
         private long serverId;
 
@@ -307,17 +307,20 @@
     }
 
     /**
-     * Checked immediately before the write, whatever the policy decided: a second run would have a
-     * second effect.
+     * The check immediately before the write prevents a second execution of a non-idempotent write
+     * even if the policy has decided to send it again.
      */
     @Test
     void aNonIdempotentAttemptThatMayHaveRunIsNotResent() throws Exception {
         assertEquals(
                 1,
                 countSends(nonIdempotentWrite("u", 9_000), UnaryOperator.identity()),
-                "never twice");
+                "a non-idempotent write is sent only once");
         String idempotentWrite = NodeTestFixture.IDEMPOTENT_WRITE + "\r\n";
-        assertEquals(2, countSends(idempotentWrite, UnaryOperator.identity()), "within its window");
+        assertEquals(
+                2,
+                countSends(idempotentWrite, UnaryOperator.identity()),
+                "within the deduplication window");
         assertEquals(
                 1,
                 countSends(
@@ -325,15 +328,15 @@
                         text ->
                                 text.replace(
                                         "\"window-ns\":5000000000", "\"window-ns\":800000000")),
-                "its window ends before a process that is held up has written it");
+                "the window may end before a stalled process has written the retry");
     }
 
     /**
-     * After a pause of the process connections may be idle for longer than their servers keep them:
-     * a write there might be lost.
+     * After a pause of the process, connections may have been idle for longer than the idle timeout
+     * of their servers. A write on such a connection might be lost.
      */
     @Test
-    void connectionsThatWereIdleForTooLongAreNotUsedAfterAPause() throws Exception {
+    void connectionsIdleForTooLongAreNotUsedAfterAPause() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             fixture.idleTimeoutMillis = 1_000;
             fixture.start();
@@ -342,7 +345,7 @@
                 BlockingQueue<String> paused = new LinkedBlockingQueue<>();
                 fixture.loop.execute(
                         () -> {
-                            paused.add("now");
+                            paused.add("paused");
                             pause(900);
                         });
                 paused.take();
--- a/node/src/test/java/frostrelay/node/LimitsTest.java
+++ b/node/src/test/java/frostrelay/node/LimitsTest.java
@@ -11,13 +11,16 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * At the limits on connections and memory requests are rejected; the process goes on and accepted
- * requests are answered.
+ * At the limits on connections and memory, requests are rejected, the process keeps running, and
+ * accepted requests are answered.
  */
 class LimitsTest {
     private static final int SOCKET_LIMIT = 64;
 
-    /** Of the limit of 64, 48 are left after the reserve: 29 for clients, 15 for servers. */
+    /**
+     * The limit of 64 leaves 48 sockets after the reserve, of which 29 are for clients and 15 for
+     * servers.
+     */
     private static final int CLIENT_LIMIT = 29;
 
     private static final int SERVER_CONNECTION_LIMIT = 15;
@@ -35,7 +38,9 @@
                         clientConnections.get(i).request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
             }
             assertEquals(
-                    null, clientConnections.get(0).readLine(), "idle for longest, closed first");
+                    null,
+                    clientConnections.get(0).readLine(),
+                    "the connection that was idle for longest is closed first");
             assertEquals("MN", clientConnections.get(clientConnections.size() - 1).request("mn"));
             fixture.awaitGauge("clients", CLIENT_LIMIT);
         } finally {
@@ -46,11 +51,11 @@
     }
 
     /**
-     * Hundreds of connections at once without a command must not evict the idle connections of
-     * proven clients.
+     * Hundreds of simultaneous connections without a command must not evict the idle connections of
+     * clients that have sent valid commands.
      */
     @Test
-    void manyClientsThatSendNothingDoNotEvictGoodClients() throws Exception {
+    void aFloodOfConnectionsWithoutCommandsDoesNotEvictServedClients() throws Exception {
         List<TestConnection> clientConnections = new ArrayList<>();
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand())) {
             fixture.socketLimit = SOCKET_LIMIT;
@@ -68,7 +73,7 @@
                 assertEquals(
                         "HD O2 c77",
                         clientConnections.get(i).request(NodeTestFixture.NON_IDEMPOTENT_WRITE),
-                        "on the connection that it had");
+                        "on its existing connection");
             }
         } finally {
             for (TestConnection connection : clientConnections) {
@@ -78,7 +83,7 @@
     }
 
     @Test
-    void clientsPastTheLimitAreRejectedAndThoseInsideAreNot() throws Exception {
+    void requestsAboveTheConnectionLimitsAreRejectedAndOthersServed() throws Exception {
         List<TestConnection> clientConnections = new ArrayList<>();
         CountDownLatch release = new CountDownLatch(1);
         FakeServer fakeServer =
@@ -99,8 +104,8 @@
             for (int i = 0; i < SERVER_CONNECTION_LIMIT; i++) {
                 assertTrue(fakeServer.awaitCommand() != null);
             }
-            // The others found no free connection: rejected at once, which counts against no
-            // server.
+            // The other requests found no free connection. They are rejected immediately, which
+            // does not count against a server.
             fixture.awaitGauge("open", SERVER_CONNECTION_LIMIT);
             TestConnection lateClient = fixture.client();
             clientConnections.add(lateClient);
@@ -122,7 +127,10 @@
         }
     }
 
-    /** Far more than one connection may have open are sent at once: all are answered, in order. */
+    /**
+     * A client may pipeline more requests than one connection may have open. All are answered in
+     * order.
+     */
     @Test
     void pipelinedRequestsAreBoundedAndAllAnswered() throws Exception {
         int requests = 2_000;
@@ -135,7 +143,7 @@
                                 try {
                                     client.write(commands);
                                 } catch (java.io.IOException e) {
-                                    // Detected below as a missing response.
+                                    // A failed write is detected below as a missing response.
                                 }
                             });
             writer.start();
@@ -145,16 +153,16 @@
                 assertEquals(value, client.readData(value.length()));
             }
             writer.join();
-            // As many as one connection may have open, and those whose response is still being
-            // read.
+            // The limit on open requests of one client connection is 64. As many server connections
+            // may still be reading a response.
             assertTrue(fixture.fakeServers.get(0).connections.get() <= 2 * 64);
         }
     }
 
     /**
-     * A disconnect is read only behind all bytes that were sent before it. Without reading further
-     * than the requests that may be open, that of a client which sent more would be detected only
-     * when its first requests are over, and the others would be begun then.
+     * A disconnect can be read only after all bytes that were sent before it. If the balancer read
+     * only the requests that may be open, the disconnect of a client that sent more would be
+     * detected only after its first requests, and further requests would be started.
      */
     @Test
     void theDisconnectOfAClientThatPipelinedMoreThanTheLimitIsDetected() throws Exception {
@@ -174,17 +182,18 @@
             long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
             assertTrue(
                     elapsedMillis < 3_000,
-                    "seen by its end and not by their deadlines: " + elapsedMillis);
+                    "disconnect detected before the requests' deadlines, in ms: " + elapsedMillis);
             fixture.awaitGauge("ledger", 0);
             assertTrue(
                     fixture.fakeServers.get(0).commands.size() <= 4,
-                    "begun: 60 and " + fixture.fakeServers.get(0).commands.size());
+                    "commands sent to the server after the first 60: "
+                            + fixture.fakeServers.get(0).commands.size());
         }
     }
 
     /**
-     * Closing over unread bytes would reset the connection, and lose what the system still buffers
-     * of a response that its client reads slowly.
+     * Closing a connection with unread bytes would reset it. A client that reads slowly would then
+     * lose the part of its response that the operating system still buffers.
      */
     @Test
     void aClientThatSendsOnAfterAProtocolErrorGetsCompleteResponses() throws Exception {
@@ -196,7 +205,7 @@
                                 .start();
                 TestConnection client = fixture.slowClient()) {
             client.write(NodeTestFixture.READ + "\r\nms k x\r\n" + "y".repeat(150_000));
-            // The client reads nothing before the balancer has closed.
+            // The client reads nothing before the balancer has closed the connection.
             fixture.awaitGauge("clients", 1);
             fixture.awaitGauge("clients", 0);
             assertEquals("VA 60000 O1", client.readLine());
@@ -207,8 +216,8 @@
     }
 
     /**
-     * A command that crosses the end of the output is not served any more; its client sends it
-     * again on another connection.
+     * A command that arrives after the output shutdown is not served. The client must resend it on
+     * another connection.
      */
     @Test
     void inputAfterOutputShutdownIsNotForwarded() throws Exception {
@@ -218,7 +227,7 @@
             assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
             fixture.loop.submit(fixture.node::startDrain).get();
             assertEquals("HD O2 c77", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
-            assertEquals(null, client.readLine(), "closed behind its answer");
+            assertEquals(null, client.readLine(), "closed after the response");
             client.write(NodeTestFixture.NON_IDEMPOTENT_WRITE + "\r\n");
             client.disconnect();
             fixture.awaitGauge("clients", 0);
@@ -227,11 +236,11 @@
     }
 
     /**
-     * The responses to a client that reads nothing must be bounded; other clients are served
-     * meanwhile.
+     * The memory for responses to a client that does not read them must be bounded, and other
+     * clients must still be served.
      */
     @Test
-    void aClientThatDoesNotReadStopsBeingReadItself() throws Exception {
+    void commandsOfAClientThatDoesNotReadResponsesAreNotRead() throws Exception {
         String value = "v".repeat(60_000);
         FakeServer fakeServer = FakeServer.respondingWith(c -> FakeServer.valueResponse(c, value));
         try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
@@ -244,7 +253,9 @@
                 assertEquals("VA 60000 O1", client.request(NodeTestFixture.READ));
                 assertEquals(value, client.readData(value.length()));
             }
-            assertTrue(fakeServer.commands.size() < 400, "read: " + fakeServer.commands.size());
+            assertTrue(
+                    fakeServer.commands.size() < 400,
+                    "commands sent to the server: " + fakeServer.commands.size());
             for (int i = 0; i < 500; i++) {
                 assertEquals("VA 60000 Oslow" + i, slowClient.readLine());
                 slowClient.readData(60_000);
--- a/node/src/test/java/frostrelay/node/LocalLatenessTest.java
+++ b/node/src/test/java/frostrelay/node/LocalLatenessTest.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A balancer that is late itself, after a start or on a small part of a core, must not take that
- * for load of the servers.
+ * A balancer that is slow itself, after a start or with a small CPU share, must not mistake its own
+ * delays for load of the servers.
  */
 class LocalLatenessTest {
     private static final int READ_COUNT = 60;
@@ -38,10 +38,11 @@
     }
 
     /**
-     * A server rejects a request whose client has disconnected meanwhile, without a load report.
+     * A server may reject a request without a load report, if the client has disconnected in the
+     * meantime. Such rejections must not cause load shedding.
      */
     @Test
-    void rejectionsWithoutTheReportThatOtherAnswersBringShedNothing() throws Exception {
+    void rejectionsWithoutALoadReportDoNotCauseLoadShedding() throws Exception {
         FakeServer fakeServer =
                 FakeServer.respondingWith(
                         c ->
@@ -61,8 +62,9 @@
     }
 
     /**
-     * The real policy on a loop that stalls while it accepts the last of {@code READ_COUNT}
-     * requests. As many before them only open connections and do not reach the real policy.
+     * A wrapper of the real policy that stalls the event loop while the last request is accepted.
+     * The first {@code READ_COUNT} requests only open connections and do not reach the real policy;
+     * the stall is at the last of the next {@code READ_COUNT} requests.
      */
     private static final class StallingPolicy extends NoOpPolicy {
         private final Router router;
@@ -131,9 +133,12 @@
         }
     }
 
-    /** Without Retry-After the retries of clients would multiply as more requests are rejected. */
+    /**
+     * Without a retry time in rejections, the retries of clients would multiply as more requests
+     * are rejected.
+     */
     @Test
-    void theMoreIsShedTheLongerTheRetryAfter() throws Exception {
+    void rejectionsUnderOverloadCarryARetryTime() throws Exception {
         FakeServer overloadedServer =
                 FakeServer.respondingWith(c -> "SERVER_ERROR busy Lutil=1.0\r\n");
         try (NodeTestFixture fixture = new NodeTestFixture(overloadedServer).start();
@@ -147,7 +152,7 @@
             }
             assertTrue(
                     rejectionsWithRetryAfter > 100,
-                    "refusals with a wait: " + rejectionsWithRetryAfter);
+                    "rejections with a retry time: " + rejectionsWithRetryAfter);
         }
     }
 
@@ -164,10 +169,10 @@
                         command -> {
                             try {
                                 if (answered.getCount() > READ_COUNT) {
+                                    // All reads must be open together, so that each has its own
+                                    // connection.
                                     allArrived.await(
-                                            TestConnection.TIMEOUT_MILLIS,
-                                            TimeUnit.MILLISECONDS); // so that each read has a
-                                    // connection to itself
+                                            TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
                                 }
                             } catch (Exception e) {
                                 return null;
@@ -188,7 +193,8 @@
     }
 
     /**
-     * After a stall all waiting commands may be of disconnected clients, and would delay live ones.
+     * After a stall, the waiting commands may belong to disconnected clients. Accepting them would
+     * delay the commands of connected clients.
      */
     @Test
     void aCommandWhoseClientHasDisconnectedIsNotAccepted() throws Exception {
--- a/node/src/test/java/frostrelay/node/LongValuesTest.java
+++ b/node/src/test/java/frostrelay/node/LongValuesTest.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Long values are streamed: completely, at the pace of the slower end, and recognisably short where
- * they cannot be completed.
+ * Long values are streamed completely at the speed of the slower end. A value that cannot be
+ * completed is detectable as truncated.
  */
 class LongValuesTest {
     private static final int MAX_VALUE_BYTES = MetaFrame.MAX_VALUE_BYTES;
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void theLongestValueArrivesCompleteAndTheConnectionsGoOn() throws Exception {
+    void theLongestValueIsCompleteAndItsConnectionsAreReused() throws Exception {
         String value = sampleText(MAX_VALUE_BYTES);
         FakeServer fakeServer =
                 FakeServer.respondingWith(command -> FakeServer.valueResponse(command, value));
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void piecesOfAnySizeAreAValue() throws Exception {
+    void aValueMayArriveInChunksOfAnySize() throws Exception {
         String value = sampleText(MetaFrame.MAX_BUFFERED_VALUE_BYTES + 1);
         FakeServer[] fakeServer = new FakeServer[1];
         fakeServer[0] =
@@ -115,12 +115,12 @@
             assertEquals("VA " + MAX_VALUE_BYTES + " O1", client.request(NodeTestFixture.READ));
             assertTrue(
                     client.readData(MAX_VALUE_BYTES).length() < MAX_VALUE_BYTES,
-                    "the client can tell");
+                    "the client can detect the truncation");
         }
     }
 
     @Test
-    void aTruncatedValueIsNotPassedOffAsComplete() throws Exception {
+    void aValueWithoutItsTerminatorClosesTheClientsConnection() throws Exception {
         String value = sampleText(MAX_VALUE_BYTES);
         FakeServer fakeServer =
                 FakeServer.respondingWith(
@@ -133,12 +133,15 @@
                 TestConnection client = fixture.client()) {
             assertEquals("VA " + MAX_VALUE_BYTES + " O1", client.request(NodeTestFixture.READ));
             client.readData(MAX_VALUE_BYTES);
-            assertEquals(null, client.readLine(), "the connection ends where the block should");
+            assertEquals(
+                    null,
+                    client.readLine(),
+                    "the connection closes instead of ending the data block");
         }
     }
 
     @Test
-    void aTooLongValueIsAFailedAttempt() throws Exception {
+    void aValueAboveTheLimitFailsTheAttempt() throws Exception {
         FakeServer fakeServer =
                 FakeServer.respondingWith(
                         command ->
@@ -154,9 +157,12 @@
         }
     }
 
-    /** Behind a slower response the value waits at its server, and is forwarded in its turn. */
+    /**
+     * A value whose response is ready before an earlier one is read from its server only after the
+     * earlier response has been written.
+     */
     @Test
-    void aValueWaitsForItsTurn() throws Exception {
+    void aValueWaitsForEarlierResponses() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         String value = sampleText(MAX_VALUE_BYTES);
         FakeServer[] fakeServer = new FakeServer[1];
@@ -211,7 +217,7 @@
         }
     }
 
-    /** Only the client's end creates demand for further chunks. */
+    /** Only the sink creates demand for further chunks. */
     @Test
     void aServerIsReadOnlyWhileItsClientAcceptsData() {
         List<String> sourceCalls = new ArrayList<>();
@@ -219,8 +225,8 @@
                 new ValueStream(
                         new ValueStream.Source() {
                             @Override
-                            public void setDemand(boolean more) {
-                                sourceCalls.add("demand " + more);
+                            public void setDemand(boolean enabled) {
+                                sourceCalls.add("demand " + enabled);
                             }
 
                             @Override
@@ -228,15 +234,18 @@
                                 sourceCalls.add("cancel");
                             }
                         });
-        assertEquals(List.of("demand false"), sourceCalls, "not before its turn");
+        assertEquals(
+                List.of("demand false"),
+                sourceCalls,
+                "the source is paused until the sink is attached");
         stream.addChunk(Unpooled.wrappedBuffer(new byte[] {1}));
         StringBuilder received = new StringBuilder();
         ValueStream.Sink sink =
                 new ValueStream.Sink() {
                     @Override
-                    public void onChunk(ByteBuf piece) {
-                        received.append(piece.readByte());
-                        piece.release();
+                    public void onChunk(ByteBuf chunk) {
+                        received.append(chunk.readByte());
+                        chunk.release();
                     }
 
                     @Override
@@ -260,6 +269,6 @@
         assertEquals(
                 List.of("demand false", "demand true", "demand false"),
                 sourceCalls,
-                "nothing is asked of what is over");
+                "a completed source is not called");
     }
 }
--- a/node/src/test/java/frostrelay/node/NoOpPolicy.java
+++ b/node/src/test/java/frostrelay/node/NoOpPolicy.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** A policy that does nothing; tests override the events that they are about. */
+/** A policy that does nothing. Tests override the handlers of the events that they need. */
 public class NoOpPolicy implements PolicyEvents {
     final PolicyActions actions;
 
--- a/node/src/test/java/frostrelay/node/NodeTestFixture.java
+++ b/node/src/test/java/frostrelay/node/NodeTestFixture.java
@@ -30,7 +30,7 @@
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
 
-/** A balancer on an ephemeral port, with the servers and settings that a test gives it. */
+/** A balancer on an ephemeral port with configurable servers and settings. */
 public final class NodeTestFixture implements AutoCloseable {
     static final String READ = "mg 7f3a9c21e0b4d655 v O1 Pc=read,t=acme,d=5000";
     public static final String NON_IDEMPOTENT_WRITE =
@@ -59,7 +59,7 @@
 
     final List<FakeServer> fakeServers = new ArrayList<>();
 
-    /** Further servers, as discovery lists them. */
+    /** Further servers, in the JSON form of the endpoint list. */
     final List<String> extraTargets = new ArrayList<>();
 
     long deadlineMillis = 10_000;
@@ -71,18 +71,18 @@
     int socketLimit = 1024;
     boolean cancellationAllowed = true;
 
-    /** Whether endpoint lists are pushed to an agent beside the balancer instead of polled. */
+    /** Whether endpoint lists are pushed by a discovery agent instead of polled. */
     public boolean endpointsPushed;
 
     public String discovery = "127.0.0.1:1";
 
-    /** The address of the admin interface; none if null. */
+    /** The address of the admin interface; null to disable it. */
     String adminAddress;
 
     public RequestDispatcher.PolicyFactory policyFactory = Router::new;
     public TestHooks testHooks = TestHooks.NONE;
 
-    /** A change of the text of the settings. */
+    /** A transformation of the settings' JSON text. */
     UnaryOperator<String> settingsTransform = UnaryOperator.identity();
 
     public Node node;
@@ -182,7 +182,7 @@
                 new Socket(InetAddress.getLoopbackAddress(), clientAddress.getPort()));
     }
 
-    /** A client with a small receive buffer, for tests that leave responses unread. */
+    /** Returns a client with a small receive buffer, for tests that leave responses unread. */
     TestConnection slowClient() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4096);
@@ -191,7 +191,8 @@
     }
 
     /**
-     * Pipelined reads of the keys 0, 1 and so on, each with its key behind the prefix as its id.
+     * Returns pipelined reads of the keys 0, 1 and so on. The id of each read is the prefix
+     * followed by the key.
      */
     static String pipelinedReads(int count, String idPrefix) {
         StringBuilder commands = new StringBuilder();
@@ -206,11 +207,12 @@
         return commands.toString();
     }
 
-    /** Waits for a latch, on whatever thread; fails if that takes too long. */
+    /** Waits for a latch on any thread, and fails after a timeout. */
     static void await(CountDownLatch latch) {
         try {
             if (!latch.await(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-                throw new IllegalStateException("not released in time");
+                throw new IllegalStateException(
+                        "latch not released within " + TestConnection.TIMEOUT_MILLIS + " ms");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -223,7 +225,7 @@
         awaitGauges(Map.of(name, value));
     }
 
-    /** Waits until the balancer's gauges have these values, all at once. */
+    /** Waits until the balancer's gauges have all these values at the same time. */
     void awaitGauges(Map<String, Integer> expected) throws Exception {
         Map<String, Object> gauges = Map.of();
         for (long endNanos = System.nanoTime() + TestConnection.TIMEOUT_MILLIS * 1_000_000L;
--- a/node/src/test/java/frostrelay/node/OrderTest.java
+++ b/node/src/test/java/frostrelay/node/OrderTest.java
@@ -25,8 +25,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The policy's actions take effect in order, and every attempt gets one outcome, after the policy
- * has returned.
+ * The policy's actions take effect in the order of the calls. Every attempt gets exactly one
+ * outcome, which is delivered after the policy has returned.
  */
 class OrderTest {
     private static final long NANOS_PER_MILLISECOND = Clock.NANOS_PER_MILLISECOND;
@@ -34,12 +34,12 @@
     private volatile boolean wasReentered;
     private volatile Request acceptedRequest;
 
-    /** Records outcomes, and whether one was delivered while the policy was still running. */
-    private class Recording extends NoOpPolicy {
+    /** A policy that records outcomes, and whether any was delivered while it was still running. */
+    private class RecordingPolicy extends NoOpPolicy {
         private boolean isActing;
         List<Server> servers = List.of();
 
-        Recording(PolicyActions actions) {
+        RecordingPolicy(PolicyActions actions) {
             super(actions);
         }
 
@@ -73,7 +73,7 @@
         NodeTestFixture fixture = new NodeTestFixture(fakeServers);
         fixture.policyFactory =
                 (settings, seed, actions) ->
-                        new Recording(actions) {
+                        new RecordingPolicy(actions) {
                             @Override
                             void act(long now, Request request, long serverId) {
                                 action.run(actions, now, request, serverId);
@@ -86,16 +86,16 @@
         return outcomes.poll(TestConnection.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void assertNextOutcome(int attempt, AttemptResult reason, boolean closed)
+    private void assertNextOutcome(int attempt, AttemptResult result, boolean requestCompleted)
             throws InterruptedException {
         AttemptOutcome outcome = awaitOutcome();
         assertEquals(attempt, outcome.attempt());
-        assertEquals(reason, outcome.result());
-        assertEquals(closed, outcome.requestCompleted(), "closed");
+        assertEquals(result, outcome.result());
+        assertEquals(requestCompleted, outcome.requestCompleted(), "request completed");
     }
 
     @Test
-    void outcomesOfActionsAreDeliveredWhenTheModuleHasReturned() throws Exception {
+    void outcomesOfActionsAreDeliveredAfterThePolicyHasReturned() throws Exception {
         try (NodeTestFixture fixture =
                         fixture(
                                         (actions, now, request, serverId) -> {
@@ -118,11 +118,11 @@
             assertNextOutcome(3, AttemptResult.SUPERSEDED, true);
             assertFalse(wasReentered);
             assertEquals("MN", client.request("mn"));
-            assertNull(outcomes.poll(), "one outcome for each send");
+            assertNull(outcomes.poll(), "each send has only one outcome");
             assertEquals(
                     0,
                     fixture.fakeServers.get(0).commands.size(),
-                    "nothing goes out for a request that is over");
+                    "no attempt is sent for a completed request");
         }
     }
 
@@ -146,12 +146,12 @@
             assertEquals(
                     4,
                     fixture.fakeServers.get(0).connections.get(),
-                    "one request on a connection at a time");
+                    "a connection carries one request at a time");
         }
     }
 
     @Test
-    void theFirstAnswerIsTheFinalOne() throws Exception {
+    void theFirstSuccessfulResponseIsFinal() throws Exception {
         int[] commandCount = new int[1];
         FakeServer fakeServer =
                 FakeServer.respondingWith(
@@ -207,13 +207,13 @@
                 client.readData(1);
                 assertNextOutcome(1, AttemptResult.OK, true);
                 assertNextOutcome(0, AttemptResult.CANCELLED, true);
-                assertEquals("MN", client.request("mn"), "no second answer");
+                assertEquals("MN", client.request("mn"), "no second response");
             }
         }
     }
 
     @Test
-    void aRequestIsMappedAsInTheSimulator() throws Exception {
+    void commandParametersAreMappedToThePolicyRequest() throws Exception {
         try (NodeTestFixture fixture =
                         fixture(
                                         (actions, now, request, serverId) ->
@@ -233,13 +233,18 @@
                     acceptedRequest.deadlineNanos() > beforeNanos
                             && acceptedRequest.deadlineNanos()
                                     < Clock.now() + 4000 * NANOS_PER_MILLISECOND,
-                    "the client counts from when it sent");
+                    "the deadline is earlier than the client's timeout");
             assertEquals(
-                    ResponseSource.UNKNOWN, awaitOutcome().source(), "a write comes from nowhere");
+                    ResponseSource.UNKNOWN,
+                    awaitOutcome().source(),
+                    "a write has no response source");
             client.request(NodeTestFixture.READ);
             AttemptOutcome read = awaitOutcome();
-            assertEquals(0.5f, read.loadReport()[0], "util on sockets is busy in the settings");
-            assertEquals(ResponseSource.CACHE, read.source(), "h1: a hit");
+            assertEquals(
+                    0.5f,
+                    read.loadReport()[0],
+                    "util on the wire is the field busy of the settings");
+            assertEquals(ResponseSource.CACHE, read.source(), "h1 is a cache hit");
             assertEquals(
                     ResponseSource.ORIGIN,
                     new MetaFrame(List.of("VA", "1", "O1", "h0", "Z"), null, null, false, false)
@@ -251,7 +256,7 @@
      * A fault in the policy must neither end the process nor leave a request without its response.
      */
     @Test
-    void aRequestThatTheModuleFailsOnIsAnsweredByTheRules() throws Exception {
+    void aRequestOnWhichThePolicyThrowsIsAnswered() throws Exception {
         try (NodeTestFixture fixture =
                         fixture(
                                         (actions, now, request, serverId) -> {
@@ -271,7 +276,7 @@
 
     /** A request must be answered even if the policy never decides on it. */
     @Test
-    void aRequestThatTheModuleForgetsIsAnsweredAtItsDeadline() throws Exception {
+    void aRequestThatThePolicyLeavesOpenIsAnsweredAtItsDeadline() throws Exception {
         try (NodeTestFixture fixture =
                         fixture(
                                         (actions, now, request, serverId) -> {},
--- a/node/src/test/java/frostrelay/node/ServingTest.java
+++ b/node/src/test/java/frostrelay/node/ServingTest.java
@@ -10,7 +10,7 @@
 
 import java.util.concurrent.CountDownLatch;
 
-/** A client's request and its one final response. */
+/** Each client request gets exactly one final response. */
 class ServingTest {
     private static int timeoutMillis(String command) {
         String parameters = command.substring(command.indexOf(" P") + 2).split(" ")[0];
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void aReadIsServedWithTheServersValueAndNothingMeantForBalancers() throws Exception {
+    void aReadIsServedWithoutTheServersLoadReport() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
                 TestConnection client = fixture.client()) {
             assertEquals("MN", client.request("mn"));
@@ -33,7 +33,7 @@
             assertTrue(command.startsWith("mg 7f3a9c21e0b4d655 v O1 Pc=read,t=acme,d="), command);
             assertTrue(
                     timeoutMillis(command) < 5000 && timeoutMillis(command) > 0,
-                    "given the remaining timeout: " + command);
+                    "the server is sent the remaining timeout: " + command);
         }
     }
 
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void answersComeInTheOrderOfTheCommands() throws Exception {
+    void responsesAreInTheOrderOfTheCommands() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         FakeServer fakeServer =
                 FakeServer.respondingWith(
@@ -109,7 +109,7 @@
                 TestConnection client = fixture.client()) {
             assertEquals(
                     "SERVER_ERROR failed", client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE));
-            assertEquals(1, fakeServer[0].commands.size(), "never sent again");
+            assertEquals(1, fakeServer[0].commands.size(), "not retried");
         }
     }
 
@@ -159,13 +159,15 @@
             assertEquals(
                     "SERVER_ERROR failed", client.request("ms 1 1 O2 Pc=copy,t=acme,d=150\r\nx"));
             assertEquals(
-                    "end", fakeServer.awaitClose(), "an attempt given up costs its connection");
+                    "end",
+                    fakeServer.awaitClose(),
+                    "the connection of an abandoned attempt is closed");
             assertEquals("end", fakeServer.awaitClose());
         }
     }
 
     @Test
-    void aClientThatDisconnectsEndsItsAttempts() throws Exception {
+    void aDisconnectOfTheClientEndsItsAttempts() throws Exception {
         FakeServer fakeServer = FakeServer.respondingWith(c -> null);
         try (NodeTestFixture fixture = new NodeTestFixture(fakeServer).start();
                 TestConnection client = fixture.client()) {
@@ -240,7 +242,7 @@
     }
 
     @Test
-    void aKeyMayBeAnyWord() throws Exception {
+    void aKeyNeedNotBeHexadecimal() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture(FakeServer.servingAnyCommand()).start();
                 TestConnection client = fixture.client()) {
             assertEquals("VA 11 O1", client.request("mg member:2026 v O1 Pc=read,t=acme,d=5000"));
--- a/node/src/test/java/frostrelay/node/TestConnection.java
+++ b/node/src/test/java/frostrelay/node/TestConnection.java
@@ -7,7 +7,7 @@
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 
-/** One end of a connection, blocking with a generous timeout on every read. */
+/** A connection with blocking reads, each of which has a long timeout. */
 public final class TestConnection implements AutoCloseable {
     public static final int TIMEOUT_MILLIS = 20_000;
     private final Socket socket;
@@ -29,7 +29,9 @@
         return this;
     }
 
-    /** The next line without its CRLF; null at the end of the stream, also after a reset. */
+    /**
+     * Returns the next line without its CRLF, or null at the end of the stream or after a reset.
+     */
     public String readLine() throws IOException {
         StringBuilder line = new StringBuilder();
         try {
@@ -56,7 +58,7 @@
         return write(command + "\r\n").readLine();
     }
 
-    /** Waits for the far end to close; whether it did so without a reset. */
+    /** Waits for the peer to close the connection; returns whether it did so without a reset. */
     boolean closesGracefully() throws IOException {
         try {
             while (in.read() >= 0) {
@@ -68,7 +70,7 @@
         }
     }
 
-    /** Waits for the far end to close; lines before that are ignored. */
+    /** Waits for the peer to close the connection, ignoring lines received before that. */
     void awaitClose() throws IOException {
         String line = readLine();
         while (line != null) {
@@ -82,7 +84,7 @@
         socket.close();
     }
 
-    /** Closes in the middle of a test. */
+    /** Closes the connection in the middle of a test. */
     void disconnect() throws IOException {
         socket.close();
     }
--- a/node/src/test/java/frostrelay/node/UpstreamResponseTest.java
+++ b/node/src/test/java/frostrelay/node/UpstreamResponseTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.Semaphore;
 
-/** Responses of cache servers that are invalid, repeated, or followed by other bytes. */
+/** Tests of responses of cache servers that are invalid, repeated, or followed by other bytes. */
 class UpstreamResponseTest {
     @Test
     void anInvalidServerResponseEndsThatAttemptOnly() throws Exception {
@@ -41,16 +41,17 @@
             assertEquals(
                     "SERVER_ERROR failed",
                     client.request(NodeTestFixture.NON_IDEMPOTENT_WRITE),
-                    "it may have run");
+                    "the write may have run");
         }
     }
 
     /**
-     * A valid response with more bytes behind it is served, and its connection is closed: the rest,
-     * complete or partial, must not be taken for the response to the next request.
+     * A valid response that is followed by more bytes is served, and its connection is closed. The
+     * further bytes must not be taken for the response to the next request, whether they form a
+     * complete response or a part of one.
      */
     @Test
-    void bytesAfterAGoodResponseAffectNoOther() throws Exception {
+    void bytesAfterAValidResponseAffectNoOtherRequest() throws Exception {
         String[] trailingBytes = {"HD O9 c9\r\n", "noise\r\n", "no end", "\r", "VA 9 O1\r\nhalf"};
         int[] index = new int[1];
         FakeServer fakeServer =
@@ -71,8 +72,8 @@
     }
 
     /**
-     * A duplicate response may arrive milliseconds late, behind the next command, which it must not
-     * fail: that one may not run twice.
+     * A duplicate response may arrive a few milliseconds late, after the next command has been
+     * sent. It must not fail that command, which might be a write that cannot be retried.
      */
     @Test
     void aDuplicateResponseAfterTheNextCommandDoesNotFailIt() throws Exception {
@@ -105,9 +106,11 @@
         }
     }
 
-    /** Here a byte without the end of a line; the connection is retired before its next use. */
+    /**
+     * A byte that does not complete a line also retires the idle connection before its next use.
+     */
     @Test
-    void anyByteOnAnIdleConnectionEndsIt() throws Exception {
+    void anyByteOnAnIdleConnectionClosesIt() throws Exception {
         FakeServer[] fakeServer = new FakeServer[1];
         Semaphore gate = new Semaphore(0);
         fakeServer[0] =
@@ -136,7 +139,7 @@
      * served.
      */
     @Test
-    void loadReportsThatCannotBeReadAreDropped() throws Exception {
+    void invalidLoadReportsAreDropped() throws Exception {
         try (NodeTestFixture fixture = new NodeTestFixture()) {
             DeploymentSettings settings = fixture.deploymentSettings();
             for (String malformed :
