--- a/gossip/src/main/java/frostrelay/gossip/GossipNode.java
+++ b/gossip/src/main/java/frostrelay/gossip/GossipNode.java
@@ -11,7 +11,7 @@
  *
  * <p>Each member is authoritative for its own entry, which is ordered by its incarnation and the
  * sequence number of its applied versions. Claims about other members are forwarded, and the member
- * concerned may refute them. {@code docs/design/peers.md} compares the alternatives.
+ * concerned may refute them. {@code docs/design/gossip.md} compares the alternatives.
  */
 public final class GossipNode {
     /** Sends datagrams. */
