--- a/report/src/main/java/frostrelay/report/AuditPicture.java
+++ b/report/src/main/java/frostrelay/report/AuditPicture.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * Who acted on which version, as a picture: lives of balancers down, time across, a colour a
- * version, gaps hatched, and a lighter edge where a moment is only known to lie within a span. One
- * page that needs nothing beside it.
+ * A self-contained HTML page with a timeline of the version that each balancer process used. Rows
+ * are processes, the x axis is time, and each version has a colour. Gaps in a record are hatched; a
+ * pale edge spans the interval in which a change happened at an unknown time.
  */
 public final class AuditPicture {
     private static final int LEFT = 190;
@@ -19,8 +19,8 @@
     private static final int TOP = 34;
 
     /**
-     * Told apart by people who see few colours (Okabe and Ito); they come again where there are
-     * more versions.
+     * The Okabe-Ito palette, which colour-blind readers can distinguish; colours repeat when there
+     * are more versions than colours.
      */
     private static final List<String> COLORS =
             List.of(
@@ -36,15 +36,15 @@
     private long lastMillis = Long.MIN_VALUE;
 
     /**
-     * {@code rows}: as the audit's statement gives spans of one kind; moments are milliseconds,
-     * [earliest, latest].
+     * Creates the page from the rows of one version kind in the audit report. Each time is a pair
+     * [earliest, latest] in milliseconds.
      */
     public AuditPicture(String title, List<Map<String, Object>> rows) {
         this.title = title;
         this.rows = rows;
         for (Map<String, Object> row : rows) {
-            for (Object one : (List<?>) row.get("spans")) {
-                Map<?, ?> span = (Map<?, ?>) one;
+            for (Object item : (List<?>) row.get("spans")) {
+                Map<?, ?> span = (Map<?, ?>) item;
                 colors.computeIfAbsent(
                         String.valueOf(span.get("version")),
                         v -> COLORS.get(colors.size() % COLORS.size()));
@@ -62,7 +62,7 @@
         return LEFT + WIDTH * (ms - firstMillis) / (double) Math.max(1, lastMillis - firstMillis);
     }
 
-    /** The page. */
+    /** Returns the page as HTML. */
     public String html() {
         int height = TOP + ROW * rows.size() + 30;
         StringBuilder svg =
@@ -105,8 +105,8 @@
                 + escape(title)
                 + "</title><style>body{font:14px sans-serif;margin:2em;color:#222}</style></head><body><h1>"
                 + escape(title)
-                + "</h1>\n<p>Each row is one life of a balancer. Hatched: its record names a gap. A pale edge: the moment lies"
-                + " somewhere within it. Nothing drawn: nothing known.</p>\n<p>"
+                + "</h1>\n<p>Each row is one balancer process. Hatched: a gap in its record. Pale edge: the change happened at an"
+                + " unknown time in this interval. Blank: no data.</p>\n<p>"
                 + legend
                 + "</p>\n"
                 + svg
@@ -121,8 +121,8 @@
                         LEFT - 8,
                         y + 14,
                         escape(String.valueOf(row.get("life")))));
-        for (Object one : (List<?>) row.get("spans")) {
-            Map<?, ?> span = (Map<?, ?>) one;
+        for (Object item : (List<?>) row.get("spans")) {
+            Map<?, ?> span = (Map<?, ?>) item;
             String color = colors.get(String.valueOf(span.get("version")));
             appendRectangle(
                     svg,
@@ -141,8 +141,8 @@
                     1,
                     String.valueOf(span.get("version")));
         }
-        for (Object one : (List<?>) row.get("gaps")) {
-            List<?> gap = (List<?>) one;
+        for (Object item : (List<?>) row.get("gaps")) {
+            List<?> gap = (List<?>) item;
             appendRectangle(
                     svg,
                     ((Number) gap.get(0)).longValue(),
@@ -161,7 +161,7 @@
             int y,
             String fill,
             double opacity,
-            String what) {
+            String label) {
         if (to > from) {
             svg.append(
                     String.format(
@@ -174,7 +174,7 @@
                             ROW - 6,
                             fill,
                             opacity,
-                            escape(what),
+                            escape(label),
                             from / 1e3,
                             to / 1e3));
         }
--- a/report/src/main/java/frostrelay/report/Charts.java
+++ b/report/src/main/java/frostrelay/report/Charts.java
@@ -37,14 +37,14 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
-/** Plots by JFreeChart, as SVG. */
+/** JFreeChart plots, rendered as SVG. */
 final class Charts {
     static final int WIDTH = 760;
     static final int HEIGHT = 260;
     private static final int MAX_LABELS = 20;
     private static final Color FAULT = new Color(214, 69, 65, 45);
 
-    /** Told apart by people who see few colours (Okabe and Ito). */
+    /** The Okabe-Ito palette, which colour-blind readers can distinguish. */
     private static final List<Color> COLORS =
             List.of(
                     new Color(0, 114, 178),
@@ -61,8 +61,8 @@
     private Charts() {}
 
     /**
-     * Lines over seconds, with bands where faults were. {@code log}: the upright axis goes by
-     * powers of ten.
+     * Draws one line per series over time in seconds and shades the intervals of faults. With
+     * {@code log} the y axis is logarithmic.
      */
     static String lines(
             String title,
@@ -75,7 +75,7 @@
                 (name, values) -> {
                     XYSeries one = new XYSeries(name);
                     for (int second = 0; second < values.size(); second++) {
-                        // A logarithm has no zero: a second without answers is a gap.
+                        // Zero has no logarithm, so a second without responses is drawn as a gap.
                         one.add(second, log && values.get(second) <= 0 ? null : values.get(second));
                     }
                     data.addSeries(one);
@@ -100,20 +100,20 @@
         return axis;
     }
 
-    /** Curves with their intervals as bands; points that were played are marked. */
+    /** Draws curves with markers at the data points and confidence intervals as shaded bands. */
     static String curves(
             String title, String xLabel, String unit, Map<String, List<DataPoint>> curves) {
         YIntervalSeriesCollection data = new YIntervalSeriesCollection();
         curves.forEach(
-                (name, marks) -> {
+                (name, points) -> {
                     YIntervalSeries one = new YIntervalSeries(name);
-                    marks.forEach(
-                            mark ->
+                    points.forEach(
+                            point ->
                                     one.add(
-                                            mark.x,
-                                            mark.mean,
-                                            mark.mean - mark.halfWidth,
-                                            mark.mean + mark.halfWidth));
+                                            point.x,
+                                            point.mean,
+                                            point.mean - point.halfWidth,
+                                            point.mean + point.halfWidth));
                     data.addSeries(one);
                 });
         NumberAxis yAxis = new NumberAxis(unit);
@@ -132,7 +132,8 @@
     }
 
     /**
-     * A map of values: a row of {@code cells} for each of {@code rows}, bright for the greatest.
+     * Draws a heat map with one row of {@code cells} per entry of {@code rows}; the greatest value
+     * is the brightest.
      */
     static String heatMap(
             String title,
@@ -154,8 +155,8 @@
         }
         DefaultXYZDataset data = new DefaultXYZDataset();
         data.addSeries("", xyz);
-        SymbolAxis xAxis = new SymbolAxis(xLabel, thinned(columns));
-        SymbolAxis yAxis = new SymbolAxis(yLabel, thinned(rows));
+        SymbolAxis xAxis = new SymbolAxis(xLabel, thinLabels(columns));
+        SymbolAxis yAxis = new SymbolAxis(yLabel, thinLabels(rows));
         XYPlot plot = plot(data, xAxis, yAxis);
         for (SymbolAxis axis : List.of(xAxis, yAxis)) {
             axis.setGridBandsVisible(false);
@@ -173,8 +174,11 @@
         return svg(title, plot, false, legend, Math.max(HEIGHT, 60 + 14 * rows.size()));
     }
 
-    /** Some of many labels: all of them would lie over one another. */
-    private static String[] thinned(List<String> labels) {
+    /**
+     * Blanks all but every n-th label, so that at most {@link #MAX_LABELS} are drawn without
+     * overlap.
+     */
+    private static String[] thinLabels(List<String> labels) {
         int step = (labels.size() + MAX_LABELS - 1) / MAX_LABELS;
         return IntStream.range(0, labels.size())
                 .mapToObj(i -> i % step == 0 ? labels.get(i) : "")
@@ -182,8 +186,8 @@
     }
 
     /**
-     * From dark blue over green to yellow: even steps look even, also in grey. Sampled from
-     * viridis.
+     * A colour scale sampled from viridis, from dark blue through green to yellow. It is
+     * perceptually uniform, also in greyscale.
      */
     private record Scale(double lowerBound, double upperBound) implements PaintScale {
         private static final int[][] STOPS = {
@@ -209,14 +213,14 @@
                     Math.max(0, Math.min(1, (value - lowerBound) / (upperBound - lowerBound)))
                             * (STOPS.length - 1);
             int stop = (int) Math.min(STOPS.length - 2, Math.floor(at));
-            double part = at - stop;
+            double fraction = at - stop;
             int[] rgb = new int[3];
             for (int i = 0; i < 3; i++) {
                 rgb[i] =
                         (int)
                                 Math.round(
                                         STOPS[stop][i]
-                                                + part * (STOPS[stop + 1][i] - STOPS[stop][i]));
+                                                + fraction * (STOPS[stop + 1][i] - STOPS[stop][i]));
             }
             return new Color(rgb[0], rgb[1], rgb[2]);
         }
--- a/report/src/main/java/frostrelay/report/GossipPage.java
+++ b/report/src/main/java/frostrelay/report/GossipPage.java
@@ -10,35 +10,35 @@
 import java.util.TreeMap;
 
 /**
- * How talk between balancers fares at many sizes, as one page with plots: a curve for each part of
- * datagrams lost.
+ * A page of plots of gossip performance by the number of balancers, with one curve per datagram
+ * loss rate.
  */
 public final class GossipPage {
     private static final Map<String, String> PLOTS = new LinkedHashMap<>();
 
     static {
-        PLOTS.put("knownP50Ms", "a change is known after, median (ms)");
-        PLOTS.put("knownP99Ms", "a change is known after, 99th percentile (ms)");
-        PLOTS.put("falseSuspicionsAnHourEach", "living balancers suspected, an hour and balancer");
-        PLOTS.put("bytesASecondEach", "bytes a second each, in quiet");
-        PLOTS.put("mostBytesInASecond", "most bytes of one in any second of the clock");
+        PLOTS.put("knownP50Ms", "propagation time of a change, median (ms)");
+        PLOTS.put("knownP99Ms", "propagation time of a change, 99th percentile (ms)");
+        PLOTS.put("falseSuspicionsAnHourEach", "false suspicions per balancer and hour");
+        PLOTS.put("bytesASecondEach", "bytes per second and balancer without changes");
+        PLOTS.put("mostBytesInASecond", "most bytes sent by one balancer in a calendar second");
     }
 
     private final List<Map<String, Object>> scenarios;
 
-    /** {@code scenarios}: figures as the emulator tells them, of several seeds each. */
+    /** Creates the page from the emulator's gossip results, with several seeds per scenario. */
     public GossipPage(List<Map<String, Object>> scenarios) {
         this.scenarios = scenarios;
     }
 
-    /** The page. */
+    /** Returns the page as HTML. */
     public String html() {
         StringBuilder body =
                 new StringBuilder(
-                        "<h1>Talk between balancers</h1>\n<p>Means over seeds with half of their range as a"
-                                + " band; across: balancers, as powers of two.</p>\n");
+                        "<h1>Gossip between balancers</h1>\n<p>Means over seeds; the band is half of their range on"
+                                + " each side. The x axis is the log2 of the number of balancers.</p>\n");
         PLOTS.forEach((name, title) -> body.append(plot(name, title)).append('\n'));
-        return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Talk between balancers</title>"
+        return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Gossip between balancers</title>"
                 + "<style>body{font:14px sans-serif;margin:2em;color:#222}</style></head><body>\n"
                 + body
                 + "</body></html>\n";
@@ -60,7 +60,7 @@
         }
         all.forEach(
                 (loss, sizes) -> {
-                    List<DataPoint> marks = new ArrayList<>();
+                    List<DataPoint> points = new ArrayList<>();
                     sizes.forEach(
                             (size, values) -> {
                                 double min =
@@ -78,14 +78,14 @@
                                                 .mapToDouble(Double::doubleValue)
                                                 .average()
                                                 .orElse(0);
-                                marks.add(
+                                points.add(
                                         new DataPoint(
                                                 Math.log(size) / Math.log(2),
                                                 mean,
                                                 (max - min) / 2));
                             });
-                    curves.put(String.format(Locale.ROOT, "%.0f%% lost", loss * 100), marks);
+                    curves.put(String.format(Locale.ROOT, "%.0f%% lost", loss * 100), points);
                 });
-        return Charts.curves(title, "log2 of balancers", "", curves);
+        return Charts.curves(title, "log2 of the number of balancers", "", curves);
     }
 }
--- a/report/src/main/java/frostrelay/report/HealthReportsPage.java
+++ b/report/src/main/java/frostrelay/report/HealthReportsPage.java
@@ -9,33 +9,29 @@
 import java.util.Map;
 
 /**
- * How soon tiers of many sizes lower dead caches, and how well each balancer knows what all do: by
- * seconds from the death on.
+ * A page of plots over the seconds after caches fail: the share of failed caches that balancers
+ * have down-weighted, and the error of each balancer's estimate of the total request count.
  */
 public final class HealthReportsPage {
     private final List<Map<String, Object>> scenarios;
 
-    /** {@code scenarios}: figures as the emulator tells them. */
+    /** Creates the page from the emulator's health report results. */
     public HealthReportsPage(List<Map<String, Object>> scenarios) {
         this.scenarios = scenarios;
     }
 
-    /** The page. */
+    /** Returns the page as HTML. */
     public String html() {
-        return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Judgements</title>"
-                + "<style>body{font:14px sans-serif;margin:2em;color:#222}</style></head><body>\n<h1>Judgements and counts</h1>\n"
-                + "<p>Seconds from the moment at which some caches fall silent.</p>\n"
+        return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Health reports</title>"
+                + "<style>body{font:14px sans-serif;margin:2em;color:#222}</style></head><body>\n<h1>Health reports and request counts</h1>\n"
+                + "<p>The x axis is the time in seconds since some caches stopped responding.</p>\n"
                 + Charts.curves(
-                        "dead caches that are lowered, of a hundred, over all balancers",
-                        "seconds",
-                        "",
-                        curves("loweredBy"))
+                        "failed caches that are down-weighted, over all balancers (%)",
+                        "seconds", "", curves("loweredBy"))
                 + '\n'
                 + Charts.curves(
-                        "error of each balancer's count of the tier's requests, mean, of a hundred",
-                        "seconds",
-                        "",
-                        curves("errorBy"))
+                        "mean error of a balancer's count of all requests (%)",
+                        "seconds", "", curves("errorBy"))
                 + "\n</body></html>\n";
     }
 
@@ -43,10 +39,10 @@
         Map<String, List<DataPoint>> curves = new LinkedHashMap<>();
         int number = 0;
         for (Map<String, Object> scenario : scenarios) {
-            List<DataPoint> marks = new ArrayList<>();
+            List<DataPoint> points = new ArrayList<>();
             int second = 0;
             for (Object value : (List<?>) scenario.get(name)) {
-                marks.add(new DataPoint(second++, ((Number) value).doubleValue(), 0));
+                points.add(new DataPoint(second++, ((Number) value).doubleValue(), 0));
             }
             curves.put(
                     String.format(
@@ -55,7 +51,7 @@
                             scenario.get("balancers"),
                             100 * ((Number) scenario.get("loss")).doubleValue(),
                             ++number),
-                    marks);
+                    points);
         }
         return curves;
     }
--- a/report/src/main/java/frostrelay/report/Page.java
+++ b/report/src/main/java/frostrelay/report/Page.java
@@ -20,9 +20,9 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
-/** What a file of results says, as one HTML page that needs nothing beside it, and as Markdown. */
+/** A report on one results file, as a self-contained HTML page or as Markdown. */
 public final class Page {
-    /** Points whose days are drawn second by second: a page with more is not looked at. */
+    /** The number of points with per-second plots; more would make the page too long to read. */
     private static final int MAX_POINTS_DRAWN = 6;
 
     private static final int MAX_COLUMNS = 120;
@@ -31,12 +31,12 @@
 
     private final StoredResults results;
 
-    /** Of results with at least one day. */
+    /** Creates a report on results with at least one run. */
     public Page(StoredResults results) {
         this.results = results;
     }
 
-    /** The page; plots are SVG images within it. */
+    /** Returns the report as HTML with embedded SVG plots. */
     public String html() {
         StringBuilder body = new StringBuilder();
         body.append("<h1>")
@@ -47,7 +47,8 @@
                 .append(results.points().size())
                 .append(" points; rules broken ")
                 .append(results.allResults().stream().mapToLong(RunResult::violationCount).sum())
-                .append(" times. Values are means with half of their 95% interval.</p>\n");
+                .append(
+                        " times. Values are means ± half the width of their 95% confidence interval.</p>\n");
         body.append(table());
         appendSweeps(body);
         body.append(differences());
@@ -69,7 +70,7 @@
                 + "</body></html>\n";
     }
 
-    /** The tables alone. */
+    /** Returns the table of metrics and the faults as Markdown, without plots. */
     public String markdown() {
         StringBuilder text =
                 new StringBuilder(
@@ -133,8 +134,10 @@
     }
 
     private static String cell(List<RunResult> scenarios, String name) {
-        Interval one = interval(scenarios, name);
-        return one == null ? "" : number(one.mean()) + " ± " + number(one.halfWidth());
+        Interval interval = interval(scenarios, name);
+        return interval == null
+                ? ""
+                : number(interval.mean()) + " ± " + number(interval.halfWidth());
     }
 
     private static String number(double value) {
@@ -144,7 +147,7 @@
                 value);
     }
 
-    /** The figures of every point, for a machine. */
+    /** Returns the metrics of every point for output as JSON. */
     public Map<String, Object> figures() {
         Map<String, Object> points = new LinkedHashMap<>();
         for (int point = 0; point < results.points().size(); point++) {
@@ -162,9 +165,9 @@
         all.put("asked", scenarios.stream().mapToLong(RunResult::requestCount).sum());
         all.put("ruleBreaks", scenarios.stream().mapToLong(RunResult::violationCount).sum());
         for (String name : Metrics.NAMES) {
-            Interval one = interval(scenarios, name);
-            if (one != null) {
-                all.put(name, Map.of("mean", one.mean(), "half", one.halfWidth()));
+            Interval interval = interval(scenarios, name);
+            if (interval != null) {
+                all.put(name, Map.of("mean", interval.mean(), "half", interval.halfWidth()));
             }
         }
         return all;
@@ -190,7 +193,10 @@
         return text.append("</table></div>\n").toString();
     }
 
-    /** Other points against the first, where they are few and not a sweep. */
+    /**
+     * Lists the significant differences between the first point and each other one. Returns an
+     * empty text for a sweep or many points.
+     */
     private String differences() {
         if (results.points().size() < 2
                 || results.points().size() > 2 * MAX_POINTS_DRAWN
@@ -199,7 +205,7 @@
         }
         StringBuilder text =
                 new StringBuilder(
-                        "<h2>Beyond chance, against "
+                        "<h2>Significant differences from "
                                 + escape(results.points().get(0))
                                 + "</h2>\n<ul>\n");
         for (int point = 1; point < results.points().size(); point++) {
@@ -234,13 +240,15 @@
         }
         List<String> values = results.settings().stream().map(one -> one.get(keys.get(0))).toList();
         for (String name : shown) {
-            List<Charts.DataPoint> marks = new ArrayList<>();
+            List<Charts.DataPoint> dataPoints = new ArrayList<>();
             for (int point = 0; point < values.size(); point++) {
-                Interval one = interval(results.resultsOf(point), name);
-                if (one != null) {
-                    marks.add(
+                Interval interval = interval(results.resultsOf(point), name);
+                if (interval != null) {
+                    dataPoints.add(
                             new Charts.DataPoint(
-                                    position(values, point), one.mean(), one.halfWidth()));
+                                    position(values, point),
+                                    interval.mean(),
+                                    interval.halfWidth()));
                 }
             }
             body.append(
@@ -249,12 +257,15 @@
                                     name + " by " + keys.get(0),
                                     keys.get(0),
                                     name,
-                                    Map.of(name, marks)),
+                                    Map.of(name, dataPoints)),
                             name));
         }
     }
 
-    /** A value's number, unit left out where all have the same; its rank where it is none. */
+    /**
+     * Returns the number in a swept value if all values have the same unit, otherwise the index of
+     * the point.
+     */
     private static double position(List<String> values, int point) {
         Set<String> units = new LinkedHashSet<>();
         values.forEach(value -> units.add(value.replaceFirst("^[0-9.]+", "")));
@@ -272,11 +283,11 @@
             Arrays.fill(row, Double.NaN);
         }
         for (int point = 0; point < results.points().size(); point++) {
-            Interval one = interval(results.resultsOf(point), metric);
-            if (one != null) {
+            Interval interval = interval(results.resultsOf(point), metric);
+            if (interval != null) {
                 cells[rows.indexOf(results.settings().get(point).get(yLabel))][
                                 columns.indexOf(results.settings().get(point).get(xLabel))] =
-                        one.mean();
+                        interval.mean();
             }
         }
         double[] all =
@@ -323,8 +334,8 @@
         body.append(
                 image(
                         Charts.lines(
-                                "First tries, by how they ended in each second",
-                                "a second",
+                                "First attempts by result",
+                                "per second",
                                 selectSeries(timeline, "asked", "inTime", "refused", "failed"),
                                 bands,
                                 false),
@@ -332,7 +343,7 @@
         body.append(
                 image(
                         Charts.lines(
-                                "Latency of what was served",
+                                "Latency of served requests",
                                 "ms (log)",
                                 selectSeries(timeline, "p50Ms", "p99Ms"),
                                 bands,
@@ -352,8 +363,8 @@
         body.append(
                 image(
                         Charts.lines(
-                                "What tries make of it",
-                                "a second",
+                                "Attempts, copies and origin fetches",
+                                "per second",
                                 selectSeries(timeline, "tries", "copies", "fetches"),
                                 bands,
                                 false),
@@ -362,7 +373,7 @@
             body.append(
                     image(
                             heatMapOverTime(
-                                    "Load of each cache (part of its cores)",
+                                    "Load of each cache (fraction of its cores)",
                                     "cache",
                                     scenario.cacheLoad()),
                             "load"));
@@ -371,14 +382,14 @@
             body.append(
                     image(
                             heatMapOverTime(
-                                    "Tries not served, by balancer (part of what came)",
+                                    "Unserved attempts by balancer (fraction of those received)",
                                     "balancer",
                                     scenario.unservedByBalancer()),
                             "unserved"));
         }
     }
 
-    private static String heatMapOverTime(String title, String what, List<List<Double>> load) {
+    private static String heatMapOverTime(String title, String yLabel, List<List<Double>> load) {
         int seconds = load.get(0).size();
         int step = (seconds + MAX_COLUMNS - 1) / MAX_COLUMNS;
         int columns = (seconds + step - 1) / step;
@@ -398,7 +409,7 @@
         return Charts.heatMap(
                 title,
                 "seconds",
-                what,
+                yLabel,
                 IntStream.range(0, columns)
                         .mapToObj(column -> String.valueOf(column * step))
                         .toList(),
@@ -417,20 +428,22 @@
         return all;
     }
 
-    private static List<Double> ratio(List<Double> part, List<Double> rest) {
-        return IntStream.range(0, part.size())
+    private static List<Double> ratio(List<Double> hits, List<Double> misses) {
+        return IntStream.range(0, hits.size())
                 .mapToObj(
                         i ->
-                                part.get(i) + rest.get(i) == 0
+                                hits.get(i) + misses.get(i) == 0
                                         ? 0
-                                        : part.get(i) / (part.get(i) + rest.get(i)))
+                                        : hits.get(i) / (hits.get(i) + misses.get(i)))
                 .toList();
     }
 
-    /** As an image of its own: names within one SVG cannot meet those of another. */
-    private static String image(String svg, String what) {
+    /**
+     * Embeds each SVG as a separate image, so that element IDs of different plots cannot collide.
+     */
+    private static String image(String svg, String altText) {
         return "<img alt=\""
-                + escape(what)
+                + escape(altText)
                 + "\" src=\"data:image/svg+xml;base64,"
                 + Base64.getEncoder().encodeToString(svg.getBytes(StandardCharsets.UTF_8))
                 + "\">\n";
--- a/report/src/main/java/frostrelay/report/StaleInstancesPage.java
+++ b/report/src/main/java/frostrelay/report/StaleInstancesPage.java
@@ -8,39 +8,42 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** How balancers that are behind come back: by seconds from the change on, a curve for each day. */
+/**
+ * A page of plots of how stale balancers catch up in the seconds after the endpoint list changes,
+ * with one curve per run.
+ */
 public final class StaleInstancesPage {
     private static final Map<String, String> PLOTS = new LinkedHashMap<>();
 
     static {
-        PLOTS.put("behind", "balancers that act on the older list, of a hundred");
-        PLOTS.put("aside", "balancers aside, of a hundred");
+        PLOTS.put("behind", "balancers that use the older endpoint list (%)");
+        PLOTS.put("aside", "balancers out of service because they are stale (%)");
     }
 
     private final List<Map<String, Object>> scenarios;
 
-    /** {@code scenarios}: figures as the emulator tells them. */
+    /** Creates the page from the emulator's stale instance results. */
     public StaleInstancesPage(List<Map<String, Object>> scenarios) {
         this.scenarios = scenarios;
     }
 
-    /** The page. */
+    /** Returns the page as HTML. */
     public String html() {
         StringBuilder body =
                 new StringBuilder(
-                        "<h1>Stragglers</h1>\n<p>Seconds from the moment at which the list changes. Calls are"
-                                + " those out of turn, over what the watches of all make in calm: 2 is the bound.</p>\n");
+                        "<h1>Stale instances</h1>\n<p>The x axis is the time in seconds since the endpoint list changed."
+                                + " Unscheduled discovery calls are relative to the rate of regular calls of all balancers; the limit is 2.</p>\n");
         PLOTS.forEach(
                 (name, title) ->
                         body.append(Charts.curves(title, "seconds", "", curves(name, false)))
                                 .append('\n'));
         body.append(
                 Charts.curves(
-                        "calls of discovery out of turn in a second, over the calm rate",
+                        "unscheduled discovery calls per second, relative to the regular rate",
                         "seconds",
                         "",
                         curves("asked", true)));
-        return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Stragglers</title>"
+        return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Stale instances</title>"
                 + "<style>body{font:14px sans-serif;margin:2em;color:#222}</style></head><body>\n"
                 + body
                 + "</body></html>\n";
@@ -49,19 +52,19 @@
     private Map<String, List<DataPoint>> curves(String name, boolean calls) {
         Map<String, List<DataPoint>> curves = new LinkedHashMap<>();
         int number = 0;
-        for (Map<String, Object> day : scenarios) {
+        for (Map<String, Object> scenario : scenarios) {
             number++;
-            double balancers = ((Number) day.get("balancers")).doubleValue();
-            double calm = ((Number) day.get("calmCallsASecond")).doubleValue();
-            List<DataPoint> marks = new ArrayList<>();
+            double balancers = ((Number) scenario.get("balancers")).doubleValue();
+            double regularRate = ((Number) scenario.get("calmCallsASecond")).doubleValue();
+            List<DataPoint> points = new ArrayList<>();
             double before = 0;
             int second = 0;
-            for (Object value : (List<?>) day.get(name)) {
+            for (Object value : (List<?>) scenario.get(name)) {
                 double now = ((Number) value).doubleValue();
-                marks.add(
+                points.add(
                         new DataPoint(
                                 second++,
-                                calls ? (now - before) / calm : 100 * now / balancers,
+                                calls ? (now - before) / regularRate : 100 * now / balancers,
                                 0));
                 before = now;
             }
@@ -70,9 +73,9 @@
                             Locale.ROOT,
                             "%.0f balancers, %.0f%% lost, day %d",
                             balancers,
-                            100 * ((Number) day.get("loss")).doubleValue(),
+                            100 * ((Number) scenario.get("loss")).doubleValue(),
                             number),
-                    marks);
+                    points);
         }
         return curves;
     }
--- a/report/src/test/java/frostrelay/report/PageTest.java
+++ b/report/src/test/java/frostrelay/report/PageTest.java
@@ -25,8 +25,8 @@
 import javax.xml.parsers.DocumentBuilderFactory;
 
 /**
- * Pages from days that were played: everything in them, well formed, and nothing fetched from
- * elsewhere.
+ * Checks that pages built from emulator runs contain all plots, are well formed and load no
+ * external resources.
  */
 class PageTest {
     private static final Pattern IMAGE =
@@ -34,9 +34,9 @@
 
     @TempDir private Path folder;
 
-    private ResultsFile.StoredResults held(String plantName, String sweeps) throws Exception {
+    private ResultsFile.StoredResults runAndRead(String modelName, String sweeps) throws Exception {
         Files.writeString(
-                folder.resolve(plantName),
+                folder.resolve(modelName),
                 """
                 length = "10s"
                 [plant]
@@ -52,12 +52,12 @@
                 """);
         Experiment experiment =
                 sweeps == null
-                        ? ExperimentFile.ofModels(List.of(folder.resolve(plantName)), 2)
+                        ? ExperimentFile.ofModels(List.of(folder.resolve(modelName)), 2)
                         : ExperimentFile.read(
                                 Files.writeString(
                                         folder.resolve("sweep.toml"),
                                         "[experiment]\nplant = \""
-                                                + plantName
+                                                + modelName
                                                 + "\"\nseeds = 2\n"
                                                 + sweeps));
         Path results = folder.resolve("results.jsonl");
@@ -81,15 +81,15 @@
                                     new ByteArrayInputStream(
                                             Base64.getDecoder().decode(images.group(2))));
             assertEquals("svg", svg.getDocumentElement().getTagName());
-            assertTrue(svg.getElementsByTagName("text").getLength() > 5, "axes have words");
+            assertTrue(svg.getElementsByTagName("text").getLength() > 5, "the axes have labels");
             names.add(images.group(1));
         }
         return names;
     }
 
     @Test
-    void aPlantsDayIsDrawnWithItsFaultsAndNothingIsFetched() throws Exception {
-        String html = new Page(held("a<b>&c.toml", null)).html();
+    void pageShowsRunWithFaultsAndLoadsNoExternalResources() throws Exception {
+        String html = new Page(runAndRead("a<b>&c.toml", null)).html();
         assertEquals(
                 List.of("ends", "latency", "hit share", "copies and fetches", "load", "unserved"),
                 images(html));
@@ -105,16 +105,16 @@
                 new String(
                         Base64.getDecoder().decode(first.group(2)),
                         java.nio.charset.StandardCharsets.UTF_8);
-        assertTrue(svg.contains("214,69,65"), "the fault's band is there");
+        assertTrue(svg.contains("214,69,65"), "the interval of the fault is shaded");
     }
 
     @Test
-    void aSweepOfOneKeyIsCurvesAndOfTwoIsMaps() throws Exception {
+    void sweepOfOneKeyGivesCurvesAndOfTwoKeysGivesHeatMaps() throws Exception {
         String one = "[[sweep]]\nkey = \"clients.rate\"\nvalues = \"30/s, 60/s\"\n";
-        ResultsFile.StoredResults curves = held("p.toml", one);
+        ResultsFile.StoredResults curves = runAndRead("p.toml", one);
         assertEquals("service", images(new Page(curves).html()).get(0));
         ResultsFile.StoredResults maps =
-                held(
+                runAndRead(
                         "p.toml",
                         one + "[[sweep]]\nkey = \"cache.eviction\"\nvalues = \"lru, fifo\"\n");
         String html = new Page(maps).html();
