--- a/emulator/src/main/java/frostrelay/experiment/Comparison.java
+++ b/emulator/src/main/java/frostrelay/experiment/Comparison.java
@@ -8,16 +8,16 @@
 import java.util.stream.Collectors;
 
 /**
- * What differs between two sets of days beyond chance: by differences of days with the same seed,
- * Student's t, and Holm's correction over all that is compared (Holm 1979), so that of many metrics
- * none differs by luck alone.
+ * A paired comparison of two sets of runs. It applies Student's t-test to the differences between
+ * runs with the same seed, with Holm's correction (Holm 1979), because some of many compared
+ * metrics would otherwise appear significant by chance.
  */
 public final class Comparison {
     private static final double SIGNIFICANCE_LEVEL = 0.05;
 
     /**
-     * One metric at one point. {@code pValue}: how likely such a difference is where there is none,
-     * corrected.
+     * The difference of one metric at one point; {@code pValue} is corrected for multiple
+     * comparisons.
      */
     public record Difference(
             String point,
@@ -27,7 +27,7 @@
             Interval second,
             Interval difference,
             double pValue) {
-        /** Whether it is more than chance. */
+        /** Returns whether the difference is statistically significant. */
         public boolean isSignificant() {
             return pValue < SIGNIFICANCE_LEVEL;
         }
@@ -36,7 +36,8 @@
     private Comparison() {}
 
     /**
-     * Compares points that both files have, by label, over the seeds that both have: at least two.
+     * Compares the points whose labels are in both files, over their common seeds; points with
+     * fewer than two common seeds are skipped.
      */
     public static List<Difference> of(
             ResultsFile.StoredResults first, ResultsFile.StoredResults second) {
--- a/emulator/src/main/java/frostrelay/experiment/Experiment.java
+++ b/emulator/src/main/java/frostrelay/experiment/Experiment.java
@@ -7,39 +7,40 @@
 import java.util.function.LongFunction;
 
 /**
- * Plants to be played with the same seeds. {@code digest}: of everything that says what is played;
- * results belong to it. {@code stopRule}: null for none.
+ * System models to simulate with the same seeds. {@code digest} covers all inputs and identifies
+ * the results that belong to the experiment; {@code stopRule} may be null.
  */
 public record Experiment(
         String name, String digest, List<Point> points, int seeds, StopRule stopRule) {
     /**
-     * One plant. {@code settings}: what a sweep set, by key; empty for a plant of its own. {@code
-     * draws}: makes the plant of a seed where values are drawn anew for each; {@code model} is that
-     * of the first then.
+     * One system model. {@code settings} are the swept values by key, empty without a sweep. {@code
+     * modelOfSeed} creates the model for a seed, with newly sampled values if it has any; {@code
+     * model} is the one for the first seed.
      */
     public record Point(
             String label,
             Map<String, String> settings,
             SystemModel model,
             LongFunction<SystemModel> modelOfSeed) {
-        /** A plant that differs by its seed alone. */
-        public Point(String label, Map<String, String> settings, SystemModel plant) {
-            this(label, settings, plant, plant::withSeed);
+        /** Creates a point whose model differs between runs only by its seed. */
+        public Point(String label, Map<String, String> settings, SystemModel model) {
+            this(label, settings, model, model::withSeed);
         }
     }
 
     /**
-     * A point is done once the 95% interval of a metric's mean is this narrow, after {@code
-     * minSeeds} seeds.
+     * A rule that ends a point when the 95% confidence interval of a metric's mean is narrow
+     * enough, after at least {@code minSeeds} seeds.
      */
     public record StopRule(String metric, double maxHalfWidth, int minSeeds) {
-        /** Whether so many days are enough. */
-        boolean isReached(List<RunResult> days) {
-            return days.size() >= minSeeds
-                    && days.stream().allMatch(day -> day.metrics().containsKey(metric))
+        /** Returns whether these runs satisfy the rule. */
+        boolean isReached(List<RunResult> results) {
+            return results.size() >= minSeeds
+                    && results.stream().allMatch(result -> result.metrics().containsKey(metric))
                     && Interval.of(
-                                            days.stream()
-                                                    .mapToDouble(day -> day.metrics().get(metric))
+                                            results.stream()
+                                                    .mapToDouble(
+                                                            result -> result.metrics().get(metric))
                                                     .toArray())
                                     .halfWidth()
                             <= maxHalfWidth;
--- a/emulator/src/main/java/frostrelay/experiment/ExperimentFile.java
+++ b/emulator/src/main/java/frostrelay/experiment/ExperimentFile.java
@@ -24,69 +24,84 @@
 import java.util.function.LongFunction;
 
 /**
- * The form of an experiment in TOML: a plant, what is varied, how often it is played and when that
- * is enough.
+ * The TOML format of an experiment: a system model, the parameters to vary, the number of runs and
+ * an optional stop rule.
  */
 public final class ExperimentFile {
     private static final int MAX_POINTS = 10_000;
 
     private ExperimentFile() {}
 
-    /** The form, for checks and for the page that describes it. */
+    /** Returns the schema, for validation and for the reference documentation. */
     public static TableSchema schema() {
         return new TableSchema("An experiment.")
                 .table(
                         "experiment",
-                        new TableSchema("What is played, and how often.")
+                        new TableSchema("The system model and the number of runs.")
                                 .text(
                                         "plant",
                                         null,
-                                        "The file of the plant that is varied, as seen from this file.")
+                                        "The system model file to vary, relative to this file.")
                                 .whole(
                                         "seeds",
                                         8L,
                                         1,
                                         10_000,
-                                        "Days of each point at the most, with the same seeds for all.")
+                                        "Maximum number of runs per point; all points use the same seeds.")
                                 .choice(
                                         "design",
                                         "grid",
                                         List.of("grid", "random"),
-                                        "Every combination of the sweeps' values, or some of them drawn by chance.")
+                                        "All combinations of the swept values (grid) or a random sample of them.")
                                 .whole(
                                         "points",
                                         50L,
                                         1,
                                         MAX_POINTS,
-                                        "How many are drawn, for random.")
-                                .whole("draw-seed", 1L, 0, Long.MAX_VALUE / 2, "Of that draw."))
+                                        "Number of sampled combinations if the design is random.")
+                                .whole(
+                                        "draw-seed",
+                                        1L,
+                                        0,
+                                        Long.MAX_VALUE / 2,
+                                        "Seed of the random sample."))
                 .table(
                         "stop",
-                        new TableSchema("When a point has been played often enough.")
-                                .choice("metric", "service", Metrics.NAMES, "What is watched.")
+                        new TableSchema("The stop rule for the runs of a point.")
+                                .choice(
+                                        "metric",
+                                        "service",
+                                        Metrics.NAMES,
+                                        "The metric of the stop rule.")
                                 .number(
                                         "half",
                                         0.0,
                                         0,
                                         1e12,
-                                        "Enough at this half width of its 95% interval; 0 for never.")
-                                .whole("least", 4L, 2, 10_000, "Days before that."))
+                                        "Stop at this half width of the 95% confidence interval; 0 for never.")
+                                .whole("least", 4L, 2, 10_000, "Minimum number of runs."))
                 .list(
                         "sweep",
                         8,
-                        new TableSchema("A key of the plant that takes several values.")
-                                .text("key", null, "Which, as `clients.rate` or `class[0].aim`.")
-                                .text("values", null, "Its values, parted by commas."));
+                        new TableSchema("A key of the system model with several values.")
+                                .text(
+                                        "key",
+                                        null,
+                                        "The key, such as `clients.rate` or `class[0].aim`.")
+                                .text("values", null, "The values, separated by commas."));
     }
 
-    /** Reads an experiment with its plant; throws {@link BadConfigException} with what is wrong. */
+    /**
+     * Reads an experiment and its system model; throws {@link BadConfigException} with all
+     * problems.
+     */
     public static Experiment read(Path path) {
         return bind(path, TomlFile.read(path, schema()));
     }
 
     /**
-     * What values mean that were read by the form from that file; throws {@link
-     * BadConfigException}.
+     * Creates the experiment from values that match the schema; throws {@link BadConfigException}
+     * for invalid values.
      */
     public static Experiment bind(Path path, TableValues values) {
         String file = path.toString();
@@ -100,7 +115,7 @@
                                     experimentTable.line(),
                                     "experiment.plant",
                                     experimentTable.text("plant"),
-                                    "the name of a file beside this one")));
+                                    "the path of an existing file, relative to this one")));
         }
         TableValues modelValues = TomlFile.read(modelPath, SystemModelFile.schema());
         List<Map<String, String>> combinations = combinations(values.list("sweep"), file);
@@ -144,7 +159,7 @@
                                 (int) stop.whole("least")));
     }
 
-    /** Plants, each a point; what they say is to be drawn is drawn for each seed. */
+    /** Creates an experiment with a point for each system model; sampled values differ by seed. */
     public static Experiment ofModels(List<Path> paths, int seeds) {
         List<Experiment.Point> points = new ArrayList<>();
         StringBuilder all = new StringBuilder().append(seeds);
@@ -195,7 +210,7 @@
                                                 file,
                                                 sweep.line(),
                                                 "sweep.key",
-                                                sweep.text("key") + " twice",
+                                                sweep.text("key") + " more than once",
                                                 "each key once")));
                     }
                     extended.add(combination);
@@ -216,7 +231,7 @@
                                 .toList());
     }
 
-    /** What a file is called, for what is made of it. */
+    /** Returns the file name without the extension, as the name of the experiment or point. */
     public static String name(Path path) {
         Path last = path.getFileName();
         return last == null ? "plant" : last.toString().replaceFirst("\\.toml$", "");
--- a/emulator/src/main/java/frostrelay/experiment/ExperimentRunner.java
+++ b/emulator/src/main/java/frostrelay/experiment/ExperimentRunner.java
@@ -14,22 +14,22 @@
 import java.util.concurrent.ThreadPoolExecutor;
 
 /**
- * Plays an experiment over threads: the same seeds for all points, so that two points differ by
- * their plants and not by chance. Which days are played does not depend on the number of threads,
- * and what is in the file is not played again.
+ * A runner that simulates an experiment on several threads. All points use the same seeds, so that
+ * differences between points come from their models and not from chance. The set of runs does not
+ * depend on the number of threads, and runs that are in the results file are not repeated.
  */
 public final class ExperimentRunner {
-    /** Hears how far it is: days done of the most there can be. */
+    /** A listener for the progress of an experiment. */
     public interface Progress {
-        /** Called by the thread that plays the experiment. */
+        /** Reports completed runs; called by the thread that runs the experiment. */
         void onProgress(int completedRuns, int totalRuns);
     }
 
     private ExperimentRunner() {}
 
     /**
-     * Plays what is missing. An interrupt ends it: what was played is in the file. Throws {@link
-     * IOException} if that cannot be written.
+     * Simulates the runs that are not in the file yet. After an interrupt the completed runs stay
+     * in the file. Throws {@link IOException} if the file cannot be written.
      */
     public static void run(Experiment experiment, ResultsFile file, int threads, Progress progress)
             throws IOException, InterruptedException {
@@ -49,7 +49,7 @@
             for (int point = 0; point < experiment.points().size(); point++) {
                 resultsByPoint.put(point, new ArrayList<>());
             }
-            // By rounds, so that a stop rule sees the same days whichever thread is first.
+            // Works in rounds, so that a stop rule sees the same runs in any order of completion.
             for (int from = 0; from < experiment.seeds(); from += roundSize(experiment)) {
                 int to = Math.min(experiment.seeds(), from + roundSize(experiment));
                 List<Future<RunResult>> pendingResults = new ArrayList<>();
@@ -75,18 +75,19 @@
             if (e.getCause() instanceof IOException io) {
                 throw io;
             }
-            throw new IllegalStateException("a day could not be played", e.getCause());
+            throw new IllegalStateException("a simulation run failed", e.getCause());
         } finally {
-            // Not interrupted: that would close the file under the one that writes, and under all
-            // others.
+            // Workers are not interrupted, because an interrupt during a write closes the file
+            // channel that all of them share.
             pool.shutdown();
             pool.getQueue().clear();
         }
     }
 
     /**
-     * What is done is given at once, interrupted or not: an interrupt would be seen by the file,
-     * which it closes.
+     * Throws if this thread was interrupted, and clears the flag. {@code Future.get} returns a
+     * finished result in spite of an interrupt, and a set flag would close the file channel at the
+     * next write.
      */
     private static void throwIfInterrupted() throws InterruptedException {
         if (Thread.interrupted()) {
@@ -113,7 +114,7 @@
                 () -> {
                     RunResult result = file.find(point, model.seed());
                     if (result == null) {
-                        // The course of one day is enough to look at, and keeps the file small.
+                        // Only the first run keeps its time series, so that the file stays small.
                         result = RunResult.simulate(point, model, seedIndex == 0);
                         file.add(result);
                     }
--- a/emulator/src/main/java/frostrelay/experiment/FaultFormat.java
+++ b/emulator/src/main/java/frostrelay/experiment/FaultFormat.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Faults in words, and as a file has them. */
+/** Formatting of faults as sentences and as TOML. */
 public final class FaultFormat {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private FaultFormat() {}
 
-    /** Each fault in a sentence, in the order of time. */
+    /** Returns a sentence for each fault, ordered by start time. */
     public static List<String> describe(List<SystemModel.Fault> faults) {
         return faults.stream()
                 .sorted((a, b) -> Long.compare(a.startNanos(), b.startNanos()))
@@ -77,7 +77,7 @@
                                 fault.durationNanos() / NANOS_PER_SECOND));
     }
 
-    /** A fault as a table of a plant's file. */
+    /** Returns a fault as a TOML table of a system model file. */
     static String toToml(SystemModel.Fault fault) {
         return String.format(
                 Locale.ROOT,
@@ -89,7 +89,7 @@
                 fault.factor());
     }
 
-    /** From and to of each fault, in seconds of the day. */
+    /** Returns the start and end of each fault in seconds from the start of the run. */
     static List<List<Double>> timeRangesSeconds(List<SystemModel.Fault> faults) {
         return faults.stream()
                 .map(
--- a/emulator/src/main/java/frostrelay/experiment/FaultSearch.java
+++ b/emulator/src/main/java/frostrelay/experiment/FaultSearch.java
@@ -21,10 +21,10 @@
 import java.util.stream.Collectors;
 
 /**
- * Searches for faults after which a plant misses a goal: at random first, then by small changes to
- * the worst that were found, and last each is made as small as it can be while the goal is still
- * missed (Zeller and Hildebrandt 2002 for the idea). Finds the same for the same seed, however many
- * threads. Threading: one caller.
+ * A search for faults after which a system model misses a goal. It evaluates random faults, mutates
+ * the worst candidates, and then minimizes each one while the goal is still missed (delta
+ * debugging, Zeller and Hildebrandt 2002). The result depends on the seed, not on the number of
+ * threads. Not thread-safe.
  */
 public final class FaultSearch {
     private static final double EARLIEST_START_FRACTION = 0.22;
@@ -36,8 +36,9 @@
     private static final double MIN_AFFECTED_FRACTION = 0.05;
 
     /**
-     * What was found. {@code shortfall}: on the mean over the seeds; {@code value}: of the worst of
-     * them, {@code seed}; {@code simulatedRuns}: days played until then.
+     * A minimized set of faults that misses the goal. {@code shortfall} is the mean over the seeds,
+     * {@code value} the metric of the worst {@code seed}, and {@code simulatedRuns} the number of
+     * runs before the finding.
      */
     public record Finding(
             List<Fault> faults, double shortfall, double value, long seed, int simulatedRuns) {}
@@ -51,7 +52,7 @@
     private int simulatedRuns;
 
     private record Candidate(List<Fault> faults, double shortfall, double value, long seed) {
-        /** Which kinds it has: two candidates of the same kinds are one finding. */
+        /** Returns the fault kinds; candidates with the same kinds count as one finding. */
         String kinds() {
             return faults.stream()
                     .map(fault -> fault.kind().name())
@@ -77,9 +78,9 @@
     }
 
     /**
-     * Hunts with so many random tries, a quarter as many small changes, and keeps the worst of
-     * different kinds. Faults of the plant itself are left out. Throws {@link
-     * IllegalArgumentException} if the plant misses the goal without any.
+     * Evaluates {@code tries} random candidates and about a quarter as many mutations, and returns
+     * up to {@code keep} of the worst with different kinds. Faults of the model itself are ignored.
+     * Throws {@link IllegalArgumentException} if the model misses the goal without faults.
      */
     public static List<Finding> run(
             SystemModel model,
@@ -97,7 +98,7 @@
                             model.withFaults(List.of()), objective, seeds, seed, pool, progress)
                     .run(tries, keep);
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a day could not be played", e.getCause());
+            throw new IllegalStateException("a simulation run failed", e.getCause());
         } finally {
             pool.shutdownNow();
         }
@@ -107,9 +108,9 @@
         Candidate faultFree = evaluate(List.of(List.of())).get(0);
         if (faultFree.shortfall > 0) {
             throw new IllegalArgumentException(
-                    "without any fault the plant misses the goal "
+                    "the system model misses the goal "
                             + objective
-                            + " already: "
+                            + " without any fault; measured "
                             + faultFree.value);
         }
         List<List<Fault>> first = new ArrayList<>();
@@ -118,7 +119,7 @@
         }
         List<Candidate> known = new ArrayList<>(evaluate(first));
         progressListener.accept(
-                countMissing(known) + " of " + tries + " random days miss the goal");
+                countMissing(known) + " of " + tries + " random runs miss the goal");
         for (int round = 0; round < 3; round++) {
             List<List<Fault>> next = new ArrayList<>();
             for (Candidate parent : worstOfEachKind(known).stream().limit(MAX_PARENTS).toList()) {
@@ -129,7 +130,11 @@
             known.addAll(evaluate(next));
         }
         progressListener.accept(
-                "after small changes to the worst: " + countMissing(known) + " of " + known.size());
+                "after mutation of the worst: "
+                        + countMissing(known)
+                        + " of "
+                        + known.size()
+                        + " miss the goal");
         Map<String, Finding> found = new LinkedHashMap<>();
         for (Candidate candidate : worstOfEachKind(known)) {
             if (candidate.shortfall <= 0 || found.size() >= keep) {
@@ -157,8 +162,8 @@
     }
 
     /**
-     * The worst first; of the same kinds only the worst, so that one weakness does not hide the
-     * others.
+     * Returns the worst candidate for each set of kinds, worst first, so that one weakness does not
+     * hide the others.
      */
     private static List<Candidate> worstOfEachKind(List<Candidate> all) {
         Map<String, Candidate> byKinds = new LinkedHashMap<>();
@@ -217,7 +222,9 @@
         return faults;
     }
 
-    /** Within what is asked of a plant, in steps that people can read. */
+    /**
+     * Creates a fault with its values limited to the valid ranges and rounded to readable steps.
+     */
     private static Fault roundedFault(
             double startNanos,
             double durationNanos,
@@ -263,7 +270,7 @@
         return mutated;
     }
 
-    /** Takes away whole faults first, then makes each milder, as long as the goal is missed. */
+    /** Removes faults, then makes the others milder, as long as the goal is still missed. */
     private Candidate shrink(Candidate original) throws InterruptedException, ExecutionException {
         Candidate best = original;
         boolean hasShrunk = true;
--- a/emulator/src/main/java/frostrelay/experiment/Interval.java
+++ b/emulator/src/main/java/frostrelay/experiment/Interval.java
@@ -5,13 +5,13 @@
 import java.util.Arrays;
 
 /**
- * A mean and half the width of its 95% confidence interval by Student's t; the half is 0 for a
- * single value.
+ * A mean and half the width of its 95% confidence interval by Student's t; the half width is 0 for
+ * a single value.
  */
 public record Interval(double mean, double halfWidth) {
     private static final double UPPER_QUANTILE = 0.975;
 
-    /** Of some values, at least one. */
+    /** Returns the interval for the mean of one or more values. */
     public static Interval of(double[] values) {
         return new Interval(
                 mean(values),
@@ -23,8 +23,8 @@
     }
 
     /**
-     * How likely a mean so far from zero is by chance alone, by the same distribution; of at least
-     * two values.
+     * Returns the two-sided p-value of the mean against zero by Student's t, for at least two
+     * values.
      */
     static double pValue(double[] values) {
         double standardError = standardError(values);
--- a/emulator/src/main/java/frostrelay/experiment/Metrics.java
+++ b/emulator/src/main/java/frostrelay/experiment/Metrics.java
@@ -8,18 +8,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** What is measured of a day, by name. */
+/** The metrics of a simulation run, by name. */
 public final class Metrics {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    /** Seconds at a day's end that tell whether service is back. */
+    /** The seconds at the end of a run in which recovered service is measured. */
     private static final int AFTERWARDS_SECONDS = 15;
 
     private static final int BASELINE_SECONDS = 10;
 
     /**
-     * All names, in the order in which they are told; the last ones are there for days with faults
-     * only.
+     * All metric names in output order. Only runs with faults have {@code recovery} and {@code
+     * afterwards}.
      */
     public static final List<String> NAMES =
             List.of(
@@ -41,8 +41,9 @@
                     "afterwards");
 
     /**
-     * What the operators take off the goal for a handshake at each first try, a hundred list lines
-     * and all work wasted.
+     * The operators' deductions from the objective: for one handshake per request, for a hundred
+     * endpoint list lines per request ({@link #LIST_PRICE}), and if all work is wasted ({@link
+     * #WASTE_PRICE}).
      */
     private static final double HANDSHAKE_PRICE = 0.08;
 
@@ -52,8 +53,8 @@
     private Metrics() {}
 
     /**
-     * Of a day. {@code recovery}: seconds until service is back, counted as all that is left if it
-     * is not.
+     * Computes the metrics of a run. {@code recovery} is the number of seconds until service has
+     * recovered, or until the end of the run if it has not.
      */
     public static Map<String, Double> of(SystemModel model, Result result) {
         RunStatistics figures = result.statistics();
@@ -112,7 +113,7 @@
         return metrics;
     }
 
-    /** When the last fault is over, in nanoseconds from the day's start. */
+    /** Returns the end of the last fault in nanoseconds from the start of the run. */
     private static long faultsEndNanos(SystemModel model) {
         return model.faults().stream()
                 .mapToLong(fault -> fault.startNanos() + fault.durationNanos())
--- a/emulator/src/main/java/frostrelay/experiment/Objective.java
+++ b/emulator/src/main/java/frostrelay/experiment/Objective.java
@@ -5,14 +5,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What must hold of a day: a metric on one side of a bound. */
+/** A requirement on a simulation run: a lower or upper bound of a metric. */
 public record Objective(String metric, boolean isLowerBound, double bound) {
     private static final Pattern PATTERN =
             Pattern.compile("\\s*(\\w+)\\s*(>=|<=)\\s*([0-9]+(?:\\.[0-9]+)?)\\s*");
 
     /**
-     * From a text as {@code afterwards >= 0.95}; throws {@link IllegalArgumentException} that says
-     * what is allowed.
+     * Parses a text such as {@code afterwards >= 0.95}; throws {@link IllegalArgumentException}
+     * with the allowed form.
      */
     public static Objective parse(String text) {
         Matcher parts = PATTERN.matcher(text);
@@ -20,14 +20,14 @@
             throw new IllegalArgumentException(
                     "'"
                             + text
-                            + "' is no goal: METRIC >= NUMBER or METRIC <= NUMBER, with one of "
+                            + "' is not a valid goal; expected METRIC >= NUMBER or METRIC <= NUMBER with one of the metrics "
                             + String.join(", ", Metrics.NAMES));
         }
         return new Objective(
                 parts.group(1), parts.group(2).equals(">="), Double.parseDouble(parts.group(3)));
     }
 
-    /** How far the goal is missed, in the metric's unit; 0 or less where it is met. */
+    /** Returns how far the goal is missed, in the metric's unit; 0 or less if it is met. */
     public double shortfall(Map<String, Double> metrics) {
         double value = metrics.getOrDefault(metric, bound);
         return isLowerBound ? bound - value : value - bound;
--- a/emulator/src/main/java/frostrelay/experiment/ParameterSampling.java
+++ b/emulator/src/main/java/frostrelay/experiment/ParameterSampling.java
@@ -12,7 +12,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Values that each seed of a plant draws anew, evenly between two that a file could have. */
+/**
+ * Sampling of model parameters, uniformly between a minimum and a maximum and anew for each seed.
+ */
 final class ParameterSampling {
     private static final Pattern LITERAL = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)([a-z/]*)");
     private static final long SEED_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -20,8 +22,8 @@
     private ParameterSampling() {}
 
     /**
-     * The values of a seed, none of them left to draw; throws {@link BadConfigException} for what
-     * cannot be drawn.
+     * Returns the values for a seed with all sampled parameters set; throws {@link
+     * BadConfigException} for an invalid range.
      */
     static TableValues sample(String file, TableValues values, long seed) {
         UniformRandomProvider random =
@@ -53,7 +55,7 @@
                                     draw.line(),
                                     "draw.least",
                                     draw.text("least") + " to " + draw.text("most"),
-                                    "two numbers of one unit, the smaller one first")));
+                                    "two numbers with the same unit, the smaller one first")));
         }
         double minimumValue = Double.parseDouble(minimum.group(1));
         double value =
--- a/emulator/src/main/java/frostrelay/experiment/RegressionRuns.java
+++ b/emulator/src/main/java/frostrelay/experiment/RegressionRuns.java
@@ -11,12 +11,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Days that a hunt found, kept as plants with a goal that must hold since, and played again. */
+/** Regression runs: system models with faults from a search, stored with a goal they must meet. */
 public final class RegressionRuns {
-    /** How a kept day went. {@code shortfall}: 0 or less where its goal is met. */
+    /** The result of a regression run; {@code shortfall} is 0 or less if its goal is met. */
     public record ReplayResult(
             Objective required, double value, double shortfall, long violationCount) {
-        /** Whether its goal is met and no rule was broken. */
+        /** Returns whether the goal was met and no invariant was violated. */
         public boolean hasPassed() {
             return shortfall <= 0 && violationCount == 0;
         }
@@ -25,8 +25,8 @@
     private RegressionRuns() {}
 
     /**
-     * Writes a day: the plant without its own faults, what was found, and the goal as what must
-     * hold.
+     * Writes a regression run: the model without its own faults, the faults found, and the goal as
+     * the requirement.
      */
     public static void write(Path model, Path file, Objective objective, FaultSearch.Finding found)
             throws IOException {
@@ -41,7 +41,7 @@
                                 model.toString(),
                                 0)
                         .with("kept.must", objective.toString(), model.toString(), 0);
-        StringBuilder text = new StringBuilder("# Found by a hunt:\n");
+        StringBuilder text = new StringBuilder("# Found by a fault search:\n");
         FaultFormat.describe(found.faults())
                 .forEach(fault -> text.append("#   ").append(fault).append('\n'));
         text.append(values.toToml());
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Plays a kept day with its own seed; throws {@link frostrelay.config.BadConfigException} for a
-     * bad file.
+     * Repeats a regression run with its stored seed; throws {@link
+     * frostrelay.config.BadConfigException} for an invalid file.
      */
     public static ReplayResult replay(Path file) {
         TableValues values = TomlFile.read(file, SystemModelFile.schema());
--- a/emulator/src/main/java/frostrelay/experiment/ResultsFile.java
+++ b/emulator/src/main/java/frostrelay/experiment/ResultsFile.java
@@ -21,19 +21,19 @@
 import java.util.TreeMap;
 
 /**
- * Days that were played, one to a line, behind a line that says of which experiment. A day is on
- * disk before the next call returns; a line that was cut short by a crash is dropped when the file
- * is opened again. While days come in they stand in the order of coming; {@link #rewriteInOrder}
- * puts them in the order of points and seeds, so that the same experiment gives the same bytes
- * however many threads played it. One process at a time may write. Safe for threads.
+ * A file of run results with one JSON line per run, after a header line that identifies the
+ * experiment. {@link #add} returns after the result is on disk; an incomplete last line after a
+ * crash is dropped when the file is opened again. Results are appended in order of completion;
+ * {@link #rewriteInOrder} sorts them by point and seed, so that the same experiment gives the same
+ * bytes with any number of threads. Only one process at a time may write. Thread-safe.
  */
 public final class ResultsFile implements Closeable {
     private static final int FORMAT = 1;
 
     /**
-     * What a file holds. {@code points}: labels in their order; {@code settings}: what a sweep set,
-     * {@code faults} in words and {@code faultRanges}, from and to of each in seconds, for each
-     * point.
+     * The contents of a results file. {@code points} are the labels in order. Each point has its
+     * swept {@code settings}, its {@code faults} as sentences and their {@code faultRanges} (start
+     * and end in seconds).
      */
     public record StoredResults(
             String name,
@@ -43,12 +43,12 @@
             List<List<String>> faults,
             List<List<List<Double>>> faultRanges,
             List<List<RunResult>> byPoint) {
-        /** The days of a point in the order of their seeds. */
+        /** Returns the runs of a point in order of their seeds. */
         public List<RunResult> resultsOf(int point) {
             return byPoint.get(point);
         }
 
-        /** All days, point by point. */
+        /** Returns all runs, ordered by point. */
         public List<RunResult> allResults() {
             return byPoint.stream().flatMap(List::stream).toList();
         }
@@ -73,7 +73,7 @@
         }
     }
 
-    /** The whole lines of a file: the first says of which experiment, the others are days. */
+    /** The complete lines of a file: the header of the experiment and one line per run. */
     private record Lines(String[] lines, int byteCount) {
         static Lines read(Path path) throws IOException {
             byte[] bytes = Files.readAllBytes(path);
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Opens a file to go on with an experiment, or begins one. Throws {@link IOException} with a
-     * plain message where another process writes it or it belongs to another experiment.
+     * Opens a file to resume an experiment, or creates it. Throws {@link IOException} if another
+     * writer has it open or if it belongs to another experiment.
      */
     public static ResultsFile open(Path path, Experiment experiment) throws IOException {
         if (path.getParent() != null) {
@@ -156,13 +156,15 @@
         try {
             Map<String, Object> all = JSON.std.mapFrom(line);
             if (!Integer.valueOf(FORMAT).equals(all.get("frostrelayResults"))) {
-                throw new IOException("no results, or of a version that this one does not know");
+                throw new IOException(
+                        "no results header, or an unsupported format version; supported is "
+                                + FORMAT);
             }
             return String.valueOf(all.get("digest"));
         } catch (IOException | RuntimeException e) {
             throw new IOException(
                     path
-                            + ":1: not a file of results ("
+                            + ":1: not a results file ("
                             + e.getMessage().lines().findFirst().orElse("")
                             + ")",
                     e);
@@ -173,7 +175,7 @@
         try {
             return RunResult.parse(line);
         } catch (IOException | RuntimeException e) {
-            throw new IOException(path + ":" + number + ": not a day's results", e);
+            throw new IOException(path + ":" + number + ": not the results of a run", e);
         }
     }
 
@@ -209,17 +211,17 @@
         }
     }
 
-    /** The day of a point and seed if it was played; null otherwise. */
+    /** Returns the result for a point and seed, or null if there is none. */
     public synchronized RunResult find(int point, long seed) {
         return results.get(new Key(point, seed));
     }
 
-    /** Days that are kept. */
+    /** Returns the number of stored runs. */
     public synchronized int size() {
         return results.size();
     }
 
-    /** Keeps a day: it outlasts this process from here on. */
+    /** Stores a result; it is on disk when this method returns. */
     public synchronized void add(RunResult result) throws IOException {
         if (results.putIfAbsent(new Key(result), result) == null) {
             append(result.toJson() + "\n");
@@ -227,8 +229,8 @@
     }
 
     /**
-     * Puts all days in order, in one step: the file is the old or the new one, never half of
-     * either.
+     * Sorts all results and replaces the file atomically, so that a crash leaves either the old or
+     * the new file.
      */
     public synchronized void rewriteInOrder() throws IOException {
         Path newFile = path.resolveSibling(path.getFileName() + ".new");
@@ -249,7 +251,7 @@
                 newFile, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Reads a file that nobody need have finished. */
+    /** Reads a file; the experiment may be incomplete. */
     public static StoredResults read(Path path) throws IOException {
         Lines lines = Lines.read(path);
         String digest = digest(path, lines.lines[0]);
--- a/emulator/src/main/java/frostrelay/experiment/RunResult.java
+++ b/emulator/src/main/java/frostrelay/experiment/RunResult.java
@@ -14,9 +14,10 @@
 import java.util.Map;
 
 /**
- * What is kept of a day that was played: nothing in it depends on the machine. {@code timeSeries}:
- * series by name, a value for each second; {@code cacheLoad}, a row for one cache or for several,
- * and {@code unservedByBalancer}, likewise of balancers; all empty where they are not kept.
+ * The stored result of a simulation run; it does not depend on the machine. {@code timeSeries} has
+ * a value per second for each name. A row of {@code cacheLoad} covers one or more caches, and a row
+ * of {@code unservedByBalancer} one or more balancers. All three are empty if they were not
+ * recorded.
  */
 public record RunResult(
         int point,
@@ -29,7 +30,7 @@
         List<List<Double>> unservedByBalancer) {
     private static final double ROUNDING_SCALE = 1e6;
 
-    /** Plays a day of a point. */
+    /** Simulates one run of a point. */
     static RunResult simulate(int point, SystemModel model, boolean withTimeSeries) {
         Emulation.Result result = Emulation.simulate(model);
         Map<String, Double> metrics = new LinkedHashMap<>();
@@ -79,7 +80,7 @@
         return Math.rint(value * ROUNDING_SCALE) / ROUNDING_SCALE;
     }
 
-    /** As one line. */
+    /** Returns the result as one line of JSON. */
     String toJson() throws IOException {
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("point", point);
@@ -95,7 +96,7 @@
         return JSON.std.asString(all);
     }
 
-    /** From a line; throws {@link IOException} or {@link RuntimeException} for anything else. */
+    /** Parses a line; throws {@link IOException} or {@link RuntimeException} if it is invalid. */
     static RunResult parse(String line) throws IOException {
         Map<String, Object> all = JSON.std.mapFrom(line);
         Map<String, Double> metrics = new LinkedHashMap<>();
--- a/emulator/src/main/java/frostrelay/experiment/SystemModelFile.java
+++ b/emulator/src/main/java/frostrelay/experiment/SystemModelFile.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The form of a plant in TOML, and what must hold beyond the form. */
+/** The TOML format of a system model, with checks beyond the schema. */
 public final class SystemModelFile {
     private static final List<String> IDEMPOTENCY_NAMES =
             List.of("repeatable", "keyed", "never-twice");
@@ -28,316 +28,355 @@
                 .toList();
     }
 
-    /** A kind of fault as a file has it. */
+    /** Returns the name of a fault kind in TOML. */
     static String tomlName(SystemModel.FaultKind kind) {
         return kind.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** The form, for checks and for the page that describes it. */
+    /** Returns the schema, for validation and for the reference documentation. */
     public static TableSchema schema() {
-        return new TableSchema("A plant.")
+        return new TableSchema("A system model.")
                 .whole(
                         "seed",
                         1L,
                         0,
                         Long.MAX_VALUE / 2,
-                        "The first seed; each repetition takes the next.")
-                .duration("length", "60s", "1s", "24h", "Simulated time in which requests come.")
+                        "The first seed; each further run uses the next one.")
+                .duration("length", "60s", "1s", "24h", "Simulated time in which requests arrive.")
                 .duration(
                         "settle",
                         "0ms",
                         "0ms",
                         "24h",
-                        "Before the day: requests come, the origin takes no time.")
+                        "Warm-up time before the run; requests arrive and fetches take no time.")
                 .table(
                         "plant",
-                        new TableSchema("The machines.")
-                                .whole("balancers", 3L, 1, 10_000, "Balancers.")
-                                .whole("caches", 12L, 1, 100_000, "Caches.")
-                                .whole("zones", 1L, 1, 64, "Machines are dealt out over so many.")
+                        new TableSchema("Balancers, caches and discovery.")
+                                .whole("balancers", 3L, 1, 10_000, "Number of balancers.")
+                                .whole("caches", 12L, 1, 100_000, "Number of caches.")
+                                .whole(
+                                        "zones",
+                                        1L,
+                                        1,
+                                        64,
+                                        "Number of zones over which the machines are distributed.")
                                 .duration(
                                         "discovery-lateness",
                                         "1s",
                                         "0ms",
                                         "10m",
-                                        "From a change to its being told.")
+                                        "Delay from a change to its notification.")
                                 .number(
                                         "discovery-calls",
                                         0.0,
                                         0,
                                         1_000_000,
-                                        "Calls a second that discovery works through; 0 for any.")
+                                        "Calls that discovery can process per second; 0 for unlimited.")
                                 .duration(
                                         "discovery-patience",
                                         "2s",
                                         "0ms",
                                         "1h",
-                                        "A call that waits longer for its turn fails.")
+                                        "Maximum time in the queue; a call that waits longer fails.")
                                 .duration(
                                         "balancer-cost",
                                         "50us",
                                         "0ms",
                                         "1s",
-                                        "CPU of a balancer for each event.")
-                                .whole("max-attempts", 4L, 1, 16, "Sends of a request at the most.")
-                                .bool(
-                                        "hedges",
-                                        true,
-                                        "Whether a second copy may run beside the first."))
+                                        "CPU time of a balancer per event.")
+                                .whole("max-attempts", 4L, 1, 16, "Maximum attempts per request.")
+                                .bool("hedges", true, "Whether hedged requests are allowed."))
                 .table(
                         "cache",
                         new TableSchema("Each cache.")
-                                .whole("cores", 1L, 1, 1_024, "Requests in work at once.")
+                                .whole("cores", 1L, 1, 1_024, "Requests processed concurrently.")
                                 .whole(
                                         "queue",
                                         64L,
                                         0,
                                         1_000_000,
-                                        "Requests that wait; more are turned away.")
+                                        "Maximum queue length; further requests are rejected.")
                                 .number(
                                         "crowding",
                                         0.0,
                                         0,
                                         1,
-                                        "How much longer work takes for each request that waits.")
+                                        "Relative increase of the processing time per queued request.")
                                 .choice(
                                         "eviction",
                                         "lru",
                                         List.of("lru", "fifo"),
-                                        "Which object goes first.")
-                                .whole("memory", 400L, 1, 100_000_000, "Objects kept.")
+                                        "Eviction policy.")
+                                .whole(
+                                        "memory",
+                                        400L,
+                                        1,
+                                        100_000_000,
+                                        "Maximum number of stored objects.")
                                 .number(
                                         "cold-from",
                                         0.15,
                                         0.01,
                                         1,
-                                        "Speed at a start, as a part of the full.")
+                                        "Speed after a start, as a fraction of full speed.")
                                 .duration(
                                         "warm-within",
                                         "20s",
                                         "0ms",
                                         "1h",
-                                        "From a start to full speed.")
-                                .bool("coalesce", false, "Whether misses of one key share a fetch.")
+                                        "Time from a start to full speed.")
+                                .bool(
+                                        "coalesce",
+                                        false,
+                                        "Whether concurrent misses of one key share a fetch.")
                                 .bool(
                                         "filled",
                                         true,
                                         "Whether it holds the most popular keys at the start."))
                 .table(
                         "origin",
-                        new TableSchema("The origin behind all caches.")
-                                .whole("places", 12L, 1, 1_000_000, "Fetches in work at once.")
+                        new TableSchema("The origin of all caches.")
+                                .whole(
+                                        "places",
+                                        12L,
+                                        1,
+                                        1_000_000,
+                                        "Fetches processed concurrently.")
                                 .duration("time", "60ms", "1us", "60s", "Mean time of a fetch.")
                                 .whole(
                                         "queue",
                                         100L,
                                         0,
                                         10_000_000,
-                                        "Fetches that wait; more are refused.")
+                                        "Maximum queue length; further fetches are rejected.")
                                 .number(
                                         "fall-multiple",
                                         3.0,
                                         0,
                                         1_000,
-                                        "Sent this many times what it can do in a second, it stops; 0 for never.")
+                                        "The origin stops at a load of this multiple of its capacity per second; 0 for never.")
                                 .duration(
-                                        "fall-time", "3s", "0ms", "10m", "How long it stops for."))
+                                        "fall-time",
+                                        "3s",
+                                        "0ms",
+                                        "10m",
+                                        "Duration of such a stop."))
                 .table(
                         "network",
-                        new TableSchema("Each message.")
-                                .duration("delay", "1ms", "0ms", "10s", "One way.")
-                                .duration("jitter", "1ms", "0ms", "10s", "Up to so much more.")
+                        new TableSchema("Message delays and loss.")
+                                .duration("delay", "1ms", "0ms", "10s", "One-way delay.")
+                                .duration(
+                                        "jitter",
+                                        "1ms",
+                                        "0ms",
+                                        "10s",
+                                        "Maximum additional random delay.")
                                 .duration(
-                                        "far", "0ms", "0ms", "10s", "On top of that between zones.")
+                                        "far",
+                                        "0ms",
+                                        "0ms",
+                                        "10s",
+                                        "Additional delay between zones.")
                                 .number(
                                         "loss",
                                         0.0,
                                         0,
                                         1,
-                                        "Part of the sends to caches that never come."))
+                                        "Fraction of messages to caches that are lost."))
                 .table(
                         "links",
                         new TableSchema(
-                                        "Connections from balancers to caches, each with one request at a time.")
+                                        "Connections from balancers to caches; each carries one request at a time.")
                                 .bool(
                                         "modelled",
                                         false,
-                                        "Whether there are any; without, a cache takes everything at once.")
+                                        "Whether connections are modelled; otherwise caches accept requests without them.")
                                 .duration(
                                         "handshake",
                                         "1ms",
                                         "0ms",
                                         "10s",
-                                        "That a new one takes beside a round trip.")
+                                        "Time for a new connection in addition to a round trip.")
                                 .duration(
                                         "work",
                                         "1ms",
                                         "0ms",
                                         "10s",
-                                        "Of a cache's core for a new one.")
-                                .duration(
-                                        "timeout",
-                                        "250ms",
-                                        "1ms",
-                                        "1m",
-                                        "One that is not up by then has failed.")
+                                        "Time of a cache core for a new connection.")
+                                .duration("timeout", "250ms", "1ms", "1m", "Connect timeout.")
                                 .duration(
                                         "idle",
                                         "60s",
                                         "100ms",
                                         "24h",
-                                        "After which a cache closes an idle one.")
-                                .whole("at-cache", 10_000L, 1, 10_000_000, "That a cache holds.")
+                                        "Idle time after which a cache closes a connection.")
+                                .whole(
+                                        "at-cache",
+                                        10_000L,
+                                        1,
+                                        10_000_000,
+                                        "Maximum connections per cache.")
                                 .whole(
                                         "at-balancer",
                                         10_000L,
                                         1,
                                         10_000_000,
-                                        "That a balancer holds."))
+                                        "Maximum connections per balancer."))
                 .table(
                         "clients",
-                        new TableSchema("What clients do.")
-                                .rate("rate", "300/s", "0.1/s", "10000000/s", "First tries.")
+                        new TableSchema("Client load and retries.")
+                                .rate("rate", "300/s", "0.1/s", "10000000/s", "First attempts.")
                                 .number(
                                         "swing",
                                         0.0,
                                         0,
                                         0.95,
-                                        "How far the rate rises and falls, as a part of it.")
-                                .duration("period", "60s", "1s", "24h", "Of its rise and fall.")
+                                        "Amplitude of the rate's variation, as a fraction of the rate.")
+                                .duration(
+                                        "period",
+                                        "60s",
+                                        "1s",
+                                        "24h",
+                                        "Period of the rate's variation.")
                                 .number(
                                         "drift",
                                         0.0,
                                         0,
                                         1_000_000,
-                                        "Keys a second that lose their rank to others.")
-                                .whole("keys", 2_000L, 1, 10_000_000, "Different keys.")
-                                .number("zipf", 0.95, 0.01, 5, "How uneven their popularity is.")
+                                        "Keys per second by which the popularity ranks shift.")
+                                .whole("keys", 2_000L, 1, 10_000_000, "Number of distinct keys.")
+                                .number("zipf", 0.95, 0.01, 5, "Zipf exponent of key popularity.")
                                 .number(
                                         "offset",
                                         0.0,
                                         0,
                                         100_000,
-                                        "Ranks left out at the head: fewer keys are far more popular.")
-                                .whole("retries", 2L, 0, 100, "Tries after the first.")
+                                        "Number of top popularity ranks left out, so that fewer keys are far more popular than the rest.")
+                                .whole("retries", 2L, 0, 100, "Maximum retries.")
                                 .duration(
                                         "backoff",
                                         "200ms",
                                         "0ms",
                                         "60s",
-                                        "Mean wait before a further try, doubled each time.")
+                                        "Mean wait before the first retry, doubled for each further one.")
                                 .number(
                                         "patience",
                                         0.7,
                                         0.05,
                                         1,
-                                        "A try is given up after so much of the deadline.")
+                                        "Timeout of an attempt, as a fraction of the deadline.")
                                 .bool(
                                         "come-again",
                                         true,
-                                        "Whether they wait as long as a refusal says.")
+                                        "Whether clients honour the retry delay in a rejection.")
                                 .number(
                                         "skew",
                                         0.0,
                                         0,
                                         3,
-                                        "Standard deviation of the logarithm of what a balancer is given."))
+                                        "Standard deviation of the logarithm of a balancer's load."))
                 .list(
                         "tenant",
                         1_000,
                         new TableSchema("A tenant; parts add up to 1.")
-                                .number("part", null, 0, 1, "Of all requests."))
+                                .number("part", null, 0, 1, "Fraction of all requests."))
                 .list(
                         "draw",
                         64,
                         new TableSchema(
-                                        "A value that each seed of a fleet day draws anew; the file's own counts elsewhere.")
-                                .text("key", null, "Which, as `clients.rate` or `fault[0].part`.")
-                                .text("least", null, "As the file would have it.")
-                                .text("most", null, "Likewise, in the same unit."))
+                                        "A value that experiments over system models sample for each seed; other uses keep the file's value.")
+                                .text(
+                                        "key",
+                                        null,
+                                        "The key, such as `clients.rate` or `fault[0].part`.")
+                                .text("least", null, "Minimum, with its unit.")
+                                .text("most", null, "Maximum, in the same unit."))
                 .table(
                         "kept",
-                        new TableSchema(
-                                        "Why a plant is kept as a regression day; for days that a hunt found.")
+                        new TableSchema("The goal of a regression run that a fault search found.")
                                 .text(
                                         "goal",
                                         "service >= 0",
-                                        "The goal that it missed when it was found.")
+                                        "The goal that the run missed when it was found.")
                                 .number(
                                         "found",
                                         0.0,
                                         -1e12,
                                         1e12,
-                                        "The goal's metric at that time.")
-                                .text("must", "service >= 0", "What must hold of it since."))
+                                        "The metric's value when the run was found.")
+                                .text(
+                                        "must",
+                                        "service >= 0",
+                                        "The goal that the run must meet now."))
                 .list(
                         "class",
                         64,
                         new TableSchema("A class of requests; shares add up to 1.")
-                                .number("share", null, 0, 1, "Its part of all.")
+                                .number("share", null, 0, 1, "Fraction of all requests.")
                                 .duration(
                                         "work",
                                         "15ms",
                                         "1us",
                                         "60s",
-                                        "Mean work of a cache's core.")
+                                        "Mean processing time on a cache core.")
                                 .choice(
                                         "spread",
                                         "exponential",
                                         List.of("exponential", "fixed"),
-                                        "How work varies.")
+                                        "Distribution of the processing time.")
                                 .duration(
                                         "aim",
                                         "300ms",
                                         "1ms",
                                         "1h",
-                                        "An answer by then is in time.")
+                                        "Target latency of a response.")
                                 .duration(
                                         "deadline",
                                         "1500ms",
                                         "1ms",
                                         "1h",
-                                        "The client waits no longer, over all its tries.")
-                                .number("worth", 1.0, 0, 1_000_000, "Of one answer in time.")
+                                        "Deadline of the request, including retries.")
+                                .number(
+                                        "worth",
+                                        1.0,
+                                        0,
+                                        1_000_000,
+                                        "Value of one response within the target latency.")
                                 .choice(
                                         "effect",
                                         "repeatable",
                                         IDEMPOTENCY_NAMES,
-                                        "Whether it may run again."))
+                                        "Whether a request may be executed more than once."))
                 .list(
                         "fault",
                         1_000,
-                        new TableSchema("Something that happens.")
-                                .duration("at", null, "0ms", "24h", "From the start.")
-                                .choice("kind", null, kindNames(), "What happens.")
+                        new TableSchema("A fault.")
+                                .duration("at", null, "0ms", "24h", "Start time.")
+                                .choice("kind", null, kindNames(), "Kind of fault.")
                                 .duration(
-                                        "for",
-                                        "0ms",
-                                        "0ms",
-                                        "24h",
-                                        "After this it is undone; 0ms for never.")
-                                .number("part", 1.0, 0, 1, "Of the machines that it meets.")
+                                        "for", "0ms", "0ms", "24h", "Duration; 0ms for permanent.")
+                                .number("part", 1.0, 0, 1, "Fraction of the machines affected.")
                                 .number(
                                         "factor",
                                         3.0,
                                         0.01,
                                         10_000,
-                                        "How much; steps, for cache-replace and balancer-wave."));
+                                        "Strength of the fault; number of steps for cache-replace and balancer-wave."));
     }
 
-    /** Reads a plant; throws {@link BadConfigException} with all that is wrong. */
+    /** Reads a system model; throws {@link BadConfigException} with all problems. */
     public static SystemModel read(Path path) {
         return bind(path.toString(), TomlFile.read(path, schema()));
     }
 
-    /** Likewise from a text; {@code file} is how problems name it. */
+    /** Parses a system model from a text; {@code file} names it in problems. */
     public static SystemModel parse(String file, String text) {
         return bind(file, TomlFile.parse(file, text, schema()));
     }
 
     /**
-     * What values mean that were read by the form; throws {@link BadConfigException} with what
-     * cannot be meant.
+     * Creates a system model from values that match the schema; throws {@link BadConfigException}
+     * for invalid values.
      */
     public static SystemModel bind(String file, TableValues values) {
         List<Problem> problems = new ArrayList<>();
--- a/emulator/src/test/java/frostrelay/experiment/LabTest.java
+++ b/emulator/src/test/java/frostrelay/experiment/LabTest.java
@@ -23,8 +23,8 @@
 import java.util.stream.Stream;
 
 /**
- * Experiments from file to results: the same bytes however they were played, and nothing lost when
- * they are cut off.
+ * Tests experiments from file to results: results are the same bytes with any number of threads,
+ * and an interruption loses no completed run.
  */
 class LabTest {
     private static final String SMALL =
@@ -61,7 +61,7 @@
                 """));
     }
 
-    private byte[] play(String name, int threads) throws Exception {
+    private byte[] runExperiment(String name, int threads) throws Exception {
         Path path = folder.resolve(name);
         try (ResultsFile file = ResultsFile.open(path, experiment)) {
             ExperimentRunner.run(experiment, file, threads, (done, most) -> assertEquals(18, most));
@@ -70,13 +70,13 @@
     }
 
     @Test
-    void theSameBytesOnOneThreadAndOnEight() throws Exception {
-        byte[] one = play("one.jsonl", 1);
-        assertArrayEquals(one, play("eight.jsonl", 8));
+    void resultsAreIdenticalOnOneAndEightThreads() throws Exception {
+        byte[] one = runExperiment("one.jsonl", 1);
+        assertArrayEquals(one, runExperiment("eight.jsonl", 8));
         ResultsFile.StoredResults results = ResultsFile.read(folder.resolve("one.jsonl"));
         assertEquals(18, results.allResults().size());
         assertEquals(List.of("50/s", "15ms"), List.copyOf(results.settings().get(1).values()));
-        // Twice the work at eight times the load is felt: the sweep reached the plant.
+        // Three times the work at eight times the load raises latency if the sweep is applied.
         assertTrue(
                 results.resultsOf(5).get(0).metrics().get("p99Ms")
                         > 2 * results.resultsOf(0).get(0).metrics().get("p99Ms"));
@@ -86,12 +86,12 @@
     }
 
     /**
-     * Cut at any byte, the file is taken up again with every whole day in it, and ends as if
-     * nothing had been.
+     * A file truncated at any byte keeps its complete runs, and a resumed experiment gives the same
+     * bytes as an uninterrupted one.
      */
     @Test
-    void aTornFileIsTakenUp() throws Exception {
-        byte[] whole = play("whole.jsonl", 8);
+    void truncatedFileIsResumed() throws Exception {
+        byte[] whole = runExperiment("whole.jsonl", 8);
         for (int cut : new int[] {0, 1, whole.length / 3, whole.length / 2, whole.length - 1}) {
             Path torn = folder.resolve("torn.jsonl");
             Files.write(torn, java.util.Arrays.copyOf(whole, cut));
@@ -103,12 +103,12 @@
             try (ResultsFile file = ResultsFile.open(torn, experiment)) {
                 assertEquals(Math.max(0, lines - 1), file.size(), "cut at " + cut);
             }
-            assertArrayEquals(whole, play("torn.jsonl", 4));
+            assertArrayEquals(whole, runExperiment("torn.jsonl", 4));
         }
     }
 
     @Test
-    void anInterruptKeepsWhatWasPlayed() throws Exception {
+    void interruptKeepsCompletedRuns() throws Exception {
         Path path = folder.resolve("cut.jsonl");
         try (ResultsFile file = ResultsFile.open(path, experiment)) {
             assertThrows(
@@ -126,12 +126,12 @@
             assertTrue(file.size() >= 5);
         }
         assertTrue(ResultsFile.read(path).allResults().size() >= 5);
-        assertArrayEquals(play("whole.jsonl", 8), play("cut.jsonl", 8));
+        assertArrayEquals(runExperiment("whole.jsonl", 8), runExperiment("cut.jsonl", 8));
     }
 
     @Test
-    void anotherExperimentsFileAndASecondWriterAreRefused() throws Exception {
-        play("kept.jsonl", 8);
+    void fileOfAnotherExperimentAndSecondWriterAreRejected() throws Exception {
+        runExperiment("kept.jsonl", 8);
         Experiment other = ExperimentFile.ofModels(List.of(folder.resolve("small.toml")), 2);
         Path path = folder.resolve("kept.jsonl");
         byte[] before = Files.readAllBytes(path);
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void sweepsThatCannotBeMeantAreRefused() throws IOException {
+    void invalidSweepsAreRejected() throws IOException {
         for (String sweep :
                 List.of(
                         "key = \"clients.rote\"\nvalues = \"1/s\"",
@@ -173,15 +173,11 @@
     }
 
     /**
-     * A stop rule that is met at once plays no more than its least; one that cannot be met plays
-     * all.
-     */
-    /**
-     * Values lie within their range, differ from seed to seed and not for one seed; what has two
-     * units is refused.
+     * Sampled values lie within their range, differ between seeds and are the same for one seed; a
+     * range with two units is rejected.
      */
     @Test
-    void whatIsDrawnIsDrawnForEachSeed() throws IOException {
+    void valuesAreSampledForEachSeed() throws IOException {
         String draw = "[[draw]]\nkey = \"clients.rate\"\nleast = \"100/s\"\nmost = \"%s\"\n";
         Path path = folder.resolve("drawn.toml");
         Files.writeString(path, SMALL + String.format(draw, "200/s"));
@@ -204,8 +200,12 @@
         assertThrows(BadConfigException.class, () -> ExperimentFile.ofModels(List.of(path), 2));
     }
 
+    /**
+     * A rule that is met at once ends a point after the minimum number of seeds; one that cannot be
+     * met does not end it.
+     */
     @Test
-    void aStopRuleEndsAPoint() throws Exception {
+    void stopRuleEndsPoint() throws Exception {
         for (double half : new double[] {1, 1e-9}) {
             Experiment stopped =
                     new Experiment(
@@ -225,7 +225,7 @@
 
     @Test
     void differencesAreReportedAndEqualResultsAreNot() throws Exception {
-        play("a.jsonl", 8);
+        runExperiment("a.jsonl", 8);
         ResultsFile.StoredResults results = ResultsFile.read(folder.resolve("a.jsonl"));
         assertTrue(
                 Comparison.of(results, results).stream()
@@ -237,11 +237,11 @@
     }
 
     /**
-     * A plant that lives by its origin: the hunt finds that an outage hurts, and makes it no larger
-     * than needed.
+     * The search finds faults after which the model misses its goal and minimizes them; a stored
+     * finding gives the same value when it is repeated.
      */
     @Test
-    void aHuntFindsAndShrinks() throws Exception {
+    void faultSearchFindsAndMinimizesFaults() throws Exception {
         SystemModel model = SystemModelFile.parse("hunted", SMALL);
         Objective goal = Objective.parse("service >= 0.97");
         List<FaultSearch.Finding> found = FaultSearch.run(model, goal, 24, 2, 1, 3, 8, line -> {});
@@ -249,13 +249,17 @@
         assertEquals(
                 found,
                 FaultSearch.run(model, goal, 24, 2, 1, 3, 2, line -> {}),
-                "the same on two threads");
+                "findings differ on two threads");
         for (FaultSearch.Finding one : found) {
             assertTrue(one.shortfall() > 0 && one.faults().size() <= 3 && !one.faults().isEmpty());
             Path kept = folder.resolve("kept.toml");
             RegressionRuns.write(folder.resolve("small.toml"), kept, goal, one);
             RegressionRuns.ReplayResult again = RegressionRuns.replay(kept);
-            assertEquals(one.value(), again.value(), 1e-9, "what was kept is what was found");
+            assertEquals(
+                    one.value(),
+                    again.value(),
+                    1e-9,
+                    "the repeated run gives the value of the finding");
             assertFalse(again.hasPassed());
         }
         assertThrows(
@@ -272,9 +276,9 @@
                                 line -> {}));
     }
 
-    /** Days found by hunts hold what must hold of them since. */
+    /** Regression runs found by fault searches meet the goals in their files. */
     @Test
-    void keptDaysHold() throws IOException {
+    void regressionRunsMeetTheirGoals() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("../deploy/lab/kept"))) {
             List<Path> all =
                     files.filter(file -> file.toString().endsWith(".toml")).sorted().toList();
