--- a/testbed/src/main/java/frostrelay/testbed/fleet/BalancerCommand.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/BalancerCommand.java
@@ -5,16 +5,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * How the real balancer is started: the command line without what differs from balancer to
- * balancer.
- */
+/** The command line that starts a real balancer, without the settings of an individual balancer. */
 public record BalancerCommand(List<String> command) {
     private static final String MAIN_CLASS = "frostrelay.node.Main";
 
     /**
-     * As the platform runs it, from the jar below a checkout's root. Throws IllegalStateException
-     * if it is not built.
+     * Returns the command that the platform uses, with the jar built in a checkout. Throws
+     * IllegalStateException if the jar is missing.
      */
     public static BalancerCommand fromCheckout(Path root) {
         Path jar = root.resolve("node/target/frostrelay-node.jar");
@@ -32,7 +29,7 @@
         return new BalancerCommand(command);
     }
 
-    /** From this process's own class path, for tests. */
+    /** Returns a command that uses the class path of this process, for tests. */
     public static BalancerCommand fromClassPath() {
         return new BalancerCommand(
                 List.of(
@@ -45,7 +42,7 @@
                         MAIN_CLASS));
     }
 
-    /** The java that runs this program. */
+    /** Returns the path of the Java executable that runs this process. */
     public static String javaExecutable() {
         return Path.of(System.getProperty("java.home"), "bin", "java").toString();
     }
--- a/testbed/src/main/java/frostrelay/testbed/fleet/BalancerConfig.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/BalancerConfig.java
@@ -14,7 +14,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The configuration that a balancer of a day is given, in the platform's JSON. */
+/** The configuration of a balancer in a scenario, in the platform's JSON format. */
 public final class BalancerConfig {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final int MAX_ATTEMPTS = 4;
@@ -25,9 +25,9 @@
     private BalancerConfig() {}
 
     /**
-     * {@code index}: the balancer's, from 0; addresses as ADDRESS:PORT; {@code endpointList}: the
-     * list in discovery's form; {@code extraKeys}: keys beside those, as {@code peers} with which
-     * balancers are allowed to talk.
+     * Returns the configuration as JSON. {@code index}: of the balancer, from 0; addresses as
+     * ADDRESS:PORT; {@code endpointList}: the endpoint list in the format of discovery; {@code
+     * extraKeys}: additional keys, such as {@code peers}, which enables gossip between balancers.
      */
     public static String json(
             Scenario scenario,
@@ -63,7 +63,7 @@
         }
     }
 
-    /** The name of the balancer at a place. */
+    /** Returns the name of the balancer with an index from 0. */
     public static String name(int index) {
         return "balancer-" + (index + 1);
     }
@@ -168,7 +168,7 @@
                         scenario.cache().slowStart().rampNanos()));
     }
 
-    /** Requests a second that all caches together can do. */
+    /** Returns the capacity of all caches together, in requests per second. */
     private static double capacity(Scenario scenario) {
         double work =
                 scenario.classes().stream()
--- a/testbed/src/main/java/frostrelay/testbed/fleet/BalancerProcess.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/BalancerProcess.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** One real balancer as a process of its own, as the platform starts it. */
+/** A real balancer in a separate process, started as the platform starts it. */
 public final class BalancerProcess implements AutoCloseable {
     private static final long READY_TIMEOUT_NANOS = 30_000_000_000L;
     private static final int READY_CHECK_TIMEOUT_MILLIS = 500;
@@ -25,8 +25,8 @@
     private Process process;
 
     /**
-     * {@code directory}: holds its configuration, its log and its temporary files; {@code config}:
-     * the platform's JSON.
+     * Writes the configuration file. {@code directory}: for the configuration, the log and
+     * temporary files; {@code config}: in the platform's JSON format.
      */
     public BalancerProcess(
             String name,
@@ -43,7 +43,7 @@
         Files.writeString(directory.resolve("config.json"), config);
     }
 
-    /** Starts it; its log goes behind what is there. */
+    /** Starts the process; its output is appended to the log file. */
     public synchronized void start() throws IOException {
         ProcessBuilder builder = new ProcessBuilder(program.command());
         builder.environment().put("GW_NAME", name);
@@ -54,7 +54,10 @@
         process = ChildProcesses.start(builder);
     }
 
-    /** Waits until it takes requests. Throws IllegalStateException if it does not come up. */
+    /**
+     * Waits until the balancer answers requests. Throws IllegalStateException if the process exits
+     * or is not ready within 30 s.
+     */
     public void awaitReady() throws InterruptedException {
         long deadlineNanos = System.nanoTime() + READY_TIMEOUT_NANOS;
         while (System.nanoTime() < deadlineNanos && isAlive()) {
@@ -72,29 +75,30 @@
                     return;
                 }
             } catch (IOException e) {
-                // Not yet.
+                // Not ready yet; the loop tries again.
             }
             Thread.sleep(READY_CHECK_INTERVAL_MILLIS);
         }
-        throw new IllegalStateException(name + " does not come up; its log is " + logFile());
+        throw new IllegalStateException(
+                name + " exited or did not answer within 30 s; see its log " + logFile());
     }
 
-    /** Where its log is. */
+    /** Returns the path of the log file. */
     public Path logFile() {
         return directory.resolve("balancer.log");
     }
 
-    /** Whether the process runs. */
+    /** Returns whether the process is running. */
     public synchronized boolean isAlive() {
         return process != null && process.isAlive();
     }
 
-    /** CPU it has used so far. */
+    /** Returns the CPU time that the process has used. */
     public synchronized Duration cpuTime() {
         return process.info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
-    /** Memory that it has in use, in KB; 0 where the system does not tell. */
+    /** Returns the resident memory in KB, or 0 where the system does not report it. */
     public synchronized long residentKb() {
         try (Stream<String> lines = Files.lines(Path.of("/proc/" + process.pid() + "/status"))) {
             return lines.filter(line -> line.startsWith("VmRSS:"))
@@ -107,19 +111,17 @@
         }
     }
 
-    /** Ends it at once. */
+    /** Kills the process. */
     public synchronized void kill() {
         process.destroyForcibly();
     }
 
-    /** Asks it to end, and does not wait for that. */
+    /** Requests a shutdown and returns without waiting for it. */
     public synchronized void requestShutdown() {
         process.destroy();
     }
 
-    /**
-     * Asks it to end, waits for that up to a limit in milliseconds, and ends it at once past that.
-     */
+    /** Requests a shutdown and kills the process if it has not exited within the timeout. */
     public void terminate(long timeoutMillis) throws InterruptedException {
         Process terminating;
         synchronized (this) {
@@ -131,14 +133,14 @@
         }
     }
 
-    /** Tells it that its configuration was replaced. */
+    /** Signals the process to reload its configuration. */
     public void signalReload() throws IOException {
         signal("HUP");
     }
 
-    /** Sends it a signal by its name, without SIG; waits until that is done. */
+    /** Sends a signal, named without the prefix SIG, and waits until it is sent. */
     public synchronized void signal(String name) throws IOException {
-        // Java sends no signal but those that end a process.
+        // Java can only send signals that terminate a process.
         try {
             new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
         } catch (InterruptedException e) {
@@ -146,12 +148,12 @@
         }
     }
 
-    /** Where its configuration, its log and its temporary files are. */
+    /** Returns the directory of the configuration, the log and temporary files. */
     public Path directory() {
         return directory;
     }
 
-    /** Puts another configuration in its place, whole; it is not told. */
+    /** Replaces the configuration file atomically, without signalling the process. */
     public void replaceConfig(String config) throws IOException {
         Path temporaryFile = directory.resolve("config.draft");
         Files.writeString(temporaryFile, config);
--- a/testbed/src/main/java/frostrelay/testbed/fleet/ChildProcesses.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/ChildProcesses.java
@@ -5,7 +5,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Processes that end with this one, also where it is ended by a signal: nobody else knows of them.
+ * Child processes that are killed when this process exits, also after a signal, because nothing
+ * else would stop them.
  */
 public final class ChildProcesses {
     private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
@@ -18,7 +19,7 @@
 
     private ChildProcesses() {}
 
-    /** Starts a process. */
+    /** Starts a process that is killed when this one exits. */
     public static Process start(ProcessBuilder builder) throws IOException {
         Process process = builder.start();
         RUNNING.add(process);
--- a/testbed/src/main/java/frostrelay/testbed/fleet/ControlServer.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/ControlServer.java
@@ -17,8 +17,8 @@
 import java.util.function.Supplier;
 
 /**
- * Where a running fleet takes faults by hand and tells how it is: HTTP on loopback, one call at a
- * time.
+ * An HTTP server on loopback that injects faults into a running cluster and reports its status;
+ * handles one call at a time.
  */
 public final class ControlServer implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 64 * 1024;
@@ -27,8 +27,8 @@
     private final HttpServer server;
 
     /**
-     * {@code port}: 0 lets the system choose; {@code status}: what it tells; {@code faults}: takes
-     * what is called.
+     * Starts the server. {@code port}: 0 for any free port; {@code status}: supplies the status;
+     * {@code faults}: receives each requested fault.
      */
     public ControlServer(int port, Supplier<Map<String, Object>> status, Consumer<FaultSpec> faults)
             throws IOException {
@@ -72,12 +72,12 @@
     private static double number(Map<String, Object> body, String name, double defaultValue) {
         Object value = body.get(name);
         if (value != null && !(value instanceof Number)) {
-            throw new IllegalArgumentException(name + " is no number");
+            throw new IllegalArgumentException(name + " must be a number, found " + value);
         }
         return value == null ? defaultValue : ((Number) value).doubleValue();
     }
 
-    /** A fault as {@link #parseFault} reads it. */
+    /** Encodes a fault in the format that {@link #parseFault} reads. */
     public static Map<String, Object> encodeFault(FaultSpec fault) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("kind", fault.kind().wireName);
@@ -97,7 +97,7 @@
         exchange.close();
     }
 
-    /** Where it listens. */
+    /** Returns the address on which the server listens. */
     public InetSocketAddress address() {
         return server.getAddress();
     }
--- a/testbed/src/main/java/frostrelay/testbed/fleet/FaultInjector.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/FaultInjector.java
@@ -30,12 +30,12 @@
 import java.util.function.Consumer;
 
 /**
- * Plays faults and operators' calls on a fleet: from a day's timeline, or by hand. What "any" means
- * is drawn from the day's seed, in the order of the calls. Calls that wait run on a thread of its
- * own.
+ * Injects faults and operators' calls into a cluster, from the timeline of a scenario or on
+ * request. The target "any" is drawn with the scenario's seed, in the order of the calls. Blocking
+ * calls run on a separate thread.
  */
 public final class FaultInjector implements AutoCloseable {
-    /** Under these, commands reach a cache later than they were sent. */
+    /** Faults that delay commands between a balancer and a cache. */
     private static final Set<FaultKind> DELAYING_FAULTS =
             EnumSet.of(
                     FaultKind.SILENCE,
@@ -47,14 +47,17 @@
     private static final long STOP_TIMEOUT_MILLIS = 4_000;
     private static final long RESTART_DELAY_MILLIS = 300;
 
-    /** SIGKILL may follow SIGTERM after the longest deadline, counted as 3 s at most, and this. */
+    /**
+     * The shortest time from SIGTERM to SIGKILL is the longest deadline, limited to 3 s, plus this
+     * delay.
+     */
     private static final long KILL_DELAY_NANOS = 700_000_000L;
 
     private static final long MAX_DEADLINE_NANOS = 3_000_000_000L;
 
     /**
-     * No signal goes to a balancer sooner after its start: before its handlers are there, any of
-     * them would end it.
+     * No signal is sent to a balancer within this time after its start: until its signal handlers
+     * are installed, any signal would terminate it.
      */
     private static final long SETTLING_TIME_NANOS = 3_000_000_000L;
 
@@ -74,8 +77,8 @@
                     });
 
     /**
-     * {@code frontend} and {@code clients}: of the clients, or null where there are none; {@code
-     * eventListener}: hears what happens.
+     * Creates an injector. {@code frontend} and {@code clients}: null if the cluster has no
+     * clients; {@code eventListener}: receives a description of each event.
      */
     public FaultInjector(
             TestCluster fleet,
@@ -90,7 +93,7 @@
                 RandomSource.XO_RO_SHI_RO_128_PP.create(fleet.scenario().seed() ^ 0x5DEECE66DL);
     }
 
-    /** Plays the day's timeline from now on. */
+    /** Schedules the scenario's timeline, which starts now. */
     public void scheduleTimeline() {
         for (FaultSpec fault : fleet.scenario().faults()) {
             executor.schedule(() -> apply(fault), fault.startNanos(), TimeUnit.NANOSECONDS);
@@ -98,8 +101,8 @@
     }
 
     /**
-     * Plays a fault now, on the thread of faults. Throws IllegalArgumentException if it would meet
-     * nobody.
+     * Injects a fault now, on the injector's thread. Throws IllegalArgumentException if no target
+     * matches.
      */
     public void inject(FaultSpec fault) {
         if (fault.kind().targetKind != FaultKind.TargetKind.NONE
@@ -118,7 +121,7 @@
         }
         if (clients == null && fault.kind() == FaultKind.SURGE) {
             throw new IllegalArgumentException(
-                    "a surge needs the load of a day; this fleet has none");
+                    "a surge requires a load, but this cluster runs without clients");
         }
         executor.execute(() -> apply(fault));
     }
@@ -262,7 +265,8 @@
             case SLOW -> cache.server().setSlowdown(isActive ? Math.max(1, fault.factor()) : 1);
             case SILENCE -> cache.server().setUnresponsive(isActive);
             case DRAIN -> {
-                // Told first: a cache that turns work away before anyone can know is another fault.
+                // Only discovery announces the drain: a cache that rejects work before balancers
+                // can learn of the drain would be a different fault.
                 fleet.discovery()
                         .change(
                                 new Member(
@@ -279,7 +283,7 @@
     }
 
     private void restartCache(TestCluster.CacheInstance cache) {
-        // Nobody can be told of a start that has not been.
+        // Discovery announces the cache only after it has started.
         cache.server()
                 .restart(
                         () ->
@@ -310,7 +314,10 @@
                                 .build(),
                         HttpResponse.BodyHandlers.ofString());
         if (response.statusCode() / 100 != 2) {
-            throw new IOException(balancer.name() + " says " + response.statusCode());
+            throw new IOException(
+                    balancer.name()
+                            + " answered an administrative drain call with HTTP status "
+                            + response.statusCode());
         }
         fleet.invariantChecker().onNotified(System.nanoTime(), balancer.name(), cache, !isActive);
     }
@@ -375,8 +382,8 @@
     }
 
     /**
-     * SIGTERM now, SIGKILL as soon as the terms allow, and then a new start; none of them is waited
-     * for.
+     * Sends SIGTERM now and SIGKILL at the end of the shutdown period, then starts the balancer
+     * again; does not block.
      */
     private void stopBalancer(int index) {
         TestCluster.BalancerInstance balancer = fleet.balancers().get(index);
--- a/testbed/src/main/java/frostrelay/testbed/fleet/LoopMonitor.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/LoopMonitor.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Sees when the stand-ins' own event loops stand still, as on a busy machine: what they read then
- * came earlier, and how long it took on its way cannot be told. Safe for threads.
+ * Detects stalls of the testbed's own event loops, as on a busy machine: data that is read after a
+ * stall arrived earlier, and its transit time is unknown. Thread-safe.
  */
 final class LoopMonitor {
     private static final long HEARTBEAT_INTERVAL_MILLIS = 20;
     private static final long MAX_DELAY_NANOS = 80_000_000L;
 
-    /** What was held up on one loop may reach another one so much later. */
+    /** Data that a stall delayed on one loop may take this long to reach another loop. */
     private static final long STALL_RECOVERY_NANOS = 500_000_000L;
 
     private final List<AtomicLong> heartbeats = new ArrayList<>();
@@ -47,12 +47,12 @@
         }
     }
 
-    /** The longest stand still so far, in nanoseconds; 0 for none. */
+    /** Returns the longest stall so far in nanoseconds, or 0 if there was none. */
     long longestStallNanos() {
         return longestStallNanos.get();
     }
 
-    /** Whether some loop stands still now, or did so shortly before. */
+    /** Returns whether a loop is stalled or was stalled within the recovery time. */
     boolean isStalled(long now) {
         return now - stalledAtNanos.get() < STALL_RECOVERY_NANOS
                 || heartbeats.stream().anyMatch(beat -> now - beat.get() > MAX_DELAY_NANOS);
--- a/testbed/src/main/java/frostrelay/testbed/fleet/ScenarioResult.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/ScenarioResult.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What a day came to. */
+/** The result of a scenario run. */
 public record ScenarioResult(
         ClientStatistics statistics,
         InvariantChecker invariantChecker,
@@ -18,7 +18,10 @@
         long misses,
         long fetches,
         double seconds) {
-    /** All first tries kept their rules and none got a wrong answer or none at all. */
+    /**
+     * Returns whether requests were sent, no invariant was violated, and no request got a wrong
+     * response or none.
+     */
     public boolean isSuccessful() {
         return statistics.requests() > 0
                 && statistics.wrongResponses() == 0
@@ -26,19 +29,19 @@
                 && invariantChecker.violationCount() == 0;
     }
 
-    /** The share of reads that caches served from memory. */
+    /** Returns the fraction of reads that caches served from memory. */
     public double hitRatio() {
         return hits + misses == 0 ? 0 : hits / (double) (hits + misses);
     }
 
-    /** Sends beyond the first of each try, for each try. */
+    /** Returns the number of hedged requests per attempt of a client. */
     public double hedgeRatio() {
         return statistics.attempts() == 0
                 ? 0
                 : invariantChecker.hedgeCount() / (double) statistics.attempts();
     }
 
-    /** All figures, for machines. */
+    /** Returns all figures in the machine-readable form. */
     public Map<String, Object> json() {
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("asked", statistics.requests());
@@ -78,7 +81,7 @@
         return Math.round(value * 10_000) / 10_000.0;
     }
 
-    /** All figures, for people. */
+    /** Returns all figures as text. */
     public String text() {
         StringBuilder text =
                 new StringBuilder(
--- a/testbed/src/main/java/frostrelay/testbed/fleet/ScenarioRun.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/ScenarioRun.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 
-/** Plays a whole day: fleet, load and faults, with a line each second for who watches. */
+/** Runs a scenario with its cluster, load and faults, and reports progress each second. */
 public final class ScenarioRun {
     private static final long REPORT_INTERVAL_MILLIS = 1_000;
     private static final long COMPLETION_GRACE_MILLIS = 60_000;
@@ -23,8 +23,8 @@
     private ScenarioRun() {}
 
     /**
-     * Returns what the day came to. {@code progress}: hears a line each second and one for each
-     * fault.
+     * Runs a scenario on a new cluster and returns its result. {@code progress}: receives a line
+     * per second and one per fault.
      */
     public static ScenarioResult run(
             Scenario scenario, Path directory, BalancerCommand program, Consumer<String> progress)
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Likewise on a fleet that runs. */
+    /** Runs the scenario of a cluster whose balancers are running and returns its result. */
     public static ScenarioResult run(TestCluster fleet, Consumer<String> progress)
             throws InterruptedException {
         RoundRobinFrontend frontend =
@@ -87,7 +87,7 @@
         }
     }
 
-    /** What changes from second to second. */
+    /** Formats the change of the figures since the previous report. */
     private static final class ProgressReporter {
         private final TestCluster fleet;
         private final ClientStatistics statistics;
--- a/testbed/src/main/java/frostrelay/testbed/fleet/TestCluster.java
+++ b/testbed/src/main/java/frostrelay/testbed/fleet/TestCluster.java
@@ -25,24 +25,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A whole installation on loopback: an archive, caches, discovery, a link between each balancer and
- * each cache, and real balancers as processes. Where there is no program, balancers are left to be
- * started by hand.
+ * A complete installation on loopback: an origin, caches, discovery, a fault proxy between each
+ * balancer and each cache, and real balancers as processes. Balancers without a command are started
+ * manually.
  */
 public final class TestCluster implements AutoCloseable {
     private static final int EVENT_LOOP_COUNT = 4;
 
     /**
-     * How much later than its bound a send may reach a cache: the way, and how late this program
-     * itself may be.
+     * Tolerance past the drain bound for a request to reach a cache; covers the network and delays
+     * of this process.
      */
     private static final long DRAIN_TOLERANCE_NANOS = 150_000_000L;
 
-    /** One cache with its ways, by balancer. */
+    /** A cache and its fault proxies, in the order of the balancers. */
     public record CacheInstance(CacheServer server, List<FaultProxy> proxies) {}
 
     /**
-     * Where a balancer is and what it was given. {@code process}: null where it is started by hand.
+     * The addresses and configuration of a balancer. {@code process}: null if it is started
+     * manually.
      */
     public record BalancerInstance(
             String name,
@@ -60,18 +61,18 @@
     private final List<CacheInstance> caches = new ArrayList<>();
     private final List<BalancerInstance> balancers = new ArrayList<>();
 
-    /** What differs from balancer to balancer beyond the day. */
+    /** Settings of individual balancers that are not part of the scenario. */
     public interface BalancerCustomizer {
-        /** How it is started, or null where that is done by hand. */
+        /** Returns the command that starts the balancer, or null if it is started manually. */
         BalancerCommand program(int place);
 
-        /** Further keys of its configuration. */
+        /** Returns additional keys of the balancer's configuration. */
         Map<String, Object> extraKeys(int place);
     }
 
     /**
-     * Builds and starts everything but the balancers. {@code recordFolder}: where these keep their
-     * files.
+     * Builds and starts everything except the balancers. {@code directory}: for the balancers'
+     * files; {@code program}: null if balancers are started manually.
      */
     public TestCluster(Scenario scenario, Path directory, BalancerCommand program)
             throws IOException, InterruptedException {
@@ -91,7 +92,7 @@
                 });
     }
 
-    /** Likewise with balancers that differ. */
+    /** Builds and starts everything except the balancers, which are customized individually. */
     public TestCluster(Scenario scenario, Path directory, BalancerCustomizer customizer)
             throws IOException, InterruptedException {
         this.scenario = scenario;
@@ -170,7 +171,7 @@
                                 name, program, directory.resolve(name), listenAddress, config));
     }
 
-    /** Starts all balancers and waits until they take requests. */
+    /** Starts all balancers and waits until they answer requests. */
     public void startBalancers() throws IOException, InterruptedException {
         for (BalancerInstance place : balancers) {
             place.process.start();
@@ -181,22 +182,22 @@
         }
     }
 
-    /** The day that it plays. */
+    /** Returns the scenario of this cluster. */
     public Scenario scenario() {
         return scenario;
     }
 
-    /** Where balancers are, in their order. */
+    /** Returns the balancers in the order of their indexes. */
     public List<BalancerInstance> balancers() {
         return List.copyOf(balancers);
     }
 
-    /** Who watches. */
+    /** Returns the checker that observes the clients, the caches and discovery. */
     public InvariantChecker invariantChecker() {
         return invariantChecker;
     }
 
-    /** The archive takes so many times as long from now on. */
+    /** Multiplies the duration of origin fetches by a factor from now on. */
     public void slowOrigin(double factor) {
         origin.setSlowdown(factor);
     }
@@ -205,45 +206,48 @@
         return origin;
     }
 
-    /** The stand-in for discovery. */
+    /** Returns the discovery server. */
     public DiscoveryServer discovery() {
         return discovery;
     }
 
-    /** The caches with their links. */
+    /** Returns the caches with their fault proxies. */
     public List<CacheInstance> caches() {
         return caches;
     }
 
     /**
-     * For how long, in milliseconds, a loop of the stand-ins stood still at most; 0 for no time
-     * that matters.
+     * Returns the longest stall of the testbed's event loops in milliseconds, or 0 if none exceeded
+     * the threshold.
      */
     public long longestStallMillis() {
         return TimeUnit.NANOSECONDS.toMillis(loopMonitor.longestStallNanos());
     }
 
-    /** Whether what the stand-ins see now may have come earlier, as their own loops stood still. */
+    /**
+     * Returns whether data read now may have arrived earlier because the testbed's own event loops
+     * were stalled.
+     */
     public boolean isStalled() {
         return loopMonitor.isStalled(System.nanoTime());
     }
 
-    /** A loop for clients. */
+    /** Returns an event loop for clients. */
     public EventLoop loop() {
         return group.next();
     }
 
-    /** Reads served from memory so far, by all caches. */
+    /** Returns the number of reads that all caches have served from memory. */
     public long hits() {
         return caches.stream().mapToLong(cache -> cache.server.hits()).sum();
     }
 
-    /** Reads fetched so far, by all caches. */
+    /** Returns the number of reads that all caches have fetched from the origin. */
     public long misses() {
         return caches.stream().mapToLong(cache -> cache.server.misses()).sum();
     }
 
-    /** Fetches and writes that the archive was sent so far. */
+    /** Returns the number of fetches and writes that the origin has accepted. */
     public long fetches() {
         return origin.acceptedCount();
     }
