--- a/testbed/src/main/java/frostrelay/testbed/client/ClientStatistics.java
+++ b/testbed/src/main/java/frostrelay/testbed/client/ClientStatistics.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * What clients got, by first tries: a client's retries belong to its first try. Latencies run from
- * the moment a request was meant to be sent, so that waiting for a turn is not hidden. Safe for
- * threads.
+ * Outcomes and latencies by request; a client's retries count as part of their request. Latencies
+ * are measured from the intended send time, so that they include delays before sending.
+ * Thread-safe.
  */
 public final class ClientStatistics {
-    /** How a first try ended, over all its tries. */
+    /** The final outcome of a request over all its attempts. */
     public enum Outcome {
         IN_TIME,
         LATE,
@@ -35,7 +35,7 @@
     private double requestedWeight;
     private double servedWeight;
 
-    /** A first try was due. */
+    /** Records that a request was due. */
     synchronized void requests(PlannedRequest planned) {
         requests++;
         requestedWeight += planned.requestClass().priorityWeight();
@@ -51,7 +51,10 @@
         wrongResponses++;
     }
 
-    /** A first try is over. {@code nanos}: from its intended time, for those that were served. */
+    /**
+     * Records the outcome of a request. {@code nanos}: from its intended send time; used for served
+     * requests only.
+     */
     synchronized void recordOutcome(PlannedRequest planned, Outcome outcome, long nanos) {
         outcomesByClass.get(planned.requestClass().name())[outcome.ordinal()]++;
         recentOutcomes[outcome.ordinal()]++;
@@ -64,10 +67,10 @@
         }
     }
 
-    /** What has ended since this was last asked. */
+    /** The requests that ended since the previous call of {@link #recent}. */
     public record Recent(long completed, long inTime, double p50Ms, double p99Ms) {}
 
-    /** What has ended since this was last asked. */
+    /** Returns the requests that ended since the previous call. */
     public synchronized Recent recent() {
         long all = 0;
         for (long count : recentOutcomes) {
@@ -90,27 +93,27 @@
                 : histogram.getValueAtPercentile(percentile) / 1e3;
     }
 
-    /** First tries so far. */
+    /** Returns the number of requests so far. */
     public synchronized long requests() {
         return requests;
     }
 
-    /** Tries so far, clients' retries included. */
+    /** Returns the number of attempts so far, including clients' retries. */
     public synchronized long attempts() {
         return attempts;
     }
 
-    /** Answers that were not what was asked for. */
+    /** Returns the number of responses that did not match their request. */
     public synchronized long wrongResponses() {
         return wrongResponses;
     }
 
-    /** First tries that ended so. */
+    /** Returns the number of requests with this outcome. */
     public synchronized long count(Outcome end) {
         return outcomesByClass.values().stream().mapToLong(counts -> counts[end.ordinal()]).sum();
     }
 
-    /** First tries of a class that ended so. */
+    /** Returns the number of requests by class and outcome. */
     public synchronized Map<String, Map<String, Long>> byClass() {
         Map<String, Map<String, Long>> all = new LinkedHashMap<>();
         outcomesByClass.forEach(
@@ -126,12 +129,12 @@
         return all;
     }
 
-    /** Worth answered in time over worth asked for. */
+    /** Returns the weight of requests answered in time divided by the weight of all requests. */
     public synchronized double serviceLevel() {
         return requestedWeight == 0 ? 0 : servedWeight / requestedWeight;
     }
 
-    /** A percentile of served latencies, in milliseconds. */
+    /** Returns a percentile of the latency of served requests, in milliseconds. */
     public synchronized double latencyMillis(double percentile) {
         return latencyMillis(latency, percentile);
     }
--- a/testbed/src/main/java/frostrelay/testbed/client/OpenLoopClients.java
+++ b/testbed/src/main/java/frostrelay/testbed/client/OpenLoopClients.java
@@ -33,15 +33,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Clients in an open loop: each request goes out at its planned time, whatever became of those
- * before it. A try that was refused or failed is made again where its class allows it, under a new
- * id. Runs on one event loop.
+ * Open-loop clients: each request is sent at its planned time, independent of earlier responses. A
+ * rejected or failed attempt is retried with a new id if its class allows that. Runs on one event
+ * loop.
  */
 public final class OpenLoopClients {
-    /**
-     * On top of what the client said it waits, for the way and for how late this program itself may
-     * be.
-     */
+    /** Added to the client's timeout for network time and delays of this process. */
     private static final long RESPONSE_GRACE_NANOS = 250_000_000L;
 
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
@@ -50,28 +47,29 @@
     private static final int MAX_CATCH_UP_REQUESTS = 64;
 
     /**
-     * A close can cross a request only if that was sent so shortly before: what came earlier was
-     * read.
+     * A close can cross a request only if the request was sent within this time before; the
+     * balancer has read earlier ones.
      */
     private static final long CLOSE_CROSSING_NANOS = 300_000_000L;
 
     /**
-     * A timer that is later than this shows that this program was held up, and what it waits for
-     * may be there unread.
+     * A timer later than this shows that this process was stalled, so a response may have arrived
+     * unread.
      */
     private static final long MAX_LATENESS_NANOS = 50_000_000L;
 
     private static final int RECHECK_DELAY_MILLIS = 200;
     private static final int MIN_DISCONNECT_DELAY_MILLIS = 2;
 
-    /** Between the two pieces of a request that is written slowly. */
+    /** The longest pause between the two parts of a slowly written request. */
     private static final int MAX_SPLIT_WRITE_DELAY_MILLIS = 400;
 
     private final Scenario scenario;
     private final RequestPlan plan;
 
     /**
-     * Which clients leave or write slowly; apart from the plan, which stays the same without them.
+     * Selects clients that disconnect early or write slowly; separate from the plan, so that these
+     * do not change it.
      */
     private final UniformRandomProvider behaviorRandom;
 
@@ -89,7 +87,7 @@
     private boolean isStopped;
     private volatile double loadFactor = 1;
 
-    /** {@code observer}: hears what is asked and answered. */
+    /** Creates clients for a scenario. {@code observer}: receives all requests and responses. */
     public OpenLoopClients(
             Scenario scenario,
             RoundRobinFrontend frontend,
@@ -105,12 +103,12 @@
         this.observer = observer;
         this.statistics = statistics;
         this.completion = loop.newPromise();
-        // Ids differ from run to run against one balancer, and are the same in two runs of one seed
-        // but for this.
+        // Makes the ids of runs with different seeds distinct for one balancer; runs with the same
+        // seed use the same ids.
         this.runId = String.format(Locale.ROOT, "%05x", scenario.seed() & 0xfffff);
     }
 
-    /** Begins; done when the last request has ended. */
+    /** Starts sending; the future completes after the last request has ended. */
     public Future<ClientStatistics> run() {
         loop.execute(
                 () -> {
@@ -120,12 +118,12 @@
         return completion;
     }
 
-    /** From now on so many times the planned rate. */
+    /** Multiplies the planned request rate by a factor from now on. */
     public void setLoadFactor(double factor) {
         loadFactor = factor;
     }
 
-    /** No further first tries. */
+    /** Stops sending new requests; retries of open ones continue. */
     public void stop() {
         loop.execute(
                 () -> {
@@ -151,7 +149,8 @@
             startRequest(due);
             due = plan.next(loadFactor);
         }
-        // Behind its plan it still lets answers be read.
+        // Yields to the event loop, so that responses are read even while sending is behind
+        // schedule.
         PlannedRequest later = due;
         loop.execute(() -> runDueRequests(later));
     }
@@ -168,7 +167,7 @@
         }
     }
 
-    /** A first try with all that follows from it. */
+    /** A request with all its attempts. */
     private final class Attempt {
         private final PlannedRequest planned;
         private final long intendedAtNanos;
@@ -186,7 +185,7 @@
         private Future<?> disconnectTask;
         private boolean hasRechecked;
 
-        /** When its last byte was written; 0 before. */
+        /** The time at which the last byte was written; 0 before that. */
         private long writtenAtNanos;
 
         Attempt(PlannedRequest planned) {
@@ -220,7 +219,7 @@
             dispatch();
         }
 
-        /** Its last byte is on its way: from now on its client waits. */
+        /** Starts the client's timeout after the last byte was written. */
         private void onWritten() {
             writtenAtNanos = System.nanoTime();
             if (timeoutTask != null) {
@@ -370,12 +369,14 @@
                             : ClientStatistics.Outcome.LATE);
         }
 
-        /** Makes the try again, if its class allows that after this, or ends it. */
+        /**
+         * Schedules a retry if the class and the deadline allow one; ends the request otherwise.
+         */
         void retryOrEnd(ClientStatistics.Outcome finalOutcome, boolean neverRan, long after) {
             cancelTimers();
             Effect effect = planned.requestClass().effect();
-            // A write that may have run is not made again by any client; a keyed one only within
-            // its key's window.
+            // Clients do not retry a non-idempotent write that may have been executed, and retry
+            // one with an idempotency key only within the key's window.
             boolean mayRetry = neverRan || effect != Effect.NON_IDEMPOTENT;
             long wait =
                     Math.max(
@@ -390,7 +391,7 @@
             }
         }
 
-        /** The connection ended without an answer. */
+        /** Handles a connection that ended without a response. */
         void onConnectionLost(boolean isReused, boolean wasConnected) {
             long now = System.nanoTime();
             if (balancer.wasStoppedSince(sentAtNanos - NANOS_PER_MILLISECOND * 1_000)
@@ -403,7 +404,7 @@
                 retryOrEnd(ClientStatistics.Outcome.REFUSED, true, 0);
             } else if (writtenAtNanos == 0
                     || isReused && !isResent && now - writtenAtNanos < CLOSE_CROSSING_NANOS) {
-                // A close that crossed the request: it was not read, and goes out once more.
+                // The close crossed the request, which was therefore not read and is sent again.
                 isResent = true;
                 writtenAtNanos = 0;
                 balancer = frontend.nextAvailable(now);
@@ -428,7 +429,7 @@
                                     - timeoutMillis * NANOS_PER_MILLISECOND
                                     - RESPONSE_GRACE_NANOS
                             > MAX_LATENESS_NANOS) {
-                // This program stood still: its answer may have come and not been read yet.
+                // This process was stalled: the response may have arrived without being read yet.
                 hasRechecked = true;
                 timeoutTask =
                         loop.schedule(this::onTimeout, RECHECK_DELAY_MILLIS, TimeUnit.MILLISECONDS);
@@ -504,7 +505,9 @@
             }
         }
 
-        /** Writes a request, whole or, as slow clients do, in two pieces some time apart. */
+        /**
+         * Writes a request at once or, like a slow client, in two parts with a pause between them.
+         */
         private void write(Attempt request) {
             ByteBuf bytes = request.encode(channel.alloc());
             if (behaviorRandom.nextDouble() >= scenario.load().splitWriteFraction()) {
@@ -534,7 +537,7 @@
             write(next);
         }
 
-        /** Its client waits no longer. */
+        /** Closes the connection because its client no longer waits. */
         void disconnect() {
             current = null;
             if (channel != null) {
--- a/testbed/src/main/java/frostrelay/testbed/client/PlannedRequest.java
+++ b/testbed/src/main/java/frostrelay/testbed/client/PlannedRequest.java
@@ -3,8 +3,9 @@
 import frostrelay.testbed.scenario.ClassSpec;
 
 /**
- * A first try as it was planned. {@code atNanos}: nanoseconds from the start; {@code workNanos}:
- * nanoseconds; {@code timeoutFraction}: the part of the deadline after which each try is given up.
+ * A request of the plan. {@code atNanos}: nanoseconds from the start; {@code workNanos}:
+ * nanoseconds; {@code timeoutFraction}: the fraction of the deadline after which each attempt times
+ * out.
  */
 public record PlannedRequest(
         long number,
--- a/testbed/src/main/java/frostrelay/testbed/client/RequestPlan.java
+++ b/testbed/src/main/java/frostrelay/testbed/client/RequestPlan.java
@@ -15,9 +15,8 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Who asks what and when, drawn ahead of time: arrivals do not wait for answers, so that a slow
- * balancer cannot make its own load lighter. The same day gives the same plan. Not safe for
- * threads.
+ * The random sequence of requests and their send times. Arrivals do not depend on responses, so a
+ * slow balancer cannot reduce its own load. The same scenario gives the same plan. Not thread-safe.
  */
 public final class RequestPlan {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -30,7 +29,7 @@
     private long number;
     private double atNanos;
 
-    /** {@code scenario}: its seed, load, classes and tenants. */
+    /** Creates the plan from the seed, load, classes and tenants of a scenario. */
     public RequestPlan(Scenario scenario) {
         this.scenario = scenario;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed());
@@ -40,7 +39,7 @@
                         random, scenario.load().keyCount(), scenario.load().zipfExponent());
     }
 
-    /** The next request. {@code loadFactor}: how many times the planned rate holds just now. */
+    /** Returns the next request. {@code loadFactor}: the current multiple of the planned rate. */
     public PlannedRequest next(double loadFactor) {
         atNanos +=
                 gaps.sample()
@@ -65,15 +64,16 @@
     }
 
     /**
-     * Sixteen hexadecimal digits, spread so that neighbours in popularity are no neighbours in any
-     * order.
+     * Returns the key of a popularity rank as sixteen hexadecimal digits, mixed so that keys of
+     * similar popularity are not adjacent when sorted.
      */
     private static String key(long rank) {
         return String.format(Locale.ROOT, "%016x", rank * MIX);
     }
 
     /**
-     * One of some, by their shares, for a draw from 0 to 1; the last where shares fall short of 1.
+     * Selects an element by its weight with a random number from 0 to 1; returns the last one if
+     * the weights add up to less than 1.
      */
     private static <T> T drawWeighted(List<T> all, ToDoubleFunction<T> fraction, double draw) {
         double remaining = draw;
--- a/testbed/src/main/java/frostrelay/testbed/client/RoundRobinFrontend.java
+++ b/testbed/src/main/java/frostrelay/testbed/client/RoundRobinFrontend.java
@@ -5,38 +5,44 @@
 import java.util.List;
 
 /**
- * A plain front that deals requests out over balancers in turn; one that could not be reached is
- * passed over for a while. Used from one event loop; {@link #onStopped} may come from any thread.
+ * A frontend that distributes requests over balancers in round-robin order and skips an unreachable
+ * balancer for 1 s. Used from one event loop; {@link #onStopped} may be called from any thread.
  */
 public final class RoundRobinFrontend {
     private static final long UNREACHABLE_BACKOFF_NANOS = 1_000_000_000L;
 
-    /** A front notices so long after it that a balancer was asked to end. */
+    /**
+     * The time from a shutdown request to a balancer until the frontend opens no further
+     * connections to it.
+     */
     private static final long SHUTDOWN_NOTICE_NANOS = 300_000_000L;
 
     /**
-     * The end of a connection may be seen so much before the kill was due that caused it: the two
-     * are on different threads.
+     * A connection may be seen to end this long before the recorded kill that caused it, because
+     * they are on different threads.
      */
     private static final long KILL_TOLERANCE_NANOS = 20_000_000L;
 
     /**
-     * What comes later than this after a balancer was asked to end must be answered before it is
-     * killed.
+     * Requests sent later than this after the shutdown request must be answered before the balancer
+     * is killed.
      */
     private static final long KILL_EXCUSE_NANOS = 700_000_000L;
 
-    /** A balancer as clients see it. */
+    /** The state of a balancer from the clients' view. */
     static final class Balancer {
         final InetSocketAddress address;
         private long avoidedUntilNanos;
 
-        /** It was killed or is being restarted on purpose: what it held is nobody's fault. */
+        /**
+         * The time of the last intentional kill or restart; the loss of open requests is then no
+         * fault of the balancer.
+         */
         private volatile long stoppedAtNanos = Long.MIN_VALUE;
 
         /**
-         * When it was asked to end, and when it is killed after that; {@link Long#MAX_VALUE} while
-         * it is not.
+         * The times of the shutdown request and of the kill that follows it; {@link Long#MAX_VALUE}
+         * if there is none.
          */
         private volatile long terminatedAtNanos = Long.MAX_VALUE;
 
@@ -46,14 +52,14 @@
             this.address = address;
         }
 
-        /** Whether new connections go elsewhere, as it was asked to end. */
+        /** Returns whether new connections avoid this balancer because it is shutting down. */
         boolean isAvoided(long now) {
             return now >= terminatedAtNanos && now - terminatedAtNanos > SHUTDOWN_NOTICE_NANOS;
         }
 
         /**
-         * Whether a request that was sent then and is unanswered now was cut off by a kill that
-         * came early enough for that.
+         * Returns whether a kill excuses the missing response: it has happened, and the request was
+         * sent early enough in the shutdown.
          */
         boolean excusesLoss(long sentAt, long now) {
             return killedAtNanos != Long.MAX_VALUE
@@ -61,17 +67,17 @@
                     && sentAt < terminatedAtNanos + KILL_EXCUSE_NANOS;
         }
 
-        /** Where it is in its shutdown, in words. */
+        /** Describes the shutdown state for messages. */
         String describeState(long now) {
             return terminatedAtNanos == Long.MAX_VALUE
-                    ? address + " serves"
+                    ? address + " is serving"
                     : address
-                            + " was asked to end "
+                            + " received a shutdown request "
                             + (now - terminatedAtNanos) / 1_000_000
                             + " ms before";
         }
 
-        /** Whether it was stopped since then. */
+        /** Returns whether the balancer was stopped at or after a time. */
         boolean wasStoppedSince(long since) {
             return stoppedAtNanos >= since;
         }
@@ -80,12 +86,12 @@
     private final List<Balancer> balancers = new ArrayList<>();
     private int nextIndex;
 
-    /** {@code addresses}: of all balancers, at least one. */
+    /** Creates a frontend for at least one balancer. */
     public RoundRobinFrontend(List<InetSocketAddress> addresses) {
         addresses.forEach(address -> balancers.add(new Balancer(address)));
     }
 
-    /** The next in turn. */
+    /** Returns the next available balancer, or the next of all if none is available. */
     Balancer nextAvailable(long now) {
         for (int i = 0; i < balancers.size(); i++) {
             Balancer balancer = balancers.get(nextIndex++ % balancers.size());
@@ -100,28 +106,31 @@
         balancer.avoidedUntilNanos = now + UNREACHABLE_BACKOFF_NANOS;
     }
 
-    /** Any balancer, also one that is ending: open connections to it are still used. */
+    /**
+     * Returns the next balancer even if it is shutting down, because open connections to it are
+     * still used.
+     */
     Balancer nextOfAll() {
         return balancers.get(nextIndex++ % balancers.size());
     }
 
-    /** A balancer was asked to end at that moment. */
+    /** Records the time of a shutdown request to a balancer. */
     public void onTerminated(int index, long at) {
         balancers.get(index).terminatedAtNanos = at;
     }
 
-    /** A balancer that was asked to end is killed at that moment. */
+    /** Records the time at which a balancer is killed after a shutdown request. */
     public void onKilled(int index, long at) {
         balancers.get(index).killedAtNanos = at;
     }
 
-    /** A balancer that was asked to end is started again. */
+    /** Clears the shutdown state of a balancer that is started again. */
     public void onStarted(int index) {
         balancers.get(index).terminatedAtNanos = Long.MAX_VALUE;
         balancers.get(index).killedAtNanos = Long.MAX_VALUE;
     }
 
-    /** A balancer is killed now, on purpose. */
+    /** Records that a balancer is intentionally killed now. */
     public void onStopped(int index) {
         balancers.get(index).stoppedAtNanos = System.nanoTime();
     }
