--- a/testbed/src/main/java/frostrelay/testbed/invariants/ClientObserver.java
+++ b/testbed/src/main/java/frostrelay/testbed/invariants/ClientObserver.java
@@ -1,34 +1,40 @@
 package frostrelay.testbed.invariants;
 
-/** Hears what clients ask and get. Times in nanoseconds; {@code id} is that of a try. */
+/**
+ * An observer of clients' requests and responses. Times in nanoseconds; {@code id} identifies an
+ * attempt.
+ */
 public interface ClientObserver {
-    /** Where nobody watches: only what the client itself sees counts. */
+    /** An observer that ignores all events, for runs that use only the clients' own statistics. */
     ClientObserver NONE = new ClientObserver() {};
 
     /**
-     * A request goes out. {@code intent}: the first try that it belongs to, its own id for a first
-     * try.
+     * Records that an attempt is sent. {@code intent}: the id of the request's first attempt, which
+     * is {@code id} for the first attempt itself.
      */
     default void onRequest(long now, String id, String intent, InvariantChecker.Effect effect) {}
 
-    /** How long the client of a request waits, from the moment at which it sent. */
+    /** Records the time until which the client waits; called once the attempt is written. */
     default void onTimeoutSet(String id, long untilNanos) {}
 
-    /** The client of a request has closed its connection; nothing is owed any more. */
+    /** Records that the client has closed its connection and expects no response. */
     default void onClientDisconnected(long now, String id) {}
 
     /**
-     * A final answer came. {@code content}: what identifies a value or receipt, for served
-     * requests.
+     * Records the final response. {@code content}: for served requests, the digest of the value or
+     * receipt.
      */
     default void onResponse(String id, InvariantChecker.Outcome ending, long content) {}
 
-    /** Something came that belongs to no open request. */
+    /** Records a response that belongs to no open request. */
     default void onUnexpectedResponse(String what) {}
 
-    /** No answer came in time, or the connection ended without one. */
+    /** Records that no response arrived in time or that the connection ended without one. */
     default void onNoResponse(String id, String reason) {}
 
-    /** Nothing is owed any more: its balancer was killed on purpose, or it was never reached. */
+    /**
+     * Records that no response is required, because the balancer was killed on purpose or never
+     * reached.
+     */
     default void onExcused(String id) {}
 }
--- a/testbed/src/main/java/frostrelay/testbed/invariants/Invariant.java
+++ b/testbed/src/main/java/frostrelay/testbed/invariants/Invariant.java
@@ -1,25 +1,31 @@
 package frostrelay.testbed.invariants;
 
-/** What a balancer must keep. */
+/** Invariants that a balancer must satisfy; each constant names a violation. */
 public enum Invariant {
-    /** A request that was taken got no final answer in its time. */
+    /** An accepted request got no final response in time. */
     NO_ANSWER,
     /** A request got more than one final answer. */
     TWO_ANSWERS,
-    /** A request of a class that must never run twice ran twice. */
+    /** A non-idempotent request was executed twice. */
     RAN_TWICE,
     /** A keyed write took effect twice. */
     KEYED_TWICE,
-    /** A request was refused, which makes a repeat harmless, and had run. */
+    /**
+     * A request was rejected, which tells the client that a retry is safe, although it had been
+     * executed.
+     */
     REFUSED_BUT_RAN,
-    /** A request was answered with what no cache made for it. */
+    /** A response contains content that no cache produced for this request. */
     FOREIGN_ANSWER,
-    /** Work was sent to a cache too long after the balancer was told that it drains or is gone. */
+    /**
+     * Work was sent to a cache too long after the balancer was notified that the cache is draining
+     * or gone.
+     */
     DRAIN_IGNORED,
-    /** Work was begun at a cache too long after its client had closed its connection. */
+    /** Work started at a cache too long after its client had closed the connection. */
     BEGUN_AFTER_CLIENT_LEFT,
-    /** A cache was told that it is waited for longer than the client still waits. */
+    /** The timeout passed to a cache exceeds the remaining timeout of the client. */
     WAIT_OVERSTATED,
-    /** A cache that had just started was sent more than it can bear. */
+    /** A cache in slow start received more work than its limit. */
     COLD_OVERDRIVEN
 }
--- a/testbed/src/main/java/frostrelay/testbed/invariants/InvariantChecker.java
+++ b/testbed/src/main/java/frostrelay/testbed/invariants/InvariantChecker.java
@@ -12,9 +12,10 @@
 import java.util.function.LongPredicate;
 
 /**
- * Watches both ends and counts what a balancer broke. It hears from clients what they asked and
- * got, from caches what reached them and ran, and from discovery and operators what balancers were
- * told; from balancers it hears nothing. Times are nanoseconds of one clock. Safe for threads.
+ * Detects and counts invariant violations of balancers. It observes requests and responses at the
+ * clients, received and executed commands at the caches, and notifications by discovery and
+ * operators; it uses no data from the balancers themselves. Times are nanoseconds of one clock.
+ * Thread-safe.
  */
 public final class InvariantChecker implements ClientObserver {
     /** How often a request may take effect. */
@@ -24,32 +25,32 @@
         NON_IDEMPOTENT
     }
 
-    /** How a request ended for its client. */
+    /** The outcome of an attempt for its client. */
     public enum Outcome {
         SERVED,
         REFUSED,
         FAILED
     }
 
-    /** One breach, in words. */
+    /** A violation with a description. */
     public record Violation(Invariant invariant, String detail) {}
 
-    /** What the rules allow; nanoseconds. */
+    /** The limits of the invariants; times in nanoseconds. */
     public record Bounds(
             long drainNanos,
             long windowNanos,
             SlowStartMeter.SlowStartProfile slowStart,
             double cores) {}
 
-    /** Hears what the stand-ins see, on their clock; on their threads. */
+    /** An observer of the testbed's servers, called on their threads with times of their clock. */
     public interface Watcher {
-        /** A command came whole to a cache from a balancer. */
+        /** Records that a cache received a complete command from a balancer. */
         void onCommand(long now, String cache, String balancer, String id);
 
-        /** A balancer is being told the list up to this version. */
+        /** Records that the endpoint list up to a revision is sent to a balancer. */
         void onNotified(long now, String balancer, long revision);
 
-        /** From now on the list is this, by cache: what it says of each that it names. */
+        /** Records a new endpoint list. {@code caches}: the listed state by cache. */
         void onListChanged(long now, long revision, Map<String, String> caches);
     }
 
@@ -57,31 +58,32 @@
             new Watcher() {
                 @Override
                 public void onCommand(long now, String cache, String balancer, String id) {
-                    // Nobody asked.
+                    // No observer is set.
                 }
 
                 @Override
                 public void onNotified(long now, String balancer, long rev) {
-                    // Nobody asked.
+                    // No observer is set.
                 }
 
                 @Override
                 public void onListChanged(long now, long rev, Map<String, String> caches) {
-                    // Nobody asked.
+                    // No observer is set.
                 }
             };
 
     private static final int MAX_RECORDED_VIOLATIONS = 100;
 
     /**
-     * Requests this much older than the newest are forgotten: nothing can come for them any more.
+     * Requests this much older than the newest are discarded, because no more events can arrive for
+     * them.
      */
     private static final long RETENTION_NANOS = 60_000_000_000L;
 
-    /** The operators allow 100 ms; the rest is for how late the stand-ins may be themselves. */
+    /** The operators allow 100 ms; the rest covers delays of the testbed itself. */
     private static final long MAX_WORK_AFTER_DISCONNECT_NANOS = 250_000_000L;
 
-    /** The operators allow 150 ms; likewise. */
+    /** The operators allow 150 ms; the rest covers delays of the testbed itself. */
     private static final long MAX_TIMEOUT_OVERSTATEMENT_NANOS = 300_000_000L;
 
     private static final long DELAY_RECOVERY_NANOS = 1_000_000_000L;
@@ -112,23 +114,25 @@
     private final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
 
     /**
-     * Runs of a never-twice intent over its client's tries, and of a keyed one by its key, with the
-     * time of the last.
+     * The number of executions and the time of the last one: for a non-idempotent request over all
+     * its client's attempts, otherwise by idempotency key.
      */
     private final Map<String, long[]> executionsByIntent = new LinkedHashMap<>();
 
-    /** Since when a balancer knows that a cache is not to be used. */
+    /**
+     * The time at which a balancer was notified that a cache must not be used, by balancer and
+     * cache.
+     */
     private final Map<String, Long> drainedSinceNanos = new HashMap<>();
 
     /**
-     * Until when commands may reach a cache later than they were sent, through no fault of a
-     * balancer.
+     * The time until which injected faults may delay commands on their way to a cache, by cache.
      */
     private final Map<String, Long> delayedUntilNanos = new HashMap<>();
 
     /**
-     * Until when a balancer that has just started may be slow to read: many start on one machine at
-     * once.
+     * The time until which a started balancer may be slow to read, because many start on one
+     * machine at once; by balancer.
      */
     private final Map<String, Long> startingUntilNanos = new HashMap<>();
 
@@ -142,31 +146,35 @@
     private volatile Watcher observer = NO_OBSERVER;
 
     /**
-     * Whether the stand-ins were held up themselves, so that what they see may have come earlier.
+     * Returns whether the testbed itself was stalled at a time, so that data may have arrived
+     * before it was read.
      */
     private LongPredicate isTestbedStalled = now -> false;
 
-    /** {@code bounds}: the figures of the rules. */
+    /** Creates a checker. {@code bounds}: the limits of the invariants. */
     public InvariantChecker(Bounds bounds) {
         this.bounds = bounds;
     }
 
-    /** Under this, how long a command took on its way says nothing of its balancer. */
+    /**
+     * Sets the predicate for stalls of the testbed, during which the transit time of commands is
+     * not held against a balancer.
+     */
     public synchronized void setStallDetector(LongPredicate predicate) {
         isTestbedStalled = predicate;
     }
 
-    /** From now on this one hears what the stand-ins see. */
+    /** Sets the observer of the testbed's servers. */
     public void setObserver(Watcher newObserver) {
         observer = newObserver;
     }
 
-    /** Who hears it. */
+    /** Returns the observer of the testbed's servers. */
     public Watcher observer() {
         return observer;
     }
 
-    // From clients.
+    // Events from clients.
 
     @Override
     public synchronized void onRequest(long now, String id, String originalId, Effect effect) {
@@ -207,7 +215,7 @@
         TrackedRequest request = requests.get(id);
         if (request == null) {
             recordViolation(
-                    Invariant.FOREIGN_ANSWER, "an answer for " + id + ", which nobody asked");
+                    Invariant.FOREIGN_ANSWER, "an answer for " + id + ", which no client sent");
             return;
         }
         if (request.outcome != null) {
@@ -218,7 +226,8 @@
         request.outcome = outcome;
         if (outcome == Outcome.SERVED && !request.producedDigests.contains(content)) {
             recordViolation(
-                    Invariant.FOREIGN_ANSWER, id + " was served with what no cache made for it");
+                    Invariant.FOREIGN_ANSWER,
+                    id + " was served with content that no cache produced for it");
         }
         checkRejection(id, request);
     }
@@ -253,11 +262,11 @@
         }
     }
 
-    // From caches.
+    // Events from caches.
 
     /**
-     * A command came whole from a balancer. {@code workNanos}: what it asks of the cache, in
-     * nanoseconds.
+     * Records a complete command from a balancer. {@code workNanos}: the work that it causes at the
+     * cache, in nanoseconds.
      */
     public synchronized void onCommandReceived(
             long now, String cache, String balancer, String id, double workNanos) {
@@ -284,7 +293,7 @@
             recordViolation(
                     Invariant.DRAIN_IGNORED,
                     String.format(
-                            "%s reached %s %d ms after %s was told",
+                            "%s reached %s %d ms after %s was notified of the drain or removal",
                             id, cache, (now - drainedAtNanos) / 1_000_000, balancer));
         }
         SlowStartMeter totalMeter = totalWork.get(cache);
@@ -292,20 +301,20 @@
             return;
         }
         boolean isOverloaded = totalMeter.addWork(now, workNanos);
-        // Two thirds of the work must be of balancers that knew: the second meter has two thirds of
-        // the budget.
+        // A violation requires that two thirds of the work come from informed balancers, so the
+        // second meter has two thirds of the budget.
         boolean isOverloadedByInformed =
                 informedPairs.contains(balancer + ' ' + cache)
                         && informedWork.get(cache).addWork(now, workNanos);
         if (isOverloaded && isOverloadedByInformed) {
             recordViolation(
                     Invariant.COLD_OVERDRIVEN,
-                    cache + " was sent more than it bears so soon after its start");
+                    cache + " received more work than its limit in slow start");
             totalWork.remove(cache);
         }
     }
 
-    /** From now on commands may reach a cache late, for as long as it is on and a while behind. */
+    /** Marks commands to a cache as delayed by a fault while {@code on} and for 1 s afterwards. */
     public synchronized void setDelayed(long now, String cache, boolean on) {
         delayedUntilNanos.merge(
                 cache,
@@ -317,7 +326,9 @@
         return now < delayedUntilNanos.getOrDefault(cache, Long.MIN_VALUE);
     }
 
-    /** A command came that says for how long it is waited for: until {@code untilNanos}. */
+    /**
+     * Records a command with a timeout. {@code untilNanos}: the time at which that timeout ends.
+     */
     public synchronized void onNotified(
             long now, String cache, String balancer, String id, long untilNanos) {
         TrackedRequest request = requests.get(id);
@@ -332,7 +343,7 @@
             recordViolation(
                     Invariant.WAIT_OVERSTATED,
                     String.format(
-                            "%s from %s told %s %d ms more than its client waits",
+                            "%s from %s passed %s a timeout %d ms longer than its client waits",
                             id,
                             balancer,
                             cache,
@@ -340,7 +351,7 @@
         }
     }
 
-    /** A command took effect. {@code key}: its idempotency key, or null. */
+    /** Records that a command was executed. {@code key}: its idempotency key, or null. */
     public synchronized void onExecuted(long now, String id, String key) {
         TrackedRequest request = requests.get(id);
         if (request == null || request.effect == Effect.IDEMPOTENT) {
@@ -359,7 +370,7 @@
         checkRejection(id, request);
     }
 
-    /** A cache made a value or a receipt for a request. */
+    /** Records the digest of a value or receipt that a cache produced for a request. */
     public synchronized void onProduced(String id, long content) {
         TrackedRequest request = requests.get(id);
         if (request != null) {
@@ -367,9 +378,12 @@
         }
     }
 
-    // From discovery and operators.
+    // Events from discovery and operators.
 
-    /** A balancer was told that a cache drains or is gone, or that it may be used. */
+    /**
+     * Records that a balancer was notified that a cache may be used, or that it is draining or
+     * gone.
+     */
     public synchronized void onNotified(long now, String balancer, String cache, boolean isUsable) {
         if (isUsable) {
             drainedSinceNanos.remove(balancer + ' ' + cache);
@@ -378,7 +392,7 @@
         }
     }
 
-    /** A cache started empty. */
+    /** Records that a cache started with empty memory. */
     public synchronized void onCacheStarted(long now, String cache) {
         totalWork.put(cache, new SlowStartMeter(bounds.slowStart, bounds.cores, now));
         SlowStartMeter.SlowStartProfile warmth = bounds.slowStart;
@@ -397,23 +411,26 @@
         informedPairs.removeIf(pair -> pair.endsWith(' ' + cache));
     }
 
-    /** A balancer has heard of the start. */
+    /** Records that a balancer was notified of the start of a cache. */
     public synchronized void onStartNotified(String balancer, String cache) {
         informedPairs.add(balancer + ' ' + cache);
     }
 
-    /** A balancer has been started and reads its first requests by code that has not run before. */
+    /**
+     * Records the start of a balancer, which reads its first requests slowly because its code is
+     * not yet compiled.
+     */
     public synchronized void onBalancerStarted(long now, String balancer) {
         startingUntilNanos.put(balancer, now + BALANCER_STARTUP_NANOS);
     }
 
-    /** A balancer starts anew and knows nothing yet. */
+    /** Discards what a balancer was notified of, because it restarts. */
     public synchronized void forgetBalancer(String balancer) {
         informedPairs.removeIf(pair -> pair.startsWith(balancer + ' '));
         drainedSinceNanos.keySet().removeIf(pair -> pair.startsWith(balancer + ' '));
     }
 
-    // What was found.
+    // Results.
 
     private void recordViolation(Invariant rule, String what) {
         violationCounts.merge(rule, 1, Integer::sum);
@@ -422,32 +439,32 @@
         }
     }
 
-    /** Breaches of a rule. */
+    /** Returns the number of violations of an invariant. */
     public synchronized int violationCount(Invariant rule) {
         return violationCounts.getOrDefault(rule, 0);
     }
 
-    /** All breaches. */
+    /** Returns the number of all violations. */
     public synchronized int violationCount() {
         return violationCounts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** The first breaches, in words. */
+    /** Returns the first 100 violations with their descriptions. */
     public synchronized List<Violation> violations() {
         return List.copyOf(violations);
     }
 
-    /** Sends that reached caches beyond the first of each request. */
+    /** Returns the number of commands that reached caches, without the first of each request. */
     public synchronized long hedgeCount() {
         return attempts - firstAttempts;
     }
 
-    /** Sends that reached caches. */
+    /** Returns the number of commands that reached caches. */
     public synchronized long attemptCount() {
         return attempts;
     }
 
-    /** What identifies a value or a receipt. */
+    /** Returns a digest that identifies a value or a receipt. */
     public static long digest(byte[] bytes) {
         java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
         crc.update(bytes);
--- a/testbed/src/main/java/frostrelay/testbed/invariants/SlowStartMeter.java
+++ b/testbed/src/main/java/frostrelay/testbed/invariants/SlowStartMeter.java
@@ -4,18 +4,24 @@
 import java.util.Deque;
 
 /**
- * How much work has reached a machine lately against what it can do while it warms up: the budget
- * of any window is multiple x present capacity x window. No I/O and no clock; times in nanoseconds.
- * Not safe for threads.
+ * Compares the recent work of a machine with its capacity during slow start: the budget of any
+ * window is multiple x current capacity x window. No I/O and no clock; times in nanoseconds. Not
+ * thread-safe.
  */
 public final class SlowStartMeter {
-    /** A share of the budget that chance may use before it counts as a breach. */
+    /** The multiple of the budget up to which random variation is tolerated. */
     private static final double TOLERANCE = 1.1;
 
-    /** How a machine warms: from a share of its capacity, evenly over a time. */
+    /**
+     * The slow start of a machine: its capacity rises linearly from an initial fraction over the
+     * ramp time.
+     */
     public record SlowStartProfile(
             double initialFraction, long rampNanos, double overloadMultiple, long windowNanos) {
-        /** Present capacity as a part of the full, {@code ageNanos} nanoseconds after the start. */
+        /**
+         * Returns the fraction of full capacity that is available {@code ageNanos} nanoseconds
+         * after the start.
+         */
         public double capacityFraction(long ageNanos) {
             return ageNanos >= rampNanos
                     ? 1
@@ -31,14 +37,14 @@
     private final Deque<Arrival> arrivals = new ArrayDeque<>();
     private double windowWorkNanos;
 
-    /** {@code cores}: full capacity, in nanoseconds of work a nanosecond. */
+    /** Creates a meter. {@code cores}: full capacity, in nanoseconds of work per nanosecond. */
     public SlowStartMeter(SlowStartProfile profile, double cores, long startedAtNanos) {
         this.profile = profile;
         this.cores = cores;
         this.startedAtNanos = startedAtNanos;
     }
 
-    /** Counts work that came; true if the window that ends now holds more than its budget. */
+    /** Adds received work and returns whether the window that ends now exceeds its budget. */
     public boolean addWork(long now, double workNanos) {
         arrivals.add(new Arrival(now, workNanos));
         windowWorkNanos += workNanos;
@@ -48,7 +54,8 @@
         if (now - startedAtNanos > profile.rampNanos) {
             return false;
         }
-        // Capacity rises, so that of the window's end is the most it can be held to.
+        // Capacity rises over time, so the capacity at the end of the window gives the largest
+        // budget.
         return windowWorkNanos
                 > TOLERANCE
                         * profile.overloadMultiple
--- a/testbed/src/main/java/frostrelay/testbed/invariants/package-info.java
+++ b/testbed/src/main/java/frostrelay/testbed/invariants/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Checks of what must hold between clients, cache servers and discovery, whatever the balancer does
- * inside.
+ * Checks of the invariants that balancers must satisfy towards clients, cache servers and
+ * discovery, independent of their implementation.
  *
- * <p>Pure functions of what the stand-ins observed: no I/O and no clock.
+ * <p>The results depend only on the events that the testbed observed: no I/O and no clock.
  */
 package frostrelay.testbed.invariants;
