--- a/testbed/src/main/java/frostrelay/testbed/cache/CacheServer.java
+++ b/testbed/src/main/java/frostrelay/testbed/cache/CacheServer.java
@@ -34,16 +34,19 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * A stand-in for a cache machine on loopback: memcache meta commands, read-through from the
- * archive, bounded memory, slots and queue, a cold start, and the faults that operators meet. It
- * listens once for each balancer, so that it can tell who sent what. All of it runs on one event
- * loop; the public calls may come from any thread.
+ * A simulated cache server on loopback: memcache meta commands, read-through from the origin,
+ * bounded memory, slots and queue, slow start and injected faults. It listens on a separate port
+ * for each balancer to identify the sender of a command. Runs on one event loop; public methods may
+ * be called from any thread.
  */
 public final class CacheServer {
     private static final String FAILED_RESPONSE = "SERVER_ERROR failed";
     private static final double SLOW_START_TICK_NANOS = 20e6;
 
-    /** Work differs from what the command's hint says by at most this part, by the request's id. */
+    /**
+     * The largest relative difference between a command's actual work and its hint; derived from
+     * the request id.
+     */
     private static final double HINT_ERROR = 0.15;
 
     private static final long NANOS_PER_MICROSECOND = 1_000L;
@@ -51,7 +54,7 @@
     private static final long DEFAULT_WORK_MICROS = 1_000;
     private static final long START_DELAY_MILLIS = 50;
 
-    /** One command that came and has not been answered. */
+    /** A received command that has not been answered. */
     private final class Job {
         final Connection connection;
         final MetaMessage command;
@@ -100,8 +103,8 @@
     private int connectionCount;
 
     /**
-     * {@code allCaches}: all caches, this one included, whose copies a write voids; read at each
-     * write.
+     * Creates a cache. {@code allCaches}: all caches including this one, in which a write
+     * invalidates the key; read at each write.
      */
     public CacheServer(
             String name,
@@ -121,7 +124,7 @@
         reset(false);
     }
 
-    /** Listens for one balancer; returns where. */
+    /** Starts listening for a balancer and returns the address. */
     public InetSocketAddress listen(String balancer) throws InterruptedException {
         Channel server = bootstrap(balancer).bind(Loopback.port(0)).sync().channel();
         InetSocketAddress address = (InetSocketAddress) server.localAddress();
@@ -172,9 +175,9 @@
                 / slowdownFactor;
     }
 
-    // Faults and operators' calls.
+    // Fault injection.
 
-    /** The process dies: connections are reset, new ones refused. */
+    /** Simulates a process crash: resets connections and refuses new ones. */
     public void kill() {
         loop.execute(this::shutDown);
     }
@@ -195,8 +198,8 @@
     }
 
     /**
-     * The process starts again, empty and cold, at its old addresses; it is killed first if it
-     * runs. {@code started} runs once it does, on the cache's loop.
+     * Simulates a restart with empty memory and slow start at the same addresses; kills the process
+     * first if it is running. {@code started}: called after the start, on the cache's event loop.
      */
     public void restart(Runnable started) {
         loop.execute(
@@ -217,8 +220,8 @@
     }
 
     /**
-     * Another socket of this machine may have been given the port meanwhile: then it is tried until
-     * it is free.
+     * Binds the address again and retries until the port is free, because another socket may have
+     * taken it in the meantime.
      */
     private void rebind(String balancer, InetSocketAddress address) {
         long start = startedAtNanos;
@@ -241,10 +244,7 @@
                         });
     }
 
-    /**
-     * Another program takes part of the machine: work takes {@code factor} times as long, 1 or
-     * more.
-     */
+    /** Simulates CPU contention: multiplies the duration of work by {@code factor}, at least 1. */
     public void setSlowdown(double factor) {
         loop.execute(
                 () -> {
@@ -254,7 +254,7 @@
                 });
     }
 
-    /** The machine says nothing and reads nothing; its connections stay open. */
+    /** Makes the cache stop reading and answering while its connections stay open, or ends that. */
     public void setUnresponsive(boolean isActive) {
         loop.execute(
                 () -> {
@@ -265,27 +265,27 @@
                 });
     }
 
-    /** Each write is answered as failed, before anything of it ran. */
+    /** Makes all writes fail before they are executed, or ends that. */
     public void setFailingWrites(boolean isActive) {
         loop.execute(() -> isFailingWrites = isActive);
     }
 
-    /** The copy of a key goes void. */
+    /** Removes a key from memory. */
     public void invalidate(String key) {
         loop.execute(() -> store.remove(key));
     }
 
-    /** The name in the list. */
+    /** Returns the name of the cache in the endpoint list. */
     public String name() {
         return name;
     }
 
-    /** Reads that were served from memory so far. */
+    /** Returns the number of reads served from memory. */
     public long hits() {
         return hits.sum();
     }
 
-    /** Reads that were fetched so far. */
+    /** Returns the number of reads not found in memory. */
     public long misses() {
         return misses.sum();
     }
@@ -309,7 +309,7 @@
             invariantChecker.observer().onCommand(now, name, job.connection.balancer, job.id);
         }
         if (meter != null && meter.addWork(now, work)) {
-            // Sent more than it bears so soon after its start, it falls over and stays down.
+            // Overload during slow start crashes the cache, which stays down until it is restarted.
             shutDown();
             return;
         }
@@ -322,7 +322,7 @@
     private double workNanos(Job job) {
         String hint = job.command.figure("h");
         double micros = hint == null ? DEFAULT_WORK_MICROS : Double.parseDouble(hint);
-        // Spread by the id alone: the same plan asks the same work of every balancer.
+        // Depends on the id only, so that the same plan causes the same work with every balancer.
         double spread = Math.floorMod(job.id.hashCode() * 0x9E3779B9L, 2_001L) / 1_000.0 - 1;
         return micros * NANOS_PER_MICROSECOND * (1 + HINT_ERROR * spread);
     }
@@ -364,7 +364,7 @@
         scheduleTick();
     }
 
-    /** Its share of the machine is done: now memory or the archive. */
+    /** Continues a job after its CPU work, from memory or with a call to the origin. */
     private void onWorkDone(Job job) {
         if (job.isWrite()) {
             write(job);
@@ -408,7 +408,10 @@
         }
     }
 
-    /** Every answer carries the id it was made for, so that nobody else's can pass for it. */
+    /**
+     * Sends a value that contains the request id, so that a response to a different request is
+     * detected.
+     */
     private void serve(Job job, byte[] value, String flag) {
         byte[] head = (job.id + '|').getBytes(StandardCharsets.ISO_8859_1);
         byte[] payload = new byte[head.length + value.length];
@@ -431,7 +434,7 @@
             sendReceipt(job, firstReceipt);
             return;
         }
-        // From here on it may have run, whatever the archive's answer.
+        // From this point the write may be executed, even if the origin reports a failure.
         invariantChecker.onExecuted(now(), job.id, key);
         origin.write(
                 job.key(),
@@ -464,10 +467,7 @@
                 Math.min(1.0, engine.running() / (double) spec.cores()));
     }
 
-    /**
-     * One balancer's connection: commands in order, one at a time, the others wait unread or
-     * unanswered.
-     */
+    /** A connection from a balancer; processes its commands sequentially. */
     private final class Connection extends SimpleChannelInboundHandler<MetaMessage> {
         final SocketChannel channel;
         final String balancer;
--- a/testbed/src/main/java/frostrelay/testbed/cache/CacheSpec.java
+++ b/testbed/src/main/java/frostrelay/testbed/cache/CacheSpec.java
@@ -3,10 +3,10 @@
 import frostrelay.testbed.invariants.SlowStartMeter;
 
 /**
- * What a cache machine is. {@code cores}, {@code slots}, {@code queueCapacity}: see {@link
- * WorkEngine}; {@code memoryBytes}: bytes of values; {@code maxConnections}: the most it holds;
- * {@code fetchTimeoutNanos}: nanoseconds; {@code coalesce}: misses of one key share a fetch; {@code
- * cancelStops}: work whose client left stops.
+ * The properties of a cache. {@code cores}, {@code slots}, {@code queueCapacity}: see {@link
+ * WorkEngine}; {@code memoryBytes}: maximum total size of values; {@code maxConnections}: maximum
+ * number of open connections; {@code fetchTimeoutNanos}: nanoseconds; {@code coalesce}: concurrent
+ * misses of a key share a fetch; {@code cancelStops}: work is cancelled when its connection closes.
  */
 public record CacheSpec(
         int cores,
--- a/testbed/src/main/java/frostrelay/testbed/cache/DeduplicationWindow.java
+++ b/testbed/src/main/java/frostrelay/testbed/cache/DeduplicationWindow.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Drops repeats of keyed writes at all caches together, for a while. Safe for threads. */
+/**
+ * Detects repeated writes with the same idempotency key across all caches within a time window.
+ * Thread-safe.
+ */
 public final class DeduplicationWindow {
     private record RecentWrite(String receipt, long expiresAtNanos) {}
 
@@ -13,19 +16,19 @@
     private final Map<String, RecentWrite> recentWrites = new LinkedHashMap<>();
     private final AtomicLong receipts = new AtomicLong();
 
-    /** {@code windowNanos}: nanoseconds for which a repeat is known. */
+    /** Creates a window of a duration in nanoseconds. */
     public DeduplicationWindow(long windowNanos) {
         this.windowNanos = windowNanos;
     }
 
-    /** A receipt that nobody has. */
+    /** Returns a new unique receipt. */
     public String nextReceipt() {
         return Long.toHexString(0x10000 + receipts.incrementAndGet());
     }
 
     /**
-     * The receipt of the write that this one repeats; null if it is the first, which is noted with
-     * its receipt.
+     * Returns the receipt of the earlier write with this key, or records the given receipt and
+     * returns null if there is none.
      */
     public synchronized String findOrRecord(long now, String key, String receipt) {
         for (Iterator<RecentWrite> oldest = recentWrites.values().iterator();
--- a/testbed/src/main/java/frostrelay/testbed/cache/Store.java
+++ b/testbed/src/main/java/frostrelay/testbed/cache/Store.java
@@ -4,9 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/**
- * What a cache keeps, bounded by bytes; what was used longest ago goes first. Not safe for threads.
- */
+/** The memory of a cache, limited in bytes, with LRU eviction. Not thread-safe. */
 final class Store {
     private final long maxBytes;
     private final Map<String, byte[]> values = new LinkedHashMap<>(16, 0.75f, true);
--- a/testbed/src/main/java/frostrelay/testbed/cache/WorkEngine.java
+++ b/testbed/src/main/java/frostrelay/testbed/cache/WorkEngine.java
@@ -7,12 +7,12 @@
 import java.util.List;
 
 /**
- * How a machine gets through its work: some cores share what runs in the slots evenly, the rest
- * waits in a bounded queue. No I/O and no clock: every call carries the time in nanoseconds, which
- * never falls. Not safe for threads.
+ * A model of a machine: the jobs in the slots share the cores evenly, and further jobs wait in a
+ * bounded queue. No I/O and no clock: callers pass the time in nanoseconds, which must not
+ * decrease. Not thread-safe.
  */
 public final class WorkEngine<J> {
-    /** What became of a job that was offered. */
+    /** The result of submitting a job. */
     public enum Admission {
         RUNNING,
         QUEUED,
@@ -38,8 +38,8 @@
     private long advancedToNanos;
 
     /**
-     * {@code cores} and {@code slots} of at least 1; {@code queueCapacity} places to wait beyond
-     * the slots.
+     * Creates an engine. {@code cores} and {@code slots}: at least 1; {@code queueCapacity}:
+     * maximum number of jobs that wait for a slot.
      */
     public WorkEngine(int cores, int slots, int queueCapacity) {
         this.cores = cores;
@@ -47,7 +47,7 @@
         this.queueCapacity = queueCapacity;
     }
 
-    /** Adds a job of so much work, in nanoseconds of one core at full speed. */
+    /** Submits a job. {@code work}: nanoseconds of one core at full speed. */
     public Admission submit(long now, J job, double work) {
         advance(now);
         if (running.size() < slots) {
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Takes a job out, done or not; false if it is not here. {@code running} jobs go only if {@code
+     * Removes a job and returns whether it was removed. Running jobs are removed only if {@code
      * stop}.
      */
     public boolean remove(long now, J job, boolean stop) {
@@ -75,13 +75,13 @@
         return removed;
     }
 
-    /** From now on the machine does so much of its full speed, more than 0. */
+    /** Sets the speed as a fraction of full speed, greater than 0. */
     public void setSpeed(long now, double part) {
         advance(now);
         speed = Math.max(1e-6, part);
     }
 
-    /** The jobs that are done by now, in the order in which they ended. */
+    /** Removes and returns the finished jobs, in the order in which they started. */
     public List<J> pollFinished(long now) {
         advance(now);
         List<J> done = new ArrayList<>();
@@ -96,7 +96,10 @@
         return done;
     }
 
-    /** When the next job will be done if nothing changes; Long.MAX_VALUE if none runs. */
+    /**
+     * Returns the time at which the next job finishes if nothing changes, or Long.MAX_VALUE if none
+     * is running.
+     */
     public long nextCompletionNanos() {
         double minRemainingNanos = Double.POSITIVE_INFINITY;
         for (Task<J> task : running) {
@@ -107,7 +110,7 @@
                 : advancedToNanos + (long) Math.ceil(Math.max(0, minRemainingNanos) / rate());
     }
 
-    /** Work that a job gets done in a nanosecond. */
+    /** Returns the work done per running job and nanosecond. */
     private double rate() {
         return speed * Math.min(1, cores / (double) Math.max(1, running.size()));
     }
@@ -126,17 +129,17 @@
         }
     }
 
-    /** Jobs that run. */
+    /** Returns the number of running jobs. */
     public int running() {
         return running.size();
     }
 
-    /** Jobs that wait. */
+    /** Returns the number of waiting jobs. */
     public int waiting() {
         return waiting.size();
     }
 
-    /** Drops everything, as a process that dies does. */
+    /** Discards all jobs, as in a process crash. */
     public void clear(long now) {
         advance(now);
         running.clear();
--- a/testbed/src/main/java/frostrelay/testbed/cache/package-info.java
+++ b/testbed/src/main/java/frostrelay/testbed/cache/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A stand-in for a cache server: storage, queueing, deduplication of idempotency keys, slow start
- * and injected faults.
+ * A simulated cache server: storage, queueing, deduplication of idempotency keys, slow start and
+ * injected faults.
  */
 package frostrelay.testbed.cache;
