--- a/testbed/src/main/java/frostrelay/testbed/discovery/DiscoveryServer.java
+++ b/testbed/src/main/java/frostrelay/testbed/discovery/DiscoveryServer.java
@@ -39,9 +39,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A stand-in for discovery on loopback: the list and watches on its changes, told late, and at
- * times not at all. It listens once for each balancer and tells the referee what each was told.
- * Runs on one event loop; the public calls may come from any thread.
+ * A simulated discovery service on loopback: the endpoint list and watches for its changes, with
+ * injected delays and outages. It listens on a separate port for each balancer and reports all
+ * notifications to the invariant checker. Runs on one event loop; public methods may be called from
+ * any thread.
  */
 public final class DiscoveryServer {
     private static final int MAX_REQUEST_BYTES = 8 * 1024;
@@ -49,20 +50,21 @@
     private static final long MAX_WATCH_WAIT_MILLIS = 60_000;
 
     /**
-     * So long after discovery had it and could be reached a change counts as told, whether a
-     * balancer asked or not.
+     * A balancer counts as notified of a change this long after the change was available and
+     * discovery was reachable, even without a call.
      */
     private static final long NOTIFICATION_DEADLINE_NANOS = 6_000_000_000L;
 
     /**
-     * What a watch that fell silent missed counts no sooner than this behind the end of its wait.
+     * A balancer counts as notified of changes missed by a stalled watch no earlier than this after
+     * the watch's timeout.
      */
     private static final long MISSED_WATCH_GRACE_NANOS = 2_000_000_000L;
 
-    /** A change as it was entered, visible from its version on. */
+    /** A change of a member, visible from its revision on. */
     private record MemberChange(long revision, Member member) {}
 
-    /** One balancer's calls: where the caches are from there, and how far it is told. */
+    /** A balancer with its addresses of the caches and the revision that is visible to it. */
     private static final class Subscriber {
         final String balancer;
         final Map<String, String> endpoints;
@@ -71,13 +73,16 @@
         boolean isPartitioned;
         boolean isPinned;
 
-        /** The newest version that was written to it. */
+        /** The newest revision sent to the balancer. */
         long sentRevision;
 
-        /** Since when nothing keeps it from the newest list. */
+        /** The time from which the balancer could get the newest list. */
         long reachableSinceNanos = System.nanoTime();
 
-        /** Until then it need not know what a watch that fell silent missed. */
+        /**
+         * The time until which the balancer is not required to know the changes missed by a stalled
+         * watch.
+         */
         long unresponsiveUntilNanos = System.nanoTime();
 
         boolean isImpaired() {
@@ -94,7 +99,7 @@
     private final EventLoop loop;
     private final InvariantChecker invariantChecker;
 
-    /** What was ever entered of each cache, the newest last: some are told older lists. */
+    /** All changes by cache, the newest last, because some balancers are sent older lists. */
     private final Map<String, List<MemberChange>> history = new TreeMap<>();
 
     private final Map<String, Subscriber> subscribers = new LinkedHashMap<>();
@@ -104,7 +109,7 @@
     private long delayNanos;
     private boolean isDown;
 
-    /** {@code delayNanos}: nanoseconds from a change to the moment at which it can be told. */
+    /** Creates a server. {@code delayNanos}: nanoseconds from a change until it is visible. */
     public DiscoveryServer(EventLoop loop, InvariantChecker invariantChecker, long delayNanos) {
         this.loop = loop;
         this.invariantChecker = invariantChecker;
@@ -112,7 +117,8 @@
     }
 
     /**
-     * Listens for one balancer, for which the caches are at {@code endpoints}, ADDRESS:PORT by uid.
+     * Starts listening for a balancer and returns the address. {@code endpoints}: the addresses of
+     * the caches for this balancer, as ADDRESS:PORT by uid.
      */
     public InetSocketAddress listen(String balancer, Map<String, String> endpoints)
             throws InterruptedException {
@@ -145,7 +151,7 @@
                         .localAddress();
     }
 
-    /** What is so from now on; it is told once the lateness has passed. */
+    /** Changes a member; the change becomes visible after the configured delay. */
     public void change(Member member) {
         loop.execute(
                 () ->
@@ -178,8 +184,8 @@
     }
 
     /**
-     * What a balancer could have asked for by now binds it as though it had been told, unless that
-     * has changed again.
+     * Treats a balancer as notified of a change that it could have fetched by now, unless the
+     * member has changed again.
      */
     private void bindUnlessNotified(Subscriber caller, long fresh, Member member) {
         List<MemberChange> revisions = history.get(member.uid());
@@ -204,9 +210,9 @@
     }
 
     /**
-     * All open watches fall silent: their connections stay open, and nothing comes on them any
-     * more. What they miss binds after {@code within} nanoseconds; if that is 0, by the operators'
-     * page: 6 s, or 2 s behind the wait if that is later.
+     * Stalls all open watches: their connections stay open, but receive no response. Balancers
+     * count as notified of the missed changes after {@code within} nanoseconds or, if that is 0,
+     * after the operators' limit: 6 s, or 2 s after the watch's timeout if that is later.
      */
     public void stallWatches(long within) {
         loop.execute(
@@ -233,7 +239,10 @@
         }
     }
 
-    /** What the list of a version says of each cache that it names, in discovery's words. */
+    /**
+     * Returns the state and start time of each listed cache at a revision, with the state names of
+     * discovery.
+     */
     private Map<String, String> states(long maxRevision) {
         Map<String, String> states = new LinkedHashMap<>();
         changedSince(0, maxRevision).stream()
@@ -246,7 +255,7 @@
         return states;
     }
 
-    /** Tells the watcher how the list stands. */
+    /** Passes the current list to the observer. */
     public void publishToObserver() {
         loop.submit(
                         () ->
@@ -257,7 +266,7 @@
                 .syncUninterruptibly();
     }
 
-    /** One balancer can or cannot reach discovery: its calls break. */
+    /** Partitions a balancer from discovery, so that its calls fail, or ends the partition. */
     public void setPartitioned(String balancer, boolean isActive) {
         loop.execute(
                 () -> {
@@ -272,7 +281,7 @@
                 });
     }
 
-    /** One balancer is told of changes this much later than others, in nanoseconds. */
+    /** Sets the additional delay of changes for a balancer, in nanoseconds. */
     public void setDelay(String balancer, long time) {
         loop.execute(
                 () -> {
@@ -285,7 +294,10 @@
                 });
     }
 
-    /** One balancer is told nothing newer than what it was told last, or all of it again. */
+    /**
+     * Pins a balancer to the revision that is visible to it now, or makes the newest one visible
+     * again.
+     */
     public void setPinned(String balancer, boolean isActive) {
         loop.execute(
                 () -> {
@@ -298,17 +310,17 @@
                 });
     }
 
-    /** What is so before anything begins: it is not late. */
+    /** Adds a member to the initial list, without delay. */
     public void addInitial(Member member) {
         loop.submit(() -> addRevision(member)).syncUninterruptibly();
     }
 
-    /** Further changes are told this much later, in nanoseconds. */
+    /** Sets the delay of further changes, in nanoseconds. */
     public void setDelay(long time) {
         loop.execute(() -> delayNanos = time);
     }
 
-    /** Out of reach, or back: calls fail and watches end. */
+    /** Starts or ends an outage, in which calls fail and watches are closed. */
     public void setOutage(boolean isActive) {
         loop.execute(
                 () -> {
@@ -336,7 +348,10 @@
         return members;
     }
 
-    /** The whole list as a balancer sees it, in discovery's form. */
+    /**
+     * Returns the complete current list in the format of discovery, with a balancer's addresses of
+     * the caches.
+     */
     public Map<String, Object> endpointList(Map<String, String> endpoints) {
         return loop.submit(() -> json(true, revision, changedSince(0, revision), endpoints))
                 .syncUninterruptibly()
@@ -407,7 +422,7 @@
         channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** A call that waits for news. */
+    /** A long-poll call that waits for a change. */
     private final class Watch {
         final Channel channel;
         private final Subscriber caller;
--- a/testbed/src/main/java/frostrelay/testbed/discovery/Member.java
+++ b/testbed/src/main/java/frostrelay/testbed/discovery/Member.java
@@ -1,8 +1,11 @@
 package frostrelay.testbed.discovery;
 
-/** A cache in the list. {@code bootUnixMillis}: its last start in Unix time, 0 for long ago. */
+/**
+ * A cache in the endpoint list. {@code bootUnixMillis}: Unix time of the last start in
+ * milliseconds, 0 for a start before the scenario.
+ */
 public record Member(String uid, State state, long bootUnixMillis) {
-    /** What the list says of a cache, in discovery's words. */
+    /** The state of a cache in the endpoint list. */
     public enum State {
         READY("Ready"),
         TERMINATING("Terminating"),
--- a/testbed/src/main/java/frostrelay/testbed/discovery/package-info.java
+++ b/testbed/src/main/java/frostrelay/testbed/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A stand-in for the discovery service: endpoint lists by long poll, with injected outages, delays
- * and silent watches.
+ * A simulated discovery service: endpoint lists by long poll, with injected outages, delays and
+ * stalled watches.
  */
 package frostrelay.testbed.discovery;
