--- a/testbed/src/main/java/frostrelay/testbed/scenario/ClassSpec.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/ClassSpec.java
@@ -3,9 +3,9 @@
 import frostrelay.testbed.invariants.InvariantChecker;
 
 /**
- * A class of requests. {@code fraction}: its part of all; {@code minWorkNanos} and {@code
- * maxWorkNanos}: nanoseconds of a cache's core; {@code latencyObjectiveNanos} and {@code
- * deadlineNanos}: nanoseconds.
+ * A class of requests. {@code fraction}: its fraction of all requests; {@code minWorkNanos} and
+ * {@code maxWorkNanos}: CPU time at a cache in nanoseconds; {@code latencyObjectiveNanos} and
+ * {@code deadlineNanos}: nanoseconds.
  */
 public record ClassSpec(
         String name,
@@ -16,7 +16,7 @@
         long deadlineNanos,
         double priorityWeight,
         InvariantChecker.Effect effect) {
-    /** Whether requests are written with ms; the others are reads. */
+    /** Returns whether requests are writes (command ms); the others are reads. */
     public boolean isWrite() {
         return effect != InvariantChecker.Effect.IDEMPOTENT;
     }
--- a/testbed/src/main/java/frostrelay/testbed/scenario/FaultKind.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/FaultKind.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The faults and operators' calls that a fleet can play. */
+/** The faults and operators' calls that can be injected into a cluster. */
 public enum FaultKind {
     KILL("kill", TargetKind.CACHE, false),
     RESTART("restart", TargetKind.CACHE, false),
@@ -22,14 +22,16 @@
     WATCH_SILENT("watch-silent", TargetKind.NONE, false),
     BALANCER_KILL("balancer-kill", TargetKind.BALANCER, false),
     BALANCER_RESTART("balancer-restart", TargetKind.BALANCER, false),
-    /** SIGTERM, SIGKILL as soon as the operators' terms allow it, and a new start. */
+    /**
+     * Sends SIGTERM, then SIGKILL at the end of the shutdown period, and starts the process again.
+     */
     BALANCER_STOP("balancer-stop", TargetKind.BALANCER, false),
-    /** The process stands still for the amount. */
+    /** Suspends the process for the amount. */
     BALANCER_PAUSE("balancer-pause", TargetKind.BALANCER, false),
     RELOAD("reload", TargetKind.BALANCER, false),
     SURGE("surge", TargetKind.NONE, true);
 
-    /** Whom a fault meets. */
+    /** The kind of target of a fault. */
     public enum TargetKind {
         CACHE,
         BALANCER,
@@ -39,10 +41,10 @@
     /** The name in files and on the command line. */
     public final String wireName;
 
-    /** Whom it meets. */
+    /** The kind of its targets. */
     public final TargetKind targetKind;
 
-    /** Whether its factor means anything. */
+    /** Whether the fault uses its factor. */
     public final boolean usesFactor;
 
     FaultKind(String wireName, TargetKind targetKind, boolean usesFactor) {
@@ -51,12 +53,12 @@
         this.usesFactor = usesFactor;
     }
 
-    /** All names. */
+    /** Returns all names. */
     public static List<String> wireNames() {
         return Arrays.stream(values()).map(kind -> kind.wireName).toList();
     }
 
-    /** The fault of this name; throws IllegalArgumentException if there is none. */
+    /** Returns the fault with a name; throws IllegalArgumentException if there is none. */
     public static FaultKind fromWireName(String wireName) {
         return Arrays.stream(values())
                 .filter(kind -> kind.wireName.equals(wireName))
--- a/testbed/src/main/java/frostrelay/testbed/scenario/FaultSpec.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/FaultSpec.java
@@ -1,10 +1,10 @@
 package frostrelay.testbed.scenario;
 
 /**
- * Something that happens. {@code startNanos}: nanoseconds from the day's start; {@code target}:
- * whom it meets, as "cache-3", or "caches 2" for any two; {@code factor}: how much; {@code
- * amountNanos}: nanoseconds, for delays; {@code durationNanos}: nanoseconds until it is over, 0 for
- * never.
+ * An injected fault. {@code startNanos}: nanoseconds from the start of the scenario; {@code
+ * target}: such as "cache-3", or "any-2" for two random ones; {@code factor}: strength; {@code
+ * amountNanos}: nanoseconds, for delays; {@code durationNanos}: nanoseconds until the fault is
+ * undone, 0 for never.
  */
 public record FaultSpec(
         long startNanos,
@@ -13,7 +13,7 @@
         double factor,
         long amountNanos,
         long durationNanos) {
-    /** In words. */
+    /** Describes the fault for messages. */
     public String describe() {
         return kind.wireName
                 + (target.isEmpty() ? "" : " " + target)
--- a/testbed/src/main/java/frostrelay/testbed/scenario/LoadSpec.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/LoadSpec.java
@@ -1,11 +1,13 @@
 package frostrelay.testbed.scenario;
 
 /**
- * What clients do. {@code requestsPerSecond}: first tries a second; {@code keyCount} with Zipf
- * exponent {@code zipf}; {@code maxRetries} after {@code minBackoffNanos} nanoseconds and more; a
- * try is given up after {@code patienceLeast} to {@code maxPatience} of its class's deadline. Of
- * all tries {@code disconnectFraction} is the part whose client closes its connection before that,
- * and {@code splitWriteFraction} the part that is written in two pieces some time apart.
+ * The load from clients. {@code requestsPerSecond}: requests per second without retries; {@code
+ * keyCount}: number of keys, with popularity by {@code zipfExponent}; {@code maxRetries}: retries
+ * per request, with a backoff of at least {@code minBackoffNanos}; an attempt times out after a
+ * fraction of its class's deadline from {@code minPatience} to {@code maxPatience}. {@code
+ * disconnectFraction}: fraction of attempts whose client closes the connection before that; {@code
+ * splitWriteFraction}: fraction of attempts that are written in two parts with a pause between
+ * them.
  */
 public record LoadSpec(
         double requestsPerSecond,
--- a/testbed/src/main/java/frostrelay/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/Scenario.java
@@ -6,10 +6,11 @@
 import java.util.List;
 
 /**
- * A day: a fleet, a load and what goes wrong. {@code durationNanos} and {@code discoveryDelayNanos}
- * (of discovery) in nanoseconds; the same {@code seed} gives the same requests and faults. {@code
- * drainGraceNanos}: how long a balancer may go on sending to a cache that it was told drains;
- * {@code deduplicationWindowNanos}: how long caches drop repeats of a keyed write.
+ * A scenario: a cluster, a load and injected faults. {@code durationNanos} and {@code
+ * discoveryDelayNanos} in nanoseconds; the same {@code seed} gives the same requests and faults.
+ * {@code drainGraceNanos}: how long a balancer may still send to a cache after it was notified of
+ * the drain; {@code deduplicationWindowNanos}: how long caches detect repeated writes with the same
+ * idempotency key.
  */
 public record Scenario(
         long seed,
@@ -25,7 +26,9 @@
         List<ClassSpec> classes,
         List<TenantSpec> tenants,
         List<FaultSpec> faults) {
-    /** The same day at another length; faults move with it. */
+    /**
+     * Returns this scenario with another duration; the times of faults are scaled in proportion.
+     */
     public Scenario withDuration(long newDurationNanos) {
         double scale = newDurationNanos / (double) durationNanos;
         List<FaultSpec> scaledFaults =
@@ -56,7 +59,7 @@
                 scaledFaults);
     }
 
-    /** The same day without what goes wrong. */
+    /** Returns this scenario without faults. */
     public Scenario withoutFaults() {
         return new Scenario(
                 seed,
@@ -74,7 +77,7 @@
                 List.of());
     }
 
-    /** The same day with other requests. */
+    /** Returns this scenario with another seed. */
     public Scenario withSeed(long newSeed) {
         return new Scenario(
                 newSeed,
--- a/testbed/src/main/java/frostrelay/testbed/scenario/ScenarioFile.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/ScenarioFile.java
@@ -20,90 +20,106 @@
 import java.util.List;
 import java.util.Set;
 
-/** The form of a day in TOML, and what must hold beyond the form. */
+/** The TOML format of scenarios, with checks that go beyond its schema. */
 public final class ScenarioFile {
     private static final List<String> EFFECTS = List.of("repeatable", "keyed", "never-twice");
     private static final double FRACTION_TOLERANCE = 0.01;
 
     private ScenarioFile() {}
 
-    /** The form, for checks and for the page that describes it. */
+    /** Returns the schema, for validation and for the page that describes it. */
     public static TableSchema schema() {
-        return new TableSchema("A day.")
+        return new TableSchema("A test scenario.")
                 .whole(
                         "seed",
                         1L,
                         0,
                         Long.MAX_VALUE,
                         "The same seed gives the same requests and faults.")
-                .duration("length", "20s", "1s", "24h", "How long requests come.")
+                .duration("length", "20s", "1s", "24h", "How long clients send requests.")
                 .table(
                         "fleet",
-                        new TableSchema("The machines.")
-                                .whole("caches", 10L, 1, 200, "Caches that run at the start.")
-                                .whole("balancers", 2L, 1, 16, "Balancers, each a process.")
+                        new TableSchema("The size of the cluster.")
+                                .whole("caches", 10L, 1, 200, "Number of caches at the start.")
+                                .whole(
+                                        "balancers",
+                                        2L,
+                                        1,
+                                        16,
+                                        "Number of balancers, each a separate process.")
                                 .duration(
                                         "discovery-lateness",
                                         "500ms",
                                         "0ms",
                                         "60s",
-                                        "From a change to its being told.")
+                                        "Time from a change until discovery publishes it.")
                                 .duration(
                                         "drain-grace",
                                         "500ms",
                                         "50ms",
                                         "60s",
-                                        "How long work may still be sent to a cache after its drain was told.")
+                                        "How long a balancer may still send work to a cache after it was notified of its drain.")
                                 .duration(
                                         "repeat-window",
                                         "8s",
                                         "1ms",
                                         "600s",
-                                        "How long caches drop repeats of a keyed write."))
+                                        "How long caches detect repeated writes with the same idempotency key."))
                 .table(
                         "cache",
-                        new TableSchema("What each cache is.")
+                        new TableSchema("The properties of each cache.")
                                 .whole("cores", 1L, 1, 64, "Cores that share the work.")
-                                .whole("slots", 16L, 1, 4096, "Requests in work at once.")
+                                .whole("slots", 16L, 1, 4096, "Requests processed concurrently.")
                                 .whole(
                                         "queue",
                                         64L,
                                         0,
                                         100_000,
-                                        "Requests that wait; more are turned away.")
+                                        "Maximum number of waiting requests; further ones are rejected.")
                                 .bytes(
                                         "memory",
                                         "4MiB",
                                         "1KiB",
                                         "8GiB",
-                                        "Values kept; those used longest ago go first.")
-                                .whole("connections", 256L, 1, 65_536, "Connections that it holds.")
+                                        "Memory for values; the least recently used are evicted.")
+                                .whole(
+                                        "connections",
+                                        256L,
+                                        1,
+                                        65_536,
+                                        "Maximum number of open connections.")
                                 .duration(
                                         "fetch-timeout",
                                         "800ms",
                                         "1ms",
                                         "60s",
-                                        "How long it waits for the archive.")
-                                .bool("coalesce", false, "Whether misses of one key share a fetch.")
-                                .bool("cancel-stops", true, "Whether work whose client left stops.")
+                                        "Timeout of calls to the origin.")
+                                .bool(
+                                        "coalesce",
+                                        false,
+                                        "Whether concurrent misses of a key share a fetch.")
+                                .bool(
+                                        "cancel-stops",
+                                        true,
+                                        "Whether work is cancelled when its connection closes.")
                                 .number(
                                         "cold-from",
                                         0.15,
                                         0.01,
                                         1,
-                                        "Capacity at a start, as a part of the full.")
+                                        "Initial capacity in slow start, as a fraction of full capacity.")
                                 .duration(
                                         "warm-within",
                                         "20s",
                                         "0ms",
                                         "1h",
-                                        "From a start to full capacity.")
+                                        "Time from the start to full capacity.")
                                 .number(
                                         "tip-multiple",
                                         4.0,
                                         1,
                                         1_000,
-                                        "Sent more than this many times what it can do, it falls over while it is cold.")
+                                        "Load, as a multiple of the current capacity, above which a cache in slow start crashes.")
                                 .duration(
                                         "tip-window",
                                         "1s",
@@ -112,21 +128,21 @@
                                         "The span over which that is counted."))
                 .table(
                         "archive",
-                        new TableSchema("The archive behind the caches.")
-                                .whole("places", 20L, 1, 10_000, "Fetches in work at once.")
-                                .duration("time", "30ms", "1ms", "60s", "Mean time of a fetch.")
+                        new TableSchema("The origin of the cached values.")
+                                .whole("places", 20L, 1, 10_000, "Fetches processed concurrently.")
+                                .duration("time", "30ms", "1ms", "60s", "Mean duration of a fetch.")
                                 .whole(
                                         "queue",
                                         200L,
                                         0,
                                         100_000,
-                                        "Fetches that wait; more are refused.")
+                                        "Maximum number of waiting fetches; further ones are rejected.")
                                 .number(
                                         "fall-multiple",
                                         3.0,
                                         1,
                                         1_000,
-                                        "Sent this many times what it can do it stops.")
+                                        "Load, as a multiple of capacity, above which an outage starts.")
                                 .duration(
                                         "fall-window",
                                         "2s",
@@ -134,88 +150,117 @@
                                         "60s",
                                         "The span over which that is counted.")
                                 .duration(
-                                        "fall-time", "3s", "10ms", "600s", "How long it stops for.")
+                                        "fall-time",
+                                        "3s",
+                                        "10ms",
+                                        "600s",
+                                        "Duration of the outage after an overload.")
                                 .bytes("value", "400B", "16B", "4MiB", "Mean size of a value."))
                 .table(
                         "load",
-                        new TableSchema("What clients do.")
+                        new TableSchema("The load from clients.")
                                 .rate(
                                         "rate",
                                         "600/s",
                                         "0.1/s",
                                         "1000000/s",
-                                        "First tries; retries come on top.")
-                                .whole("keys", 2_000L, 1, 100_000_000, "Different keys.")
-                                .number("zipf", 0.95, 0, 5, "How uneven their popularity is.")
-                                .whole("retries", 2L, 0, 100, "Tries after the first.")
+                                        "Request rate, not including retries.")
+                                .whole("keys", 2_000L, 1, 100_000_000, "Number of distinct keys.")
+                                .number(
+                                        "zipf",
+                                        0.95,
+                                        0,
+                                        5,
+                                        "Zipf exponent of the popularity of keys.")
+                                .whole(
+                                        "retries",
+                                        2L,
+                                        0,
+                                        100,
+                                        "Maximum number of retries per request.")
                                 .duration(
                                         "backoff",
                                         "100ms",
                                         "0ms",
                                         "60s",
-                                        "Least wait before a further try.")
+                                        "Minimum backoff before a retry.")
                                 .number(
                                         "patience-least",
                                         0.5,
                                         0.05,
                                         1,
-                                        "A try is given up after so much of the deadline,")
-                                .number("patience-most", 0.8, 0.05, 1, "or up to so much.")
+                                        "Minimum timeout of an attempt, as a fraction of the deadline.")
+                                .number(
+                                        "patience-most",
+                                        0.8,
+                                        0.05,
+                                        1,
+                                        "Maximum timeout of an attempt, as a fraction of the deadline.")
                                 .number(
                                         "leaves",
                                         0.0,
                                         0,
                                         1,
-                                        "Tries whose client closes its connection before that.")
+                                        "Fraction of attempts whose client closes the connection before the timeout.")
                                 .number(
                                         "slow",
                                         0.0,
                                         0,
                                         1,
-                                        "Tries that are written in two pieces, some time apart."))
+                                        "Fraction of attempts that are written in two parts with a pause between them."))
                 .list(
                         "class",
                         64,
                         new TableSchema("A class of requests; shares add up to 1.")
                                 .text("name", null, "As clients and balancers name it.")
-                                .number("share", null, 0, 1, "Its part of all requests.")
+                                .number("share", null, 0, 1, "Its fraction of all requests.")
                                 .duration(
                                         "work-least",
                                         "1ms",
                                         "1us",
                                         "60s",
-                                        "Work of a cache's core, at least,")
-                                .duration("work-most", "2ms", "1us", "60s", "and at most.")
+                                        "Minimum CPU time of a request at a cache.")
+                                .duration(
+                                        "work-most",
+                                        "2ms",
+                                        "1us",
+                                        "60s",
+                                        "Maximum CPU time of a request at a cache.")
                                 .duration(
                                         "aim",
                                         "300ms",
                                         "1ms",
                                         "1h",
-                                        "An answer by then is in time.")
+                                        "Latency up to which a response counts as in time.")
                                 .duration(
                                         "deadline",
                                         "1s",
                                         "1ms",
                                         "1h",
-                                        "The client waits no longer, over all its tries.")
-                                .number("worth", 1.0, 0, 1_000_000, "Of one answer in time.")
+                                        "Time limit of the client over all attempts.")
+                                .number("worth", 1.0, 0, 1_000_000, "Weight of a response in time.")
                                 .choice(
                                         "effect",
                                         "repeatable",
                                         EFFECTS,
-                                        "Whether it may run again: freely, dropped by its key, or never."))
+                                        "Whether requests may be executed again: always, deduplicated by idempotency key, or never."))
                 .list(
                         "tenant",
                         1_000,
                         new TableSchema("A tenant; shares add up to 1.")
                                 .text("name", null, "As clients and balancers name it.")
-                                .number("share", null, 0, 1, "Its part of all requests."))
+                                .number("share", null, 0, 1, "Its fraction of all requests."))
                 .list(
                         "fault",
                         1_000,
-                        new TableSchema("Something that happens.")
-                                .duration("at", null, "0ms", "24h", "From the day's start.")
-                                .choice("kind", null, FaultKind.wireNames(), "What happens.")
+                        new TableSchema("An injected fault.")
+                                .duration(
+                                        "at",
+                                        null,
+                                        "0ms",
+                                        "24h",
+                                        "Time from the start of the scenario.")
+                                .choice("kind", null, FaultKind.wireNames(), "Kind of the fault.")
                                 .text(
                                         "target",
                                         "any",
@@ -225,32 +270,35 @@
                                         4.0,
                                         0.01,
                                         10_000,
-                                        "How much, for slow, surge and narrow.")
-                                .duration("amount", "0ms", "0ms", "1h", "How long, for delays.")
+                                        "Strength of slow, surge and narrow faults.")
+                                .duration("amount", "0ms", "0ms", "1h", "Duration of delays.")
                                 .duration(
                                         "for",
                                         "0ms",
                                         "0ms",
                                         "24h",
-                                        "After this it is undone; 0ms for never."));
+                                        "Time until the fault is undone; 0ms for never."));
     }
 
-    /** Reads a day; throws {@link BadConfigException} with all that is wrong. */
+    /** Reads a scenario; throws {@link BadConfigException} with all problems found. */
     public static Scenario read(Path path) {
         return bind(path.toString(), TomlFile.read(path, schema()));
     }
 
-    /** Likewise from a text; {@code file} is how problems name it. */
+    /**
+     * Parses a scenario; {@code file} is the name used in error messages. Throws {@link
+     * BadConfigException} with all problems found.
+     */
     public static Scenario parse(String file, String text) {
         return bind(file, TomlFile.parse(file, text, schema()));
     }
 
-    /** The day that the demo plays. */
+    /** Returns the scenario of the demo. */
     public static Scenario demo() {
         return parse("demo.toml", demoText());
     }
 
-    /** Its text, as an example to start from. */
+    /** Returns the text of the demo scenario, as an example. */
     public static String demoText() {
         try (InputStream in = ScenarioFile.class.getResourceAsStream("demo.toml")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -260,8 +308,8 @@
     }
 
     /**
-     * What values mean that were read by the form; throws {@link BadConfigException} with what
-     * cannot be meant.
+     * Converts parsed values to a scenario; throws {@link BadConfigException} with all inconsistent
+     * values.
      */
     public static Scenario bind(String file, TableValues values) {
         List<Problem> problems = new ArrayList<>();
@@ -314,7 +362,7 @@
                                 file,
                                 fault.line(),
                                 "fault.at",
-                                "a time past the day's length",
+                                "a time after the end of the scenario",
                                 "at most the length"));
             }
             checkTarget(
@@ -463,7 +511,7 @@
                             "fault.target",
                             '"' + spec.target() + '"',
                             spec.kind().targetKind == FaultKind.TargetKind.NONE
-                                    ? "nothing, as " + spec.kind().wireName + " meets nobody"
+                                    ? "nothing, as " + spec.kind().wireName + " matches no instance"
                                     : name
                                             + "-1 to "
                                             + name
--- a/testbed/src/main/java/frostrelay/testbed/scenario/Targets.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/Targets.java
@@ -6,11 +6,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Whom a fault's target means: one by name, or some by chance. */
+/** Resolves the target of a fault: an instance by name, or randomly selected ones. */
 public final class Targets {
     private Targets() {}
 
-    /** How many of {@code targetCount} a target means; 0 if it means none that there is. */
+    /** Returns how many of {@code targetCount} instances a target selects; 0 if it matches none. */
     public static int count(String target, String prefix, int targetCount) {
         if (target.equals("any")) {
             return 1;
@@ -31,8 +31,8 @@
     }
 
     /**
-     * The places, from 0, that a target means among {@code targetCount}; empty if it means none
-     * that there is.
+     * Returns the indexes, from 0, of the selected instances among {@code targetCount}; empty if
+     * the target matches none.
      */
     public static List<Integer> choose(
             String target, String prefix, int targetCount, UniformRandomProvider random) {
--- a/testbed/src/main/java/frostrelay/testbed/scenario/TenantSpec.java
+++ b/testbed/src/main/java/frostrelay/testbed/scenario/TenantSpec.java
@@ -1,4 +1,4 @@
 package frostrelay.testbed.scenario;
 
-/** A tenant and its part of all requests. */
+/** A tenant and its fraction of all requests. */
 public record TenantSpec(String name, double fraction) {}
