--- a/testbed/src/main/java/frostrelay/testbed/bench/Bench.java
+++ b/testbed/src/main/java/frostrelay/testbed/bench/Bench.java
@@ -35,9 +35,9 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What the balancer costs, in one run against the least that anything between two sockets can cost
- * here: straight to a cache, through a relay that only copies bytes, and through the balancer, each
- * in a closed loop and at a steady rate.
+ * Benchmark of the overhead of the balancer compared with direct access to a cache and with a relay
+ * that only copies bytes, which is the minimum overhead of any proxy. Each is measured in a closed
+ * loop and at a fixed rate, in the same run.
  */
 public final class Bench implements AutoCloseable {
     private static final int CACHE_COUNT = 4;
@@ -47,13 +47,13 @@
     private static final int BALANCER_TARGET_INDEX = 2;
 
     static {
-        // A selector that never sleeps looks broken to Netty, which would build it anew each time.
+        // Netty takes a selector that never blocks for broken and would rebuild it repeatedly.
         System.setProperty("io.netty.selectorAutoRebuildThreshold", "0");
     }
 
     /**
-     * Over one way. {@code cpuMicros}: of what stands between, a request, and {@code residentKb}:
-     * its memory behind that; 0 for nothing.
+     * The figures of one target. {@code cpuMicros}: CPU time of the intermediary per request;
+     * {@code residentKb}: its memory afterwards; both 0 for direct access.
      */
     public record Figures(
             String target,
@@ -63,7 +63,7 @@
             double p99Micros,
             long errors,
             long residentKb) {
-        /** For machines. */
+        /** Returns the figures in the machine-readable form. */
         public Map<String, Object> json() {
             Map<String, Object> all = new LinkedHashMap<>();
             all.put("way", target);
@@ -90,8 +90,8 @@
             new NioEventLoopGroup(2, new DefaultThreadFactory("cache", true));
 
     /**
-     * These never sleep: a sleeping selector wakes by the millisecond, and latencies would be those
-     * of the load.
+     * Event loops that never block: a blocking selector wakes up with millisecond resolution, which
+     * would distort the measured latencies.
      */
     private final NioEventLoopGroup loadGroup;
 
@@ -99,7 +99,7 @@
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final List<AutoCloseable> children = new ArrayList<>();
 
-    /** {@code seconds}: of each measurement. */
+    /** Creates a benchmark. {@code seconds}: duration of each measurement. */
     public Bench(int connections, long seconds, int loops) throws InterruptedException {
         this.connections = connections;
         this.seconds = seconds;
@@ -117,9 +117,9 @@
         }
     }
 
-    /** A phase: each way's rounds, in the order of the ways. */
+    /** A phase with the rounds of each target, in the order of the targets. */
     public record Phase(String name, List<List<Figures>> roundsByTarget) {
-        /** The middle one of each figure over a way's rounds. */
+        /** Returns the median of each figure over the rounds of a target. */
         public Figures median(int target) {
             List<Figures> rounds = roundsByTarget.get(target);
             return new Figures(
@@ -133,8 +133,8 @@
         }
 
         /**
-         * Least, middle and most over the rounds of a figure of two ways taken together, each in
-         * its own round.
+         * Returns the minimum, median and maximum over the rounds of a figure that combines two
+         * targets of the same round.
          */
         public double[] compare(
                 int target,
@@ -159,9 +159,9 @@
     }
 
     /**
-     * Measures all ways in turn, some rounds over: what else the machine does then meets all of
-     * them. {@code relayCommand}: the command of a relay, which gets a port and an address
-     * appended; {@code otherProgram}: another form of the balancer, or null.
+     * Measures all targets in turn over several rounds, so that other load on the machine affects
+     * all of them alike. {@code relayCommand}: the command of a relay, which gets a port and an
+     * address appended; {@code otherProgram}: another build of the balancer, or null.
      */
     public List<Phase> run(
             BalancerCommand program,
@@ -212,7 +212,7 @@
         return new Phase(name, figures);
     }
 
-    /** Connections that all caches have seen opened. */
+    /** Returns the number of connections opened to all caches. */
     public long cacheConnections() {
         return caches.stream().mapToLong(EchoCache::connections).sum();
     }
@@ -332,7 +332,8 @@
                                 Loopback.text(Loopback.port(Loopback.freePort())),
                                 Loopback.text(discovery.listen("balancer-1", endpoints)),
                                 discovery.endpointList(endpoints),
-                                // It may talk; the other one of two is not there.
+                                // Gossip is enabled, but the second configured balancer does not
+                                // exist.
                                 Map.of(
                                         "peer_listen",
                                         Loopback.text(Loopback.port(gossipPort)),
@@ -353,7 +354,7 @@
             try {
                 child.close();
             } catch (Exception e) {
-                // It is ending anyway.
+                // The process is being terminated anyway.
             }
         }
         cacheGroup.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS);
--- a/testbed/src/main/java/frostrelay/testbed/bench/EchoCache.java
+++ b/testbed/src/main/java/frostrelay/testbed/bench/EchoCache.java
@@ -17,20 +17,20 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * A cache that answers each read at once with one value: what is measured then is what stands
- * before it.
+ * A cache that answers every read immediately with the same value, so that a benchmark measures the
+ * cost of the components in front of it.
  */
 final class EchoCache {
     private final byte[] value;
     private final LongAdder connections = new LongAdder();
 
-    /** {@code bytes}: of each value. */
+    /** Creates a cache. {@code bytes}: size of the value. */
     EchoCache(int bytes) {
         value = new byte[bytes];
         java.util.Arrays.fill(value, (byte) 'v');
     }
 
-    /** Listens; returns where. */
+    /** Starts listening and returns the address. */
     InetSocketAddress start(EventLoop loop) throws InterruptedException {
         return (InetSocketAddress)
                 new ServerBootstrap()
@@ -52,7 +52,7 @@
                         .localAddress();
     }
 
-    /** Connections that were ever opened. */
+    /** Returns the number of connections opened so far. */
     long connections() {
         return connections.sum();
     }
--- a/testbed/src/main/java/frostrelay/testbed/bench/ReadLoop.java
+++ b/testbed/src/main/java/frostrelay/testbed/bench/ReadLoop.java
@@ -28,8 +28,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Reads over some connections on one event loop: in a closed loop, each connection asking again as
- * soon as it is answered, or at a given rate with latencies from the intended time on.
+ * Sends reads over several connections on one event loop: in a closed loop, in which each
+ * connection sends the next request after a response, or at a fixed rate with latencies measured
+ * from the intended send time.
  */
 final class ReadLoop {
     private static final long MAX_LATENCY_NANOS = 10_000_000_000L;
@@ -50,8 +51,8 @@
     private double nextAtNanos;
 
     /**
-     * {@code requestsPerSecond}: a second, 0 for a closed loop; the same {@code seed} asks for the
-     * same keys.
+     * Creates a load generator. {@code requestsPerSecond}: 0 for a closed loop; the same {@code
+     * seed} gives the same keys.
      */
     ReadLoop(EventLoop loop, double requestsPerSecond, long seed) {
         this.loop = loop;
@@ -104,12 +105,12 @@
         }
     }
 
-    /** From now on what is served counts. */
+    /** Starts to count served requests. */
     void startRecording() {
         loop.submit(() -> isRecording = true).syncUninterruptibly();
     }
 
-    /** Ends; what was counted is final then. */
+    /** Stops the load; the counts are final afterwards. */
     void stop() {
         loop.submit(
                         () -> {
