--- a/testbed/src/main/java/frostrelay/testbed/soak/MachineLoad.java
+++ b/testbed/src/main/java/frostrelay/testbed/soak/MachineLoad.java
@@ -6,13 +6,13 @@
 import java.util.List;
 
 /**
- * How much processor time the machine beneath took away from this one, as its kernel counts it:
- * stolen time makes all processes late together, whatever they do.
+ * CPU steal time of this virtual machine, as counted by its kernel; it delays all processes at
+ * once, independent of their own behavior.
  */
 final class MachineLoad {
     private static final Path STATISTICS = Path.of("/proc/stat");
 
-    /** Places in the first line, behind its name. */
+    /** Field indexes in the first line of /proc/stat, after its name. */
     private static final int IDLE = 3;
 
     private static final int IO_WAIT = 4;
@@ -26,15 +26,15 @@
         stolenTicksAtStart = stolen;
     }
 
-    /** Measures from now on. */
+    /** Starts a measurement. */
     static MachineLoad start() {
         long[] counts = read();
         return new MachineLoad(busy(counts), counts[STOLEN]);
     }
 
     /**
-     * The stolen part of the processor time that was wanted since the beginning; 0 where the system
-     * does not tell.
+     * Returns steal time as a fraction of the requested CPU time since the start, or 0 where the
+     * system does not report it.
      */
     double stolenFraction() {
         long[] counts = read();
@@ -59,7 +59,7 @@
                 counts[i] = Long.parseLong(words.get(i + 1));
             }
         } catch (IOException | NumberFormatException e) {
-            // Another system: nothing is known of what it takes away.
+            // Not Linux: steal time is unknown.
         }
         return counts;
     }
--- a/testbed/src/main/java/frostrelay/testbed/soak/SoakPlan.java
+++ b/testbed/src/main/java/frostrelay/testbed/soak/SoakPlan.java
@@ -19,14 +19,14 @@
 import java.util.List;
 
 /**
- * Draws a short day with many balancers, short deadlines and faults that overlap: the same seed
- * gives the same day.
+ * Generates short random scenarios with many balancers, short deadlines and overlapping faults; the
+ * same seed gives the same scenario.
  */
 public final class SoakPlan {
-    /** Balancers of a day, each a process. */
+    /** The minimum number of balancers in a scenario, each a separate process. */
     public static final int MIN_BALANCERS = 10;
 
-    /** See {@link #MIN_BALANCERS}. */
+    /** The maximum number of balancers in a scenario. */
     public static final int MAX_BALANCERS = 40;
 
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
@@ -34,15 +34,15 @@
     private static final long DURATION_NANOS = 14 * NANOS_PER_SECOND;
 
     /**
-     * Faults begin once every balancer serves for a while, and early enough for their consequences
-     * to be seen.
+     * Faults start after all balancers have served for some time, and early enough for their
+     * consequences to be observed.
      */
     private static final long FIRST_FAULT_NANOS = NANOS_PER_SECOND;
 
     private static final long LAST_FAULT_NANOS = 11 * NANOS_PER_SECOND;
 
     /**
-     * A balancer that is stopped then is killed and starts again before the end, whatever the
+     * A balancer stopped at this time is killed and started again before the end, for all possible
      * deadlines.
      */
     private static final long LAST_STOP_NANOS = 9 * NANOS_PER_SECOND;
@@ -55,7 +55,9 @@
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     }
 
-    /** The day of a seed. {@code balancers}: how many, or 0 to draw that too. */
+    /**
+     * Returns the scenario of a seed. {@code balancers}: their number, or 0 to select it randomly.
+     */
     public static Scenario draw(long seed, int balancers) {
         return new SoakPlan(seed).drawScenario(seed, balancers);
     }
@@ -161,10 +163,7 @@
         return faults;
     }
 
-    /**
-     * From a third of the balancers to all of them are restarted, in an order and at times by
-     * chance.
-     */
+    /** Adds restarts of a third to all of the balancers, in random order and at random times. */
     private void addBalancerStops(int balancers, List<FaultSpec> faults) {
         long stops = between(balancers / 3 + 1, balancers);
         for (int i = 0; i < stops; i++) {
@@ -181,8 +180,8 @@
     }
 
     /**
-     * A part of the caches hang, some more than once: what is sent to them has no answer. One hang
-     * lies over a stop in any case.
+     * Adds stalls of some caches, which then answer no requests; a cache may stall more than once.
+     * At least one stall overlaps a balancer stop.
      */
     private void addCacheStalls(int caches, List<FaultSpec> faults) {
         long beforeStop = faults.get(0).startNanos() - between(0, 300) * NANOS_PER_MILLISECOND;
@@ -255,7 +254,7 @@
         return FIRST_FAULT_NANOS + (long) (random.nextDouble() * (last - FIRST_FAULT_NANOS));
     }
 
-    /** Up to a half of all caches. */
+    /** Returns a random target of up to half of the caches. */
     private String anyOf(int caches) {
         return "any-" + between(1, caches / 2);
     }
--- a/testbed/src/main/java/frostrelay/testbed/soak/SoakRun.java
+++ b/testbed/src/main/java/frostrelay/testbed/soak/SoakRun.java
@@ -18,9 +18,9 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** Plays a drawn day on real processes and holds it against what must never happen. */
+/** Runs a random scenario on real processes and checks it against the invariants. */
 public final class SoakRun {
-    /** Events of a balancer's log that no fault from outside may cause. */
+    /** Log events of a balancer that no external fault may cause. */
     private static final List<String> BAD_EVENTS =
             List.of(
                     "\"event\":\"invariant-violation\"",
@@ -28,14 +28,14 @@
                     "\"event\":\"cannot-start\"",
                     "\"event\":\"shutdown-failed\"");
 
-    /** Invariants in the log that are a matter of time. */
+    /** Invariant violations in the log that depend on timing. */
     private static final List<String> TIMING_LINES =
             List.of(
                     "\"invariant\":\"UNANSWERED\"",
                     "\"invariant\":\"DEADLINE_OVERSTATED\"",
                     "\"invariant\":\"WRITTEN_AGAINST_GUARD\"");
 
-    /** Rules that are a matter of time. */
+    /** Invariants that depend on timing. */
     private static final Set<Invariant> TIMING_INVARIANTS =
             EnumSet.of(
                     Invariant.NO_ANSWER,
@@ -45,34 +45,37 @@
 
     private static final int MAX_LINES_PER_BALANCER = 5;
 
-    /** From these on the machine was held up itself. */
+    /** Stalls of at least this duration show that the machine itself was stalled. */
     private static final long STALLED_MILLIS = 100;
 
     private static final double STOLEN_FRACTION_LIMIT = 0.05;
 
-    /** What can be said of the program after a play. */
+    /** The conclusion about the program from a run. */
     public enum Verdict {
-        /** All that must never happen did not. */
+        /** No violation was found. */
         KEPT,
-        /** Something late was found, and the machine was held up itself: the play says nothing. */
+        /**
+         * Only timing violations were found, and the machine itself was stalled, so the run is
+         * inconclusive.
+         */
         UNDECIDED,
-        /** Something that must never happen did. */
+        /** A violation was found that a stalled machine does not explain. */
         BROKEN
     }
 
     /**
-     * Something that must never happen and did.
+     * A violation.
      *
-     * @param isTiming whether it is a matter of time alone, which a machine that is held up can
-     *     cause as well
+     * @param isTiming whether it depends on timing only, so that a stalled machine can cause it as
+     *     well
      */
     public record Finding(String detail, boolean isTiming) {}
 
     /**
-     * What a play came to.
+     * The result of a run.
      *
-     * @param stallMillis how long the stand-ins themselves stood still at most
-     * @param stolenFraction the part of the processor time that the machine beneath took away
+     * @param stallMillis longest stall of the testbed's own event loops in milliseconds
+     * @param stolenFraction steal time as a fraction of the requested CPU time
      */
     public record Outcome(
             Scenario scenario,
@@ -80,7 +83,7 @@
             long stallMillis,
             double stolenFraction,
             List<Finding> findings) {
-        /** Whether what was found is the program's. */
+        /** Returns the conclusion from the findings and the stalls of the machine. */
         public Verdict verdict() {
             if (findings.isEmpty()) {
                 return Verdict.KEPT;
@@ -96,8 +99,8 @@
     private SoakRun() {}
 
     /**
-     * Plays a day. {@code directory}: where the balancers keep their files; {@code lines}: hears
-     * what happens.
+     * Runs a scenario. {@code directory}: for the balancers' files; {@code lines}: receives
+     * progress messages.
      */
     public static Outcome run(
             Scenario scenario, Path directory, BalancerCommand program, Consumer<String> lines)
@@ -137,7 +140,7 @@
                     new Finding(
                             "WRONG: "
                                     + result.statistics().wrongResponses()
-                                    + " answers were not what was asked for",
+                                    + " responses did not match their request",
                             false));
         }
         return new Outcome(scenario, result, stallMillis, load.stolenFraction(), findings);
