--- a/testbed/src/main/java/frostrelay/testbed/link/FaultProxy.java
+++ b/testbed/src/main/java/frostrelay/testbed/link/FaultProxy.java
@@ -23,21 +23,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A relay on loopback that copies bytes between two ends, and on demand delays, stalls, narrows,
- * cuts or resets them. Bytes are never lost, doubled or reordered within a direction, as on TCP.
- * Runs on one event loop; the public calls may come from any thread.
+ * A TCP proxy on loopback that can delay, stall, throttle or reset its connections. As in TCP,
+ * bytes are never lost, duplicated or reordered within a direction. Runs on one event loop; public
+ * methods may be called from any thread.
  */
 public final class FaultProxy {
     /**
-     * What the way does to bytes. {@code delayNanos}: nanoseconds; {@code bytesPerSecond}: 0 for no
-     * limit.
+     * The simulated network conditions. {@code delayNanos}: nanoseconds; {@code bytesPerSecond}: 0
+     * for no limit.
      */
     private record Conditions(
             long delayNanos, long bytesPerSecond, boolean isStalled, boolean isCut) {}
 
     private static final Conditions NO_FAULT = new Conditions(0, 0, false, false);
 
-    /** A way that holds more than this is read no further. */
+    /** Reading pauses while a direction buffers more than this. */
     private static final int MAX_BUFFERED_BYTES = 256 * 1024;
 
     private final EventLoop loop;
@@ -45,13 +45,13 @@
     private final Set<ProxyEndpoint> endpoints = new LinkedHashSet<>();
     private Conditions conditions = NO_FAULT;
 
-    /** {@code target}: the far end. */
+    /** Creates a proxy. {@code target}: the address to which connections are forwarded. */
     public FaultProxy(EventLoop loop, InetSocketAddress target) {
         this.loop = loop;
         this.target = target;
     }
 
-    /** Listens; returns where. {@code port}: 0 lets the system choose. */
+    /** Starts listening and returns the address. {@code port}: 0 for any free port. */
     public InetSocketAddress listen(int port) throws InterruptedException {
         return (InetSocketAddress)
                 new ServerBootstrap()
@@ -73,7 +73,7 @@
                         .localAddress();
     }
 
-    /** Every byte comes so many nanoseconds later. */
+    /** Delays all bytes by a time in nanoseconds. */
     public void setDelay(long delayNanos) {
         apply(
                 new Conditions(
@@ -83,7 +83,7 @@
                         conditions.isCut));
     }
 
-    /** So many bytes a second in each direction of each connection; 0 for no limit. */
+    /** Limits the bytes per second in each direction of each connection; 0 for no limit. */
     public void setBandwidth(long bytesPerSecond) {
         apply(
                 new Conditions(
@@ -93,7 +93,7 @@
                         conditions.isCut));
     }
 
-    /** Nothing moves while this holds; connections stay open. */
+    /** Stops or resumes all transfer; connections stay open. */
     public void setStalled(boolean isActive) {
         apply(
                 new Conditions(
@@ -103,7 +103,7 @@
                         conditions.isCut));
     }
 
-    /** Resets all connections, and new ones at once while this holds. */
+    /** Resets all connections, and new ones immediately while active. */
     public void setCut(boolean isActive) {
         apply(
                 new Conditions(
@@ -124,7 +124,7 @@
                 });
     }
 
-    /** One end of a connection through the link; what it reads goes to its peer. */
+    /** One side of a proxied connection; bytes that it reads are written to its peer. */
     private final class ProxyEndpoint extends ChannelInboundHandlerAdapter {
         private record BufferedBytes(ByteBuf bytes, long dueAtNanos) {}
 
@@ -204,7 +204,7 @@
             channel.config().setAutoRead(peer.channel.isWritable());
         }
 
-        /** Passes on what is due. */
+        /** Forwards all buffered bytes that are due. */
         void drain() {
             long now = System.nanoTime();
             while (!buffered.isEmpty()
@@ -236,7 +236,7 @@
 
         private void finish() {
             if (peer != null) {
-                // Behind what is still being written.
+                // Closes after pending writes.
                 peer.channel
                         .writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER)
                         .addListener(io.netty.channel.ChannelFutureListener.CLOSE);
@@ -261,7 +261,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A reset of one end is one of the other too.
+            // A reset of one side resets the other side, too.
             if (peer != null) {
                 peer.reset();
             }
--- a/testbed/src/main/java/frostrelay/testbed/origin/OriginClient.java
+++ b/testbed/src/main/java/frostrelay/testbed/origin/OriginClient.java
@@ -22,8 +22,8 @@
 import java.util.function.Consumer;
 
 /**
- * A cache's way to the archive: one connection, answers told apart by their ids. Runs on the loop
- * it is given; calls from any thread, answers on the loop.
+ * A cache's client of the origin: one connection, with responses matched to requests by id. Methods
+ * may be called from any thread; callbacks run on the given event loop.
  */
 public final class OriginClient {
     private record PendingCall(Consumer<MetaMessage> callback, Future<?> timeout) {}
@@ -34,13 +34,13 @@
     private ChannelFuture connectFuture;
     private long lastId;
 
-    /** {@code originAddress}: where it listens. */
+    /** Creates a client of the origin at an address. */
     public OriginClient(InetSocketAddress originAddress, EventLoop loop) {
         this.originAddress = originAddress;
         this.loop = loop;
     }
 
-    /** The value of a key; null if it could not be had in so many nanoseconds. */
+    /** Fetches the value of a key; the callback gets null on failure or timeout. */
     public void fetch(String key, long timeoutNanos, Consumer<byte[]> callback) {
         loop.execute(
                 () ->
@@ -55,7 +55,10 @@
                                                         : null)));
     }
 
-    /** Passes a write on; false if it was not confirmed, though it may have been carried out. */
+    /**
+     * Sends a write; the callback gets false if it was not confirmed, in which case it may still
+     * have been executed.
+     */
     public void write(String key, byte[] value, long timeoutNanos, Consumer<Boolean> callback) {
         loop.execute(
                 () ->
@@ -91,7 +94,7 @@
                                     })
                             .connect(originAddress);
         }
-        // What is written before the connection is up would be lost.
+        // Data written before the connection is established would be lost.
         connectFuture.addListener(
                 (ChannelFuture opened) -> {
                     if (opened.isSuccess()) {
--- a/testbed/src/main/java/frostrelay/testbed/origin/OriginServer.java
+++ b/testbed/src/main/java/frostrelay/testbed/origin/OriginServer.java
@@ -28,9 +28,9 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * A stand-in for the one archive behind all caches: slow, with few places, and it falls over when
- * it is overdriven. Values name their key and version. Runs on one event loop; the public calls may
- * come from any thread.
+ * A simulated origin shared by all caches: slow, with low concurrency, and with an outage after
+ * overload. Values contain their key and version. Runs on one event loop; public methods may be
+ * called from any thread.
  */
 public final class OriginServer {
     private record Job(Channel channel, MetaMessage command) {}
@@ -47,14 +47,14 @@
     private long downUntilNanos;
     private InetSocketAddress address;
 
-    /** {@code seed}: for the times of fetches. */
+    /** Creates an origin. {@code seed}: for random fetch durations. */
     public OriginServer(OriginSpec spec, EventLoop loop, long seed) {
         this.spec = spec;
         this.loop = loop;
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     }
 
-    /** Listens; returns where. */
+    /** Starts listening and returns the address. */
     public InetSocketAddress start() throws InterruptedException {
         address =
                 (InetSocketAddress)
@@ -79,17 +79,17 @@
         return address;
     }
 
-    /** Answers nothing for so long, in nanoseconds. */
+    /** Rejects all requests for a duration in nanoseconds. */
     public void startOutage(long durationNanos) {
         loop.execute(() -> goDown(System.nanoTime(), durationNanos));
     }
 
-    /** Fetches take {@code factor} times as long. */
+    /** Multiplies the duration of fetches by a factor. */
     public void setSlowdown(double factor) {
         loop.execute(() -> slowdownFactor = factor);
     }
 
-    /** Fetches and writes that came so far. */
+    /** Returns the number of fetches and writes received so far. */
     public long acceptedCount() {
         return acceptedCount.sum();
     }
@@ -134,8 +134,8 @@
 
     private void startJob(Job job) {
         activeJobs++;
-        // Half of a fetch is the same for all, the other half varies: neither a clock nor without
-        // memory.
+        // Half of the mean duration is constant and half exponentially distributed, so that
+        // durations are neither deterministic nor memoryless.
         double timeFactor = 0.5 - 0.5 * Math.log(1 - random.nextDouble());
         loop.schedule(
                 () -> finishJob(job),
@@ -159,7 +159,7 @@
         }
     }
 
-    /** The same key and version are always the same bytes. */
+    /** Returns the value of a key, which is identical for the same key and version. */
     private byte[] value(String key) {
         byte[] head =
                 (key + '|' + versions.getOrDefault(key, 0) + '|')
--- a/testbed/src/main/java/frostrelay/testbed/origin/OriginSpec.java
+++ b/testbed/src/main/java/frostrelay/testbed/origin/OriginSpec.java
@@ -1,10 +1,10 @@
 package frostrelay.testbed.origin;
 
 /**
- * What the archive is. {@code concurrency}: fetches it works on at once; {@code meanFetchNanos}:
- * mean nanoseconds of one; {@code queueCapacity}: the most that wait; sent {@code overloadMultiple}
- * times what it can do for {@code overloadWindowNanos} nanoseconds it stops for {@code
- * outageNanos}; {@code meanValueBytes}: mean bytes of a value.
+ * The properties of the origin. {@code concurrency}: concurrent fetches; {@code meanFetchNanos}:
+ * mean duration of a fetch; {@code queueCapacity}: maximum number of waiting requests; a load of
+ * {@code overloadMultiple} times its capacity over {@code overloadWindowNanos} causes an outage of
+ * {@code outageNanos}; {@code meanValueBytes}: mean size of a value.
  */
 public record OriginSpec(
         int concurrency,
@@ -14,7 +14,7 @@
         long overloadWindowNanos,
         long outageNanos,
         int meanValueBytes) {
-    /** Fetches a second that it can do. */
+    /** Returns the capacity in fetches per second. */
     public double fetchesPerSecond() {
         return concurrency * 1e9 / meanFetchNanos;
     }
--- a/testbed/src/main/java/frostrelay/testbed/origin/package-info.java
+++ b/testbed/src/main/java/frostrelay/testbed/origin/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in for the origin behind the caches, and the caches' client of it. */
+/** A simulated origin and the client with which caches access it. */
 package frostrelay.testbed.origin;
--- a/testbed/src/main/java/frostrelay/testbed/wire/Loopback.java
+++ b/testbed/src/main/java/frostrelay/testbed/wire/Loopback.java
@@ -7,26 +7,26 @@
 import java.net.ServerSocket;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Addresses for stand-ins: the loopback range and nothing else. */
+/** Loopback addresses for the testbed's servers. */
 public final class Loopback {
     private static final int FIRST_PORT = 12_000;
     private static final int PORTS = 18_000;
 
-    /** Rigs that run side by side begin at different places. */
+    /** Testbeds that run in parallel start at different ports. */
     private static final AtomicInteger NEXT =
             new AtomicInteger((int) (ProcessHandle.current().pid() * 997));
 
     private Loopback() {}
 
-    /** A port on 127.0.0.1; 0 lets the system choose. */
+    /** Returns an address on 127.0.0.1; port 0 stands for any free port. */
     public static InetSocketAddress port(int port) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
     /**
-     * A port that is free now and stays so: below those that the system gives to connections, so
-     * that one of a balancer that is away for a while is not taken by somebody's client. Throws
-     * IOException if there is none.
+     * Returns a free port below the range from which the system assigns ports to outgoing
+     * connections, so that no client takes the port of a balancer while it restarts. Throws
+     * IOException if no port is free.
      */
     public static int freePort() throws IOException {
         for (int i = 0; i < PORTS; i++) {
@@ -37,15 +37,15 @@
                     return port;
                 }
             } catch (IOException e) {
-                // Somebody has it.
+                // The port is in use.
             }
         }
         throw new IOException("no free port");
     }
 
     /**
-     * Reads ADDRESS:PORT. Throws IllegalArgumentException for any other form, and for what is not
-     * loopback.
+     * Parses ADDRESS:PORT. Throws IllegalArgumentException for any other format and for addresses
+     * other than loopback.
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -61,7 +61,7 @@
         }
     }
 
-    /** ADDRESS:PORT. */
+    /** Returns an address in the format ADDRESS:PORT. */
     public static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/testbed/src/main/java/frostrelay/testbed/wire/MetaCodec.java
+++ b/testbed/src/main/java/frostrelay/testbed/wire/MetaCodec.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * Reads lines of the meta protocol for stand-ins. It is written apart from the balancer's own
- * decoder on purpose: a fault that both shared would not be seen.
+ * Decodes and encodes the meta protocol for the testbed. It shares no code with the balancer's
+ * decoder, because a defect in shared code would go undetected.
  */
 public final class MetaCodec extends ByteToMessageDecoder {
     private static final int MAX_LINE_BYTES = 8 * 1024;
@@ -77,7 +77,7 @@
         return bytes;
     }
 
-    /** A line and its data block, ready to be written. */
+    /** Encodes a line and its data block. */
     public static ByteBuf encode(ByteBufAllocator alloc, String line, byte[] data) {
         ByteBuf out = alloc.buffer(line.length() + 2 + (data == null ? 0 : data.length + 2));
         out.writeCharSequence(line, StandardCharsets.ISO_8859_1);
--- a/testbed/src/main/java/frostrelay/testbed/wire/MetaMessage.java
+++ b/testbed/src/main/java/frostrelay/testbed/wire/MetaMessage.java
@@ -2,18 +2,16 @@
 
 import java.util.List;
 
-/**
- * One line of the memcache meta protocol, in either direction, with its data block if it has one.
- */
+/** A command or response of the memcache meta protocol, with its data block or null. */
 public record MetaMessage(List<String> tokens, byte[] data) {
-    /** The word at a place, or an empty text behind the last. */
+    /** Returns the token at an index, or an empty string past the last one. */
     public String token(int at) {
         return at < tokens.size() ? tokens.get(at) : "";
     }
 
     /**
-     * What follows the first word that begins with a letter, from the third word on; null if there
-     * is none.
+     * Returns the value of the first flag with this letter, or null if there is none. Flags start
+     * at the third token of a command and the second of a response.
      */
     public String flag(char letter) {
         for (int i = 1; i < tokens.size(); i++) {
@@ -25,7 +23,7 @@
         return null;
     }
 
-    /** The value of a name in the list behind the flag P; null if it is not there. */
+    /** Returns the value of a name in the list of the flag P, or null if it is absent. */
     public String figure(String name) {
         String list = flag('P');
         if (list == null) {
