--- a/testbed/src/test/java/frostrelay/testbed/cache/WorkEngineTest.java
+++ b/testbed/src/test/java/frostrelay/testbed/cache/WorkEngineTest.java
@@ -19,9 +19,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The stand-in's machine against what queueing theory says of it. */
+/** Compares the model of a cache's machine with queueing theory. */
 class WorkEngineTest {
-    /** However the work is cut into jobs, slots and cores, no time is lost and none is won. */
+    /** The total time matches the total work for any division into jobs, slots and cores. */
     @Property(tries = 300, seed = "20261201")
     void workIsConserved(
             @ForAll @Size(min = 1, max = 40) List<@IntRange(min = 1, max = 1_000_000) Integer> work,
@@ -45,8 +45,7 @@
     }
 
     /**
-     * M/M/1 with shared service: the mean time in the machine is work / (1 - load), whatever the
-     * order.
+     * For an M/M/1 queue with processor sharing, the mean time in the system is work / (1 - load).
      */
     @Example
     void theMeanTimeIsThatOfAnMM1Queue() {
@@ -81,10 +80,12 @@
         assertEquals(WorkEngine.Admission.REJECTED, engine.submit(0, "c", 100));
         assertFalse(
                 engine.remove(10, "a", false),
-                "work that runs goes on where a cancel does not stop it");
+                "running work continues if cancellation does not stop it");
         assertTrue(engine.remove(10, "a", true));
         assertEquals(
-                110, engine.nextCompletionNanos(), "the next one began when the place was free");
+                110,
+                engine.nextCompletionNanos(),
+                "the next job started when the slot became free");
         engine.setSpeed(60, 0.5);
         assertEquals(160, engine.nextCompletionNanos());
     }
@@ -97,7 +98,7 @@
             SlowStartMeter meter = new SlowStartMeter(slowStart, 1, 0);
             boolean isOverloaded = false;
             for (long atNanos = 0; atNanos < 3_000_000_000L; atNanos += 10_000_000L) {
-                // So many times what it can do just now, in steps of 10 ms.
+                // A multiple of the current capacity, in steps of 10 ms.
                 isOverloaded |=
                         meter.addWork(
                                 atNanos,
--- a/testbed/src/test/java/frostrelay/testbed/client/RequestPlanTest.java
+++ b/testbed/src/test/java/frostrelay/testbed/client/RequestPlanTest.java
@@ -16,7 +16,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The same seed gives the same day, and the day is what its file says. */
+/**
+ * Checks that a seed determines the plan, and that the plan matches the rates of the scenario file.
+ */
 class RequestPlanTest {
     private static List<PlannedRequest> plan(Scenario scenario, int count) {
         RequestPlan plan = new RequestPlan(scenario);
@@ -64,7 +66,7 @@
                 1 / harmonic,
                 hottest / (double) requests.size(),
                 0.005,
-                "Zipf's share of the first key");
+                "fraction of requests for the most popular key");
         assertTrue(keys.size() <= scenario.load().keyCount());
     }
 }
--- a/testbed/src/test/java/frostrelay/testbed/fleet/FleetTest.java
+++ b/testbed/src/test/java/frostrelay/testbed/fleet/FleetTest.java
@@ -14,7 +14,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Real balancers on a fleet that goes wrong in every way that the fleet knows keep every rule. */
+/** Checks that real balancers satisfy all invariants under all kinds of injected faults. */
 class FleetTest {
     private static final String SCENARIO =
             """
@@ -52,8 +52,8 @@
     }
 
     /**
-     * What four balancers miss on watches that fell silent binds them 6 s later: by then each has
-     * asked anew.
+     * Four balancers must apply changes that their stalled watches missed within 6 s, which
+     * requires each of them to send a new call.
      */
     @Test
     void drainsBehindUnresponsiveWatchesAreAppliedInTime() throws Exception {
@@ -129,6 +129,6 @@
                 String.join("\n", lines));
         assertTrue(
                 lines.stream().filter(line -> line.contains(">>")).count() >= 15,
-                "every fault was played");
+                "every fault was injected");
     }
 }
--- a/testbed/src/test/java/frostrelay/testbed/invariants/FaultyBalancer.java
+++ b/testbed/src/test/java/frostrelay/testbed/invariants/FaultyBalancer.java
@@ -16,11 +16,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A balancer that forwards each request to a cache by turns and breaks one rule now and then, on
- * purpose. It shows that the referee would see it.
+ * A balancer that forwards requests to the caches in turn and violates one invariant at intervals,
+ * to test that the invariant checker detects it.
  */
 final class FaultyBalancer implements AutoCloseable {
-    /** What it does wrong. */
+    /** The injected defect. */
     enum Fault {
         NONE,
         SAYS_NOTHING,
@@ -34,7 +34,7 @@
         SENDS_TO_THE_FIRST_ONLY
     }
 
-    /** Every so many requests go wrong. */
+    /** The defect affects one of this many requests, selected by the hash of the id. */
     private static final int FAULT_INTERVAL_REQUESTS = 10;
 
     private final Fault fault;
@@ -46,8 +46,8 @@
     private volatile byte[] lastValue;
 
     /**
-     * {@code config}: as a real balancer would get it; {@code lateSendDelayMillis}: how long it
-     * waits before it sends late.
+     * Creates a balancer. {@code config}: in the format of a real balancer; {@code
+     * lateSendDelayMillis}: delay before a late send.
      */
     FaultyBalancer(String config, InetSocketAddress listen, Fault fault, long lateSendDelayMillis)
             throws IOException {
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Takes clients, and asks discovery and hears everything; what it makes of that is its fault.
+     * Accepts clients and polls discovery correctly; only its use of that information is defective.
      */
     void start() {
         startThread(
@@ -108,7 +108,7 @@
                             try {
                                 task.run();
                             } catch (IOException e) {
-                                // The test is over, or the far end is.
+                                // The test or the peer has ended.
                             }
                         });
         thread.setDaemon(true);
@@ -123,7 +123,7 @@
         }
     }
 
-    /** A line with its data behind it, in one piece. */
+    /** A line with its data block. */
     private record Frame(String line, byte[] bytes) {}
 
     private static Frame read(InputStream in) throws IOException {
@@ -144,7 +144,7 @@
         return null;
     }
 
-    /** Null if the cache cannot be had. */
+    /** Returns null if the cache cannot be reached. */
     private Frame forward(InetSocketAddress cache, Frame command) {
         try (Socket socket = new Socket(cache.getAddress(), cache.getPort())) {
             socket.getOutputStream().write(command.bytes);
@@ -174,15 +174,15 @@
         if (isFaulty && fault == Fault.SAYS_NOTHING) {
             return;
         }
-        // By its id: a client sends once more what a close may have crossed.
+        // Selected by id, because a client resends a request that may have crossed a close.
         if (fault == Fault.ENDS_THE_CONNECTION
                 && command.line.split(" ")[3].hashCode() % FAULT_INTERVAL_REQUESTS == 0) {
             client.close();
             return;
         }
         if (fault == Fault.SENDS_TO_THE_FIRST_ONLY) {
-            // Knows of the start before it sends: a cold cache may else fall over before any
-            // balancer is at fault.
+            // Learns of the start before it sends; otherwise the cache may crash in slow start
+            // before a violation can be attributed to a balancer.
             pollDiscovery();
         }
         Frame response = forward(cache, command);
--- a/testbed/src/test/java/frostrelay/testbed/invariants/InvariantCheckerTest.java
+++ b/testbed/src/test/java/frostrelay/testbed/invariants/InvariantCheckerTest.java
@@ -25,8 +25,8 @@
 import java.util.Set;
 
 /**
- * A referee that never whistles proves nothing: each rule is broken on purpose, and the one broken
- * is the one called.
+ * Guards against a checker that misses violations: each invariant is violated on purpose, and
+ * exactly that violation must be reported.
  */
 @Execution(ExecutionMode.SAME_THREAD)
 class InvariantCheckerTest {
--- a/testbed/src/test/java/frostrelay/testbed/invariants/TimingInvariantsTest.java
+++ b/testbed/src/test/java/frostrelay/testbed/invariants/TimingInvariantsTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Work for clients that left, and waits that are overstated, are called; what a fault on the way
- * delayed is not.
+ * Checks that work for disconnected clients and overstated timeouts are reported, except for
+ * commands delayed by an injected network fault.
  */
 class TimingInvariantsTest {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
--- a/testbed/src/test/java/frostrelay/testbed/link/FaultProxyTest.java
+++ b/testbed/src/test/java/frostrelay/testbed/link/FaultProxyTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** A link may be slow, narrow or still, but it never loses, doubles or swaps a byte. */
+/** Checks that delays, stalls and bandwidth limits never lose, duplicate or reorder bytes. */
 class FaultProxyTest {
     private static final NioEventLoopGroup GROUP = new NioEventLoopGroup(1);
 
@@ -74,7 +74,9 @@
                 socket.getOutputStream().write(sent, 200_000, 200_000);
             }
             assertArrayEquals(sent, received.get(20, TimeUnit.SECONDS));
-            assertTrue(System.nanoTime() - start > 100_000_000L, "it was slow");
+            assertTrue(
+                    System.nanoTime() - start > 100_000_000L,
+                    "the transfer takes more than 100 ms under the injected faults");
         }
     }
 
--- a/testbed/src/test/java/frostrelay/testbed/soak/SoakPlanTest.java
+++ b/testbed/src/test/java/frostrelay/testbed/soak/SoakPlanTest.java
@@ -16,8 +16,8 @@
 import java.util.Set;
 
 /**
- * What is drawn is a soak: many balancers, faults that overlap, all that it knows of within a few
- * seeds.
+ * Checks that generated scenarios have many balancers and overlapping faults, and that a few seeds
+ * cover all kinds of faults.
  */
 class SoakPlanTest {
     private static final int SEED_COUNT = 60;
